--- a/tests/builds.py
+++ b/tests/builds.py
@@ -7,7 +7,7 @@
 from io import BytesIO
 from pathlib import Path
 
-LAST_LANDING = "777b0a24857d"
+LAST_LANDING = "0235fbf0bb83"
 """What users may run when they begin to upgrade to this build."""
 
 BEFORE_LIMITS = "e68fd97b5235"
