--- a/bench/soak/callers.py
+++ b/bench/soak/callers.py
@@ -145,9 +145,9 @@
         return attempt.repeatable or attempt.status in _NOT_RUN or attempt.error == "refused"
 
     def _wait_s(self, attempt: Attempt, ends_at: float) -> float:
-        told_s = attempt.retry_after_s or _RETRY_PAUSE_S
+        reported_s = attempt.retry_after_s or _RETRY_PAUSE_S
         left_s = ends_at - monotonic()
-        return max(0.0, min(told_s, left_s * _LONGEST_WAIT_PART))
+        return max(0.0, min(reported_s, left_s * _LONGEST_WAIT_PART))
 
     def _attempt(self, call: str, route: str, key: str, adapter: str, ends_at: float) -> Attempt:
         self._count += 1
--- a/bench/soak/judges/words.py
+++ b/bench/soak/judges/words.py
@@ -38,16 +38,16 @@
 
     def judge(self, seen: Observations) -> Verdict:
         """Judge a play."""
-        told_at: dict[tuple[str, str], float] = {}
+        reported_at: dict[tuple[str, str], float] = {}
         for attempt in seen.attempts:
             if attempt.says_leaving and attempt.seal:
                 pair = (attempt.box, attempt.instance)
-                told_at[pair] = min(told_at.get(pair, float("inf")), attempt.ended_at)
+                reported_at[pair] = min(reported_at.get(pair, float("inf")), attempt.ended_at)
         looked_at = 0
         findings = []
         for event in _arrivals(seen):
             attempt = seen.attempt_of[event.request_id]
-            at = told_at.get((attempt.box, event.instance))
+            at = reported_at.get((attempt.box, event.instance))
             if at is None or attempt.sent_at < at:
                 continue
             looked_at += 1
@@ -117,15 +117,17 @@
 
 def _from_told_boxes(seen: Observations, arrivals: list[ReplicaEvent]) -> list[ReplicaEvent]:
     """Return the arrivals from boxes that had passed the limit on, and were untouched since."""
-    told_at: dict[str, float] = {}
+    reported_at: dict[str, float] = {}
     for event in arrivals:
         attempt = seen.attempt_of[event.request_id]
         if event.named_per_s >= 0 and attempt.seal and attempt.instance == event.instance:
-            told_at[attempt.box] = min(told_at.get(attempt.box, float("inf")), attempt.ended_at)
+            reported_at[attempt.box] = min(
+                reported_at.get(attempt.box, float("inf")), attempt.ended_at
+            )
     counted = []
     for event in arrivals:
         box = seen.attempt_of[event.request_id].box
-        at = told_at.get(box, float("inf"))
+        at = reported_at.get(box, float("inf"))
         if event.at >= at + UNDER_WAY_S and not _is_excused(seen, box, at, event.at):
             counted.append(event)
     return counted
--- a/bench/soak/mechanisms.py
+++ b/bench/soak/mechanisms.py
@@ -50,7 +50,7 @@
 def _know_no_era() -> None:
     from springrock.platform import store
 
-    store.era_from_told = lambda told: 0
+    store.era_from_reported = lambda reported: 0
 
 
 @_takes_out("retry_budget")
@@ -82,7 +82,7 @@
 
 @_takes_out("not_run_honesty")
 def _take_broken_for_not_run() -> None:
-    from springrock.forwarding.journey import AttemptOutcome
+    from springrock.forwarding.request_progress import AttemptOutcome
 
     ran = frozenset({AttemptOutcome.UNDER_WAY, AttemptOutcome.ANSWERED, AttemptOutcome.FAILED})
     AttemptOutcome.may_have_run = property(  # type: ignore[method-assign,assignment]
--- a/springrock/coordination/claims.py
+++ b/springrock/coordination/claims.py
@@ -75,7 +75,7 @@
 
     def start(self) -> None:
         """Begin writing in the background."""
-        self._loop = gevent.spawn(self._write_forever)
+        self._loop = gevent.spawn(self._write_loop)
 
     def stop(self) -> None:
         """Stop writing."""
@@ -109,7 +109,7 @@
         except PlatformUnavailable:
             return
 
-    def _write_forever(self) -> None:
+    def _write_loop(self) -> None:
         while True:
             self._work.wait()
             gevent.sleep(_GATHER_S)
--- a/springrock/coordination/feed.py
+++ b/springrock/coordination/feed.py
@@ -109,7 +109,7 @@
 
     def start(self) -> None:
         """Begin following in the background."""
-        self._loop = gevent.spawn(self._follow_forever)
+        self._loop = gevent.spawn(self._follow_loop)
 
     def stop(self) -> None:
         """Stop following."""
@@ -174,7 +174,7 @@
                 change = msgspec.structs.replace(change, revision=revision, at=time.time())
                 if self._try_commit(change):
                     self.sync()
-                    self._peers.tell_all(wire.Head(self.catalog.revision))
+                    self._peers.broadcast(wire.Head(self.catalog.revision))
                     return revision
             gevent.sleep(_BACKOFF_S)
         raise StatementError("too many other changes at this moment; repeat the statement")
@@ -273,7 +273,7 @@
 
     # Following.
 
-    def _follow_forever(self) -> None:
+    def _follow_loop(self) -> None:
         while True:
             before = self.catalog.revision
             try:
@@ -283,7 +283,7 @@
                 self._unread.begin(error=str(error))
                 self._fetch_from_peers()
             if self.catalog.revision > before:
-                self._peers.tell_all(wire.Head(self.catalog.revision))
+                self._peers.broadcast(wire.Head(self.catalog.revision))
             self._wake.clear()
             self._wake.wait(timeout=self._pause_s())
 
@@ -296,7 +296,7 @@
 
     def _greet(self, link: Link) -> None:
         try:
-            link.tell(wire.Head(self.catalog.revision))
+            link.notify(wire.Head(self.catalog.revision))
         except PeerUnreachable:
             return
 
--- a/springrock/coordination/link.py
+++ b/springrock/coordination/link.py
@@ -62,7 +62,7 @@
         result: AsyncResult[Any] = AsyncResult()
         self._pending[number] = result
         try:
-            self.tell(msgspec.structs.replace(question, number=number))
+            self.notify(msgspec.structs.replace(question, number=number))
         except PeerUnreachable:
             del self._pending[number]
             raise
@@ -86,11 +86,11 @@
         """Tell the other end that a question needs no answer any more."""
         self._pending.pop(number, None)
         try:
-            self.tell(wire.Withdraw(number))
+            self.notify(wire.Withdraw(number))
         except PeerUnreachable:
             return
 
-    def tell(self, message: wire.PeerMessage) -> None:
+    def notify(self, message: wire.PeerMessage) -> None:
         """Send a message without waiting.
 
         Raises:
@@ -126,7 +126,7 @@
     def decline(self, grant: wire.Grant) -> None:
         """Return a permit that nobody waits for any more."""
         try:
-            self.tell(wire.Return(grant.replica, grant.permit, grant.fence, 0))
+            self.notify(wire.Return(grant.replica, grant.permit, grant.fence, 0))
         except PeerUnreachable:
             return
 
--- a/springrock/coordination/listing.py
+++ b/springrock/coordination/listing.py
@@ -40,7 +40,7 @@
 
     def start(self) -> None:
         """Begin polling in the background."""
-        self._task = gevent.spawn(self._poll_forever)
+        self._task = gevent.spawn(self._poll_loop)
 
     def stop(self) -> None:
         """Stop polling."""
@@ -60,7 +60,7 @@
             self._log.say("The platform's list changed.", leaving=sorted(leaving))
             self._on_change(leaving)
 
-    def _poll_forever(self) -> None:
+    def _poll_loop(self) -> None:
         while True:
             try:
                 self.poll()
--- a/springrock/coordination/members.py
+++ b/springrock/coordination/members.py
@@ -87,7 +87,7 @@
 
     def start(self) -> None:
         """Begin scanning in the background."""
-        self._loop = gevent.spawn(self._scan_forever)
+        self._loop = gevent.spawn(self._scan_loop)
 
     def stop(self) -> None:
         """Stop scanning."""
@@ -169,7 +169,7 @@
         first_seen = now if self._outage else known.first_seen
         return Member(value, row.version, first_seen)
 
-    def _scan_forever(self) -> None:
+    def _scan_loop(self) -> None:
         while True:
             try:
                 self.scan()
--- a/springrock/coordination/ownership.py
+++ b/springrock/coordination/ownership.py
@@ -126,7 +126,7 @@
 
     def start(self) -> None:
         """Begin looking in the background."""
-        self._task = gevent.spawn(self._look_forever)
+        self._task = gevent.spawn(self._check_loop)
 
     def look_soon(self) -> None:
         """Look at once, as after a hand-over to this box."""
@@ -159,14 +159,14 @@
             self._log.say("The table is out; ownership is left to lapse.")
             return
         for replica in list(self._owned):
-            heir = self._desired(replica)
+            handover_target = self._desired(replica)
             row = rows.get(replica)
             if row is not None:
-                self._hand_over(row, heir)
+                self._hand_over(row, handover_target)
 
     # Looking.
 
-    def _look_forever(self) -> None:
+    def _check_loop(self) -> None:
         while True:
             self._look_quietly()
             gevent.sleep(self._lease.scan_every_s)
@@ -264,8 +264,8 @@
         if self._owned.get(name) != value.fence:
             self._gain(upstream, value.fence, previous="")
             return
-        heir = self._desired(name)
-        if heir in (None, self._session.box):
+        handover_target = self._desired(name)
+        if handover_target in (None, self._session.box):
             return
         now = monotonic()
         calm_since = max(self._boxes_since, self._moved_at)
@@ -273,9 +273,9 @@
             return
         self._moved_at = now
         self._members.scan()
-        heir = self._desired(name)
-        if heir not in (None, self._session.box):
-            self._hand_over(row, heir)
+        handover_target = self._desired(name)
+        if handover_target not in (None, self._session.box):
+            self._hand_over(row, handover_target)
 
     def _challenge(self, upstream: Upstream, row: Row, value: ReplicaValue) -> None:
         """Take a replica whose owner is gone."""
@@ -318,14 +318,20 @@
             return
         self._gain(upstream, fence, previous=previous)
 
-    def _hand_over(self, row: Row, heir: str | None) -> None:
+    def _hand_over(self, row: Row, handover_target: str | None) -> None:
         """Name the heir in the row; it finds itself there and begins."""
         value = msgspec.json.decode(row.value, type=ReplicaValue)
-        member = self._members.find(heir) if heir else None
-        if heir is None or member is None or self._owned.get(value.replica) != value.fence:
+        member = self._members.find(handover_target) if handover_target else None
+        if (
+            handover_target is None
+            or member is None
+            or self._owned.get(value.replica) != value.fence
+        ):
             return
         self._listener.closed(value.replica)
-        handed = ReplicaValue(value.replica, heir, member.value.incarnation, value.fence + 1)
+        handed = ReplicaValue(
+            value.replica, handover_target, member.value.incarnation, value.fence + 1
+        )
         checks = [Check(row.key, row.version)]
         puts = [Put(row.key, msgspec.json.encode(handed))]
         try:
@@ -333,13 +339,17 @@
         except (TransactionConflict, PlatformUnavailable) as error:
             self._log.say("A hand-over failed.", replica=value.replica, error=str(error))
             return
-        self._log.say(f"Handed {value.replica} to {heir}.", replica=value.replica, heir=heir)
+        self._log.say(
+            f"Handed {value.replica} to {handover_target}.",
+            replica=value.replica,
+            heir=handover_target,
+        )
         self._drop(value.replica)
-        self._tell_heir(value.replica, heir)
+        self._notify_handover_target(value.replica, handover_target)
 
-    def _tell_heir(self, replica: str, heir: str) -> None:
+    def _notify_handover_target(self, replica: str, handover_target: str) -> None:
         try:
-            self._peers.link_to(heir).tell(wire.HandOver(replica))
+            self._peers.link_to(handover_target).notify(wire.HandOver(replica))
         except PeerUnreachable:
             return
 
--- a/springrock/coordination/peers.py
+++ b/springrock/coordination/peers.py
@@ -94,7 +94,7 @@
             close_timeout=_CLOSE_TIMEOUT_S,
         )
         self._tasks.append(gevent.spawn(self._server.serve_forever))
-        self._tasks.append(gevent.spawn(self._dial_forever))
+        self._tasks.append(gevent.spawn(self._dial_loop))
 
     @property
     def address(self) -> str:
@@ -143,17 +143,17 @@
             raise PeerUnreachable(f"{member.box} was restarted")
         return link
 
-    def tell_all(self, message: wire.PeerMessage) -> None:
+    def broadcast(self, message: wire.PeerMessage) -> None:
         """Send a message on every open link; broken ones are passed over."""
         for link in self.links():
             try:
-                link.tell(message)
+                link.notify(message)
             except PeerUnreachable:
                 continue
 
     # Dialing.
 
-    def _dial_forever(self) -> None:
+    def _dial_loop(self) -> None:
         while True:
             for member in self._wanted():
                 if member.box not in self._links and member.box not in self._dialing:
@@ -293,6 +293,6 @@
         if answer is None:
             return
         try:
-            link.tell(answer)
+            link.notify(answer)
         except PeerUnreachable as error:
             self._log.say("Could not answer a peer.", peer=link.box, error=str(error))
--- a/springrock/coordination/permits.py
+++ b/springrock/coordination/permits.py
@@ -40,7 +40,7 @@
         self._last_number = 0
         self._outstanding: dict[int, Outstanding] = {}
         self._by_adapter: Counter[str] = Counter()
-        self._told_overdue: set[int] = set()
+        self._reported_overdue: set[int] = set()
 
     def grant(self, ask: wire.Ask, *, holder: str, life_s: float) -> Outstanding:
         """Enter a new permit."""
@@ -62,7 +62,7 @@
     def end(self, number: int) -> Outstanding | None:
         """Strike a permit; return it, or None if it was not outstanding."""
         permit = self._outstanding.pop(number, None)
-        self._told_overdue.discard(number)
+        self._reported_overdue.discard(number)
         if permit is not None:
             self._by_adapter[permit.adapter] -= 1
             if not self._by_adapter[permit.adapter]:
@@ -75,9 +75,9 @@
         over = [
             permit
             for permit in self._outstanding.values()
-            if permit.ends_at <= now and permit.number not in self._told_overdue
+            if permit.ends_at <= now and permit.number not in self._reported_overdue
         ]
-        self._told_overdue.update(permit.number for permit in over)
+        self._reported_overdue.update(permit.number for permit in over)
         return over
 
     def using(self, adapter: str) -> int:
--- a/springrock/coordination/session.py
+++ b/springrock/coordination/session.py
@@ -103,7 +103,7 @@
     def start(self, *, peer_address: str) -> None:
         """Begin renewing in the background."""
         self.value = msgspec.structs.replace(self.value, peer_address=peer_address)
-        self._loop = gevent.spawn(self._renew_forever)
+        self._loop = gevent.spawn(self._renew_loop)
 
     def stop(self) -> None:
         """Stop renewing and delete the row if the table can be reached."""
@@ -187,7 +187,7 @@
         self._log.say("Lost the session; began a new one.")
         self._on_lost()
 
-    def _renew_forever(self) -> None:
+    def _renew_loop(self) -> None:
         while not self._stop_asked.is_set():
             renewed = self.renew()
             pause = self._lease.renew_every_s if renewed else self._lease.renew_every_s / 3
--- a/springrock/coordination/standalone.py
+++ b/springrock/coordination/standalone.py
@@ -66,7 +66,7 @@
 
     def start(self) -> None:
         """Begin asking whenever the lease is in danger."""
-        self._task = gevent.spawn(self._ask_forever)
+        self._task = gevent.spawn(self._ask_loop)
 
     def stop(self) -> None:
         """Stop asking."""
@@ -83,7 +83,7 @@
         """Whether the peers agree at this moment that the table is out."""
         return monotonic() < self._agreed_until
 
-    def _ask_forever(self) -> None:
+    def _ask_loop(self) -> None:
         while True:
             gevent.sleep(_ASK_EVERY_S)
             if self._session.renewed_at and self._session.table_seen_s > self._table_out_after_s:
--- a/springrock/coordination/steward.py
+++ b/springrock/coordination/steward.py
@@ -148,7 +148,7 @@
             self.turns.over(replica)
             return
         try:
-            self._peers.link_to(steward).tell(wire.LoadOver(replica))
+            self._peers.link_to(steward).notify(wire.LoadOver(replica))
         except PeerUnreachable:
             return
 
--- a/springrock/doors/operator.py
+++ b/springrock/doors/operator.py
@@ -14,7 +14,7 @@
 from springrock.httpd import HttpServer
 from springrock.language import parse
 from springrock.plugins import doors
-from springrock.statements import Asker
+from springrock.statements import Requester
 from springrock.wire.operator import (
     STATEMENTS_PATH,
     StatementAnswer,
@@ -69,9 +69,9 @@
 
     def _run(self, who: str, request: StatementRequest) -> Any:
         try:
-            statement, words = parse(request.statement)
-            asker = Asker(who, request.command_id, request.wait_s)
-            answer: StatementAnswer = statement.run(self._host, words, asker)
+            statement, arguments = parse(request.statement)
+            requester = Requester(who, request.command_id, request.wait_s)
+            answer: StatementAnswer = statement.run(self._host, arguments, requester)
         except StatementError as error:
             return self._refused(409, who, error)
         except PlatformUnavailable as error:
--- a/springrock/emulator/engine.py
+++ b/springrock/emulator/engine.py
@@ -70,7 +70,7 @@
     def start(self) -> None:
         """Begin serving and stepping."""
         self.server.start()
-        self._stepper = gevent.spawn(self._step_forever)
+        self._stepper = gevent.spawn(self._step_loop)
 
     def stop(self) -> None:
         """Stop at once."""
@@ -131,7 +131,7 @@
 
     # Steps.
 
-    def _step_forever(self) -> None:
+    def _step_loop(self) -> None:
         while True:
             if not self.queue or self.fault.frozen:
                 self._work.clear()
--- a/springrock/emulator/replica.py
+++ b/springrock/emulator/replica.py
@@ -104,7 +104,7 @@
         """Begin serving and recording."""
         self._note(ReplicaEventKind.STARTED)
         self.server.start()
-        gevent.spawn(self._record_forever)
+        gevent.spawn(self._record_loop)
 
     def stop(self) -> None:
         """Stop at once."""
@@ -121,7 +121,7 @@
 
     # What it says of itself.
 
-    def _record_forever(self) -> None:
+    def _record_loop(self) -> None:
         while True:
             try:
                 if not self._fault.silent:
--- a/springrock/entry.py
+++ b/springrock/entry.py
@@ -34,7 +34,7 @@
 from springrock.permits.named_limits import NamedLimits
 from springrock.permits.own_shares import OwnShares
 from springrock.permits.permits import Permits
-from springrock.permits.warmth import Warmth
+from springrock.permits.warmup import WarmupTracker
 from springrock.placement.messages import Hello, KnownState
 from springrock.placement.placement import Placement
 from springrock.placement.placer_board import PlacerBoard
@@ -42,8 +42,8 @@
 from springrock.placement.placer_row import TABLE as PLACERS_TABLE
 from springrock.placement.residency import Versions
 from springrock.placement.settings import PlacementSettings
-from springrock.placement.state_asker import StateAsker, fetch_state
-from springrock.placement.state_teller import StateTeller
+from springrock.placement.state_fetcher import StateFetcher, fetch_state
+from springrock.placement.state_provider import StateProvider
 from springrock.platform import names
 from springrock.platform.dialect import PlatformDialect
 from springrock.platform.engine import PlatformEngines
@@ -109,13 +109,13 @@
             staleness_s=lambda: self._operator_table.staleness_s,
             log=self._log_of("evacuations"),
         )
-        self._warmth = Warmth(
+        self._warmup = WarmupTracker(
             configuration=lambda: self._routes.configuration,
             rows_as_of=lambda: monotonic() - self._replica_table.staleness_s,
             ended_at=self._evacuations.ended_at,
             log=self._log_of("slow_start"),
         )
-        self.directory.on_change.append(self._warmth.take_record)
+        self.directory.on_change.append(self._warmup.take_record)
         self._limits = NamedLimits(self._log_of("permits"))
         self._store = CountedStore(
             PlatformStore(settings.store.address, on_era=self._note_era),
@@ -138,7 +138,7 @@
         self._loop_watch.start()
         for follower in self._followers:
             follower.start()
-        self._asking = gevent.spawn(self._state_asker.run)
+        self._asking = gevent.spawn(self._state_fetcher.run)
         self._placement.start()
         self._quarantine.start()
         self._door.start()
@@ -248,7 +248,7 @@
         for table, follower in zip(names_of_tables, self._followers, strict=True):
             self._show_age(table, follower)
         self.metrics.replicas.set_function(lambda: float(self.directory.count))
-        self.metrics.cold_replicas.set_function(lambda: float(self._warmth.cold_count))
+        self.metrics.cold_replicas.set_function(lambda: float(self._warmup.cold_count))
         self.metrics.limited_replicas.set_function(lambda: float(self._limits.count))
 
     def _show_age(self, table: str, follower: TableFollower) -> None:
@@ -257,12 +257,14 @@
             lambda: float(number_of(follower.version))
         )
 
-    def _note_era(self, told: int | None) -> None:
-        if told is None or told == self._store_era:
+    def _note_era(self, reported: int | None) -> None:
+        if reported is None or reported == self._store_era:
             return
-        self._log_of("store").say("The store is in another era.", era=told, before=self._store_era)
-        self._store_era = told
-        self.metrics.store_era.set(told)
+        self._log_of("store").say(
+            "The store is in another era.", era=reported, before=self._store_era
+        )
+        self._store_era = reported
+        self.metrics.store_era.set(reported)
 
     def _build_serving(self) -> None:
         settings = self.settings
@@ -294,9 +296,9 @@
             control=PlatformEngines(notice_taker=self._notices.taker),
             quota_terms=self._quota_terms,
             slow_start_terms=lambda: self.settings.slow_start.terms,
-            warmth=self._warmth,
+            warmup=self._warmup,
             limits=self._limits,
-            tell_state=StateTeller(
+            state_for=StateProvider(
                 zones=settings.box.zones,
                 followers=self._followers,
                 board=self._board,
@@ -306,7 +308,7 @@
             log_of=self._log_of,
             metrics=self.metrics,
         )
-        self._state_asker = StateAsker(
+        self._state_fetcher = StateFetcher(
             [seed for seed in settings.start.seeds if seed != settings.listen.boxes_address],
             fetch=self._fetch_state,
             zones=settings.box.zones,
@@ -315,7 +317,7 @@
             directory=self.directory,
             log=self._log_of("state"),
         )
-        self._notices.on_leaving.append(self._placement.tell_leaving)
+        self._notices.on_leaving.append(self._placement.announce_leaving)
         self._share_readings()
         self._follow_evacuations()
         self.metrics.boxes.set_function(lambda: float(self._placement.boxes))
@@ -336,15 +338,15 @@
             permits=Permits(
                 counter=self._placement.counter,
                 on_unheard=self.metrics.permits_unheard.inc,
-                is_cold=self._warmth.is_cold,
+                is_cold=self._warmup.is_cold,
                 limits=self._limits,
                 shares=OwnShares(
                     home_zone=settings.box.availability_zone,
                     boxes=lambda: self._placement.home_boxes,
                 ),
             ),
-            check_key=lambda journey: gate.check_again(
-                journey.admission, journey.request.key_digest
+            check_key=lambda progress: gate.check_again(
+                progress.admission, progress.request.key_digest
             ),
             quarantine=self._quarantine.book,
         )
@@ -352,11 +354,11 @@
         sender = Sender(
             dialect=dialect,
             adapters=self._placement,
-            warmth=self._warmth,
+            warmup=self._warmup,
             may_send=chooser.may_send,
             ways=WayBytes(self.metrics, self._topology),
             log=log,
-            witness=self._quarantine.witness,
+            crash_detector=self._quarantine.crash_detector,
             notices=self._notices,
             count_attempt=lambda outcome: self.metrics.attempts.labels(outcome).inc(),
         )
@@ -392,7 +394,7 @@
         """Let boxes go by what a placer's box reads of the store."""
         for follower in self._followers:
             follower.sharing = lambda: self._placement.reads_for_others
-            follower.shared_with = lambda reading, is_own: self._placement.tell_reading(
+            follower.shared_with = lambda reading, is_own: self._placement.publish_reading(
                 reading, is_own=is_own
             )
         by_table = {follower.table: follower for follower in self._followers}
@@ -454,7 +456,7 @@
         return World(
             self._topology,
             evacuations.zones,
-            self._warmth.is_cold,
+            self._warmup.is_cold,
             evacuations.announced,
             is_limited=lambda record: self._limits.per_s(record.instance) is not None,
         )
--- a/springrock/eras.py
+++ b/springrock/eras.py
@@ -41,7 +41,7 @@
     return era << _NUMBER_BITS | number
 
 
-def told_version(era: int, number: int) -> int:
+def peer_version(era: int, number: int) -> int:
     """Return the version that another box tells.
 
     Raises:
@@ -59,9 +59,9 @@
     return str(number_of(version)) if era == UNTOLD_ERA else f"{era - 1}:{number_of(version)}"
 
 
-def era_from_told(told: int | None) -> int:
+def era_from_reported(reported: int | None) -> int:
     """Return the era that a store names; it may begin with 0, and another may name none."""
-    return UNTOLD_ERA if told is None else told + 1
+    return UNTOLD_ERA if reported is None else reported + 1
 
 
 def era_of(version: int) -> int:
--- a/springrock/forwarding/adapters.py
+++ b/springrock/forwarding/adapters.py
@@ -27,7 +27,7 @@
     returns_within_s: float
 
 
-class Wish(NamedTuple):
+class AdapterRequest(NamedTuple):
     """A request that needs a replica with its adapter.
 
     Attributes:
@@ -100,7 +100,7 @@
     def newest(self, key: AdapterKey) -> int:
         """Return the newest named version; 0 if none was named."""
 
-    def find(self, wish: Wish) -> Use | None:
+    def find(self, adapter_request: AdapterRequest) -> Use | None:
         """Return the use of a replica that a placer grants, after a wait if need be.
 
         Returns:
--- a/springrock/forwarding/choosing.py
+++ b/springrock/forwarding/choosing.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple, Protocol
 
 from springrock.clock import monotonic
-from springrock.forwarding.adapters import Adapters, Use, UseOutcome, WaitTerms, Wish
+from springrock.forwarding.adapters import AdapterRequest, Adapters, Use, UseOutcome, WaitTerms
 from springrock.forwarding.balancing import Balancer
 from springrock.forwarding.budget import RetryBudget
 from springrock.forwarding.configuration import Configuration
@@ -16,8 +16,8 @@
 from springrock.forwarding.eligibility import METERED, Obstacle
 from springrock.forwarding.errors import NoReplica, Quarantined, Rejection
 from springrock.forwarding.fingerprint import Fingerprint
-from springrock.forwarding.journey import Journey
 from springrock.forwarding.message import AdapterKey
+from springrock.forwarding.request_progress import RequestProgress
 from springrock.permits.choice import AsksPermits, Pick, pick
 from springrock.permits.terms import LEAST_PERMIT_S
 
@@ -44,7 +44,7 @@
 """Over so long clients come back that were turned away for a rest: else all are there as it ends,
 and the replica turns them away again."""
 
-_TOLD_BY_REPLICAS = (Obstacle.LEAVING, Obstacle.BACKING_OFF)
+_REPORTED_BY_REPLICAS = (Obstacle.LEAVING, Obstacle.BACKING_OFF)
 
 _BINDING = (Obstacle.OUTSIDE_REGIONS, Obstacle.EVACUATED)
 """Where these stand in the way of every replica no placer can help."""
@@ -56,16 +56,16 @@
     def __init__(self) -> None:
         self._longest: dict[str, float] = {}
 
-    def note(self, journey: Journey) -> None:
+    def note(self, progress: RequestProgress) -> None:
         """Learn from a request."""
-        deadline_s = journey.request.deadline_s or 0.0
-        name = journey.route.name
+        deadline_s = progress.request.deadline_s or 0.0
+        name = progress.route.name
         self._longest[name] = max(self._longest.get(name, 0.0), deadline_s)
 
-    def is_short(self, journey: Journey) -> bool:
+    def is_short(self, progress: RequestProgress) -> bool:
         """Whether a request has less time than others of its route have at first."""
-        deadline_s = journey.request.deadline_s
-        longest_s = self._longest.get(journey.route.name, 0.0)
+        deadline_s = progress.request.deadline_s
+        longest_s = self._longest.get(progress.route.name, 0.0)
         return deadline_s is not None and deadline_s < longest_s * _SHORT_DEADLINE
 
 
@@ -134,7 +134,7 @@
         adapters: Adapters,
         budget_of: Callable[[str], RetryBudget],
         permits: AsksPermits,
-        check_key: Callable[[Journey], None] = lambda journey: None,
+        check_key: Callable[[RequestProgress], None] = lambda progress: None,
         quarantine: Quarantine = NO_QUARANTINE,
     ) -> None:
         self._check_key = check_key
@@ -148,20 +148,20 @@
         self._deadlines = _UsualDeadlines()
         self._chance = random.Random()
 
-    def note_request(self, journey: Journey) -> None:
+    def note_request(self, progress: RequestProgress) -> None:
         """Count a new request."""
-        self._budget_of(journey.service).note_request()
-        self._deadlines.note(journey)
+        self._budget_of(progress.service).note_request()
+        self._deadlines.note(progress)
 
-    def is_returning(self, journey: Journey) -> bool:
+    def is_returning(self, progress: RequestProgress) -> bool:
         """Whether a request's client has tried before, as its deadline tells."""
-        return self._deadlines.is_short(journey)
+        return self._deadlines.is_short(progress)
 
-    def next_replica(self, journey: Journey, *, until: float) -> Chosen:
+    def next_replica(self, progress: RequestProgress, *, until: float) -> Chosen:
         """Return the replica to try next, after a wait for its adapter if need be.
 
         Args:
-            journey: The request and what was tried for it.
+            progress: The request and what was tried for it.
             until: How long a wait makes sense, on the local monotonic clock.
 
         Raises:
@@ -170,90 +170,94 @@
             KeysStale: If that is not known surely enough.
             Quarantined: If it crashes the replicas that run it.
         """
-        self._check_quarantine(journey)
-        if journey.left_s < SHORTEST_SEND_S:
+        self._check_quarantine(progress)
+        if progress.left_s < SHORTEST_SEND_S:
             raise NoReplica("out_of_time", RETRY_AFTER_S)
-        if not journey.may_run_again:
+        if not progress.may_run_again:
             raise NoReplica("may_have_run", RETRY_AFTER_S)
-        if journey.arrivals >= _ARRIVALS_AT_MOST:
+        if progress.arrivals >= _ARRIVALS_AT_MOST:
             raise NoReplica("tried_enough", RETRY_AFTER_S)
-        chosen = self._find(journey, until=until)
+        chosen = self._find(progress, until=until)
         try:
-            self._check_sending(journey, chosen)
+            self._check_sending(progress, chosen)
         except Rejection:
             if chosen.use is not None:
                 chosen.use.end(UseOutcome.ENDED)
             raise
         return chosen
 
-    def may_send(self, journey: Journey, chosen: Chosen) -> bool:
+    def may_send(self, progress: RequestProgress, chosen: Chosen) -> bool:
         """Whether nothing stands in the way of sending a request now, as it may have waited."""
-        if self._quarantine.quarantined_for_s(journey.fingerprint) is not None:
+        if self._quarantine.quarantined_for_s(progress.fingerprint) is not None:
             return False
-        return self._obstacle(journey, chosen) is None
+        return self._obstacle(progress, chosen) is None
 
-    def _obstacle(self, journey: Journey, chosen: Chosen) -> Obstacle | None:
+    def _obstacle(self, progress: RequestProgress, chosen: Chosen) -> Obstacle | None:
         return self._balancer.obstacle(
-            chosen.replica, bounds=journey.bounds, permitted=chosen.permitted
+            chosen.replica, bounds=progress.bounds, permitted=chosen.permitted
         )
 
-    def _check_sending(self, journey: Journey, chosen: Chosen) -> None:
+    def _check_sending(self, progress: RequestProgress, chosen: Chosen) -> None:
         """Raise if a request is not to be sent after all, as it may have waited."""
-        obstacle = self._obstacle(journey, chosen)
+        obstacle = self._obstacle(progress, chosen)
         if obstacle is not None:
             raise NoReplica(obstacle, RETRY_AFTER_S)
-        self._check_quarantine(journey)
-        if not journey.resuming:
-            self._check_key(journey)
-        if journey.arrivals and not self._budget_of(journey.service).spend():
+        self._check_quarantine(progress)
+        if not progress.resuming:
+            self._check_key(progress)
+        if progress.arrivals and not self._budget_of(progress.service).spend():
             raise NoReplica("retry_budget", RETRY_AFTER_S)
 
-    def _check_quarantine(self, journey: Journey) -> None:
+    def _check_quarantine(self, progress: RequestProgress) -> None:
         """Raise if a request crashes the replicas that run it, as other boxes may have learnt."""
-        left_s = self._quarantine.quarantined_for_s(journey.fingerprint)
+        left_s = self._quarantine.quarantined_for_s(progress.fingerprint)
         if left_s is not None:
             raise Quarantined(left_s)
-        if journey.runs and not self._quarantine.may_be_retried(journey.fingerprint):
+        if progress.runs and not self._quarantine.may_be_retried(progress.fingerprint):
             raise NoReplica("crashes_suspected", RETRY_AFTER_S)
 
-    def _find(self, journey: Journey, *, until: float) -> Chosen:
-        key = journey.request.adapter_key
-        self._check_regions(journey)
-        if key is None or not self._serves_adapters(journey.service):
-            picked = self._choose(journey)
+    def _find(self, progress: RequestProgress, *, until: float) -> Chosen:
+        key = progress.request.adapter_key
+        self._check_regions(progress)
+        if key is None or not self._serves_adapters(progress.service):
+            picked = self._choose(progress)
             return Chosen(picked.replica, None, picked.send_by)
         while True:
-            granted = self._find_granted(journey, key, until=until)
+            granted = self._find_granted(progress, key, until=until)
             if granted is not None:
                 return granted
             try:
-                return self._find_alone(journey, key)
+                return self._find_alone(progress, key)
             except NoReplica as refusal:
                 if refusal.reason in _BINDING or not self._adapters.await_placer(until=until):
                     raise
 
-    def _check_regions(self, journey: Journey) -> None:
+    def _check_regions(self, progress: RequestProgress) -> None:
         """Raise at once if no replica stands where the request may be served: no wait helps."""
-        if journey.bounds.regions is None:
+        if progress.bounds.regions is None:
             return
-        replicas = self._directory.of_service(journey.service)
-        if replicas and not self._balancer.within(replicas, bounds=journey.bounds):
+        replicas = self._directory.of_service(progress.service)
+        if replicas and not self._balancer.within(replicas, bounds=progress.bounds):
             raise NoReplica(Obstacle.OUTSIDE_REGIONS, RETRY_AFTER_S)
 
-    def _find_granted(self, journey: Journey, key: AdapterKey, *, until: float) -> Chosen | None:
+    def _find_granted(
+        self, progress: RequestProgress, key: AdapterKey, *, until: float
+    ) -> Chosen | None:
         """Return the replica that a placer grants; None if no placer is heard."""
         without_room: frozenset[str] = frozenset()
         for _ in range(_ASKS_AT_MOST):
-            wish = self._wish(journey, key, until=until)
-            use = self._adapters.find(wish._replace(avoid=wish.avoid | without_room))
+            adapter_request = self._adapter_request(progress, key, until=until)
+            use = self._adapters.find(
+                adapter_request._replace(avoid=adapter_request.avoid | without_room)
+            )
             if use is None:
                 return None
             replica = self._directory.find(use.instance)
             obstacle = None
             if replica is not None:
-                obstacle = self._balancer.obstacle(replica, bounds=journey.bounds, permitted=True)
+                obstacle = self._balancer.obstacle(replica, bounds=progress.bounds, permitted=True)
                 if obstacle is None:
-                    chosen = self._permitted(journey, replica, use)
+                    chosen = self._permitted(progress, replica, use)
                     if chosen is not None:
                         return chosen
                     # It has no room any more, or the placer knows nothing of its limit.
@@ -261,35 +265,37 @@
                     continue
             # The placer knows more, or less, than this box: go by what this box knows.
             use.end(UseOutcome.ENDED)
-            if obstacle not in _TOLD_BY_REPLICAS:
+            if obstacle not in _REPORTED_BY_REPLICAS:
                 return None
             # The replica has said so since the ask; the next one names it among what it avoids.
         return None
 
-    def _wish(self, journey: Journey, key: AdapterKey, *, until: float) -> Wish:
+    def _adapter_request(
+        self, progress: RequestProgress, key: AdapterKey, *, until: float
+    ) -> AdapterRequest:
         # The placer may not know yet what this box knows, and would grant what it cannot use.
-        replicas = self._directory.of_service(journey.service)
+        replicas = self._directory.of_service(progress.service)
         unusable = {replica.instance for replica in replicas if _is_unusable(replica)}
         resting = {replica.instance for replica in replicas if replica.health.resting}
-        return Wish(
-            request_id=journey.request.request_id,
+        return AdapterRequest(
+            request_id=progress.request.request_id,
             key=key,
-            terms=self._wait_terms(journey, until=until),
-            prompt=journey.request.prompt,
-            avoid=journey.tried | unusable | resting,
-            failed_at=journey.failed_at - unusable,
-            bounds=journey.bounds,
+            terms=self._wait_terms(progress, until=until),
+            prompt=progress.request.prompt,
+            avoid=progress.tried | unusable | resting,
+            failed_at=progress.failed_at - unusable,
+            bounds=progress.bounds,
         )
 
-    def _permitted(self, journey: Journey, replica: Replica, use: Use) -> Chosen | None:
+    def _permitted(self, progress: RequestProgress, replica: Replica, use: Use) -> Chosen | None:
         """Return a granted engine, with a permit if it needs one; None if there is none for it."""
         chosen = Chosen(replica, use, use.permit_until)
         left_s = 0.0 if use.permit_until is None else use.permit_until - monotonic()
-        if left_s >= LEAST_PERMIT_S or self._metered(journey, replica) is None:
+        if left_s >= LEAST_PERMIT_S or self._metered(progress, replica) is None:
             return chosen
         permit = self._permits.ask(
             replica.record,
-            request=journey.request.request_id,
+            request=progress.request.request_id,
             returns=False,
             grant=use.number,
         )
@@ -298,15 +304,15 @@
             return None
         return chosen._replace(permit_until=permit.good_until)
 
-    def _metered(self, journey: Journey, replica: Replica) -> Obstacle | None:
+    def _metered(self, progress: RequestProgress, replica: Replica) -> Obstacle | None:
         """Return why a replica needs a permit; None if it needs none, or none would help."""
-        obstacle = self._balancer.obstacle(replica, bounds=journey.bounds)
+        obstacle = self._balancer.obstacle(replica, bounds=progress.bounds)
         return obstacle if obstacle in METERED else None
 
-    def _find_alone(self, journey: Journey, key: AdapterKey) -> Chosen:
+    def _find_alone(self, progress: RequestProgress, key: AdapterKey) -> Chosen:
         """Return a replica by this box's own knowledge, as no placer is heard."""
         try:
-            picked = self._choose(journey)
+            picked = self._choose(progress)
         except NoReplica as refusal:
             if refusal.reason in (*_BINDING, *METERED):
                 raise
@@ -314,8 +320,8 @@
         use = self._adapters.use(picked.replica.instance, key)
         return Chosen(picked.replica, use, picked.send_by)
 
-    def _choose(self, journey: Journey) -> Pick:
-        request = journey.request
+    def _choose(self, progress: RequestProgress) -> Pick:
+        request = progress.request
         key = request.adapter_key
 
         def _fits(replica: Replica) -> bool:
@@ -324,14 +330,14 @@
             return not request.model or request.model in replica.record.models
 
         # For an adapter on a resting replica, a load elsewhere is better than to try that one.
-        replicas = self._directory.of_service(journey.service)
-        carried = Carried(len(request.body), journey.route.target_s)
+        replicas = self._directory.of_service(progress.service)
+        carried = Carried(len(request.body), progress.route.target_s)
 
         def _best(*, even_metered: bool, but: frozenset[str] = frozenset()) -> Replica | None:
             return self._balancer.choose(
                 replicas,
-                bounds=journey.bounds,
-                tried=journey.tried | but,
+                bounds=progress.bounds,
+                tried=progress.tried | but,
                 fits=_fits,
                 even_resting=key is None,
                 even_metered=even_metered,
@@ -340,18 +346,18 @@
 
         picked = pick(
             _best,
-            metered=lambda replica: self._metered(journey, replica),
+            metered=lambda replica: self._metered(progress, replica),
             permits=self._permits,
             request=request.request_id,
         )
         if picked is None:
-            raise self._no_replica(journey, replicas)
+            raise self._no_replica(progress, replicas)
         return picked
 
-    def _no_replica(self, journey: Journey, replicas: list[Replica]) -> NoReplica:
+    def _no_replica(self, progress: RequestProgress, replicas: list[Replica]) -> NoReplica:
         """Return the refusal of a request that no replica can take, which says what binds."""
-        replicas = self._balancer.within(replicas, bounds=journey.bounds)
-        found = self._balancer.obstacles(replicas, bounds=journey.bounds)
+        replicas = self._balancer.within(replicas, bounds=progress.bounds)
+        found = self._balancer.obstacles(replicas, bounds=progress.bounds)
         if found.total() < len(replicas) or not found:
             return NoReplica("no_replica", RETRY_AFTER_S)
         [(commonest, _)] = found.most_common(1)
@@ -364,22 +370,22 @@
         left_s = [replica.backoff.left_s for replica in replicas if replica.backoff.active]
         return min(left_s, default=RETRY_AFTER_S) + self._chance.uniform(0.0, _RETURN_SPREAD_S)
 
-    def _wait_terms(self, journey: Journey, *, until: float) -> WaitTerms:
-        last_try = journey.resuming or self.is_returning(journey)
+    def _wait_terms(self, progress: RequestProgress, *, until: float) -> WaitTerms:
+        last_try = progress.resuming or self.is_returning(progress)
         return WaitTerms(
-            worth=_worth_of(journey.priority),
-            target_at=journey.target_at,
+            worth=_worth_of(progress.priority),
+            target_at=progress.target_at,
             until=until,
-            returns_within_s=0.0 if last_try else journey.left_s * _RETURN_PART,
+            returns_within_s=0.0 if last_try else progress.left_s * _RETURN_PART,
         )
 
     def _serves_adapters(self, service: str) -> bool:
         return service in self._configuration().engine_services
 
 
-def reaction_s(journey: Journey) -> float:
+def reaction_s(progress: RequestProgress) -> float:
     """Return the seconds until the client of a stream gives up waiting for its first event."""
-    return max(SHORTEST_SEND_S, journey.first_event_by - monotonic())
+    return max(SHORTEST_SEND_S, progress.first_event_by - monotonic())
 
 
 def _is_unusable(replica: Replica) -> bool:
--- a/springrock/forwarding/directory.py
+++ b/springrock/forwarding/directory.py
@@ -211,7 +211,7 @@
         record = msgspec.structs.replace(known.record, understood=False)
         known.record = record
         self._say(record, "A replica is not understood.")
-        self._tell(record, record.instance)
+        self._notify(record, record.instance)
 
     def replace(
         self, records: Iterable[ReplicaRecord], *, not_understood: Iterable[str] = ()
@@ -290,7 +290,7 @@
             self._say(record, "Saw a replica.")
         else:
             self._renew(known, record, sign)
-        self._tell(record, record.instance)
+        self._notify(record, record.instance)
 
     def _with_leaving(self, record: ReplicaRecord) -> ReplicaRecord:
         """Return a record as it counts: an incarnation that once was leaving stays so."""
@@ -325,7 +325,7 @@
         replica.pool.close()
         self._say(replica.record, "A replica is gone.")
         replica.record = msgspec.structs.replace(replica.record, leaving=True)
-        self._tell(None, instance)
+        self._notify(None, instance)
 
     def _say_leaving(self, replica: Replica, sign: LeavingSign, recorded_at: float) -> None:
         record = replica.record
@@ -340,7 +340,7 @@
             **self._rows_origin(),
         )
 
-    def _tell(self, record: ReplicaRecord | None, instance: str) -> None:
+    def _notify(self, record: ReplicaRecord | None, instance: str) -> None:
         for listener in self.on_change:
             listener(record, instance)
 
--- a/springrock/forwarding/evacuation_watch.py
+++ b/springrock/forwarding/evacuation_watch.py
@@ -54,12 +54,12 @@
         """Log each change of what still runs in a zone after its cut, until nothing does."""
         while left_s := self._evacuations.cut_in_s(zone):
             gevent.sleep(left_s)
-        told: int | None = None
+        reported: int | None = None
         while self._evacuations.learnt_at(zone) == learnt_at:
             running = self._running(zone)
-            if running != told:
+            if running != reported:
                 self._log.say("Requests still run in an evacuated zone.", zone=zone, count=running)
-            told = running
+            reported = running
             if not running:
                 self._log.say("An evacuation is done.", zone=zone, after_s=self._age_s(zone))
                 return
--- a/springrock/forwarding/evacuations.py
+++ b/springrock/forwarding/evacuations.py
@@ -121,7 +121,7 @@
         self._log.say(
             "A zone is taken back.", zone=zone, after_s=round(now - standing.learnt_at, 3)
         )
-        self._tell(zone, False)
+        self._notify(zone, False)
 
     def _begin(self, zone: str, *, age_s: float) -> None:
         """Evacuate a zone.
@@ -144,7 +144,7 @@
             acknowledged_ms_ago_at_most=None if age_s == float("inf") else round(age_s * 1000),
             cut_in_ms=round(announced_s * 1000),
         )
-        self._tell(zone, True)
+        self._notify(zone, True)
         if announced_s:
             gevent.spawn(self._cut_in_time, zone, standing)
         else:
@@ -168,6 +168,6 @@
         for listener in self.on_cut:
             listener(zone)
 
-    def _tell(self, zone: str, evacuated: bool) -> None:
+    def _notify(self, zone: str, evacuated: bool) -> None:
         for listener in self.on_change:
             listener(zone, evacuated)
--- a/springrock/forwarding/forwarder.py
+++ b/springrock/forwarding/forwarder.py
@@ -10,10 +10,10 @@
 from springrock.forwarding.choosing import RETRY_AFTER_S, SHORTEST_SEND_S, Chosen, ReplicaChooser
 from springrock.forwarding.configuration import Route, RouteTable, Team
 from springrock.forwarding.errors import ExchangeError, OutcomeUnknown, Rejection
-from springrock.forwarding.journey import Journey
 from springrock.forwarding.keys import KeyGate, shown
 from springrock.forwarding.message import AnswerHead, ClientRequest
 from springrock.forwarding.reply import Reply, own_ending, pass_on, rejected
+from springrock.forwarding.request_progress import RequestProgress
 from springrock.forwarding.sending import Sender
 from springrock.forwarding.streaming import StreamRelay, StreamRun
 from springrock.log import Log
@@ -86,72 +86,72 @@
         except Rejection as rejection:
             self._say_not_admitted(request, route, rejection, table.configuration.version)
             return rejected(rejection)
-        journey = Journey(request, route, route.pick_service(self._chance), admission)
-        self._chooser.note_request(journey)
-        reply = self._forward_charged(journey)
-        self._say_ending(journey, reply, table.configuration.version)
+        progress = RequestProgress(request, route, route.pick_service(self._chance), admission)
+        self._chooser.note_request(progress)
+        reply = self._forward_charged(progress)
+        self._say_ending(progress, reply, table.configuration.version)
         return reply
 
-    def _forward_charged(self, journey: Journey) -> Reply:
+    def _forward_charged(self, progress: RequestProgress) -> Reply:
         """Charge a request to its team and forward it; one that never ran costs nothing."""
-        team, request = journey.admission.team, journey.request
+        team, request = progress.admission.team, progress.request
         try:
             receipt = self._charging.charge(team, tokens=request.tokens, request=request.request_id)
         except Rejection as rejection:
             return rejected(rejection)
         try:
-            return self._stream(journey) if journey.streaming else self._call(journey)
+            return self._stream(progress) if progress.streaming else self._call(progress)
         finally:
-            if not journey.runs:
+            if not progress.runs:
                 receipt.give_back()
 
     # Plain requests.
 
-    def _call(self, journey: Journey) -> Reply:
+    def _call(self, progress: RequestProgress) -> Reply:
         failed: Reply | None = None
         while True:
             try:
-                chosen = self._chooser.next_replica(journey, until=journey.ends_at)
-                reply = self._call_once(journey, chosen)
+                chosen = self._chooser.next_replica(progress, until=progress.ends_at)
+                reply = self._call_once(progress, chosen)
             except Rejection as rejection:
-                return failed or _ending_without_answer(journey, rejection)
+                return failed or _ending_without_answer(progress, rejection)
             except ExchangeError:
                 continue
-            if reply.head.status < 500 or not journey.may_run_again:
+            if reply.head.status < 500 or not progress.may_run_again:
                 return reply
             failed = reply
 
-    def _call_once(self, journey: Journey, chosen: Chosen) -> Reply:
+    def _call_once(self, progress: RequestProgress, chosen: Chosen) -> Reply:
         replica = chosen.replica
-        attempt = self._sender.begin(journey, replica)
+        attempt = self._sender.begin(progress, replica)
         try:
-            answer = self._sender.send(journey, chosen, attempt, head_within_s=journey.left_s)
+            answer = self._sender.send(progress, chosen, attempt, head_within_s=progress.left_s)
             try:
-                body = answer.read_all(deadline=Deadline(journey.left_s))
+                body = answer.read_all(deadline=Deadline(progress.left_s))
             finally:
                 answer.close()
         except ExchangeError as error:
-            self._sender.note_failure(journey, replica, attempt, error)
+            self._sender.note_failure(progress, replica, attempt, error)
             raise
         finally:
             self._sender.end(chosen, attempt)
-        self._sender.note_answer(journey, replica, attempt, answer.head.status)
-        self._sender.note_whole(journey)
+        self._sender.note_answer(progress, replica, attempt, answer.head.status)
+        self._sender.note_whole(progress)
         return pass_on(answer.head, [body])
 
     # Streams.
 
-    def _stream(self, journey: Journey) -> Reply:
+    def _stream(self, progress: RequestProgress) -> Reply:
         failed: Reply | None = None
         while True:
             try:
-                head, run = self._relay.open(journey, until=journey.first_event_by)
+                head, run = self._relay.open(progress, until=progress.first_event_by)
             except Rejection as rejection:
-                return failed or _ending_without_answer(journey, rejection)
+                return failed or _ending_without_answer(progress, rejection)
             except ExchangeError:
                 continue
-            if head.status < 500 or not journey.may_run_again:
-                return pass_on(head, self._relay.relay(journey, run))
+            if head.status < 500 or not progress.may_run_again:
+                return pass_on(head, self._relay.relay(progress, run))
             failed = _failed_stream(head, run)
 
     def _say_not_admitted(
@@ -169,33 +169,33 @@
             retry_after=rejection.retry_after_s,
         )
 
-    def _say_ending(self, journey: Journey, reply: Reply, version: int) -> None:
+    def _say_ending(self, progress: RequestProgress, reply: Reply, version: int) -> None:
         self._log.say(
             "Refused a request." if reply.reason else "Answered a request.",
-            request=journey.request.request_id,
-            fingerprint=journey.fingerprint.shown,
-            route=journey.route.name,
-            service=journey.service,
-            team="" if journey.admission.team is None else journey.admission.team.name,
-            key=shown(journey.request.key_digest),
+            request=progress.request.request_id,
+            fingerprint=progress.fingerprint.shown,
+            route=progress.route.name,
+            service=progress.service,
+            team="" if progress.admission.team is None else progress.admission.team.name,
+            key=shown(progress.request.key_digest),
             configuration=version,
-            adapter=str(journey.request.adapter_key or ""),
+            adapter=str(progress.request.adapter_key or ""),
             status=reply.head.status,
             reason=reply.reason,
             retry_after=reply.head.headers.get("retry-after") if reply.reason else None,
-            age_ms=round(journey.age_s * 1000),
-            target_ms=round(journey.route.target_s * 1000),
-            deadline_ms=round((journey.request.deadline_s or 0.0) * 1000),
-            returning=self._chooser.is_returning(journey),
-            attempts=journey.trail(),
+            age_ms=round(progress.age_s * 1000),
+            target_ms=round(progress.route.target_s * 1000),
+            deadline_ms=round((progress.request.deadline_s or 0.0) * 1000),
+            returning=self._chooser.is_returning(progress),
+            attempts=progress.attempt_summaries(),
         )
 
 
-def _ending_without_answer(journey: Journey, rejection: Rejection) -> Reply:
+def _ending_without_answer(progress: RequestProgress, rejection: Rejection) -> Reply:
     """Return the ending of a request that no replica answered."""
-    if not journey.runs:
+    if not progress.runs:
         return rejected(rejection)
-    if journey.left_s < SHORTEST_SEND_S:
+    if progress.left_s < SHORTEST_SEND_S:
         return own_ending(504, "outcome_unknown")
     return own_ending(502, "outcome_unknown")
 
--- a/springrock/forwarding/keys.py
+++ b/springrock/forwarding/keys.py
@@ -66,7 +66,7 @@
     has_teams: bool = False
 
     @property
-    def told(self) -> str | None:
+    def reported(self) -> str | None:
         """What replicas are told; None to leave the client's own headers as they are."""
         if not self.has_teams:
             return None
--- a/springrock/forwarding/journey.py
+++ b/springrock/forwarding/request_progress.py
@@ -79,7 +79,7 @@
         )
 
 
-class Journey:
+class RequestProgress:
     """One request on its way.
 
     Args:
@@ -171,7 +171,7 @@
         self.last_event_id = event_id
         self.resuming = True
 
-    def trail(self) -> list[str]:
+    def attempt_summaries(self) -> list[str]:
         """Return what was tried, for logs."""
         return [str(attempt) for attempt in self.attempts]
 
@@ -217,6 +217,6 @@
 def _bounds_of(route: Route, admission: Admission) -> Bounds:
     """Return where a request may be served: route and team both bind, where they say something."""
     team = admission.team
-    told = (route.regions, None if team is None else team.regions)
-    bounding = [regions for regions in told if regions is not None]
+    reported = (route.regions, None if team is None else team.regions)
+    bounding = [regions for regions in reported if regions is not None]
     return Bounds(frozenset.intersection(*bounding)) if bounding else ANYWHERE
--- a/springrock/forwarding/sending.py
+++ b/springrock/forwarding/sending.py
@@ -21,12 +21,12 @@
     SendingForbidden,
 )
 from springrock.forwarding.exchange import Answer, exchange
-from springrock.forwarding.journey import Attempt, AttemptOutcome, Journey
 from springrock.forwarding.notices import ReplicaNotices
+from springrock.forwarding.request_progress import Attempt, AttemptOutcome, RequestProgress
 from springrock.forwarding.way_bytes import WayBytes
 from springrock.log import Log
-from springrock.permits.warmth import Warmth
-from springrock.quarantine.witness import Witness
+from springrock.permits.warmup import WarmupTracker
+from springrock.quarantine.crash_detector import CrashDetector
 
 _OUTCOMES: tuple[tuple[type[ExchangeError], AttemptOutcome], ...] = (
     (ReplicaUnreachable, AttemptOutcome.UNREACHABLE),
@@ -56,11 +56,11 @@
     Args:
         dialect: How requests to replicas are written.
         adapters: Learns what is used where, and what is not there.
-        warmth: Learns which replicas may have started anew.
+        warmup: Learns which replicas may have started anew.
         may_send: Whether a request may yet be sent to a replica, when its connection is up.
         log: The log to write to.
         ways: Counts the bytes that go to other zones.
-        witness: Learns under which requests replicas crash.
+        crash_detector: Learns under which requests replicas crash.
         notices: Learns what answers tell of their replicas.
         count_attempt: Called with the outcome of each attempt.
     """
@@ -70,28 +70,28 @@
         *,
         dialect: Dialect,
         adapters: Adapters,
-        warmth: Warmth,
-        may_send: Callable[[Journey, Chosen], bool],
+        warmup: WarmupTracker,
+        may_send: Callable[[RequestProgress, Chosen], bool],
         ways: WayBytes,
         log: Log,
-        witness: Witness,
+        crash_detector: CrashDetector,
         notices: ReplicaNotices,
         count_attempt: Callable[[AttemptOutcome], None] = lambda outcome: None,
     ) -> None:
         self._dialect = dialect
         self._adapters = adapters
-        self._warmth = warmth
+        self._warmup = warmup
         self._may_send = may_send
         self._log = log
         self._ways = ways
-        self._witness = witness
+        self._crash_detector = crash_detector
         self._notices = notices
         self._count_attempt = count_attempt
 
-    def begin(self, journey: Journey, replica: Replica) -> Attempt:
+    def begin(self, progress: RequestProgress, replica: Replica) -> Attempt:
         """Note a new attempt; `end` must follow."""
         replica.running += 1
-        return journey.begin(replica.instance, record_age_s=monotonic() - replica.recorded_at)
+        return progress.begin(replica.instance, record_age_s=monotonic() - replica.recorded_at)
 
     def end(self, chosen: Chosen, attempt: Attempt) -> None:
         """Note that an attempt occupies its replica no longer, and how it went."""
@@ -105,7 +105,7 @@
 
     def send(
         self,
-        journey: Journey,
+        progress: RequestProgress,
         chosen: Chosen,
         attempt: Attempt,
         *,
@@ -115,7 +115,7 @@
         """Send the request and return the answer, to be closed by the caller.
 
         Args:
-            journey: The request.
+            progress: The request.
             chosen: Where to.
             attempt: Takes what the answer tells of the replica.
             head_within_s: How long the head of the answer may take.
@@ -124,45 +124,45 @@
         Raises:
             ExchangeError: If there is no answer for the client.
         """
-        key = journey.request.adapter_key
+        key = progress.request.adapter_key
         replica = chosen.replica
         terms = SendTerms(
             instance=replica.record.replica_id,
-            left_s=journey.left_s,
+            left_s=progress.left_s,
             adapter_version=0 if key is None else self._adapters.newest(key),
-            priority=journey.priority if journey.streaming else None,
+            priority=progress.priority if progress.streaming else None,
             after_event=after_event,
-            team=journey.admission.told,
+            team=progress.admission.reported,
         )
         return exchange(
-            journey.request,
+            progress.request,
             pool=replica.pool,
             terms=terms,
             dialect=self._dialect,
-            repeatable=journey.route.repeatable,
+            repeatable=progress.route.repeatable,
             head_within_s=head_within_s,
-            may_send=lambda: self._may_send(journey, chosen),
+            may_send=lambda: self._may_send(progress, chosen),
             on_close=self._ways.to(replica.record.zone),
             on_head=lambda head: self._take_notice(
-                journey, replica, attempt, self._dialect.notice(head)
+                progress, replica, attempt, self._dialect.notice(head)
             ),
         )
 
     def _take_notice(
-        self, journey: Journey, replica: Replica, attempt: Attempt, notice: ReplicaNotice
+        self, progress: RequestProgress, replica: Replica, attempt: Attempt, notice: ReplicaNotice
     ) -> None:
         """Note what an answer tells of its replica, from its head: a stream may last for long."""
         attempt.notice = notice
-        sent_at = journey.request.received_at + attempt.began_s
+        sent_at = progress.request.received_at + attempt.began_s
         self._notices.take_answer(replica, notice, sent_at=sent_at)
 
     def note_answer(
-        self, journey: Journey, replica: Replica, attempt: Attempt, status: int
+        self, progress: RequestProgress, replica: Replica, attempt: Attempt, status: int
     ) -> None:
         """Learn from an answer's status."""
-        sent_at = journey.request.received_at + attempt.began_s
-        self._warmth.note_answered(replica.record, sent_at=sent_at)
-        self._witness.note_answered(replica.instance, sent_at=sent_at)
+        sent_at = progress.request.received_at + attempt.began_s
+        self._warmup.note_answered(replica.record, sent_at=sent_at)
+        self._crash_detector.note_answered(replica.instance, sent_at=sent_at)
         if status >= 500:
             attempt.outcome = AttemptOutcome.FAILED
             replica.health.note_failure()
@@ -170,21 +170,21 @@
             attempt.outcome = AttemptOutcome.ANSWERED
             replica.health.note_success()
 
-    def note_whole(self, journey: Journey) -> None:
+    def note_whole(self, progress: RequestProgress) -> None:
         """Learn that a replica ran the request to a good end, and lives."""
-        self._witness.note_ran_well(journey.fingerprint)
+        self._crash_detector.note_ran_well(progress.fingerprint)
 
     def note_failure(
-        self, journey: Journey, replica: Replica, attempt: Attempt, error: ExchangeError
+        self, progress: RequestProgress, replica: Replica, attempt: Attempt, error: ExchangeError
     ) -> None:
         """Learn from an exchange without an answer."""
         attempt.outcome = next(outcome for kind, outcome in _OUTCOMES if isinstance(error, kind))
-        self._blame(journey, replica, error)
-        self._bear_witness(journey, replica, attempt, error)
+        self._blame(progress, replica, error)
+        self._report_to_crash_detector(progress, replica, attempt, error)
         self._log.say(
             "An attempt failed.",
-            request=journey.request.request_id,
-            fingerprint=journey.fingerprint.shown,
+            request=progress.request.request_id,
+            fingerprint=progress.fingerprint.shown,
             instance=replica.instance,
             outcome=attempt.outcome,
             beside=replica.running - 1,
@@ -193,32 +193,32 @@
             asks_for_rest_s=round(attempt.notice.backoff_s, 2),
             failure_rate=round(replica.health.failure_rate, 2),
             rest_s=round(replica.health.rest_left_s, 2),
-            age_ms=round(journey.age_s * 1000),
+            age_ms=round(progress.age_s * 1000),
         )
 
-    def _bear_witness(
-        self, journey: Journey, replica: Replica, attempt: Attempt, error: ExchangeError
+    def _report_to_crash_detector(
+        self, progress: RequestProgress, replica: Replica, attempt: Attempt, error: ExchangeError
     ) -> None:
         """Tell what an attempt without an answer shows of crashes."""
         match error:
             case AnswerBroken():
-                self._witness.note_broken(journey.fingerprint, replica.record)
+                self._crash_detector.note_broken(progress.fingerprint, replica.record)
             case ReplicaFull():
-                sent_at = journey.request.received_at + attempt.began_s
-                self._witness.note_answered(replica.instance, sent_at=sent_at)
+                sent_at = progress.request.received_at + attempt.began_s
+                self._crash_detector.note_answered(replica.instance, sent_at=sent_at)
             case ReplicaUnreachable() if not isinstance(error, ConnectionRefused):
-                self._witness.note_out_of_reach(replica.instance)
+                self._crash_detector.note_out_of_reach(replica.instance)
 
-    def _blame(self, journey: Journey, replica: Replica, error: ExchangeError) -> None:
-        key = journey.request.adapter_key
+    def _blame(self, progress: RequestProgress, replica: Replica, error: ExchangeError) -> None:
+        key = progress.request.adapter_key
         if isinstance(error, ReplicaUnreachable):
             refused = isinstance(error, ConnectionRefused)
-            self._warmth.note_failed(replica.record, refused=refused)
+            self._warmup.note_failed(replica.record, refused=refused)
             replica.health.note_unreachable()
-        elif isinstance(error, AnswerSilent) and journey.age_s < _SHORTEST_SILENCE_S:
+        elif isinstance(error, AnswerSilent) and progress.age_s < _SHORTEST_SILENCE_S:
             return
         elif isinstance(error, OutcomeUnknown):
-            self._warmth.note_failed(replica.record, refused=False)
+            self._warmup.note_failed(replica.record, refused=False)
             replica.health.note_failure()
         elif isinstance(error, ReplicaFull):
             replica.health.note_full()
--- a/springrock/forwarding/streaming.py
+++ b/springrock/forwarding/streaming.py
@@ -10,8 +10,8 @@
 from springrock.forwarding.errors import ExchangeError, OutcomeUnknown, Rejection
 from springrock.forwarding.events import EventSplitter
 from springrock.forwarding.exchange import Answer
-from springrock.forwarding.journey import Journey
 from springrock.forwarding.message import AnswerHead
+from springrock.forwarding.request_progress import RequestProgress
 from springrock.forwarding.sending import Sender
 from springrock.log import Log
 
@@ -26,18 +26,18 @@
 
     Args:
         sender: Sends the request.
-        journey: The request.
+        progress: The request.
         chosen: Where it runs.
     """
 
-    def __init__(self, sender: Sender, journey: Journey, chosen: Chosen) -> None:
+    def __init__(self, sender: Sender, progress: RequestProgress, chosen: Chosen) -> None:
         self._sender = sender
-        self._journey = journey
+        self._progress = progress
         self._chosen = chosen
         self._replica = chosen.replica
         self._splitter = EventSplitter()
         self._first = b""
-        self._attempt = sender.begin(journey, chosen.replica)
+        self._attempt = sender.begin(progress, chosen.replica)
         self._closed = False
         self._answer: Answer | None = None
 
@@ -51,13 +51,13 @@
             answer = self._send()
             self._first = self._read(answer, within_s=self._first_event_within_s())
         except ExchangeError as error:
-            self._sender.note_failure(self._journey, self._replica, self._attempt, error)
+            self._sender.note_failure(self._progress, self._replica, self._attempt, error)
             self.close()
             raise
         except BaseException:
             self.close()
             raise
-        self._sender.note_answer(self._journey, self._replica, self._attempt, answer.head.status)
+        self._sender.note_answer(self._progress, self._replica, self._attempt, answer.head.status)
         if self._chosen.use is not None and answer.head.succeeded:
             self._chosen.use.began()
         return answer.head
@@ -68,7 +68,7 @@
         while data:
             yield data
             data = self._read_next(self._answer)
-        self._sender.note_whole(self._journey)
+        self._sender.note_whole(self._progress)
 
     def close(self) -> None:
         """Give the connection back or close it; safe to call again."""
@@ -81,26 +81,26 @@
 
     def _send(self) -> Answer:
         self._answer = self._sender.send(
-            self._journey,
+            self._progress,
             self._chosen,
             self._attempt,
             head_within_s=self._first_event_within_s(),
-            after_event=self._journey.last_event_id,
+            after_event=self._progress.last_event_id,
         )
         return self._answer
 
     def _first_event_within_s(self) -> float:
-        if self._journey.resuming:
-            return min(_RESUME_WITHIN_S, self._journey.left_s)
-        return reaction_s(self._journey)
+        if self._progress.resuming:
+            return min(_RESUME_WITHIN_S, self._progress.left_s)
+        return reaction_s(self._progress)
 
     def _read_next(self, answer: Answer) -> bytes:
-        journey = self._journey
-        pause_s = _SILENCE_TO_RESUME_S if journey.may_run_again else journey.patience_s
+        progress = self._progress
+        pause_s = _SILENCE_TO_RESUME_S if progress.may_run_again else progress.patience_s
         try:
-            return self._read(answer, within_s=min(pause_s, journey.left_s))
+            return self._read(answer, within_s=min(pause_s, progress.left_s))
         except OutcomeUnknown as error:
-            self._sender.note_failure(journey, self._replica, self._attempt, error)
+            self._sender.note_failure(progress, self._replica, self._attempt, error)
             raise
 
     def _read(self, answer: Answer, *, within_s: float) -> bytes:
@@ -113,7 +113,7 @@
             events = self._splitter.feed(data)
             for event in events:
                 if event.event_id:
-                    self._journey.note_event(event.event_id)
+                    self._progress.note_event(event.event_id)
             if events:
                 return b"".join(event.raw for event in events)
 
@@ -132,18 +132,18 @@
         self._sender = sender
         self._log = log
 
-    def open(self, journey: Journey, *, until: float) -> tuple[AnswerHead, StreamRun]:
+    def open(self, progress: RequestProgress, *, until: float) -> tuple[AnswerHead, StreamRun]:
         """Try one replica and return the head of its answer and the run.
 
         Raises:
             Rejection: If there is none to try.
             ExchangeError: If it gave no answer.
         """
-        chosen = self._chooser.next_replica(journey, until=until)
-        run = StreamRun(self._sender, journey, chosen)
+        chosen = self._chooser.next_replica(progress, until=until)
+        run = StreamRun(self._sender, progress, chosen)
         return run.open(), run
 
-    def relay(self, journey: Journey, run: StreamRun) -> Iterator[bytes]:
+    def relay(self, progress: RequestProgress, run: StreamRun) -> Iterator[bytes]:
         """Yield whole events.
 
         Raises:
@@ -157,30 +157,30 @@
                 broken = error
             finally:
                 run.close()
-            run = self._resume(journey, broken)
+            run = self._resume(progress, broken)
 
-    def _resume(self, journey: Journey, broken: OutcomeUnknown) -> StreamRun:
-        until = min(journey.ends_at, monotonic() + _RESUME_WITHIN_S)
-        while journey.resuming and journey.may_run_again:
+    def _resume(self, progress: RequestProgress, broken: OutcomeUnknown) -> StreamRun:
+        until = min(progress.ends_at, monotonic() + _RESUME_WITHIN_S)
+        while progress.resuming and progress.may_run_again:
             try:
-                head, run = self.open(journey, until=until)
+                head, run = self.open(progress, until=until)
             except Rejection:
                 break
             except ExchangeError:
                 continue
             if head.succeeded:
-                self._say("Resumed a stream.", journey, broken)
+                self._say("Resumed a stream.", progress, broken)
                 return run
             run.close()
-        self._say("Cut a stream.", journey, broken)
+        self._say("Cut a stream.", progress, broken)
         raise AnswerCut(str(broken))
 
-    def _say(self, sentence: str, journey: Journey, broken: OutcomeUnknown) -> None:
+    def _say(self, sentence: str, progress: RequestProgress, broken: OutcomeUnknown) -> None:
         self._log.say(
             sentence,
-            request=journey.request.request_id,
-            after_event=journey.last_event_id,
+            request=progress.request.request_id,
+            after_event=progress.last_event_id,
             error=str(broken),
-            attempts=journey.trail(),
-            age_ms=round(journey.age_s * 1000),
+            attempts=progress.attempt_summaries(),
+            age_ms=round(progress.age_s * 1000),
         )
--- a/springrock/kept_rows.py
+++ b/springrock/kept_rows.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from springrock.doubted_rows import KeptS
 from springrock.quarantine.report import KEY_PREFIX as CRASHES_PREFIX
+from springrock.unconfirmed_rows import KeptS
 
 _REPLICA_S = 2.0
 """A replica that lives writes its row again by then; one that does not is gone."""
--- a/springrock/language.py
+++ b/springrock/language.py
@@ -8,7 +8,7 @@
 from lark.exceptions import UnexpectedInput
 
 from springrock.errors import StatementError
-from springrock.statements import Statement, Words, statements
+from springrock.statements import Arguments, Statement, statements
 
 _TERMINALS = r"""
 ADAPTER: /[A-Za-z0-9][A-Za-z0-9._\/-]*:[A-Za-z0-9][A-Za-z0-9._\/-]*/
@@ -43,7 +43,7 @@
     return Lark(grammar(), parser="earley", lexer="dynamic")
 
 
-def parse(text: str) -> tuple[Statement, Words]:
+def parse(text: str) -> tuple[Statement, Arguments]:
     """Parse a statement.
 
     Raises:
@@ -61,8 +61,8 @@
     return statements.get(str(rule.data)), _words(text, rule)
 
 
-def _words(text: str, rule: Tree[Token]) -> Words:
+def _words(text: str, rule: Tree[Token]) -> Arguments:
     lists: dict[str, list[str]] = {}
     for token in rule.scan_values(lambda value: isinstance(value, Token)):
         lists.setdefault(token.type.lower().split("__")[-1], []).append(str(token).strip('"'))
-    return Words(text, {name: values[0] for name, values in lists.items()}, lists)
+    return Arguments(text, {name: values[0] for name, values in lists.items()}, lists)
--- a/springrock/loop_watch.py
+++ b/springrock/loop_watch.py
@@ -40,14 +40,14 @@
 
     def start(self) -> None:
         """Begin to look."""
-        self._task = gevent.spawn(self._look_forever)
+        self._task = gevent.spawn(self._check_loop)
 
     def stop(self) -> None:
         """Look no more."""
         if self._task is not None:
             self._task.kill()
 
-    def _look_forever(self) -> None:
+    def _check_loop(self) -> None:
         while True:
             due_at = monotonic() + _LOOK_S
             gevent.sleep(_LOOK_S)
--- a/springrock/permits/messages.py
+++ b/springrock/permits/messages.py
@@ -32,7 +32,7 @@
     limit_per_s: float | None = None
 
 
-class LimitWord(Struct, frozen=True, array_like=True):
+class LimitReport(Struct, frozen=True, array_like=True):
     """What an answer told of its replica's limit.
 
     Attributes:
@@ -54,7 +54,7 @@
     per_s: float
 
 
-class Sighting(Struct, frozen=True, array_like=True):
+class ReplicaObservation(Struct, frozen=True, array_like=True):
     """What a box has seen of a replica that may have started anew.
 
     Attributes:
--- a/springrock/permits/named_limits.py
+++ b/springrock/permits/named_limits.py
@@ -11,10 +11,10 @@
 
 from springrock.clock import monotonic
 from springrock.log import Log
-from springrock.permits.messages import LimitWord, NamedLimit
+from springrock.permits.messages import LimitReport, NamedLimit
 from springrock.remembered import Remembered
 
-_WORDS_KEPT = 10_000
+_LIMITS_KEPT = 10_000
 """So many incarnations are remembered that have ever named a limit."""
 
 _CROSSING_S = 0.25
@@ -24,11 +24,11 @@
 _REPEAT_S = 0.5
 """How often others are told that a limit is named on."""
 
-_TOLD_FOR_S = 10.0
+_REPORT_VALID_S = 10.0
 """How long a placer's word holds after its last heartbeat: a need outlasts a placer."""
 
 
-class _Word(NamedTuple):
+class _StoredLimit(NamedTuple):
     """What is known of one replica's limit by answers.
 
     Attributes:
@@ -41,7 +41,7 @@
     at: float
 
 
-class _Told(NamedTuple):
+class _Reported(NamedTuple):
     """The limits that the placer of a zone last told.
 
     Attributes:
@@ -61,22 +61,24 @@
         log: The log to write to.
 
     Attributes:
-        on_word: Called with what an answer told that other boxes are to learn.
+        on_limit_report: Called with what an answer told that other boxes are to learn.
     """
 
     def __init__(self, log: Log) -> None:
         self._log = log
-        self._words: Remembered[_Word] = Remembered(at_most=_WORDS_KEPT)
-        self._repeated_at: Remembered[float] = Remembered(at_most=_WORDS_KEPT)
-        self._told: dict[str, _Told] = {}
-        self.on_word: list[Callable[[LimitWord], None]] = []
+        self._words: Remembered[_StoredLimit] = Remembered(at_most=_LIMITS_KEPT)
+        self._repeated_at: Remembered[float] = Remembered(at_most=_LIMITS_KEPT)
+        self._reported: dict[str, _Reported] = {}
+        self.on_limit_report: list[Callable[[LimitReport], None]] = []
 
     def per_s(self, instance: str) -> float | None:
         """Return the limit of a replica, the stricter of what answers and its placer tell."""
-        if not self._words and not self._told:
+        if not self._words and not self._reported:
             return None
         word = self._words.get(instance)
-        found = [told for told in (self._told_of(instance, word),) if told is not None]
+        found = [
+            reported for reported in (self._reported_of(instance, word),) if reported is not None
+        ]
         if word is not None and word.per_s is not None:
             found.append(word.per_s)
         return min(found, default=None)
@@ -88,7 +90,10 @@
     @property
     def count(self) -> int:
         """How many limits are known to stand."""
-        instances = {*self._words, *(name for told in self._told.values() for name in told.per_s)}
+        instances = {
+            *self._words,
+            *(name for reported in self._reported.values() for name in reported.per_s),
+        }
         return sum(self.per_s(instance) is not None for instance in instances)
 
     # What answers tell.
@@ -101,40 +106,42 @@
             # Which of two answers was given later cannot be told if they were under way at once.
             return
         before = self.per_s(instance)
-        self._words.note(instance, _Word(per_s, now))
+        self._words.note(instance, _StoredLimit(per_s, now))
         if per_s != before:
             self._say("A replica names its limit.", instance, per_s=per_s, before=before)
         if per_s == before and now < self._repeated_at.get(instance, 0.0) + _REPEAT_S:
             return
         self._repeated_at.note(instance, now)
-        self._tell(LimitWord(instance, per_s))
+        self._notify(LimitReport(instance, per_s))
 
     def note_silent(self, instance: str, *, sent_at: float) -> None:
         """Learn that an answer to a request that was sent at a time names no limit."""
         before = self.per_s(instance)
         if before is None or sent_at <= self._known_at(instance):
             return
-        self._words.note(instance, _Word(None, sent_at))
+        self._words.note(instance, _StoredLimit(None, sent_at))
         self._say("A replica names its limit no more.", instance, per_s=None, before=before)
-        self._tell(LimitWord(instance, None, round(1000 * (monotonic() - sent_at))))
+        self._notify(LimitReport(instance, None, round(1000 * (monotonic() - sent_at))))
 
     def _known_at(self, instance: str) -> float:
         """Return since when this box knows the limit that stands, as far as it was told."""
         word = self._words.get(instance)
-        times = [told.since.get(instance, 0.0) for told in self._told.values()]
+        times = [reported.since.get(instance, 0.0) for reported in self._reported.values()]
         return max(times, default=0.0) if word is None else max([word.at, *times])
 
     # What boxes tell each other, by the placer of the replica's zone.
 
-    def words(self, instances: Iterable[str]) -> list[LimitWord]:
+    def arguments(self, instances: Iterable[str]) -> list[LimitReport]:
         """Return what answers have told of some replicas, for a placer that is new to this box."""
         if not self._words:
             return []
         now = monotonic()
         known = [(name, self._words[name]) for name in instances if name in self._words]
-        return [LimitWord(name, word.per_s, round(1000 * (now - word.at))) for name, word in known]
+        return [
+            LimitReport(name, word.per_s, round(1000 * (now - word.at))) for name, word in known
+        ]
 
-    def take_word(self, said: LimitWord) -> None:
+    def apply_limit_report(self, said: LimitReport) -> None:
         """Learn what an answer told that another box got."""
         at = monotonic() - said.age_ms / 1000
         known = self._words.get(said.instance)
@@ -146,7 +153,7 @@
             overtaken = at < known.at - _CROSSING_S
         if overtaken:
             return
-        self._words.note(said.instance, _Word(said.per_s, at))
+        self._words.note(said.instance, _StoredLimit(said.per_s, at))
         before = None if known is None else known.per_s
         if before != said.per_s:
             self._say(
@@ -157,34 +164,34 @@
         """Return the limits of some replicas that stand by what answers told."""
         return tuple(
             NamedLimit(word.instance, word.per_s)
-            for word in self.words(instances)
+            for word in self.arguments(instances)
             if word.per_s is not None
         )
 
-    def take_told(self, zone: str, limits: Iterable[NamedLimit]) -> None:
+    def apply_reported(self, zone: str, limits: Iterable[NamedLimit]) -> None:
         """Learn from a zone's placer which limits of its replicas stand."""
         per_s = {limit.instance: limit.per_s for limit in limits}
-        known = self._told.get(zone)
+        known = self._reported.get(zone)
         if not per_s:
-            self._told.pop(zone, None)
+            self._reported.pop(zone, None)
             return
         now = monotonic()
         since = {} if known is None else known.since
-        self._told[zone] = _Told(per_s, {name: since.get(name, now) for name in per_s}, now)
+        self._reported[zone] = _Reported(per_s, {name: since.get(name, now) for name in per_s}, now)
 
-    def _told_of(self, instance: str, word: _Word | None) -> float | None:
+    def _reported_of(self, instance: str, word: _StoredLimit | None) -> float | None:
         """Return the limit that a placer tells, unless a later answer has named none."""
         now = monotonic()
-        for told in self._told.values():
-            since = told.since.get(instance)
-            if since is None or now >= told.at + _TOLD_FOR_S:
+        for reported in self._reported.values():
+            since = reported.since.get(instance)
+            if since is None or now >= reported.at + _REPORT_VALID_S:
                 continue
             if word is None or word.per_s is not None or word.at <= since:
-                return told.per_s[instance]
+                return reported.per_s[instance]
         return None
 
-    def _tell(self, word: LimitWord) -> None:
-        for listener in self.on_word:
+    def _notify(self, word: LimitReport) -> None:
+        for listener in self.on_limit_report:
             listener(word)
 
     def _say(
@@ -193,6 +200,6 @@
         self._log.say(sentence, instance=instance, per_s=per_s, before=before)
 
 
-def _is_stricter(word: _Word, per_s: float) -> bool:
+def _is_stricter(word: _StoredLimit, per_s: float) -> bool:
     """Whether what is known allows less than a limit."""
     return word.per_s is not None and word.per_s < per_s
--- a/springrock/permits/permit_book.py
+++ b/springrock/permits/permit_book.py
@@ -10,7 +10,7 @@
 
 from springrock.clock import monotonic
 from springrock.errors import SpringrockError
-from springrock.permits.messages import PermitAsk, Permitted, PermitVerdict, Sighting
+from springrock.permits.messages import PermitAsk, Permitted, PermitVerdict, ReplicaObservation
 from springrock.permits.terms import PERMIT_LIFE_S
 
 _NO_ANSWER_S = 0.05
@@ -26,17 +26,17 @@
     """The asks of one box at one zone's placer.
 
     Args:
-        on_news: Called when the placer is to be told something; whether somebody waits for it.
+        on_update: Called when the placer is to be told something; whether somebody waits for it.
     """
 
-    def __init__(self, *, on_news: Callable[[bool], None]) -> None:
-        self._on_news = on_news
+    def __init__(self, *, on_update: Callable[[bool], None]) -> None:
+        self._on_update = on_update
         self._numbers = count(1)
         self._asked: dict[int, AsyncResult[PermitVerdict | None]] = {}
         self._new: list[PermitAsk] = []
-        self._seen: list[Sighting] = []
+        self._seen: list[ReplicaObservation] = []
 
-    def ask(self, wish: PermitAsk) -> tuple[PermitVerdict, float]:
+    def ask(self, adapter_request: PermitAsk) -> tuple[PermitVerdict, float]:
         """Ask for a permit; return the answer and until when it is good, on the local clock.
 
         It is good for its life from before the ask, so that no delay on the way lengthens it.
@@ -45,10 +45,10 @@
             PermitsUnheard: If no answer comes. What the placer may have taken out is lost.
         """
         good_until = monotonic() + PERMIT_LIFE_S
-        ask = msgspec.structs.replace(wish, number=next(self._numbers))
+        ask = msgspec.structs.replace(adapter_request, number=next(self._numbers))
         answer = self._asked[ask.number] = AsyncResult()
         self._new.append(ask)
-        self._on_news(True)
+        self._on_update(True)
         try:
             verdict = answer.wait(timeout=_NO_ANSWER_S)
         finally:
@@ -59,12 +59,12 @@
             raise PermitsUnheard()
         return verdict, good_until
 
-    def note_sighting(self, instance: str, *, answered: bool) -> None:
+    def record_observation(self, instance: str, *, answered: bool) -> None:
         """Tell the placer what this box saw of a replica."""
-        sighting = Sighting(instance, answered)
-        if sighting not in self._seen:
-            self._seen.append(sighting)
-        self._on_news(False)
+        observation = ReplicaObservation(instance, answered)
+        if observation not in self._seen:
+            self._seen.append(observation)
+        self._on_update(False)
 
     def note_permitted(self, permitted: Permitted) -> None:
         """Learn the placer's answer; who has left does without."""
@@ -79,7 +79,7 @@
         for answer in self._asked.values():
             answer.set(None)
 
-    def take_news(self) -> tuple[list[PermitAsk], list[Sighting]]:
+    def drain_updates(self) -> tuple[list[PermitAsk], list[ReplicaObservation]]:
         """Return what the placer has not been told."""
         new, self._new = self._new, []
         seen, self._seen = self._seen, []
--- a/springrock/permits/permits.py
+++ b/springrock/permits/permits.py
@@ -24,11 +24,11 @@
 class Permitting(Protocol):
     """Counts out the permits of one zone."""
 
-    def permit(self, wish: PermitAsk) -> tuple[PermitVerdict, float]:
+    def permit(self, adapter_request: PermitAsk) -> tuple[PermitVerdict, float]:
         """Ask for a permit; return the answer and until when it is good.
 
         Args:
-            wish: What is asked, with no number yet.
+            adapter_request: What is asked, with no number yet.
 
         Raises:
             PermitsUnheard: If no answer comes.
@@ -95,7 +95,7 @@
         no_room_until = self._no_room_until.get(record.instance, 0.0)
         if not returns and not grant and now < no_room_until:
             return Permit(None, no_room_until - now)
-        wish = PermitAsk(
+        adapter_request = PermitAsk(
             0,
             request,
             record.service,
@@ -106,7 +106,7 @@
             limit_per_s=limit_per_s,
         )
         try:
-            verdict, good_until = self._counter(record.zone).permit(wish)
+            verdict, good_until = self._counter(record.zone).permit(adapter_request)
         except PermitsUnheard:
             self._on_unheard()
             self._left_alone_until[record.zone] = monotonic() + _LEFT_ALONE_S
--- a/springrock/permits/warmth.py
+++ b/springrock/permits/warmup.py
@@ -27,11 +27,11 @@
 _CLOCK_MARGIN_S = 0.5
 """How much longer than is said a start may take by this box's clock."""
 
-_TOLD_FOR_S = 1.5
+_REPORT_VALID_S = 1.5
 """How long a placer's word on doubts holds after its last heartbeat."""
 
 
-class _Doubt(Struct):
+class _Suspicion(Struct):
     """Why a replica may have started anew without this box having read of it.
 
     Attributes:
@@ -45,7 +45,7 @@
     known_to_all: bool = False
 
 
-class _Told(Struct):
+class _Reported(Struct):
     """What the placer of a zone last told of doubts.
 
     Attributes:
@@ -57,7 +57,7 @@
     at: float
 
 
-class Warmth:
+class WarmupTracker:
     """What is known of the replicas of services with slow start; others cost nothing.
 
     Args:
@@ -68,7 +68,7 @@
         log: The log to write to.
 
     Attributes:
-        on_sighting: Called with a replica that refuses connections, or that answered after that.
+        on_observation: Called with a replica that refuses connections, or that answered after that.
     """
 
     def __init__(
@@ -85,9 +85,9 @@
         self._log = log
         self._records: dict[str, ReplicaRecord] = {}
         self._cold_until: dict[str, float] = {}
-        self._doubts: dict[str, _Doubt] = {}
-        self._told: dict[str, _Told] = {}
-        self.on_sighting: list[Callable[[ReplicaRecord, bool], None]] = []
+        self._suspicions: dict[str, _Suspicion] = {}
+        self._reported: dict[str, _Reported] = {}
+        self.on_observation: list[Callable[[ReplicaRecord, bool], None]] = []
 
     def is_cold(self, record: ReplicaRecord) -> bool:
         """Whether a replica is not known to be warm."""
@@ -100,7 +100,7 @@
             return True
         if cold_until is not None and now < cold_until:
             return True
-        return self._is_doubted(record, slow_start, now)
+        return self._is_suspected(record, slow_start, now)
 
     def slow_start(self, service: str) -> SlowStart | None:
         """Return what cold replicas of a service bear; None if they are never cold."""
@@ -112,23 +112,23 @@
         """How many known replicas are not known to be warm."""
         return sum(self.is_cold(record) for record in self._records.values())
 
-    def _is_doubted(self, record: ReplicaRecord, slow_start: SlowStart, now: float) -> bool:
-        if self._told_since(record, now) is not None:
+    def _is_suspected(self, record: ReplicaRecord, slow_start: SlowStart, now: float) -> bool:
+        if self._reported_since(record, now) is not None:
             return True
         ended_at = self._ended_at(record.zone)
-        if ended_at is not None and self._is_open(_Doubt(ended_at, ended_at), slow_start, now):
+        if ended_at is not None and self._is_open(_Suspicion(ended_at, ended_at), slow_start, now):
             return True
-        doubt = self._doubts.get(record.instance)
+        doubt = self._suspicions.get(record.instance)
         return doubt is not None and self._is_open(doubt, slow_start, now)
 
-    def _told_since(self, record: ReplicaRecord, now: float) -> float | None:
+    def _reported_since(self, record: ReplicaRecord, now: float) -> float | None:
         """Return when the zone's placer first told the doubt that it tells; None if it does not."""
-        told = self._told.get(record.zone)
-        if told is None or now >= told.at + _TOLD_FOR_S:
+        reported = self._reported.get(record.zone)
+        if reported is None or now >= reported.at + _REPORT_VALID_S:
             return None
-        return told.since.get(record.instance)
+        return reported.since.get(record.instance)
 
-    def _is_open(self, doubt: _Doubt, slow_start: SlowStart, now: float) -> bool:
+    def _is_open(self, doubt: _Suspicion, slow_start: SlowStart, now: float) -> bool:
         """Whether a doubt stands; time alone ends none about a replica that may be down yet."""
         if doubt.answered_at is None:
             return True
@@ -143,7 +143,7 @@
         if record is None:
             self._records.pop(instance, None)
             self._cold_until.pop(instance, None)
-            self._doubts.pop(instance, None)
+            self._suspicions.pop(instance, None)
             return
         known = self._records.get(instance)
         self._records[instance] = record
@@ -168,45 +168,45 @@
         """
         if self.slow_start(record.service) is None or record.instance not in self._records:
             return
-        self._doubt(record, known_to_all=refused)
+        self._suspect(record, known_to_all=refused)
         if refused:
-            self._tell(record, answered=False)
+            self._notify(record, answered=False)
 
     def note_answered(self, record: ReplicaRecord, *, sent_at: float) -> None:
         """Learn that a replica answered a request that was sent at a time."""
-        told_since = self._told_since(record, monotonic()) if self._told else None
-        if told_since is not None and sent_at >= told_since:
-            self._tell(record, answered=True)
-        doubt = self._doubts.get(record.instance)
+        reported_since = self._reported_since(record, monotonic()) if self._reported else None
+        if reported_since is not None and sent_at >= reported_since:
+            self._notify(record, answered=True)
+        doubt = self._suspicions.get(record.instance)
         if doubt is None or doubt.answered_at is not None or sent_at < doubt.began_at:
             return
         doubt.answered_at = monotonic()
         self._say("A doubted replica answers.", record)
         if doubt.known_to_all:
-            self._tell(record, answered=True)
+            self._notify(record, answered=True)
 
-    def _doubt(self, record: ReplicaRecord, *, known_to_all: bool) -> None:
-        doubt = self._doubts.get(record.instance)
+    def _suspect(self, record: ReplicaRecord, *, known_to_all: bool) -> None:
+        doubt = self._suspicions.get(record.instance)
         shared = known_to_all or (doubt is not None and doubt.known_to_all)
-        self._doubts[record.instance] = _Doubt(monotonic(), None, shared)
+        self._suspicions[record.instance] = _Suspicion(monotonic(), None, shared)
         if doubt is None or doubt.answered_at is not None:
             self._say("A replica may come back cold.", record, known_to_all=known_to_all)
 
-    def _tell(self, record: ReplicaRecord, *, answered: bool) -> None:
-        for listener in self.on_sighting:
+    def _notify(self, record: ReplicaRecord, *, answered: bool) -> None:
+        for listener in self.on_observation:
             listener(record, answered)
 
     # What boxes tell each other, by the placer of the replica's zone.
 
-    def take_sighting(self, instance: str, *, answered: bool) -> None:
+    def apply_observation(self, instance: str, *, answered: bool) -> None:
         """Learn what another box saw of a replica."""
         record = self._records.get(instance)
         if record is None:
             return
         if not answered:
-            self._doubt(record, known_to_all=True)
+            self._suspect(record, known_to_all=True)
             return
-        doubt = self._doubts.get(instance)
+        doubt = self._suspicions.get(instance)
         if doubt is not None and doubt.answered_at is None:
             doubt.answered_at = monotonic()
 
@@ -214,23 +214,25 @@
         """Return the replicas of a zone that all boxes are to doubt."""
         now = monotonic()
         found = []
-        for instance, doubt in list(self._doubts.items()):
+        for instance, doubt in list(self._suspicions.items()):
             record = self._records.get(instance)
             slow_start = None if record is None else self.slow_start(record.service)
             if record is None or slow_start is None or not self._is_open(doubt, slow_start, now):
-                del self._doubts[instance]
+                del self._suspicions[instance]
             elif doubt.known_to_all and record.zone == zone:
                 found.append(instance)
         return tuple(found)
 
-    def take_doubted(self, zone: str, instances: Collection[str]) -> None:
+    def apply_suspected(self, zone: str, instances: Collection[str]) -> None:
         """Learn from a zone's placer which of its replicas are doubted."""
         now = monotonic()
-        known = self._told.get(zone, _Told({}, now)).since
+        known = self._reported.get(zone, _Reported({}, now)).since
         if instances:
-            self._told[zone] = _Told({name: known.get(name, now) for name in instances}, now)
+            self._reported[zone] = _Reported(
+                {name: known.get(name, now) for name in instances}, now
+            )
         elif known:
-            del self._told[zone]
+            del self._reported[zone]
 
     def _say(self, sentence: str, record: ReplicaRecord, **more: object) -> None:
         self._log.say(
--- a/springrock/placement/ask_book.py
+++ b/springrock/placement/ask_book.py
@@ -67,8 +67,8 @@
 
     def forget_box(self, box: str) -> None:
         """Drop all asks of a box."""
-        for asker, number in [asked for asked in self._keys if asked[0] == box]:
-            self.remove(asker, number)
+        for requester, number in [asked for asked in self._keys if asked[0] == box]:
+            self.remove(requester, number)
 
     def expect(self, promise: Promise, *, now: float) -> None:
         """Note a client that was told when to come back."""
--- a/springrock/placement/demand.py
+++ b/springrock/placement/demand.py
@@ -10,10 +10,10 @@
 from gevent.event import Event
 
 from springrock.clock import monotonic
-from springrock.forwarding.adapters import UseOutcome, Wish
+from springrock.forwarding.adapters import AdapterRequest, UseOutcome
 from springrock.forwarding.errors import NoReplica
 from springrock.forwarding.message import AdapterKey
-from springrock.permits.messages import LimitWord
+from springrock.permits.messages import LimitReport
 from springrock.permits.permit_book import PermitBook
 from springrock.permits.terms import PERMIT_LIFE_S
 from springrock.placement.ask_book import RETURN_GRACE_S
@@ -55,17 +55,17 @@
 }
 
 
-class _Asker:
+class _Requester:
     """One request that waits for the placer's word."""
 
-    def __init__(self, number: int, wish: Wish) -> None:
+    def __init__(self, number: int, adapter_request: AdapterRequest) -> None:
         self.number = number
-        self.wish = wish
+        self.adapter_request = adapter_request
         self.began_at = monotonic()
         self.granted: str | None = None
         self.elsewhere = False
         self.permitted = False
-        self.news = Event()
+        self.updates = Event()
 
     @property
     def permit_until(self) -> float | None:
@@ -134,126 +134,129 @@
         *,
         has_placer: Callable[[], bool],
         leaving: Callable[[], Collection[str]] = tuple,
-        limits: Callable[[], Collection[LimitWord]] = tuple,
+        limits: Callable[[], Collection[LimitReport]] = tuple,
     ) -> None:
         self._has_placer = has_placer
         self._leaving = leaving
         self._limits = limits
         self._numbers = count(1)
-        self._askers: dict[int, _Asker] = {}
+        self._requesters: dict[int, _Requester] = {}
         self._uses: dict[int, _Standing] = {}
         self._expected: list[_Expected] = []
         self._forecasts: dict[AdapterKey, float] = {}
-        self._news = _News()
+        self._updates = _PendingUpdates()
         self._written: list[Written] = []
-        self.charges = ChargeBook(on_news=lambda urgent: self._tell(urgent=urgent))
-        self.permits = PermitBook(on_news=lambda urgent: self._tell(urgent=urgent))
+        self.charges = ChargeBook(on_update=lambda urgent: self._notify(urgent=urgent))
+        self.permits = PermitBook(on_update=lambda urgent: self._notify(urgent=urgent))
         self.stopping = False
         self.changed = Event()
         self.urgent = Event()
 
     # What requests do.
 
-    def find(self, wish: Wish) -> EngineUse:
+    def find(self, adapter_request: AdapterRequest) -> EngineUse:
         """Ask for an engine and wait for the placer's word.
 
         Raises:
             PlacerSilent: If no placer tells when the adapter will be there.
             NoReplica: As soon as it is clear that the request should come back later instead.
         """
-        asker = _Asker(next(self._numbers), wish)
-        self._askers[asker.number] = asker
-        self._news.asks.add(asker.number)
-        self._tell(urgent=True)
+        requester = _Requester(next(self._numbers), adapter_request)
+        self._requesters[requester.number] = requester
+        self._updates.asks.add(requester.number)
+        self._notify(urgent=True)
         try:
-            while asker.granted is None:
-                self._check(asker)
-                asker.news.wait(timeout=max(0.01, self._next_look_s(asker)))
-                asker.news.clear()
-            self._uses[asker.number] = _Standing(asker.granted, wish.key)
-            return EngineUse(self, asker.number, asker.granted, asker.permit_until)
+            while requester.granted is None:
+                self._check(requester)
+                requester.updates.wait(timeout=max(0.01, self._next_look_s(requester)))
+                requester.updates.clear()
+            self._uses[requester.number] = _Standing(requester.granted, adapter_request.key)
+            return EngineUse(self, requester.number, requester.granted, requester.permit_until)
         finally:
-            del self._askers[asker.number]
-            if asker.number not in self._uses:
-                self._withdraw(asker.number)
+            del self._requesters[requester.number]
+            if requester.number not in self._uses:
+                self._withdraw(requester.number)
 
     def use(self, instance: str, key: AdapterKey) -> EngineUse:
         """Note the use of an engine that no placer granted."""
         number = next(self._numbers)
         self._uses[number] = _Standing(instance, key)
-        self._news.uses.add(number)
-        self._tell()
+        self._updates.uses.add(number)
+        self._notify()
         return EngineUse(self, number, instance)
 
     def note_began(self, number: int, after_s: float) -> None:
         """Note that the first event of a use came, so long after it was sent."""
-        if number in self._uses and number not in self._news.uses and self._has_placer():
-            self._news.began.append(Began(number, round(after_s * 1000)))
-            self._tell()
+        if number in self._uses and number not in self._updates.uses and self._has_placer():
+            self._updates.began.append(Began(number, round(after_s * 1000)))
+            self._notify()
 
     def note_end(self, number: int, outcome: UseOutcome, *, backoff_s: float = 0.0) -> None:
         """Note the end of a use; what has ended is passed over."""
         if self._uses.pop(number, None) is None:
             return
-        if number in self._news.uses:
-            self._news.uses.discard(number)
+        if number in self._updates.uses:
+            self._updates.uses.discard(number)
             return
-        self._tell_over(Over(number, _OUTCOMES[outcome], math.ceil(1000 * backoff_s)))
+        self._notify_end(Over(number, _OUTCOMES[outcome], math.ceil(1000 * backoff_s)))
 
     def _withdraw(self, number: int) -> None:
-        if number in self._news.asks:
-            self._news.asks.discard(number)
+        if number in self._updates.asks:
+            self._updates.asks.discard(number)
             return
-        self._tell_over(Over(number))
+        self._notify_end(Over(number))
 
-    def _tell_over(self, over: Over) -> None:
+    def _notify_end(self, over: Over) -> None:
         if self._has_placer():
             # Without one there is nobody to forget it; the next is told what stands.
-            self._news.over.append(over)
-            self._tell()
+            self._updates.over.append(over)
+            self._notify()
 
-    def _tell(self, *, urgent: bool = False) -> None:
+    def _notify(self, *, urgent: bool = False) -> None:
         self.changed.set()
         if urgent:
             self.urgent.set()
 
-    def _check(self, asker: _Asker) -> None:
+    def _check(self, requester: _Requester) -> None:
         now = monotonic()
-        terms = asker.wish.terms
+        terms = requester.adapter_request.terms
         if now >= terms.until:
             raise NoReplica("adapter_not_in_time", _UNPLANNED_RETRY_S)
-        if asker.elsewhere:
+        if requester.elsewhere:
             raise PlacerSilent()
-        ready_at = self._forecasts.get(asker.wish.key)
+        ready_at = self._forecasts.get(requester.adapter_request.key)
         if ready_at is None:
-            if now - asker.began_at >= _SILENCE_S or not self._has_placer():
+            if now - requester.began_at >= _SILENCE_S or not self._has_placer():
                 raise PlacerSilent()
             return
         if max(ready_at, now) + _START_S > terms.until:
-            self._reject(asker.wish, max(0.0, ready_at - now))
+            self._reject(requester.adapter_request, max(0.0, ready_at - now))
 
-    def _reject(self, wish: Wish, ready_in_s: float) -> NoReturn:
+    def _reject(self, adapter_request: AdapterRequest, ready_in_s: float) -> NoReturn:
         """Reject what cannot be served while its client waits, and say when to come back.
 
         Whoever a load still serves is held: an answer that comes late is worth something, a
         rejection nothing, whatever comes of another try. The load is kept for a client that can
         come back for it.
         """
-        if ready_in_s > wish.terms.returns_within_s:
+        if ready_in_s > adapter_request.terms.returns_within_s:
             raise NoReplica("load_not_in_time", ready_in_s)
         back_in_s = ready_in_s + _RETURN_MARGIN_S
-        worth = wish.terms.worth * _RETURNING_PART
-        expected = _Expected(wish.key, worth, monotonic() + back_in_s)
+        worth = adapter_request.terms.worth * _RETURNING_PART
+        expected = _Expected(adapter_request.key, worth, monotonic() + back_in_s)
         self._expected.append(expected)
-        self._news.expected.append(expected)
-        self._tell()
+        self._updates.expected.append(expected)
+        self._notify()
         raise NoReplica("load_promised", back_in_s)
 
-    def _next_look_s(self, asker: _Asker) -> float:
+    def _next_look_s(self, requester: _Requester) -> float:
         now = monotonic()
-        looks = [asker.wish.terms.until, asker.wish.terms.until - _START_S]
-        if asker.wish.key not in self._forecasts:
-            looks.append(asker.began_at + _SILENCE_S)
+        looks = [
+            requester.adapter_request.terms.until,
+            requester.adapter_request.terms.until - _START_S,
+        ]
+        if requester.adapter_request.key not in self._forecasts:
+            looks.append(requester.began_at + _SILENCE_S)
         return min((at - now for at in looks if at > now), default=0.02)
 
     # What the placer tells.
@@ -266,21 +269,21 @@
         Returns:
             The adapter that it asked for; None if it has left.
         """
-        asker = self._askers.get(number)
-        if asker is None:
+        requester = self._requesters.get(number)
+        if requester is None:
             return None
-        asker.granted = instance
-        asker.permitted = permitted
-        asker.news.set()
-        return asker.wish.key
+        requester.granted = instance
+        requester.permitted = permitted
+        requester.updates.set()
+        return requester.adapter_request.key
 
     def note_forecast(self, key: AdapterKey, ready_in_s: float, *, elsewhere: bool = False) -> None:
         """Learn when an adapter will be there, or that who waits is to ask another zone."""
         self._forecasts[key] = monotonic() + ready_in_s
-        for asker in self._askers.values():
-            if asker.wish.key == key:
-                asker.elsewhere = asker.elsewhere or elsewhere
-                asker.news.set()
+        for requester in self._requesters.values():
+            if requester.adapter_request.key == key:
+                requester.elsewhere = requester.elsewhere or elsewhere
+                requester.updates.set()
 
     def ask_elsewhere(self, *, but_for: Callable[[AdapterKey], bool]) -> None:
         """Let those who wait now ask another zone's placer, as nothing is brought here any more.
@@ -288,45 +291,45 @@
         Args:
             but_for: The adapters that are served here yet.
         """
-        for asker in self._askers.values():
-            if not but_for(asker.wish.key):
-                asker.elsewhere = True
-                asker.news.set()
+        for requester in self._requesters.values():
+            if not but_for(requester.adapter_request.key):
+                requester.elsewhere = True
+                requester.updates.set()
 
-    def wish_copy(self, key: AdapterKey, saves: int) -> None:
+    def request_copy(self, key: AdapterKey, saves: int) -> None:
         """Wish for a copy here that would save so many hundredths of a load."""
         if self._has_placer():
-            self._news.copies[key] = saves
-            self._tell()
+            self._updates.copies[key] = saves
+            self._notify()
 
     def note_leaving(self, instance: str) -> None:
         """Tell that a replica leaves, as its answer said so."""
         if self._has_placer():
-            self._news.leaving.add(instance)
-            self._tell()
+            self._updates.leaving.add(instance)
+            self._notify()
 
-    def note_limit(self, word: LimitWord) -> None:
+    def record_limit(self, word: LimitReport) -> None:
         """Tell what an answer told of a replica's limit; a later word replaces it."""
         if self._has_placer():
-            self._news.limits[word.instance] = word
-            self._tell()
+            self._updates.limits[word.instance] = word
+            self._notify()
 
     def forget_placer(self) -> None:
         """Lose the placer: its forecasts, and its word on who waits."""
         self._forecasts.clear()
         self.charges.forget_placer()
         self.permits.forget_placer()
-        for asker in self._askers.values():
-            asker.news.set()
+        for requester in self._requesters.values():
+            requester.updates.set()
 
     def note_written(self, written: Written) -> None:
         """Tell the placer what came of a row that it had asked to be written."""
         self._written.append(written)
-        self._tell(urgent=True)
+        self._notify(urgent=True)
 
     # What tells the placer.
 
-    def wait_for_news(self, *, timeout_s: float | None = None) -> None:
+    def wait_for_updates(self, *, timeout_s: float | None = None) -> None:
         """Wait until there is something to tell; what nobody waits for gathers for a little."""
         if self.changed.wait(timeout=timeout_s):
             self.urgent.wait(timeout=_GATHER_S)
@@ -334,56 +337,56 @@
     def whole(self) -> Demand:
         """Return all that stands, for a placer that knows nothing of this box yet."""
         now = monotonic()
-        self._news = _News()
-        self._news.asks.update(number for number in self._askers)
-        self._news.uses.update(self._uses)
+        self._updates = _PendingUpdates()
+        self._updates.asks.update(number for number in self._requesters)
+        self._updates.uses.update(self._uses)
         self._expected = [item for item in self._expected if item.back_at + RETURN_GRACE_S > now]
-        self._news.expected = list(self._expected)
-        self._news.leaving.update(self._leaving())
-        self._news.limits.update((word.instance, word) for word in self._limits())
-        return self.take_news()
+        self._updates.expected = list(self._expected)
+        self._updates.leaving.update(self._leaving())
+        self._updates.limits.update((word.instance, word) for word in self._limits())
+        return self.drain_updates()
 
-    def take_news(self) -> Demand:
+    def drain_updates(self) -> Demand:
         """Return what the placer has not been told."""
-        news, self._news = self._news, _News()
+        updates, self._updates = self._updates, _PendingUpdates()
         self.changed.clear()
         self.urgent.clear()
         now = monotonic()
-        charges, given_back = self.charges.take_news()
-        permits, sightings = self.permits.take_news()
+        charges, given_back = self.charges.drain_updates()
+        permits, observations = self.permits.drain_updates()
         written, self._written = self._written, []
-        wanted = {asker.wish.key for asker in self._askers.values()}
+        wanted = {requester.adapter_request.key for requester in self._requesters.values()}
         for key in [key for key in self._forecasts if key not in wanted]:
             del self._forecasts[key]
         return Demand(
             asks=[
-                _ask_from(self._askers[number], now)
-                for number in sorted(news.asks)
-                if number in self._askers
+                _ask_from(self._requesters[number], now)
+                for number in sorted(updates.asks)
+                if number in self._requesters
             ],
             uses=[
                 UseMessage(number, standing.instance, *standing.key)
-                for number, standing in ((number, self._uses[number]) for number in news.uses)
+                for number, standing in ((number, self._uses[number]) for number in updates.uses)
             ],
-            began=news.began,
-            over=news.over,
+            began=updates.began,
+            over=updates.over,
             promises=[
                 Promise(*item.key, round(item.worth, 2), max(0, round(1000 * (item.back_at - now))))
-                for item in news.expected
+                for item in updates.expected
             ],
             stopping=self.stopping,
             charges=charges,
             given_back=given_back,
             written=written,
             permits=permits,
-            sightings=sightings,
-            copies=[CopyWish(*key, saves) for key, saves in news.copies.items()],
-            leaving=sorted(news.leaving),
-            limits=list(news.limits.values()),
+            observations=observations,
+            copies=[CopyWish(*key, saves) for key, saves in updates.copies.items()],
+            leaving=sorted(updates.leaving),
+            limits=list(updates.limits.values()),
         )
 
 
-class _News:
+class _PendingUpdates:
     """What the placer has not been told yet."""
 
     def __init__(self) -> None:
@@ -394,20 +397,22 @@
         self.expected: list[_Expected] = []
         self.copies: dict[AdapterKey, int] = {}
         self.leaving: set[str] = set()
-        self.limits: dict[str, LimitWord] = {}
+        self.limits: dict[str, LimitReport] = {}
 
 
-def _ask_from(asker: _Asker, now: float) -> Ask:
-    wish = asker.wish
+def _ask_from(requester: _Requester, now: float) -> Ask:
+    adapter_request = requester.adapter_request
     return Ask(
-        number=asker.number,
-        request=wish.request_id,
-        model=wish.key.model,
-        adapter=wish.key.adapter,
-        worth=round(wish.terms.worth, 2),
-        target_left_ms=round(1000 * (wish.terms.target_at - now)),
-        prompt=[(part.part_id, part.tokens) for part in wish.prompt],
-        tried=sorted(wish.avoid),
-        failed_at=sorted(wish.failed_at),
-        regions=None if wish.bounds.regions is None else sorted(wish.bounds.regions),
+        number=requester.number,
+        request=adapter_request.request_id,
+        model=adapter_request.key.model,
+        adapter=adapter_request.key.adapter,
+        worth=round(adapter_request.terms.worth, 2),
+        target_left_ms=round(1000 * (adapter_request.terms.target_at - now)),
+        prompt=[(part.part_id, part.tokens) for part in adapter_request.prompt],
+        tried=sorted(adapter_request.avoid),
+        failed_at=sorted(adapter_request.failed_at),
+        regions=None
+        if adapter_request.bounds.regions is None
+        else sorted(adapter_request.bounds.regions),
     )
--- a/springrock/placement/election.py
+++ b/springrock/placement/election.py
@@ -15,7 +15,7 @@
 from springrock.placement.placer_board import PlacerBoard
 from springrock.placement.placer_row import PlacerRow, key_of
 from springrock.placement.settings import PlacementSettings
-from springrock.placement.succession import Heir, Successor
+from springrock.placement.succession import HandoverTarget, Successor
 
 _HEARTBEAT_S = 0.4
 _FIRST_LOOK_S = 0.1
@@ -57,10 +57,10 @@
     def end_placing(self) -> None:
         """End, as the lease was lost."""
 
-    def tell_heartbeat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Tell all linked boxes that the placer lives."""
 
-    def tell_successor(self, successor: Successor) -> None:
+    def send_successor(self, successor: Successor) -> None:
         """Tell all linked boxes who goes on in this one's stead."""
 
 
@@ -123,9 +123,9 @@
 
     def end(self) -> None:
         """Leave the role, if this box still has it, to whoever ends a little later."""
-        heir = self._links.heir(self._zone, staying=False)
-        if self._lease.held and heir is not None:
-            self._leave(reason="the end", heir=heir)
+        handover_target = self._links.handover_target(self._zone, staying=False)
+        if self._lease.held and handover_target is not None:
+            self._leave(reason="the end", handover_target=handover_target)
 
     def adopt(self, handover: Successor) -> None:
         """Go on in the stead of a placer that hands its role over to this box."""
@@ -153,17 +153,19 @@
 
     def _leave_if_followed(self) -> None:
         """Leave the role as this box stops, unless nobody could take it."""
-        heir = self._links.heir(self._zone)
-        if heir is None and self._lease.store_is_silent:
+        handover_target = self._links.handover_target(self._zone)
+        if handover_target is None and self._lease.store_is_silent:
             return
-        self._leave(reason="a planned stop", heir=heir)
+        self._leave(reason="a planned stop", handover_target=handover_target)
 
-    def _leave(self, *, reason: str, heir: Heir | None) -> None:
+    def _leave(self, *, reason: str, handover_target: HandoverTarget | None) -> None:
         """Give the lease up, or hand it over while the store takes nothing back."""
         successor = self._links.hold(self._zone, for_s=0.0)
-        handover = self._lease.give_up(reason=reason, successor=successor, heir=heir)
+        handover = self._lease.give_up(
+            reason=reason, successor=successor, handover_target=handover_target
+        )
         if handover is not None:
-            self._holder.tell_successor(handover)
+            self._holder.send_successor(handover)
 
     def _hold(self) -> None:
         """Place under the lease, and renew it, until it is lost."""
@@ -173,7 +175,7 @@
         renew_every_s = self._settings.lease_s / _RENEWALS_PER_LEASE
         renewed_at = monotonic()
         while self._lease.held:
-            self._holder.tell_heartbeat()
+            self._holder.send_heartbeat()
             self._wake.wait(timeout=_HEARTBEAT_S)
             self._wake.clear()
             if self._lease.held and monotonic() - renewed_at >= renew_every_s:
@@ -182,7 +184,10 @@
             if self._lease.held and self._stopping:
                 self._leave_if_followed()
             elif self._lease.held and self.has_better_box():
-                self._leave(reason="another box does better", heir=self._links.heir(self._zone))
+                self._leave(
+                    reason="another box does better",
+                    handover_target=self._links.handover_target(self._zone),
+                )
         # Only now: who loses the link finds the lease free, or knows who goes on.
         self._holder.end_placing()
 
--- a/springrock/placement/forecasts.py
+++ b/springrock/placement/forecasts.py
@@ -13,7 +13,7 @@
 """Forecasts that differ by less are not told again."""
 
 
-class _Told(NamedTuple):
+class _Reported(NamedTuple):
     """A forecast as it was told.
 
     Attributes:
@@ -35,9 +35,9 @@
 
     def __init__(self, send: Callable[[str, Message], None]) -> None:
         self._send = send
-        self._told: dict[AdapterKey, _Told] = {}
+        self._reported: dict[AdapterKey, _Reported] = {}
 
-    def tell(
+    def notify(
         self,
         key: AdapterKey,
         *,
@@ -53,30 +53,30 @@
             boxes: Who waits for it.
             elsewhere: Whether who waits does better to ask another zone.
         """
-        told = self._told.get(key)
+        reported = self._reported.get(key)
         if (
-            told is None
-            or abs(told.ready_at - ready_at) >= _STEP_S
-            or told.elsewhere is not elsewhere
+            reported is None
+            or abs(reported.ready_at - ready_at) >= _STEP_S
+            or reported.elsewhere is not elsewhere
         ):
-            told = _Told(ready_at, set(), elsewhere)
-            self._told[key] = told
-        for box in set(boxes) - told.boxes:
-            self._tell_one(box, key, told)
+            reported = _Reported(ready_at, set(), elsewhere)
+            self._reported[key] = reported
+        for box in set(boxes) - reported.boxes:
+            self._notify_one(box, key, reported)
 
-    def tell_known(self, key: AdapterKey, box: str) -> None:
+    def send_known(self, key: AdapterKey, box: str) -> None:
         """Tell a box that begins to wait what others were told."""
-        told = self._told.get(key)
-        if told is not None:
-            self._tell_one(box, key, told)
+        reported = self._reported.get(key)
+        if reported is not None:
+            self._notify_one(box, key, reported)
 
     def keep_only(self, wanted: Collection[AdapterKey]) -> None:
         """Forget what nobody wants any more."""
-        for key in [key for key in self._told if key not in wanted]:
-            del self._told[key]
+        for key in [key for key in self._reported if key not in wanted]:
+            del self._reported[key]
 
-    def _tell_one(self, box: str, key: AdapterKey, told: _Told) -> None:
-        told.boxes.add(box)
-        ready_in_s = max(0.0, told.ready_at - monotonic())
+    def _notify_one(self, box: str, key: AdapterKey, reported: _Reported) -> None:
+        reported.boxes.add(box)
+        ready_in_s = max(0.0, reported.ready_at - monotonic())
         ready_in_ms = round(ready_in_s * 1000)
-        self._send(box, Forecast(key.model, key.adapter, ready_in_ms, told.elsewhere))
+        self._send(box, Forecast(key.model, key.adapter, ready_in_ms, reported.elsewhere))
--- a/springrock/placement/handover.py
+++ b/springrock/placement/handover.py
@@ -67,7 +67,7 @@
         popularity: How often adapters are asked for in the zone; learns of what is taken over.
         log: The log to write to.
         metrics: The metrics to show what is left in.
-        on_news: Called when there is something new to bring.
+        on_update: Called when there is something new to bring.
     """
 
     def __init__(
@@ -77,9 +77,9 @@
         popularity: Popularity,
         log: Log,
         metrics: ForwardingMetrics,
-        on_news: Callable[[], None],
+        on_update: Callable[[], None],
     ) -> None:
-        self._on_news = on_news
+        self._on_update = on_update
         self._zone = zone
         self._popularity = popularity
         self._log = log
@@ -117,7 +117,7 @@
             count=len(new),
             first=[str(item.key) for item in new[:3]],
         )
-        self._on_news()
+        self._on_update()
 
     def wants(self, is_there: Callable[[AdapterKey], bool], now: float) -> list[CombinedWant]:
         """Return what is to be brought next, the most asked for first.
@@ -188,11 +188,11 @@
     def placing(self) -> bool:
         """Whether this box is the zone's placer now."""
 
-    def tell_handover(self, boxes: Collection[str]) -> None:
+    def send_handover(self, boxes: Collection[str]) -> None:
         """Tell boxes what was asked for in the zone."""
 
 
-class HandoverDesk:
+class HandoverCoordinator:
     """Hands over what was asked for in evacuated zones, for all zones of one box.
 
     Args:
@@ -225,8 +225,8 @@
     def note_change(self, zone: str, evacuated: bool) -> None:
         """Learn that a zone is evacuated, or was taken back."""
         if evacuated:
-            self._move_askers(zone, but_for=lambda key: self._stands_in(key, zone))
-            gevent.spawn(self._tell_while_announced, zone)
+            self._move_requesters(zone, but_for=lambda key: self._stands_in(key, zone))
+            gevent.spawn(self._send_while_announced, zone)
             gevent.spawn_later(_PLACER_HEARD_S, self._take_unheard, zone)
             return
         for other in self._zones().values():
@@ -234,7 +234,7 @@
 
     def note_cut(self, zone: str) -> None:
         """Learn that a zone gets nothing any more."""
-        self._move_askers(zone, but_for=lambda key: False)
+        self._move_requesters(zone, but_for=lambda key: False)
         for other in self._zones().values():
             other.ahead.note_cut(zone)
 
@@ -253,11 +253,11 @@
                 mine = [item for item in missing if choose_zone(item.key, views) == name]
                 other.ahead.take(zone, mine)
 
-    def _tell_while_announced(self, zone: str) -> None:
+    def _send_while_announced(self, zone: str) -> None:
         while True:
             placed = self._zones().get(zone)
             if placed is not None and placed.placing:
-                placed.tell_handover(self._placers())
+                placed.send_handover(self._placers())
             gevent.sleep(_TELL_EVERY_S)
             world = self._world()
             if zone not in world.announced or zone in world.evacuated:
@@ -294,7 +294,7 @@
         holders = self._residency.holders(key)
         return any(replica.record.zone == zone for replica in holders)
 
-    def _move_askers(self, zone: str, *, but_for: Callable[[AdapterKey], bool]) -> None:
+    def _move_requesters(self, zone: str, *, but_for: Callable[[AdapterKey], bool]) -> None:
         placed = self._zones().get(zone)
         if placed is not None:
             placed.demand.ask_elsewhere(but_for=but_for)
--- a/springrock/placement/keeper.py
+++ b/springrock/placement/keeper.py
@@ -106,7 +106,7 @@
         self._on_change = on_change
         self._log = log
         self._metrics = metrics
-        self._told: frozenset[tuple[AdapterKey, int]] | None = None
+        self._reported: frozenset[tuple[AdapterKey, int]] | None = None
         self._stale = True
         self._reported_at = 0.0
         self._work = Event()
@@ -213,8 +213,8 @@
                 self._planner.loads.note(arrival.seconds)
         book.arrivals.clear()
         ready = frozenset((held.key, held.version) for held in book.ready())
-        if ready != self._told:
-            self._told = ready
+        if ready != self._reported:
+            self._reported = ready
             self._on_change(book)
 
     def _order_next(self) -> bool:
--- a/springrock/placement/lease.py
+++ b/springrock/placement/lease.py
@@ -16,7 +16,7 @@
 from springrock.eras import era_of, shown, version_in
 from springrock.log import Condition, Log
 from springrock.placement.placer_row import TABLE, PlacerRow, key_of, placer_row_from
-from springrock.placement.succession import RESERVED_FENCES, Heir, Successor, Tenure
+from springrock.placement.succession import RESERVED_FENCES, HandoverTarget, Successor, Tenure
 from springrock.rows import (
     ABSENT_VERSION,
     HelpersSilent,
@@ -212,14 +212,14 @@
         self._held_until = 0.0
 
     def give_up(
-        self, *, reason: str, successor: bool, heir: Heir | None = None
+        self, *, reason: str, successor: bool, handover_target: HandoverTarget | None = None
     ) -> Successor | None:
         """Let another box take the lease at once.
 
         Args:
             reason: Why, for the log.
             successor: Whether a box of the zone itself can take it, so that others leave it to it.
-            heir: Who is to go on if the store does not answer, as nobody can take it then.
+            handover_target: Who is to go on if the store does not answer, as nobody can take it then.
 
         Returns:
             The handover, which the linked boxes are to be told; None if there is none.
@@ -227,7 +227,7 @@
         own = self._own
         if own is None:
             return None
-        handover = self._handover(own, heir)
+        handover = self._handover(own, handover_target)
         is_silent = self.store_is_silent
         self.lose(reason=reason)
         if handover is None or not is_silent:
@@ -408,12 +408,12 @@
             return None
         return own.settled(standing, row.version)
 
-    def _handover(self, own: Tenure, heir: Heir | None) -> Successor | None:
+    def _handover(self, own: Tenure, handover_target: HandoverTarget | None) -> Successor | None:
         """Return the handover to another box; None if none may go on."""
         stands = self.holds or own.handed is not None
-        if heir is None or not self._checks_fence or not stands:
+        if handover_target is None or not self._checks_fence or not stands:
             return None
-        handover = own.handover(heir)
+        handover = own.handover(handover_target)
         if handover is None:
             self._log.say("Cannot hand over, as no fence is left.", row=self._key, fence=own.fence)
         return handover
--- a/springrock/placement/link_client.py
+++ b/springrock/placement/link_client.py
@@ -19,7 +19,7 @@
 _SILENCE_S = 1.3
 """A placer that sends no heartbeat for so long is taken for unreachable."""
 
-_TELL_AT_LEAST_EVERY_S = 0.7
+_MAX_REPORT_INTERVAL_S = 0.7
 """Well under the silence after which a placer takes a box for gone."""
 
 
@@ -144,8 +144,8 @@
         try:
             self._send(connection, self._demand.whole())
             while True:
-                self._demand.wait_for_news(timeout_s=_TELL_AT_LEAST_EVERY_S)
-                self._send(connection, self._demand.take_news())
+                self._demand.wait_for_updates(timeout_s=_MAX_REPORT_INTERVAL_S)
+                self._send(connection, self._demand.drain_updates())
         except LINK_FAILURES:
             return
 
--- a/springrock/placement/link_server.py
+++ b/springrock/placement/link_server.py
@@ -27,7 +27,7 @@
     decode,
     encode,
 )
-from springrock.placement.succession import Heir
+from springrock.placement.succession import HandoverTarget
 from springrock.settings import split_address
 from springrock.unknown_messages import UnknownKind, UnknownMessages
 
@@ -85,7 +85,7 @@
     Attributes:
         home_zone: The zone in which the box stands.
         strength: The processor that the box has, in cores.
-        heir: The box as one to which the role can be handed over; None if it cannot.
+        handover_target: The box as one to which the role can be handed over; None if it cannot.
         since: When it linked, on the local monotonic clock.
         stopping: Whether it is about to stop.
         count_sent: Called with the bytes of each frame.
@@ -102,7 +102,9 @@
         self.outbox = Outbox()
         self.home_zone = hello.home_zone
         self.strength = hello.strength
-        self.heir = Heir(hello.box, hello.process, hello.address) if hello.process else None
+        self.handover_target = (
+            HandoverTarget(hello.box, hello.process, hello.address) if hello.process else None
+        )
         self.since = monotonic()
         self.stopping = False
 
@@ -183,7 +185,7 @@
             for link in self._links.values()
         )
 
-    def heir(self, home_zone: str, *, staying: bool = True) -> Heir | None:
+    def handover_target(self, home_zone: str, *, staying: bool = True) -> HandoverTarget | None:
         """Return the box to which the role is best handed over; None if there is none.
 
         One of the zone itself comes first, then the strongest, then the one linked for longest.
@@ -193,26 +195,28 @@
             staying: Whether it must not be about to stop itself.
         """
         links = [
-            link for link in self._links.values() if link.heir and not (staying and link.stopping)
+            link
+            for link in self._links.values()
+            if link.handover_target and not (staying and link.stopping)
         ]
         best = max(
             links,
             key=lambda link: (link.home_zone == home_zone, link.strength, -link.since),
             default=None,
         )
-        return None if best is None else best.heir
+        return None if best is None else best.handover_target
 
     def flush(self, *, within_s: float) -> None:
         """Wait until all messages are sent, as before the links are closed."""
         gevent.wait([link.outbox.sent for link in self._links.values()], timeout=within_s)
 
-    def tell(self, box: str, message: Message) -> None:
+    def notify(self, box: str, message: Message) -> None:
         """Send a message to one box; one that is not linked has lost its placer."""
         link = self._links.get(box)
         if link is not None:
             link.outbox.put(message, encode(message))
 
-    def tell_all(
+    def broadcast(
         self, message: Message, *, home_zone: str | None = None, also: Collection[str] = ()
     ) -> None:
         """Send a message to every linked box, or to those that stand in one zone and some more."""
@@ -221,7 +225,7 @@
             if home_zone is None or link.home_zone == home_zone or box in also:
                 link.outbox.put(message, frame)
 
-    def tell_zones(self, message: Message, *, far: bool) -> None:
+    def send_to_zones(self, message: Message, *, far: bool) -> None:
         """Send a message to the linked boxes of the own region, or to those of other ones."""
         links = [link for link in self._links.values() if self._is_far(link.home_zone) is far]
         if not links:
@@ -243,7 +247,7 @@
         for message in self._host.first_messages():
             link.outbox.put(message, encode(message))
         self._links[box] = link
-        writer = gevent.spawn(_write_forever, link)
+        writer = gevent.spawn(_write_loop, link)
         self._log.say("A box linked.", peer=box)
         try:
             self._read(box, link)
@@ -285,7 +289,7 @@
         address: Where to listen.
         incarnation: This process; a box that means another one is turned away.
         links_of: Returns the links of a zone, if this box places it now.
-        tell_state: Returns what a box that asks for it is told of what is known.
+        state_for: Returns what a box that asks for it is told of what is known.
         log: The log to write to.
     """
 
@@ -295,13 +299,13 @@
         *,
         incarnation: str,
         links_of: Callable[[str], BoxLinks | None],
-        tell_state: Callable[[Hello], KnownState],
+        state_for: Callable[[Hello], KnownState],
         log: Log,
     ) -> None:
         self._address = address
         self._incarnation = incarnation
         self._links_of = links_of
-        self._tell_state = tell_state
+        self._state_for = state_for
         self._log = log
         self._server: Server | None = None
         self._task: gevent.Greenlet[..., Any] | None = None
@@ -344,12 +348,12 @@
 
     def _answer_state(self, hello: Hello, connection: ServerConnection) -> None:
         try:
-            connection.send(encode(self._tell_state(hello)))
+            connection.send(encode(self._state_for(hello)))
         except LINK_FAILURES as error:
             self._log.say("Could not tell what is known.", peer=hello.box, error=str(error))
 
 
-def _write_forever(link: _Link) -> None:
+def _write_loop(link: _Link) -> None:
     try:
         while True:
             link.outbox.filled.wait()
--- a/springrock/placement/messages.py
+++ b/springrock/placement/messages.py
@@ -16,7 +16,13 @@
 from springrock.errors import PeerRejected
 from springrock.forwarding.directory import HeldAdapter
 from springrock.forwarding.eligibility import Bounds
-from springrock.permits.messages import LimitWord, NamedLimit, PermitAsk, Permitted, Sighting
+from springrock.permits.messages import (
+    LimitReport,
+    NamedLimit,
+    PermitAsk,
+    Permitted,
+    ReplicaObservation,
+)
 from springrock.placement.handover_messages import Handover
 from springrock.placement.succession import Successor
 from springrock.quotas.messages import Charge, Charged, GiveBack
@@ -183,7 +189,7 @@
         given_back: Charges whose requests did not run.
         written: What came of rows that the placer had asked to be written.
         permits: Requests that are to be sent to cold or limited replicas.
-        sightings: What the box saw of replicas that may have started anew.
+        observations: What the box saw of replicas that may have started anew.
         copies: Copies that would pay in this zone.
         leaving: Replicas that leave, as they told this box in their answers.
         limits: What answers told this box of the limits of the zone's replicas.
@@ -199,10 +205,10 @@
     given_back: list[GiveBack] = []
     written: list[Written] = []
     permits: list[PermitAsk] = []
-    sightings: list[Sighting] = []
+    observations: list[ReplicaObservation] = []
     copies: list[CopyWish] = []
     leaving: list[str] = []
-    limits: list[LimitWord] = []
+    limits: list[LimitReport] = []
 
 
 class Grant(Struct, frozen=True, array_like=True, tag=3):
@@ -318,12 +324,12 @@
     """A table as a box knows it.
 
     Attributes:
-        news: All of it.
+        updates: All of it.
         age_ms: How long ago it was surely the newest, as the message was made; None if it never
             surely was.
     """
 
-    news: TableNews
+    updates: TableNews
     age_ms: int | None = None
 
 
--- a/springrock/placement/near_copies.py
+++ b/springrock/placement/near_copies.py
@@ -89,7 +89,10 @@
         """Take what a box wishes for."""
         now = monotonic()
         for wish in wishes:
-            self._wished[AdapterKey(wish.model, wish.adapter)] = (wish.saves / 100, now)
+            self._wished[AdapterKey(wish.model, wish.adapter)] = (
+                wish.saves / 100,
+                now,
+            )
 
     def standing(self) -> dict[AdapterKey, float]:
         """Return what each copy saves that is still wished for."""
--- a/springrock/placement/placement.py
+++ b/springrock/placement/placement.py
@@ -7,7 +7,7 @@
 from gevent.event import Event
 
 from springrock.clock import monotonic
-from springrock.forwarding.adapters import Use, Wish
+from springrock.forwarding.adapters import AdapterRequest, Use
 from springrock.forwarding.configuration import Configuration
 from springrock.forwarding.directory import Directory, Replica, ReplicaRecord
 from springrock.forwarding.distance_cost import bytes_of_prompt
@@ -22,22 +22,22 @@
 from springrock.ids import new_id
 from springrock.log import Log
 from springrock.metrics import ForwardingMetrics
-from springrock.permits.messages import LimitWord
+from springrock.permits.messages import LimitReport
 from springrock.permits.named_limits import NamedLimits
 from springrock.permits.terms import SlowStartTerms
-from springrock.permits.warmth import Warmth
+from springrock.permits.warmup import WarmupTracker
 from springrock.placement.control import EngineControl
 from springrock.placement.errors import PlacerSilent
-from springrock.placement.handover import HandoverDesk
+from springrock.placement.handover import HandoverCoordinator
 from springrock.placement.link_server import BoxLinks, LinkServer
 from springrock.placement.messages import Hello, KnownState, TableNews
 from springrock.placement.placer_board import PlacerBoard
 from springrock.placement.residency import Residency, Versions
 from springrock.placement.settings import PlacementSettings
-from springrock.placement.surroundings import Surroundings
-from springrock.placement.table_news import news_from, reading_from
+from springrock.placement.table_news import reading_from, table_news_from
 from springrock.placement.zone import ZonePlacement
 from springrock.placement.zone_choice import ZoneView, choose_zone
+from springrock.placement.zone_dependencies import ZoneDependencies
 from springrock.quotas.shares import QuotaTerms
 from springrock.rows import RowStore, TableReading
 from springrock.topology import Distance
@@ -66,9 +66,9 @@
         control: Speaks to engines.
         quota_terms: Returns how strictly the quotas of teams are meant.
         slow_start_terms: Returns how strictly the bound on cold replicas is meant.
-        warmth: Which replicas are cold.
+        warmup: Which replicas are cold.
         limits: The limits that replicas have named.
-        tell_state: Returns what a box that asks for it is told of what is known.
+        state_for: Returns what a box that asks for it is told of what is known.
         log_of: Returns the log of a part.
         metrics: The metrics to count in.
 
@@ -92,9 +92,9 @@
         control: EngineControl,
         quota_terms: Callable[[], QuotaTerms],
         slow_start_terms: Callable[[], SlowStartTerms],
-        warmth: Warmth,
+        warmup: WarmupTracker,
         limits: NamedLimits,
-        tell_state: Callable[[Hello], KnownState],
+        state_for: Callable[[Hello], KnownState],
         log_of: Callable[[str], Log],
         metrics: ForwardingMetrics,
     ) -> None:
@@ -111,7 +111,7 @@
             lambda reading, relied_on, teller: None
         )
         self.on_alone: Callable[[], None] = lambda: None
-        self._around = Surroundings(
+        self._around = ZoneDependencies(
             incarnation=new_id(),
             store=store,
             board=board,
@@ -123,17 +123,17 @@
             control=control,
             quota_terms=quota_terms,
             slow_start_terms=slow_start_terms,
-            warmth=warmth,
+            warmup=warmup,
             limits=limits,
-            on_table_news=self._take_news,
+            on_table_news=self._apply_updates,
             on_placer_heard=self._heard.set,
             on_placer_lost=self._placer_lost,
-            on_copy_pays=self._wish_copy,
+            on_copy_pays=self._request_copy,
             log_of=log_of,
             metrics=metrics,
             on_handover=lambda zone, handover: self.handovers.take(zone, handover),
         )
-        self.handovers = HandoverDesk(
+        self.handovers = HandoverCoordinator(
             zones=lambda: self._zones,
             views=lambda: self._zone_views(ANYWHERE, world()),
             placers=board.boxes,
@@ -141,7 +141,7 @@
             world=world,
             log=log_of("placer"),
         )
-        self._warmth = warmth
+        self._warmup = warmup
         self._limits = limits
         self._zones: dict[str, ZonePlacement] = {}
         self._engines: dict[str, list[ReplicaRecord]] | None = None
@@ -149,7 +149,7 @@
             settings.address,
             incarnation=self._around.incarnation,
             links_of=self._links_of,
-            tell_state=tell_state,
+            state_for=state_for,
             log=log_of("link"),
         )
         self._stopping = False
@@ -159,8 +159,8 @@
         """Begin to take part in the zones that have engines, now and later."""
         self._server.start()
         self._directory.on_change.append(self._replica_changed)
-        self._warmth.on_sighting.append(self._tell_sighting)
-        self._limits.on_word.append(self._tell_limit)
+        self._warmup.on_observation.append(self._notify_observation)
+        self._limits.on_limit_report.append(self._notify_limit)
 
     def hand_over(self) -> None:
         """Let other boxes become placers, as this one is about to stop."""
@@ -189,9 +189,9 @@
     def reads_for_others(self) -> bool:
         """Whether other boxes go by what this one reads of the store."""
         zone = self._zones.get(self._settings.zone)
-        return zone is not None and zone.tells_home
+        return zone is not None and zone.notifies_home_zone
 
-    def tell_reading(self, reading: TableReading, *, is_own: bool) -> None:
+    def publish_reading(self, reading: TableReading, *, is_own: bool) -> None:
         """Tell other boxes what is new of a table.
 
         The boxes of the own zone are told all; other placers' boxes only what this one has read
@@ -204,9 +204,9 @@
         zone = self._zones.get(self._settings.zone)
         if zone is not None:
             placers = self._board.boxes() if is_own else ()
-            zone.tell_table(news_from(reading), also=placers)
+            zone.publish_table(table_news_from(reading), also=placers)
 
-    def _take_news(self, zone: str, news: TableNews) -> None:
+    def _apply_updates(self, zone: str, updates: TableNews) -> None:
         """Learn what the placer's box of a zone has read.
 
         Of the placers' boxes the one of the first zone reads the store for all, so that two never
@@ -214,7 +214,7 @@
         """
         home = self._settings.zone
         relied_on = zone == home or (self.reads_for_others and zone < home)
-        self.on_reading(reading_from(news), relied_on, zone)
+        self.on_reading(reading_from(updates), relied_on, zone)
 
     def _placer_lost(self, zone: str) -> None:
         if not self._hears_any:
@@ -223,18 +223,18 @@
         if zone == self._settings.zone:
             self.on_alone()
 
-    def _tell_sighting(self, record: ReplicaRecord, answered: bool) -> None:
+    def _notify_observation(self, record: ReplicaRecord, answered: bool) -> None:
         """Let other boxes learn, by the placer of a replica's zone, what was seen of it."""
         permits = self._zone(record.zone).demand.permits
-        permits.note_sighting(record.instance, answered=answered)
+        permits.record_observation(record.instance, answered=answered)
 
-    def _tell_limit(self, word: LimitWord) -> None:
+    def _notify_limit(self, word: LimitReport) -> None:
         """Let the placer of a replica's zone learn of its limit, as that counts for all boxes."""
         replica = self._directory.find(word.instance)
         if replica is not None:
-            self._zone(replica.record.zone).demand.note_limit(word)
+            self._zone(replica.record.zone).demand.record_limit(word)
 
-    def tell_leaving(self, instance: str) -> None:
+    def announce_leaving(self, instance: str) -> None:
         """Let all placers learn that a replica leaves, and by them the boxes that they tell.
 
         Each places on in its zone, and the store may not tell of the replica for long.
@@ -272,15 +272,15 @@
         zone = self._settings.zone if replica is None else replica.record.zone
         return self._zone(zone).demand.use(instance, key)
 
-    def find(self, wish: Wish) -> Use | None:
+    def find(self, adapter_request: AdapterRequest) -> Use | None:
         """Return the use of a replica that a placer grants; a silent one is left for another."""
         silent: set[str] = set()
         while True:
-            name = self._choose_zone(wish, silent)
+            name = self._choose_zone(adapter_request, silent)
             if name is None:
                 return None
             try:
-                return self._zone(name).demand.find(wish)
+                return self._zone(name).demand.find(adapter_request)
             except PlacerSilent:
                 silent.add(name)
 
@@ -313,35 +313,43 @@
                 reachable=zone.reachable,
                 room=zone.room,
                 distance=world.topology.distance(name),
-                pressure=zone.outlook.pressure,
-                wait_s=zone.outlook.wait_s,
+                pressure=zone.wait_estimate.pressure,
+                wait_s=zone.wait_estimate.wait_s,
             )
             views.append(view)
         return views
 
-    def _choose_zone(self, wish: Wish, silent: set[str]) -> str | None:
+    def _choose_zone(self, adapter_request: AdapterRequest, silent: set[str]) -> str | None:
         """Return the zone whose placer is to be asked; None if none can be reached."""
         world = self._world()
-        holders = self._residency.holders(wish.key)
-        staying = [replica for replica in holders if _may_serve(replica, wish.bounds, world)]
+        holders = self._residency.holders(adapter_request.key)
+        staying = [
+            replica for replica in holders if _may_serve(replica, adapter_request.bounds, world)
+        ]
         holding = {
-            replica.record.zone for replica in staying if replica.instance not in wish.avoid
-        } or {replica.record.zone for replica in staying if replica.instance in wish.failed_at}
+            replica.record.zone
+            for replica in staying
+            if replica.instance not in adapter_request.avoid
+        } or {
+            replica.record.zone
+            for replica in staying
+            if replica.instance in adapter_request.failed_at
+        }
         # Where it could not be served another zone is better.
         spent = {replica.record.zone for replica in holders} - holding
-        carried = bytes_of_prompt(sum(part.tokens for part in wish.prompt))
-        views = self._zone_views(wish.bounds, world)
+        carried = bytes_of_prompt(sum(part.tokens for part in adapter_request.prompt))
+        views = self._zone_views(adapter_request.bounds, world)
         home = self._settings.zone
         loadable = {view.name for view in views} - world.announced
-        if self._is_spread(wish.key) and home in loadable:
+        if self._is_spread(adapter_request.key) and home in loadable:
             holding = {home}
         at_hand = {
             replica.record.zone
-            for replica in self._residency.keepers(wish.key)
-            if _may_serve(replica, wish.bounds, world)
+            for replica in self._residency.keepers(adapter_request.key)
+            if _may_serve(replica, adapter_request.bounds, world)
         }
         return choose_zone(
-            wish.key,
+            adapter_request.key,
             views,
             prefer=holding,
             avoid=spent,
@@ -351,7 +359,7 @@
             home_advantage=self._settings.prices.in_loads(Distance.OWN_REGION, carried),
         )
 
-    def _wish_copy(self, holder: str, key: AdapterKey, saves: int) -> None:
+    def _request_copy(self, holder: str, key: AdapterKey, saves: int) -> None:
         """Wish for a copy near this box of an adapter that stands far away.
 
         A copy for the whole region is drawn by a hash, so that each of its zones does not bring it.
@@ -365,7 +373,7 @@
         ]
         name = choose_zone(key, [view._replace(pressure=0.0, wait_s=0.0) for view in near])
         if name is not None:
-            self._zone(name).demand.wish_copy(key, saves)
+            self._zone(name).demand.request_copy(key, saves)
 
     def _is_spread(self, key: AdapterKey) -> bool:
         name = str(key)
@@ -397,7 +405,7 @@
 
     def _replica_changed(self, record: ReplicaRecord | None, instance: str) -> None:
         self._engines = None
-        if record is not None and (record.models or self._warmth.slow_start(record.service)):
+        if record is not None and (record.models or self._warmup.slow_start(record.service)):
             self._zone(record.zone)
 
 
--- a/springrock/placement/placer.py
+++ b/springrock/placement/placer.py
@@ -33,12 +33,12 @@
 )
 from springrock.placement.model_loads import ModelLoads
 from springrock.placement.near_copies import CopyWishes, NearCopies
-from springrock.placement.outlook import Outlook
 from springrock.placement.planner import Assignment, Planner
 from springrock.placement.popularity import Popularity
 from springrock.placement.requests import Requests
 from springrock.placement.residency import Versions
 from springrock.placement.spread import Spread
+from springrock.placement.wait_estimate import WaitEstimate
 
 _PLAN_EVERY_S = 0.05
 """How often is planned while somebody waits, beside each time that something changed."""
@@ -139,7 +139,7 @@
             popularity=self._popularity,
             log=log,
             metrics=metrics,
-            on_news=self._work.set,
+            on_update=self._work.set,
         )
         self.requests = Requests(
             self._keepers,
@@ -168,7 +168,7 @@
     def start(self) -> None:
         """Begin to place, under the lease just taken."""
         self._started_at = monotonic()
-        self._task = gevent.spawn(self._plan_forever)
+        self._task = gevent.spawn(self._plan_loop)
         for service in self._configuration().engine_services:
             for replica in self._directory.of_service(service):
                 if replica.record.zone == self._zone:
@@ -241,12 +241,12 @@
             if book.models
         )
 
-    def outlook(self) -> Outlook:
+    def wait_estimate(self) -> WaitEstimate:
         """Return what awaits one more adapter and one more request."""
         books = [book for book in self._loadable() if book.models]
         now = monotonic()
         dispatchers = [self.requests.dispatcher(book.record.service) for book in books]
-        return Outlook.from_engines(
+        return WaitEstimate.from_engines(
             pressures=[
                 self._planner(book.record.service).pressure(book, used=dispatcher.used, now=now)
                 for book, dispatcher in zip(books, dispatchers, strict=True)
@@ -335,7 +335,7 @@
 
     # Planning.
 
-    def _plan_forever(self) -> None:
+    def _plan_loop(self) -> None:
         while True:
             to_bring = self.requests.asks.wanted or self.ahead.pending
             self._work.wait(timeout=_PLAN_EVERY_S if to_bring else None)
@@ -387,7 +387,7 @@
                 self._keepers[assignment.engine.instance].wake()
                 self._say_assigned(assignment, now)
             for key, ready_in_s in plan.ready_in_s.items():
-                self.requests.forecasts.tell(
+                self.requests.forecasts.notify(
                     key,
                     ready_at=now + ready_in_s,
                     boxes=self.requests.asks.boxes(key),
--- a/springrock/placement/placer_board.py
+++ b/springrock/placement/placer_board.py
@@ -31,7 +31,7 @@
         self._version = version
         self._rows: dict[str, Row] = {}
         self._successors: dict[str, Successor] = {}
-        self._news: dict[str, Event] = {}
+        self._updates: dict[str, Event] = {}
         self._known = Event()
 
     def standing(self, key: str) -> Row | None:
@@ -105,7 +105,7 @@
         """Take the whole table."""
         self._rows = {row.key: row for row in rows}
         self._known.set()
-        for event in self._news.values():
+        for event in self._updates.values():
             event.set()
 
     def change(self, row: Row) -> None:
@@ -118,4 +118,4 @@
         self._event(key).set()
 
     def _event(self, key: str) -> Event:
-        return self._news.setdefault(key, Event())
+        return self._updates.setdefault(key, Event())
--- a/springrock/placement/relayed_writes.py
+++ b/springrock/placement/relayed_writes.py
@@ -13,7 +13,7 @@
 
 from gevent.event import Event
 
-from springrock.eras import UNTOLD_ERA, era_of, number_of, told_version
+from springrock.eras import UNTOLD_ERA, era_of, number_of, peer_version
 from springrock.errors import PeerRejected
 from springrock.placement.messages import Message, WriteFor, Written
 from springrock.placement.placer_row import TABLE
@@ -85,7 +85,7 @@
         # A box of an earlier build does not tell the era.
         era = written.era or era_of(expected)
         try:
-            version = told_version(era, written.version)
+            version = peer_version(era, written.version)
         except PeerRejected as error:
             raise RowStoreUnavailable(str(error)) from None
         if written.conflict:
@@ -127,7 +127,7 @@
 def write_for(store: RowStore, asked: WriteFor) -> Written:
     """Write for a placer; return what came of it."""
     try:
-        expected = told_version(asked.era, asked.expected)
+        expected = peer_version(asked.era, asked.expected)
         version = store.write(TABLE, asked.key, asked.value, expected=expected)
     except RowConflict as conflict:
         row = conflict.row or Row(asked.key, b"", 0)
--- a/springrock/placement/requests.py
+++ b/springrock/placement/requests.py
@@ -136,7 +136,7 @@
         self._popularity.note(waiting.key, 1)
         self.grant_waiting(waiting.key)
         if waiting.key in self.asks.keys:
-            self.forecasts.tell_known(waiting.key, box)
+            self.forecasts.send_known(waiting.key, box)
             self._on_unserved()
 
     def grant_all(self) -> None:
--- a/springrock/placement/residency.py
+++ b/springrock/placement/residency.py
@@ -47,7 +47,7 @@
     def __init__(self, directory: Directory, versions: Versions) -> None:
         self._directory = directory
         self._versions = versions
-        self._told: dict[str, tuple[HeldAdapter, ...]] = {}
+        self._reported: dict[str, tuple[HeldAdapter, ...]] = {}
         self._held: dict[str, tuple[HeldAdapter, ...]] = {}
         self._versions_at: dict[AdapterKey, dict[str, int]] = {}
         self._denied: dict[tuple[str, AdapterKey], float] = {}
@@ -90,21 +90,21 @@
         """Learn from a replica itself that it does not hold an adapter."""
         self._denied[(instance, key)] = monotonic() + _DENIED_S
 
-    def note_told(self, instance: str, adapters: Iterable[HeldAdapter]) -> None:
+    def record_reported(self, instance: str, adapters: Iterable[HeldAdapter]) -> None:
         """Learn from the placer what a replica holds."""
         before = self._held.get(instance, ())
-        self._told[instance] = tuple(adapters)
-        for held in self._told[instance]:
+        self._reported[instance] = tuple(adapters)
+        for held in self._reported[instance]:
             if held not in before:
                 self._denied.pop((instance, held.key), None)
         self._index(instance)
 
-    def forget_told(self, zone: str) -> None:
+    def forget_reported(self, zone: str) -> None:
         """Lose the placer of a zone: go by what its replicas write of themselves."""
-        for instance in list(self._told):
+        for instance in list(self._reported):
             replica = self._directory.find(instance)
             if replica is None or replica.record.zone == zone:
-                del self._told[instance]
+                del self._reported[instance]
                 self._index(instance)
 
     def _is_denied(self, instance: str, key: AdapterKey) -> bool:
@@ -118,7 +118,7 @@
 
     def _replica_changed(self, record: ReplicaRecord | None, instance: str) -> None:
         if record is None:
-            self._told.pop(instance, None)
+            self._reported.pop(instance, None)
         self._index(instance)
         if record is None:
             for key in self._given_up.pop(instance, {}):
@@ -130,7 +130,7 @@
         """Have an adapter's replicas found without a look at each of them."""
         replica = self._directory.find(instance)
         recorded = () if replica is None else replica.record.adapters
-        now = self._told.get(instance, recorded)
+        now = self._reported.get(instance, recorded)
         before = self._held.get(instance, ())
         if now == before:
             return
--- a/springrock/placement/residents_news.py
+++ b/springrock/placement/residents_publisher.py
@@ -17,11 +17,11 @@
 class ZoneLinks(Protocol):
     """The boxes linked to a zone's placer."""
 
-    def tell_zones(self, message: Message, *, far: bool) -> None:
+    def send_to_zones(self, message: Message, *, far: bool) -> None:
         """Send a message to the linked boxes of the region, or to those of other ones."""
 
 
-class ResidentsNews:
+class ResidentsPublisher:
     """Tells boxes what engines newly hold.
 
     Args:
@@ -31,22 +31,22 @@
     def __init__(self, links: ZoneLinks) -> None:
         self._links = links
         self._for_far: dict[str, EngineHolds] = {}
-        self._told_far_at = monotonic()
+        self._reported_far_at = monotonic()
 
-    def tell(self, changed: Residents | None) -> None:
+    def notify(self, changed: Residents | None) -> None:
         """Tell what has changed since the last time, if anything has.
 
         Args:
             changed: The engines that hold something else now.
         """
         if changed is not None:
-            self._links.tell_zones(changed, far=False)
+            self._links.send_to_zones(changed, far=False)
             self._for_far.update((engine.instance, engine) for engine in changed.engines)
         now = monotonic()
-        if self._for_far and now - self._told_far_at >= FAR_EVERY_S:
-            self._links.tell_zones(Residents(list(self._for_far.values())), far=True)
+        if self._for_far and now - self._reported_far_at >= FAR_EVERY_S:
+            self._links.send_to_zones(Residents(list(self._for_far.values())), far=True)
             self._for_far.clear()
-            self._told_far_at = now
+            self._reported_far_at = now
 
 
 def is_far(topology: Topology, zone: str, home_zone: str) -> bool:
--- a/springrock/placement/state_asker.py
+++ b/springrock/placement/state_fetcher.py
@@ -60,7 +60,7 @@
         super().__init__(f"the box at {seed}: {why}")
 
 
-class StateAsker:
+class StateFetcher:
     """Takes over what other boxes know until this one knows all tables.
 
     The store's word replaces it as soon as it comes. Each table keeps the age that it had at the
@@ -132,7 +132,7 @@
         self._log.say(
             "Learnt from another box.",
             seed=seed,
-            ages_ms={table.news.table: table.age_ms for table in state.tables},
+            ages_ms={table.updates.table: table.age_ms for table in state.tables},
             took_ms=round(1000 * (monotonic() - asked_at)),
         )
 
@@ -146,14 +146,14 @@
             raise StateUnknown(seed, "it does not know all tables itself")
 
     def _take(self, state: KnownState, asked_at: float) -> None:
-        by_table = {table.news.table: table for table in state.tables}
+        by_table = {table.updates.table: table for table in state.tables}
         for follower in self._followers:
-            told = by_table.get(follower.table)
-            if told is None:
+            reported = by_table.get(follower.table)
+            if reported is None:
                 continue
             # Counted from before the question, as the answer may have been long on its way.
-            age_s = float("inf") if told.age_ms is None else told.age_ms / 1000
-            follower.take_copy(reading_from(told.news), newest_at=asked_at - age_s)
+            age_s = float("inf") if reported.age_ms is None else reported.age_ms / 1000
+            follower.take_copy(reading_from(reported.updates), newest_at=asked_at - age_s)
         for key, successor in state.successors:
             self._board.note_successor(key, successor)
         for instance in state.leaving:
--- a/springrock/placement/state_teller.py
+++ b/springrock/placement/state_provider.py
@@ -11,7 +11,7 @@
 from springrock.log import Log
 from springrock.placement.messages import Hello, KnownState, KnownTable
 from springrock.placement.placer_board import PlacerBoard
-from springrock.placement.table_news import news_from
+from springrock.placement.table_news import table_news_from
 from springrock.table_follower import TableFollower
 
 _ANSWERS = 8
@@ -20,7 +20,7 @@
 their clients to serve."""
 
 
-class StateTeller:
+class StateProvider:
     """Answers boxes that ask for what this one knows.
 
     Args:
@@ -72,5 +72,5 @@
                 return []
             age_s = follower.staleness_s
             age_ms = math.ceil(1000 * age_s) if math.isfinite(age_s) else None
-            tables.append(KnownTable(news_from(known), age_ms))
+            tables.append(KnownTable(table_news_from(known), age_ms))
         return tables
--- a/springrock/placement/succession.py
+++ b/springrock/placement/succession.py
@@ -12,14 +12,14 @@
 import msgspec
 from msgspec import Struct
 
-from springrock.eras import era_of, number_of, told_version
+from springrock.eras import era_of, number_of, peer_version
 from springrock.placement.placer_row import PlacerRow
 
 RESERVED_FENCES = 64
 """So often in a row a role can be handed over while the store is silent."""
 
 
-class Heir(NamedTuple):
+class HandoverTarget(NamedTuple):
     """A box to which a role can be handed over.
 
     Attributes:
@@ -88,7 +88,7 @@
             address=handed.address,
             fence=handed.last_fence,
         )
-        return cls(row, told_version(handed.era, handed.version), handed.fence, handed)
+        return cls(row, peer_version(handed.era, handed.version), handed.fence, handed)
 
     def renewal(self) -> PlacerRow:
         """Return what the next renewal writes.
@@ -121,15 +121,15 @@
             return None
         return self._replace(version=version)
 
-    def handover(self, heir: Heir) -> Successor | None:
+    def handover(self, handover_target: HandoverTarget) -> Successor | None:
         """Return the handover to another box; None if no fence is left."""
         if self.fence >= self.row.fence:
             return None
         before = [] if self.handed is None else self.handed.after
         return Successor(
-            box=heir.box,
-            incarnation=heir.incarnation,
-            address=heir.address,
+            box=handover_target.box,
+            incarnation=handover_target.incarnation,
+            address=handover_target.address,
             fence=self.fence + 1,
             last_fence=self.row.fence,
             version=number_of(self.version),
--- a/springrock/placement/table_news.py
+++ b/springrock/placement/table_news.py
@@ -4,12 +4,12 @@
 
 import math
 
-from springrock.eras import era_of, number_of, told_version
+from springrock.eras import era_of, number_of, peer_version
 from springrock.placement.messages import TableNews, TableRow
 from springrock.rows import Change, Removed, Row, TableReading
 
 
-def news_from(reading: TableReading) -> TableNews:
+def table_news_from(reading: TableReading) -> TableNews:
     """Return the message that tells a reading."""
     rows = [
         TableRow(change.key, change.value, number_of(change.version))
@@ -30,20 +30,20 @@
     )
 
 
-def reading_from(news: TableNews) -> TableReading:
+def reading_from(updates: TableNews) -> TableReading:
     """Return the reading that a message tells.
 
     Raises:
         PeerRejected: If it names a version that no store can have.
     """
-    as_of_s = None if news.as_of_ms is None else news.as_of_ms / 1000
-    after = 0 if news.whole else told_version(news.era, news.after)
-    version = told_version(news.era, news.version)
-    changes = [_change_from(row, news.era) for row in news.rows]
-    return TableReading(news.table, after, version, changes, news.whole, as_of_s)
+    as_of_s = None if updates.as_of_ms is None else updates.as_of_ms / 1000
+    after = 0 if updates.whole else peer_version(updates.era, updates.after)
+    version = peer_version(updates.era, updates.version)
+    changes = [_change_from(row, updates.era) for row in updates.rows]
+    return TableReading(updates.table, after, version, changes, updates.whole, as_of_s)
 
 
 def _change_from(row: TableRow, era: int) -> Change:
     if row.gone:
-        return Removed(row.key, told_version(era, row.version) if row.version else 0)
-    return Row(row.key, row.value, told_version(era, row.version))
+        return Removed(row.key, peer_version(era, row.version) if row.version else 0)
+    return Row(row.key, row.value, peer_version(era, row.version))
--- a/springrock/placement/outlook.py
+++ b/springrock/placement/wait_estimate.py
@@ -11,7 +11,7 @@
 _LONGEST_WAIT_S = 60.0
 
 
-class Outlook(NamedTuple):
+class WaitEstimate(NamedTuple):
     """What awaits them at a usual engine, the middle one of all: one alone may be in trouble.
 
     Attributes:
@@ -23,7 +23,7 @@
     wait_s: float = 0.0
 
     @classmethod
-    def from_engines(cls, *, pressures: Iterable[float], waits_s: Iterable[float]) -> Outlook:
+    def from_engines(cls, *, pressures: Iterable[float], waits_s: Iterable[float]) -> WaitEstimate:
         """Build from what awaits them at each engine."""
         return cls(min(_MOST_PRESSURE, _middle(pressures)), min(_LONGEST_WAIT_S, _middle(waits_s)))
 
--- a/springrock/placement/zone.py
+++ b/springrock/placement/zone.py
@@ -8,7 +8,7 @@
 import gevent
 import msgspec
 
-from springrock.eras import era_of, number_of, told_version
+from springrock.eras import era_of, number_of, peer_version
 from springrock.forwarding.directory import LeavingSign
 from springrock.forwarding.message import AdapterKey
 from springrock.metrics import BytesKind
@@ -31,20 +31,20 @@
     TableNews,
     WriteFor,
 )
-from springrock.placement.outlook import Outlook
 from springrock.placement.placer import Placer
 from springrock.placement.placer_row import key_of
 from springrock.placement.relayed_writes import RelayedWrites, write_for
-from springrock.placement.residents_news import ResidentsNews, is_far
+from springrock.placement.residents_publisher import ResidentsPublisher, is_far
 from springrock.placement.settings import PlacementSettings
 from springrock.placement.succession import Successor
-from springrock.placement.surroundings import Surroundings
+from springrock.placement.wait_estimate import WaitEstimate
+from springrock.placement.zone_dependencies import ZoneDependencies
 from springrock.quotas.charge_book import CounterSilent
 from springrock.quotas.messages import Charged, Verdict
 from springrock.quotas.part_counter import PartCounter
 from springrock.topology import Distance
 
-_TOLD_WITHIN_S = 0.2
+_REPORT_INTERVAL_S = 0.2
 """So long a placer that stops keeps its links open for its last word."""
 
 _RESIDENTS_EVERY_S = 0.05
@@ -69,17 +69,17 @@
         boxes: How many boxes the placer had linked when it last told, its own included.
         home_boxes: How many of them stand in the zone; 0 if that was never told.
         spread: Adapters, as MODEL/NAME, that each zone does better to serve itself, as last told.
-        outlook: What awaits one more adapter and request there, as last told.
+        wait_estimate: What awaits one more adapter and request there, as last told.
     """
 
-    def __init__(self, zone: str, settings: PlacementSettings, around: Surroundings) -> None:
+    def __init__(self, zone: str, settings: PlacementSettings, around: ZoneDependencies) -> None:
         self._zone = zone
         self._settings = settings
         self._directory = around.directory
         self._residency = around.residency
         self._incarnation = around.incarnation
         self._metrics = around.metrics
-        self._warmth = around.warmth
+        self._warmup = around.warmup
         self._limits = around.limits
         self._on_table_news = around.on_table_news
         self._on_handover = around.on_handover
@@ -90,13 +90,13 @@
         self.demand = DemandBook(
             has_placer=lambda: self.reachable,
             leaving=around.directory.leaving,
-            limits=lambda: around.limits.words(self._instances()),
+            limits=lambda: around.limits.arguments(self._instances()),
         )
         self.room = 0
         self.boxes = 1
         self.home_boxes = 0
         self.spread: frozenset[str] = frozenset()
-        self.outlook = Outlook()
+        self.wait_estimate = WaitEstimate()
         self._store = around.store
         self._topology = around.world().topology
         self.links = BoxLinks(
@@ -220,7 +220,7 @@
         goes_on = self._lease.held and not self._lease.confirmed
         return self._placer.active and (goes_on or self._lease.holds)
 
-    def tell_handover(self, boxes: Collection[str]) -> None:
+    def send_handover(self, boxes: Collection[str]) -> None:
         """Tell boxes what was asked for in the zone."""
         handover = self._placer.handover()
         for box in boxes:
@@ -238,12 +238,12 @@
             self._part.take(box, demand.charges, demand.given_back)
         if demand.permits:
             self._permits.take(box, demand.permits)
-        for sighting in demand.sightings:
-            self._warmth.take_sighting(sighting.instance, answered=sighting.answered)
+        for observation in demand.observations:
+            self._warmup.apply_observation(observation.instance, answered=observation.answered)
         for instance in demand.leaving:
             self._directory.note_leaving(instance, LeavingSign.BOX)
         for word in demand.limits:
-            self._limits.take_word(word)
+            self._limits.apply_limit_report(word)
         for written in demand.written:
             self._writes.note_written(written)
         self._placer.take_demand(box, demand)
@@ -269,7 +269,7 @@
         """Undo a charge whose request did not run."""
         self.demand.charges.give_back(number)
 
-    def permit(self, wish: PermitAsk) -> tuple[PermitVerdict, float]:
+    def permit(self, adapter_request: PermitAsk) -> tuple[PermitVerdict, float]:
         """Ask the zone's placer whether a request may be sent to a cold or limited replica.
 
         Raises:
@@ -277,7 +277,7 @@
         """
         if not self.reachable:
             raise PermitsUnheard()
-        return self.demand.permits.ask(wish)
+        return self.demand.permits.ask(adapter_request)
 
     # The placer's word.
 
@@ -290,7 +290,7 @@
         return own.zone if box == own.box else self.links.home_zone(box)
 
     def _heartbeat(self) -> Heartbeat:
-        outlook = self._placer.outlook()
+        wait_estimate = self._placer.wait_estimate()
         return Heartbeat(
             row_version=number_of(self._lease.version),
             row_era=era_of(self._lease.version),
@@ -299,9 +299,9 @@
             boxes=self.links.count + 1,
             spread=self._placer.spread(),
             leaving=self._directory.leaving(),
-            doubted=self._warmth.doubted(self._zone),
-            pressure=round(100 * outlook.pressure),
-            wait_ms=round(1000 * outlook.wait_s),
+            doubted=self._warmup.doubted(self._zone),
+            pressure=round(100 * wait_estimate.pressure),
+            wait_ms=round(1000 * wait_estimate.wait_s),
             limits=self._limits.named(self._instances()),
             home_boxes=self.links.count_of(self._zone) + (self._settings.zone == self._zone),
         )
@@ -309,12 +309,12 @@
     def _instances(self) -> list[str]:
         return [replica.instance for replica in self._directory.in_zone(self._zone)]
 
-    def tell_table(self, news: TableNews, *, also: Collection[str] = ()) -> None:
+    def publish_table(self, updates: TableNews, *, also: Collection[str] = ()) -> None:
         """Tell the boxes that stand in the zone, and some others, what was read of the store."""
-        self.links.tell_all(news, home_zone=self._zone, also=also)
+        self.links.broadcast(updates, home_zone=self._zone, also=also)
 
     @property
-    def tells_home(self) -> bool:
+    def notifies_home_zone(self) -> bool:
         """Whether boxes that stand in the zone go by what this one reads of the store."""
         return self.placing and self.links.hold(self._zone, for_s=0.0)
 
@@ -322,7 +322,7 @@
         if box == self._settings.box:
             self.take(message)
         else:
-            self.links.tell(box, message)
+            self.links.notify(box, message)
 
     def take(self, message: Message) -> None:
         """Learn what the placer says."""
@@ -334,7 +334,7 @@
                 self.demand.note_forecast(key, ready_in_s, elsewhere=message.elsewhere)
             case Residents(engines=engines):
                 for engine in engines:
-                    self._residency.note_told(engine.instance, engine.adapters)
+                    self._residency.record_reported(engine.instance, engine.adapters)
             case WriteFor():
                 gevent.spawn(self._write_for, message)
             case Charged():
@@ -349,7 +349,7 @@
                 if message.successor is not None:
                     self._take_successor(message.successor)
                 self._lease.note_heartbeat(
-                    told_version(message.row_era, message.row_version), message.lease_left_ms / 1000
+                    peer_version(message.row_era, message.row_version), message.lease_left_ms / 1000
                 )
                 self._note_heartbeat(message)
 
@@ -370,27 +370,27 @@
         self.room = heartbeat.room
         self.boxes = heartbeat.boxes
         self.spread = frozenset(heartbeat.spread)
-        self.outlook = Outlook(heartbeat.pressure / 100, heartbeat.wait_ms / 1000)
+        self.wait_estimate = WaitEstimate(heartbeat.pressure / 100, heartbeat.wait_ms / 1000)
         for instance in heartbeat.leaving:
             self._directory.note_leaving(instance, LeavingSign.BOX)
-        self._warmth.take_doubted(self._zone, heartbeat.doubted)
-        self._limits.take_told(self._zone, heartbeat.limits)
+        self._warmup.apply_suspected(self._zone, heartbeat.doubted)
+        self._limits.apply_reported(self._zone, heartbeat.limits)
         # A placer of an earlier build tells only how many there are in all.
         self.home_boxes = heartbeat.home_boxes or heartbeat.boxes
         self._on_placer_heard()
 
     def _placer_lost(self) -> None:
         self.spread = frozenset()
-        self._residency.forget_told(self._zone)
+        self._residency.forget_reported(self._zone)
         self.demand.forget_placer()
         self._on_placer_lost(self._zone)
 
-    def _tell_residents_forever(self) -> None:
-        news = ResidentsNews(self.links)
+    def _publish_residents_loop(self) -> None:
+        updates = ResidentsPublisher(self.links)
         while True:
             gevent.sleep(max(_RESIDENTS_EVERY_S, self.links.count / _RESIDENTS_FRAMES_PER_S))
             changed = self._placer.take_changed()
-            news.tell(changed)
+            updates.notify(changed)
             if changed is not None:
                 self.take(changed)
 
@@ -399,8 +399,8 @@
         box = self._settings.box
         self.take_demand(box, self.demand.whole())
         while True:
-            self.demand.wait_for_news()
-            self.take_demand(box, self.demand.take_news())
+            self.demand.wait_for_updates()
+            self.take_demand(box, self.demand.drain_updates())
 
     # While this box places.
 
@@ -411,7 +411,7 @@
         self._placer.start()
         self._under_lease = [
             gevent.spawn(self._feed_own_demand),
-            gevent.spawn(self._tell_residents_forever),
+            gevent.spawn(self._publish_residents_loop),
         ]
         self._metrics.placer.labels(self._zone).set(1)
 
@@ -424,13 +424,13 @@
         self.links.close_all()
         self._placer_lost()
 
-    def tell_heartbeat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Tell all linked boxes, and this one, that the placer lives."""
         heartbeat = self._heartbeat()
         self._note_heartbeat(heartbeat)
-        self.links.tell_all(heartbeat)
+        self.links.broadcast(heartbeat)
 
-    def tell_successor(self, successor: Successor) -> None:
+    def send_successor(self, successor: Successor) -> None:
         """Tell all linked boxes who goes on in this one's stead."""
         self._board.note_successor(key_of(self._zone), successor)
         heartbeat = msgspec.structs.replace(
@@ -439,5 +439,5 @@
             row_era=successor.era,
             successor=successor,
         )
-        self.links.tell_all(heartbeat)
-        self.links.flush(within_s=_TOLD_WITHIN_S)
+        self.links.broadcast(heartbeat)
+        self.links.flush(within_s=_REPORT_INTERVAL_S)
--- a/springrock/placement/surroundings.py
+++ b/springrock/placement/zone_dependencies.py
@@ -13,7 +13,7 @@
 from springrock.metrics import ForwardingMetrics
 from springrock.permits.named_limits import NamedLimits
 from springrock.permits.terms import SlowStartTerms
-from springrock.permits.warmth import Warmth
+from springrock.permits.warmup import WarmupTracker
 from springrock.placement.control import EngineControl
 from springrock.placement.handover_messages import Handover
 from springrock.placement.messages import TableNews
@@ -23,7 +23,7 @@
 from springrock.rows import RowStore
 
 
-class Surroundings(NamedTuple):
+class ZoneDependencies(NamedTuple):
     """What the zones of one box share.
 
     Attributes:
@@ -38,7 +38,7 @@
         control: Speaks to engines.
         quota_terms: Returns how strictly the quotas of teams are meant.
         slow_start_terms: Returns how strictly the bound on cold replicas is meant.
-        warmth: Which replicas are cold.
+        warmup: Which replicas are cold.
         limits: The limits that replicas have named.
         on_table_news: Called with a zone and what its placer has read of the store's tables.
         on_placer_heard: Called whenever a zone's placer is heard.
@@ -61,7 +61,7 @@
     control: EngineControl
     quota_terms: Callable[[], QuotaTerms]
     slow_start_terms: Callable[[], SlowStartTerms]
-    warmth: Warmth
+    warmup: WarmupTracker
     limits: NamedLimits
     on_table_news: Callable[[str, TableNews], None]
     on_placer_heard: Callable[[], None]
--- a/springrock/platform/notices.py
+++ b/springrock/platform/notices.py
@@ -29,17 +29,17 @@
     """
     if status == _MISDIRECTED:
         return NO_NOTICE
-    told = [
+    reported = [
         (lowered, value)
         for name, value in headers
         if (lowered := name.lower()) == _RETRY_AFTER or lowered.startswith(_PREFIX)
     ]
-    if not told:
+    if not reported:
         return NOTHING_SAID
     backoffs: list[float] = []
     limits: list[float] = []
     unreadable = ""
-    for name, value in told:
+    for name, value in reported:
         if name == _LIMIT:
             limit = read_non_negative(value)
             if limit is None:
@@ -53,9 +53,9 @@
                 unreadable = f"{HEADER}: {value[:_SHOWN]}"
     # Of several words the one that spares the replica most.
     return ReplicaNotice(
-        leaving=any(name == _LEAVING and value.strip() == _IS_LEAVING for name, value in told),
+        leaving=any(name == _LEAVING and value.strip() == _IS_LEAVING for name, value in reported),
         backoff_s=max(backoffs, default=0.0),
         unreadable=unreadable,
         limit_per_s=min(limits, default=None),
-        unknown=tuple(name[:_SHOWN] for name, _ in told if name not in _KNOWN),
+        unknown=tuple(name[:_SHOWN] for name, _ in reported if name not in _KNOWN),
     )
--- a/springrock/platform/store.py
+++ b/springrock/platform/store.py
@@ -12,7 +12,7 @@
 from springrock.eras import (
     UNTOLD_ERA,
     VersionOutOfRange,
-    era_from_told,
+    era_from_reported,
     era_of,
     number_of,
     shown,
@@ -120,7 +120,7 @@
     """
 
     def __init__(
-        self, address: str, *, on_era: Callable[[int | None], None] = lambda told: None
+        self, address: str, *, on_era: Callable[[int | None], None] = lambda reported: None
     ) -> None:
         self._on_era = on_era
         self._era = UNTOLD_ERA
@@ -189,7 +189,7 @@
         return self._page(_checked(response))
 
     def _page(self, response: urllib3.BaseHTTPResponse) -> _Page:
-        return _Page(era_from_told(_told_era(response)), _decoded(response, _Rows))
+        return _Page(era_from_reported(_reported_era(response)), _decoded(response, _Rows))
 
     def _call(
         self, method: str, path: str, *, body: bytes | None = None, wait_s: float = 0.0
@@ -202,29 +202,29 @@
             )
         except (urllib3.exceptions.HTTPError, OSError) as error:
             raise RowStoreUnavailable(f"{path.partition('?')[0]}: {error}") from None
-        self._note_era(_told_era(response))
+        self._note_era(_reported_era(response))
         return response
 
-    def _note_era(self, told: int | None) -> None:
-        era = era_from_told(told)
+    def _note_era(self, reported: int | None) -> None:
+        era = era_from_reported(reported)
         if era < self._era:
-            raise RowStoreUnavailable(f"a late answer of the store's era {told}")
+            raise RowStoreUnavailable(f"a late answer of the store's era {reported}")
         self._era = era
-        self._on_era(told)
+        self._on_era(reported)
 
 
 def _seconds(milliseconds: float | None) -> float | None:
     return None if milliseconds is None else milliseconds / 1000
 
 
-def _told_era(response: urllib3.BaseHTTPResponse) -> int | None:
+def _reported_era(response: urllib3.BaseHTTPResponse) -> int | None:
     """Return the era that an answer names; None if it names none."""
-    told = response.headers.get(names.ERA_HEADER)
-    if told is None:
+    reported = response.headers.get(names.ERA_HEADER)
+    if reported is None:
         return None
-    if not (told.isascii() and told.isdecimal() and len(told) <= _ERA_DIGITS):
-        raise RowStoreUnavailable(f"the store's era cannot be read: {told[:_ERA_SHOWN]!r}")
-    return int(told)
+    if not (reported.isascii() and reported.isdecimal() and len(reported) <= _ERA_DIGITS):
+        raise RowStoreUnavailable(f"the store's era cannot be read: {reported[:_ERA_SHOWN]!r}")
+    return int(reported)
 
 
 def _checked(response: urllib3.BaseHTTPResponse) -> urllib3.BaseHTTPResponse:
--- a/springrock/quarantine/witness.py
+++ b/springrock/quarantine/crash_detector.py
@@ -43,7 +43,7 @@
         """Make a report known; returns at once."""
 
 
-class Witness:
+class CrashDetector:
     """Tells crashes from other breaks, and reports them.
 
     A connection that broke is no proof: replicas reset connections, and cuts break them. It is
--- a/springrock/quarantine/quarantine.py
+++ b/springrock/quarantine/quarantine.py
@@ -7,9 +7,9 @@
 from springrock.log import Log
 from springrock.metrics import ForwardingMetrics
 from springrock.quarantine.book import CrashBook
+from springrock.quarantine.crash_detector import CrashDetector
 from springrock.quarantine.reporter import Reporter
 from springrock.quarantine.terms import QuarantineTerms
-from springrock.quarantine.witness import Witness
 from springrock.rows import Row, RowKeeper
 
 
@@ -26,7 +26,7 @@
 
     Attributes:
         book: What is held against requests; it listens to the rows of crash reports.
-        witness: Learns how requests end at replicas.
+        crash_detector: Learns how requests end at replicas.
     """
 
     def __init__(
@@ -42,7 +42,9 @@
         self.book = CrashBook(terms=terms, log=log)
         metrics.quarantined.set_function(lambda: float(self.book.quarantined_count))
         self._reporter = Reporter(store, box=box, table=table, book=self.book, terms=terms, log=log)
-        self.witness = Witness(box=box, book=self.book, reports=self._reporter, log=log)
+        self.crash_detector = CrashDetector(
+            box=box, book=self.book, reports=self._reporter, log=log
+        )
 
     def write_again(self, rows: Sequence[Row]) -> None:
         """Have the reports among some rows written that a store lacks after its return."""
--- a/springrock/quarantine/reporter.py
+++ b/springrock/quarantine/reporter.py
@@ -35,7 +35,7 @@
 
 
 class Reporter:
-    """Implements `springrock.quarantine.witness.Publishes`.
+    """Implements `springrock.quarantine.crash_detector.Publishes`.
 
     Reports are written to the store, and not only told over links: a box that starts must know
     them before it sends anything, and whoever gathered them may die between two crashes. Each box
@@ -79,7 +79,7 @@
 
     def start(self) -> None:
         """Begin to write and to sweep."""
-        self._tasks = [gevent.spawn(self._write_forever), gevent.spawn(self._sweep_forever)]
+        self._tasks = [gevent.spawn(self._write_loop), gevent.spawn(self._sweep_loop)]
 
     def stop(self) -> None:
         """End both."""
@@ -127,12 +127,12 @@
                 self._log.say("Did not remove old crash reports.", error=str(error))
                 return
 
-    def _sweep_forever(self) -> None:
+    def _sweep_loop(self) -> None:
         while True:
             gevent.sleep(_SWEEP_EVERY_S * random.uniform(0.5, 1.0))
             self.sweep()
 
-    def _write_forever(self) -> None:
+    def _write_loop(self) -> None:
         retry_s = _FIRST_RETRY_S
         while True:
             self._filled.wait()
--- a/springrock/quotas/charge_book.py
+++ b/springrock/quotas/charge_book.py
@@ -23,11 +23,11 @@
     """The charges of one box at one zone's placer.
 
     Args:
-        on_news: Called when the placer is to be told something; whether somebody waits for it.
+        on_update: Called when the placer is to be told something; whether somebody waits for it.
     """
 
-    def __init__(self, *, on_news: Callable[[bool], None]) -> None:
-        self._on_news = on_news
+    def __init__(self, *, on_update: Callable[[bool], None]) -> None:
+        self._on_update = on_update
         self._numbers = count(1)
         self._asked: dict[int, AsyncResult[Verdict | None]] = {}
         self._new: list[Charge] = []
@@ -42,7 +42,7 @@
         charge = Charge(next(self._numbers), request, team, units)
         answer = self._asked[charge.number] = AsyncResult()
         self._new.append(charge)
-        self._on_news(True)
+        self._on_update(True)
         verdict: Verdict | None = None
         try:
             verdict = answer.wait(timeout=_NO_ANSWER_S)
@@ -57,7 +57,7 @@
     def give_back(self, number: int) -> None:
         """Have a charge undone, as its request did not run."""
         self._back.append(GiveBack(number))
-        self._on_news(False)
+        self._on_update(False)
 
     def _withdraw(self, charge: Charge) -> None:
         """Take back a charge without an answer; the placer may have taken it, or do so yet."""
@@ -79,7 +79,7 @@
         for answer in self._asked.values():
             answer.set(None)
 
-    def take_news(self) -> tuple[list[Charge], list[GiveBack]]:
+    def drain_updates(self) -> tuple[list[Charge], list[GiveBack]]:
         """Return what the placer has not been told."""
         new, self._new = self._new, []
         back, self._back = self._back, []
--- a/springrock/serving/engine_watch.py
+++ b/springrock/serving/engine_watch.py
@@ -37,7 +37,7 @@
 
     def start(self) -> None:
         """Begin watching."""
-        self._task = gevent.spawn(self._watch_forever)
+        self._task = gevent.spawn(self._watch_loop)
 
     def stop(self) -> None:
         """Stop watching."""
@@ -53,7 +53,7 @@
         """Whether the engine is known, fenced and answering."""
         return bool(self._boot_id)
 
-    def _watch_forever(self) -> None:
+    def _watch_loop(self) -> None:
         while True:
             self._watch()
             self._look_again.wait(timeout=_WATCH_EVERY_S)
--- a/springrock/serving/limits.py
+++ b/springrock/serving/limits.py
@@ -57,7 +57,7 @@
 
     def start(self) -> None:
         """Begin telling this box's demand."""
-        self._task = gevent.spawn(self._tell_forever)
+        self._task = gevent.spawn(self._notify_loop)
 
     def stop(self) -> None:
         """Stop telling."""
@@ -90,14 +90,14 @@
             return 1.0 / boxes
         return min(1.0, max(_LEAST_PART / boxes, mine / total))
 
-    def _tell_forever(self) -> None:
+    def _notify_loop(self) -> None:
         while True:
             gevent.sleep(_TELL_EVERY_S)
             self._measure()
             if self._demand:
                 names = sorted(self._demand)
                 rates = [round(self._demand[name], 2) for name in names]
-                self._peers.tell_all(wire.Demand(names, rates))
+                self._peers.broadcast(wire.Demand(names, rates))
 
     def _measure(self) -> None:
         counts, self._counts = self._counts, {}
--- a/springrock/serving/loader.py
+++ b/springrock/serving/loader.py
@@ -42,14 +42,14 @@
 
     def start(self) -> None:
         """Begin loading."""
-        self._task = gevent.spawn(self._load_forever)
+        self._task = gevent.spawn(self._load_loop)
 
     def stop(self) -> None:
         """Stop loading."""
         if self._task is not None:
             self._task.kill(block=False)
 
-    def _load_forever(self) -> None:
+    def _load_loop(self) -> None:
         replica = self._replica
         while True:
             replica.load_wanted.wait(timeout=_IDLE_WAIT_S)
--- a/springrock/serving/owned_replica.py
+++ b/springrock/serving/owned_replica.py
@@ -119,7 +119,7 @@
     def start(self) -> None:
         """Begin watching the engine."""
         self.watch.start()
-        self._tasks = [gevent.spawn(self._review_forever)]
+        self._tasks = [gevent.spawn(self._review_loop)]
 
     def stop(self) -> None:
         """Stop watching and refuse everyone who waits."""
@@ -371,7 +371,7 @@
 
     # Watching.
 
-    def _review_forever(self) -> None:
+    def _review_loop(self) -> None:
         while True:
             gevent.sleep(_REVIEW_EVERY_S)
             self.review()
