--- a/springrock/serving/owner.py
+++ b/springrock/serving/owner.py
@@ -92,7 +92,7 @@
 
     def start(self) -> None:
         """Begin reporting to the peers."""
-        self._tasks = [gevent.spawn(self._report_forever), gevent.spawn(self._refresh_forever)]
+        self._tasks = [gevent.spawn(self._report_loop), gevent.spawn(self._refresh_loop)]
 
     def stop(self) -> None:
         """Stop reporting."""
@@ -260,7 +260,7 @@
         self._changed.add(replica.name)
         self._change.set()
 
-    def _report_forever(self) -> None:
+    def _report_loop(self) -> None:
         sent: dict[str, wire.ReplicaReport] = {}
         while True:
             self._change.wait()
@@ -274,21 +274,21 @@
                 report = replica.report(self._box)
                 if _differs(sent.get(name), report, replica.pool.running_limit):
                     sent[name] = report
-                    self._peers.tell_all(report)
+                    self._peers.broadcast(report)
 
-    def _refresh_forever(self) -> None:
+    def _refresh_loop(self) -> None:
         """Tell everything again now and then, so that a lost report costs seconds."""
         while True:
             gevent.sleep(_FULL_REPORT_EVERY_S)
             for replica in self.replicas:
                 report = replica.report(self._box)
                 self._view.take(report)
-                self._peers.tell_all(report)
+                self._peers.broadcast(report)
 
     def _greet(self, link: Link) -> None:
         for replica in self.replicas:
             try:
-                link.tell(replica.report(self._box))
+                link.notify(replica.report(self._box))
             except PeerUnreachable:
                 return
 
--- a/springrock/serving/router.py
+++ b/springrock/serving/router.py
@@ -119,14 +119,14 @@
         self._held.release(held)
         notice = wire.Return(held.replica, held.number, held.fence, tokens)
         for owner in self._held.owners_of(held, permitted.owner):
-            self._tell_over(owner, notice)
+            self._notify_end(owner, notice)
 
-    def _tell_over(self, owner: str, notice: wire.Return) -> None:
+    def _notify_end(self, owner: str, notice: wire.Return) -> None:
         if owner == self._box:
             self._owner.give_back(notice)
             return
         try:
-            self._peers.link_to(owner).tell(notice)
+            self._peers.link_to(owner).notify(notice)
         except PeerUnreachable:
             return
 
--- a/springrock/statements/__init__.py
+++ b/springrock/statements/__init__.py
@@ -14,7 +14,7 @@
 from springrock.wire.operator import StatementAnswer
 
 
-class Words(NamedTuple):
+class Arguments(NamedTuple):
     """What an operator wrote in one statement, by the names in the pattern.
 
     Attributes:
@@ -40,7 +40,7 @@
         return [int(value) for value in self.lists.get(name, [])]
 
 
-class Asker(NamedTuple):
+class Requester(NamedTuple):
     """Who asks, and under which command id.
 
     Attributes:
@@ -63,7 +63,7 @@
 
     pattern: str
     help: str
-    run: Callable[[StatementHost, Words, Asker], StatementAnswer]
+    run: Callable[[StatementHost, Arguments, Requester], StatementAnswer]
 
 
 statements: Registry[Statement] = Registry("statement")
--- a/springrock/statements/_change.py
+++ b/springrock/statements/_change.py
@@ -11,7 +11,7 @@
 from springrock.coordination.catalog import Catalog, Change, Entity
 from springrock.errors import StatementError
 from springrock.hosts import StatementHost
-from springrock.statements import Asker, Words
+from springrock.statements import Arguments, Requester
 from springrock.statements.show import statuses
 from springrock.wire.operator import StatementAnswer
 
@@ -20,17 +20,21 @@
 _LOOK_EVERY_S = 0.1
 
 
-def blank(words: Words, asker: Asker) -> Change:
+def blank(arguments: Arguments, requester: Requester) -> Change:
     """Return a change that changes nothing yet."""
     return Change(
-        revision=0, command_id=asker.command_id, who=asker.name, at=0.0, statement=words.text
+        revision=0,
+        command_id=requester.command_id,
+        who=requester.name,
+        at=0.0,
+        statement=arguments.text,
     )
 
 
 def commit(
     host: StatementHost,
-    words: Words,
-    asker: Asker,
+    arguments: Arguments,
+    requester: Requester,
     key: str,
     build: Callable[[Catalog, Change], Change],
 ) -> StatementAnswer:
@@ -38,19 +42,19 @@
 
     Args:
         host: The box that was asked.
-        words: The statement; with ``if revision N`` it holds only if the entity was last changed
-            in revision N, 0 meaning that it does not exist.
-        asker: Who asks.
+        arguments: The statement; with ``if revision N`` it holds only if the entity was last
+            changed in revision N, 0 meaning that it does not exist.
+        requester: Who asks.
         key: The entity's key.
         build: Completes the change from the newest catalog; may raise StatementError.
     """
-    expects = {key: int(words.get("seen"))} if "seen" in words.values else {}
+    expects = {key: int(arguments.get("seen"))} if "seen" in arguments.values else {}
     revision = host.feed.commit(
-        lambda catalog: _built(catalog, blank(words, asker), build, host), expects=expects
+        lambda catalog: _built(catalog, blank(arguments, requester), build, host), expects=expects
     )
     text = f"done in revision {revision}"
-    if asker.wait_s:
-        text += _wait(host, revision, asker.wait_s)
+    if requester.wait_s:
+        text += _wait(host, revision, requester.wait_s)
     return StatementAnswer(text=text, revision=revision)
 
 
--- a/springrock/statements/adapters.py
+++ b/springrock/statements/adapters.py
@@ -7,61 +7,67 @@
 from springrock.coordination.catalog import Adapter, Catalog, Change
 from springrock.errors import StatementError
 from springrock.hosts import StatementHost
-from springrock.statements import Asker, Statement, Words, statements
+from springrock.statements import Arguments, Requester, Statement, statements
 from springrock.statements._change import IF_REVISION, IF_REVISION_HELP, commit, delete, put
 from springrock.wire.operator import StatementAnswer
 
 
-def _key(words: Words) -> str:
-    return f"adapter/{words.get('adapter')}"
+def _key(arguments: Arguments) -> str:
+    return f"adapter/{arguments.get('adapter')}"
 
 
-def _existing(catalog: Catalog, words: Words) -> Adapter:
-    adapter = catalog.adapter(words.get("adapter"))
+def _existing(catalog: Catalog, arguments: Arguments) -> Adapter:
+    adapter = catalog.adapter(arguments.get("adapter"))
     if adapter is None:
-        raise StatementError(f"there is no adapter {words.get('adapter')}")
+        raise StatementError(f"there is no adapter {arguments.get('adapter')}")
     return adapter
 
 
-def _create(host: StatementHost, words: Words, asker: Asker) -> StatementAnswer:
+def _create(host: StatementHost, arguments: Arguments, requester: Requester) -> StatementAnswer:
     def _build(catalog: Catalog, change: Change) -> Change:
-        name = words.get("adapter")
+        name = arguments.get("adapter")
         base = name.partition(":")[0]
         if catalog.adapter(name) is not None:
             raise StatementError(f"adapter {name} exists already")
         if host.view.pool_for_model(base) is None:
             raise StatementError(f"there is no base model {base}")
-        versions = sorted(set(words.integers("version")))
-        workloads = sorted(set(words.lists.get("workload", [])))
+        versions = sorted(set(arguments.integers("version")))
+        workloads = sorted(set(arguments.lists.get("workload", [])))
         return put(change, Adapter(name, versions, versions[-1], workloads))
 
-    return commit(host, words, asker, _key(words), _build)
+    return commit(host, arguments, requester, _key(arguments), _build)
 
 
-def _add_version(host: StatementHost, words: Words, asker: Asker) -> StatementAnswer:
+def _add_version(
+    host: StatementHost, arguments: Arguments, requester: Requester
+) -> StatementAnswer:
     def _build(catalog: Catalog, change: Change) -> Change:
-        adapter = _existing(catalog, words)
-        versions = sorted({*adapter.versions, *words.integers("version")})
+        adapter = _existing(catalog, arguments)
+        versions = sorted({*adapter.versions, *arguments.integers("version")})
         return put(change, msgspec.structs.replace(adapter, versions=versions))
 
-    return commit(host, words, asker, _key(words), _build)
+    return commit(host, arguments, requester, _key(arguments), _build)
 
 
-def _use_version(host: StatementHost, words: Words, asker: Asker) -> StatementAnswer:
+def _use_version(
+    host: StatementHost, arguments: Arguments, requester: Requester
+) -> StatementAnswer:
     def _build(catalog: Catalog, change: Change) -> Change:
-        adapter = _existing(catalog, words)
-        version = words.integers("version")[0]
+        adapter = _existing(catalog, arguments)
+        version = arguments.integers("version")[0]
         if version not in adapter.versions:
             raise StatementError(f"adapter {adapter.name} has no version {version}")
         return put(change, msgspec.structs.replace(adapter, current=version))
 
-    return commit(host, words, asker, _key(words), _build)
+    return commit(host, arguments, requester, _key(arguments), _build)
 
 
-def _retire_version(host: StatementHost, words: Words, asker: Asker) -> StatementAnswer:
+def _retire_version(
+    host: StatementHost, arguments: Arguments, requester: Requester
+) -> StatementAnswer:
     def _build(catalog: Catalog, change: Change) -> Change:
-        adapter = _existing(catalog, words)
-        version = words.integers("version")[0]
+        adapter = _existing(catalog, arguments)
+        version = arguments.integers("version")[0]
         if version == adapter.current:
             raise StatementError(f"version {version} is in use as the current one")
         if version not in adapter.versions:
@@ -69,22 +75,24 @@
         versions = [item for item in adapter.versions if item != version]
         return put(change, msgspec.structs.replace(adapter, versions=versions))
 
-    return commit(host, words, asker, _key(words), _build)
+    return commit(host, arguments, requester, _key(arguments), _build)
 
 
-def _allow(host: StatementHost, words: Words, asker: Asker) -> StatementAnswer:
+def _allow(host: StatementHost, arguments: Arguments, requester: Requester) -> StatementAnswer:
     def _build(catalog: Catalog, change: Change) -> Change:
-        workloads = sorted(set(words.lists.get("workload", [])))
-        return put(change, msgspec.structs.replace(_existing(catalog, words), workloads=workloads))
+        workloads = sorted(set(arguments.lists.get("workload", [])))
+        return put(
+            change, msgspec.structs.replace(_existing(catalog, arguments), workloads=workloads)
+        )
 
-    return commit(host, words, asker, _key(words), _build)
+    return commit(host, arguments, requester, _key(arguments), _build)
 
 
-def _retire(host: StatementHost, words: Words, asker: Asker) -> StatementAnswer:
+def _retire(host: StatementHost, arguments: Arguments, requester: Requester) -> StatementAnswer:
     def _build(catalog: Catalog, change: Change) -> Change:
-        return delete(change, catalog, _key(words), f"adapter {words.get('adapter')}")
+        return delete(change, catalog, _key(arguments), f"adapter {arguments.get('adapter')}")
 
-    return commit(host, words, asker, _key(words), _build)
+    return commit(host, arguments, requester, _key(arguments), _build)
 
 
 _VERSIONS = 'VERSION ("," VERSION)*'
--- a/springrock/statements/placement.py
+++ b/springrock/statements/placement.py
@@ -7,7 +7,7 @@
 from springrock.coordination.catalog import Catalog, Change, Mark, Pin
 from springrock.errors import PeerUnreachable, StatementError
 from springrock.hosts import StatementHost
-from springrock.statements import Asker, Statement, Words, statements
+from springrock.statements import Arguments, Requester, Statement, statements
 from springrock.statements._change import IF_REVISION, IF_REVISION_HELP, commit, delete, put
 from springrock.wire import peer as wire
 from springrock.wire.operator import StatementAnswer
@@ -21,8 +21,8 @@
         raise StatementError(f"there is no replica {replica}")
 
 
-def _place(host: StatementHost, words: Words, asker: Asker) -> StatementAnswer:
-    pin = Pin(words.get("replica"), words.get("loaded"))
+def _place(host: StatementHost, arguments: Arguments, requester: Requester) -> StatementAnswer:
+    pin = Pin(arguments.get("replica"), arguments.get("loaded"))
     _check_replica(host, pin.replica)
     name, _, version = pin.adapter.partition("@")
 
@@ -39,41 +39,41 @@
             raise StatementError(f"{pin.replica} must keep a slot that nothing is placed in")
         return put(change, pin)
 
-    return commit(host, words, asker, pin.key, _build)
+    return commit(host, arguments, requester, pin.key, _build)
 
 
-def _unplace(host: StatementHost, words: Words, asker: Asker) -> StatementAnswer:
-    pin = Pin(words.get("replica"), words.get("loaded"))
+def _unplace(host: StatementHost, arguments: Arguments, requester: Requester) -> StatementAnswer:
+    pin = Pin(arguments.get("replica"), arguments.get("loaded"))
 
     def _build(catalog: Catalog, change: Change) -> Change:
         return delete(change, catalog, pin.key, f"placement of {pin.adapter} on {pin.replica}")
 
-    return commit(host, words, asker, pin.key, _build)
+    return commit(host, arguments, requester, pin.key, _build)
 
 
-def _drain(host: StatementHost, words: Words, asker: Asker) -> StatementAnswer:
-    mark = Mark.drain(words.get("replica"))
-    _check_replica(host, words.get("replica"))
-    return commit(host, words, asker, mark.key, lambda _, change: put(change, mark))
+def _drain(host: StatementHost, arguments: Arguments, requester: Requester) -> StatementAnswer:
+    mark = Mark.drain(arguments.get("replica"))
+    _check_replica(host, arguments.get("replica"))
+    return commit(host, arguments, requester, mark.key, lambda _, change: put(change, mark))
 
 
-def _undrain(host: StatementHost, words: Words, asker: Asker) -> StatementAnswer:
-    mark = Mark.drain(words.get("replica"))
+def _undrain(host: StatementHost, arguments: Arguments, requester: Requester) -> StatementAnswer:
+    mark = Mark.drain(arguments.get("replica"))
 
     def _build(catalog: Catalog, change: Change) -> Change:
-        return delete(change, catalog, mark.key, f"drain of {words.get('replica')}")
+        return delete(change, catalog, mark.key, f"drain of {arguments.get('replica')}")
 
-    return commit(host, words, asker, mark.key, _build)
+    return commit(host, arguments, requester, mark.key, _build)
 
 
-def _stop(host: StatementHost, words: Words, asker: Asker) -> StatementAnswer:
-    name = words.get("box")
+def _stop(host: StatementHost, arguments: Arguments, requester: Requester) -> StatementAnswer:
+    name = arguments.get("box")
     if name == host.name:
         gevent.spawn(host.stop)
         return StatementAnswer(text=f"{name} stops as planned")
     try:
         link = host.peers.link_to(name)
-        link.ask(wire.StopBox(0, asker.name), wire.Status, timeout_s=_STOP_TIMEOUT_S)
+        link.ask(wire.StopBox(0, requester.name), wire.Status, timeout_s=_STOP_TIMEOUT_S)
     except PeerUnreachable as error:
         raise StatementError(f"{name} was not told to stop: {error}") from None
     return StatementAnswer(text=f"{name} stops as planned")
--- a/springrock/statements/show.py
+++ b/springrock/statements/show.py
@@ -11,7 +11,7 @@
 from springrock.coordination.catalog import Adapter
 from springrock.errors import PeerUnreachable
 from springrock.hosts import StatementHost
-from springrock.statements import Asker, Statement, Words, statements
+from springrock.statements import Arguments, Requester, Statement, statements
 from springrock.wire import peer as wire
 from springrock.wire.operator import StatementAnswer
 
@@ -37,7 +37,7 @@
         return name
 
 
-def _boxes(host: StatementHost, _: Words, __: Asker) -> StatementAnswer:
+def _boxes(host: StatementHost, _: Arguments, __: Requester) -> StatementAnswer:
     rows = []
     for status in statuses(host):
         if isinstance(status, str):
@@ -52,7 +52,7 @@
     return StatementAnswer(columns=columns, rows=rows)
 
 
-def _replicas(host: StatementHost, _: Words, __: Asker) -> StatementAnswer:
+def _replicas(host: StatementHost, _: Arguments, __: Requester) -> StatementAnswer:
     rows = []
     for pool in host.settings.pools:
         for upstream in pool.replicas:
@@ -76,9 +76,9 @@
     return lambda adapter: fnmatch.fnmatchcase(adapter.name, pattern)
 
 
-def _adapters(host: StatementHost, words: Words, _: Asker) -> StatementAnswer:
-    matches = _matching(words.get("pattern"))
-    limit = int(words.number("count", _ROWS))
+def _adapters(host: StatementHost, arguments: Arguments, _: Requester) -> StatementAnswer:
+    matches = _matching(arguments.get("pattern"))
+    limit = int(arguments.number("count", _ROWS))
     found = sorted((item for item in host.catalog.adapters() if matches(item)), key=_name_of)
     rows = [
         [
@@ -111,7 +111,7 @@
     return holders
 
 
-def _workloads(host: StatementHost, _: Words, __: Asker) -> StatementAnswer:
+def _workloads(host: StatementHost, _: Arguments, __: Requester) -> StatementAnswer:
     rows = [
         [
             workload.name,
@@ -126,8 +126,8 @@
     return StatementAnswer(columns=columns, rows=rows)
 
 
-def _changes(host: StatementHost, words: Words, _: Asker) -> StatementAnswer:
-    limit = int(words.number("count", _ROWS))
+def _changes(host: StatementHost, arguments: Arguments, _: Requester) -> StatementAnswer:
+    limit = int(arguments.number("count", _ROWS))
     rows = [
         [
             str(change.revision),
@@ -140,7 +140,7 @@
     return StatementAnswer(columns=["revision", "at (UTC)", "who", "statement"], rows=rows)
 
 
-def _help(_: StatementHost, __: Words, ___: Asker) -> StatementAnswer:
+def _help(_: StatementHost, __: Arguments, ___: Requester) -> StatementAnswer:
     return StatementAnswer(rows=[[item.help] for _, item in statements], columns=["statements"])
 
 
--- a/springrock/statements/why.py
+++ b/springrock/statements/why.py
@@ -6,7 +6,7 @@
 
 from springrock.hosts import StatementHost
 from springrock.log import Line
-from springrock.statements import Asker, Statement, Words, statements
+from springrock.statements import Arguments, Requester, Statement, statements
 from springrock.wire.operator import StatementAnswer
 
 _HIDDEN = frozenset({"request", "replica"})
@@ -26,13 +26,13 @@
     return " ".join(f"{key}={value}" for key, value in line.fields.items() if key not in _HIDDEN)
 
 
-def _why_request(host: StatementHost, words: Words, _: Asker) -> StatementAnswer:
-    request = words.get("request")
+def _why_request(host: StatementHost, arguments: Arguments, _: Requester) -> StatementAnswer:
+    request = arguments.get("request")
     return _answer(host, host.journal.about("request", request), f"request {request}")
 
 
-def _why_adapter(host: StatementHost, words: Words, _: Asker) -> StatementAnswer:
-    adapter = words.get("loaded")
+def _why_adapter(host: StatementHost, arguments: Arguments, _: Requester) -> StatementAnswer:
+    adapter = arguments.get("loaded")
     holders = []
     for pool in host.settings.pools:
         for upstream in pool.replicas:
@@ -45,8 +45,8 @@
     return StatementAnswer(text=text, columns=answer.columns, rows=answer.rows)
 
 
-def _why_replica(host: StatementHost, words: Words, _: Asker) -> StatementAnswer:
-    replica = words.get("replica")
+def _why_replica(host: StatementHost, arguments: Arguments, _: Requester) -> StatementAnswer:
+    replica = arguments.get("replica")
     return _answer(host, host.journal.about("replica", replica), f"replica {replica}")
 
 
--- a/springrock/statements/workloads.py
+++ b/springrock/statements/workloads.py
@@ -4,36 +4,36 @@
 
 from springrock.coordination.catalog import Catalog, Change, Workload
 from springrock.hosts import StatementHost
-from springrock.statements import Asker, Statement, Words, statements
+from springrock.statements import Arguments, Requester, Statement, statements
 from springrock.statements._change import IF_REVISION, IF_REVISION_HELP, commit, delete, put
 from springrock.wire.operator import StatementAnswer
 
 
-def _key(words: Words) -> str:
-    return f"workload/{words.get('workload')}"
+def _key(arguments: Arguments) -> str:
+    return f"workload/{arguments.get('workload')}"
 
 
-def _set(host: StatementHost, words: Words, asker: Asker) -> StatementAnswer:
+def _set(host: StatementHost, arguments: Arguments, requester: Requester) -> StatementAnswer:
     def _build(catalog: Catalog, change: Change) -> Change:
-        name = words.get("workload")
+        name = arguments.get("workload")
         before = catalog.workload(name) or Workload(name)
         workload = Workload(
             name=name,
-            priority=int(words.number("priority", before.priority)),
-            share=words.number("share", before.share),
-            requests_per_s=words.number("limit", before.requests_per_s),
-            stall_weight=min(1.0, words.number("weight", before.stall_weight)),
+            priority=int(arguments.number("priority", before.priority)),
+            share=arguments.number("share", before.share),
+            requests_per_s=arguments.number("limit", before.requests_per_s),
+            stall_weight=min(1.0, arguments.number("weight", before.stall_weight)),
         )
         return put(change, workload)
 
-    return commit(host, words, asker, _key(words), _build)
+    return commit(host, arguments, requester, _key(arguments), _build)
 
 
-def _retire(host: StatementHost, words: Words, asker: Asker) -> StatementAnswer:
+def _retire(host: StatementHost, arguments: Arguments, requester: Requester) -> StatementAnswer:
     def _build(catalog: Catalog, change: Change) -> Change:
-        return delete(change, catalog, _key(words), f"workload {words.get('workload')}")
+        return delete(change, catalog, _key(arguments), f"workload {arguments.get('workload')}")
 
-    return commit(host, words, asker, _key(words), _build)
+    return commit(host, arguments, requester, _key(arguments), _build)
 
 
 statements.register("set_workload")(
--- a/springrock/table_follower.py
+++ b/springrock/table_follower.py
@@ -11,7 +11,6 @@
 from gevent.event import Event
 
 from springrock.clock import monotonic
-from springrock.doubted_rows import DoubtedRows, KeptS
 from springrock.eras import era_of, shown, version_in
 from springrock.log import Condition, Log
 from springrock.rows import (
@@ -25,6 +24,7 @@
     TableReading,
 )
 from springrock.store_clock import StoreClock
+from springrock.unconfirmed_rows import KeptS, UnconfirmedRows
 
 POLL_WAIT_S = 1.8
 """With the time for an answer it is under three seconds: so soon after a cut has healed silently a
@@ -35,7 +35,7 @@
 that it still reads."""
 
 _SHARED_PAUSE_AT_MOST_S = 0.4
-_TOLD_FRESH_S = 1.3
+_REPORT_FRESH_S = 1.3
 """How long what another box read counts as fresh: a little more than its longest time between two
 reads. With a read of the own after it, a change is known in under two seconds all the same, if the
 store answers at once."""
@@ -96,7 +96,7 @@
         eager: bool = False,
         kept_s: Callable[[str], KeptS] = lambda key: KeptS(),
     ) -> None:
-        self._doubted = DoubtedRows(kept_s)
+        self._unconfirmed = UnconfirmedRows(kept_s)
         self._whole_stands = False
         self._poll_wait_s = poll_wait_s
         self._clock = StoreClock() if clock is None else clock
@@ -115,8 +115,8 @@
             log, begins=f"Lost the table {table}.", ends=f"Regained the table {table}."
         )
         self._task: gevent.Greenlet[..., Any] | None = None
-        self._told_until = 0.0
-        self._told_by = ""
+        self._reported_until = 0.0
+        self._reported_by = ""
         self._behind = Condition(
             log,
             begins=f"Is told of the table {table} what is behind what is known.",
@@ -162,7 +162,7 @@
         stale_s = self.staleness_s
         return {
             "table_version": shown(self.version),
-            "told_by": self._told_by,
+            "told_by": self._reported_by,
             "table_stale_ms": round(1000 * stale_s) if math.isfinite(stale_s) else None,
         }
 
@@ -186,13 +186,13 @@
         self._note_behind(reading, teller)
         if reading.version < self._version:
             return
-        self._told_by = teller
+        self._reported_by = teller
         self._apply(reading)
         self._note_newest(reading)
         self.read_at = monotonic()
         if relied_on or self._unread.holds:
             patience_s = 0.0 if self.sharing() else random.uniform(0.5, 1.0) * _PATIENCE_S
-            self._told_until = self.read_at + _TOLD_FRESH_S + patience_s
+            self._reported_until = self.read_at + _REPORT_FRESH_S + patience_s
         if self.sharing():
             self.shared_with(reading, False)
 
@@ -234,16 +234,16 @@
 
     def read_alone(self) -> None:
         """Read the store at once, as nobody tells any more."""
-        self._told_until = 0.0
+        self._reported_until = 0.0
         self._alone.set()
 
     def _follow(self) -> None:
         retry_s = _FIRST_RETRY_S
         while True:
-            told_s = self._told_until - monotonic()
-            if told_s > 0:
+            reported_s = self._reported_until - monotonic()
+            if reported_s > 0:
                 self._alone.clear()
-                self._alone.wait(timeout=told_s)
+                self._alone.wait(timeout=reported_s)
                 continue
             try:
                 was_known = self._version is not None
@@ -271,7 +271,7 @@
         if store_s is not None:
             era = era_of(reading.version)
             self._clock.note(store_s, sent_at=asked_at, received_at=monotonic(), era=era)
-        self._told_by = ""
+        self._reported_by = ""
         self._apply(reading)
         self._whole_stands = False
         self._newest_at = max(self._newest_at, asked_at)
@@ -341,7 +341,7 @@
             self._take_whole(reading)
         else:
             self._take_changes(reading)
-        for change in self._doubted.settled():
+        for change in self._unconfirmed.settled():
             self._take(change)
 
     def _take_whole(self, reading: TableReading) -> None:
@@ -356,7 +356,7 @@
         self._version = reading.version
 
     def _replace(self, rows: Sequence[Row]) -> None:
-        self._rows = self._doubted.note_whole(rows, known=self._rows)
+        self._rows = self._unconfirmed.note_whole(rows, known=self._rows)
         self._listener.replace(list(self._rows.values()))
 
     def _take_changes(self, reading: TableReading) -> None:
@@ -367,7 +367,7 @@
         self._version = max(known, reading.version)
 
     def _take(self, change: Change) -> None:
-        self._doubted.note_taken(change)
+        self._unconfirmed.note_taken(change)
         match change:
             case Row(key=key):
                 self._rows[key] = change
@@ -378,9 +378,9 @@
 
     def _take_return(self, rows: Sequence[Row], *, version: int) -> None:
         """Take the whole table of a store that came back from a copy."""
-        told = {row.key for row in rows}
-        lost = [row for key, row in self._rows.items() if key not in told]
-        for row in self._doubted.note_return(rows, lost=lost):
+        reported = {row.key for row in rows}
+        lost = [row for key, row in self._rows.items() if key not in reported]
+        for row in self._unconfirmed.note_return(rows, lost=lost):
             self._take(row)
         self._log.say(
             "The store came back from a copy.",
@@ -388,8 +388,8 @@
             version=shown(version),
             known=shown(self.version),
             lost=len(lost),
-            doubted=len(self._doubted),
-            told_by=self._told_by,
+            doubted=len(self._unconfirmed),
+            told_by=self._reported_by,
         )
         self.on_lost(lost)
 
--- a/springrock/doubted_rows.py
+++ b/springrock/unconfirmed_rows.py
@@ -25,19 +25,19 @@
     removed: float = 0.0
 
 
-class _Doubted(NamedTuple):
+class _UnconfirmedRow(NamedTuple):
     """What the store tells of a row.
 
     Attributes:
-        told: The row; None if there is none.
+        reported: The row; None if there is none.
         until: When the store's word is taken, on the local monotonic clock.
     """
 
-    told: Row | None
+    reported: Row | None
     until: float
 
 
-class DoubtedRows:
+class UnconfirmedRows:
     """Knows for how long which rows of a table stay as they were known.
 
     Args:
@@ -46,15 +46,15 @@
 
     def __init__(self, kept_s: Callable[[str], KeptS]) -> None:
         self._kept_s = kept_s
-        self._doubted: dict[str, _Doubted] = {}
+        self._unconfirmed: dict[str, _UnconfirmedRow] = {}
         self._removed: Remembered[None] = Remembered(at_most=_REMOVED_KEPT)
 
     def __len__(self) -> int:
-        return len(self._doubted)
+        return len(self._unconfirmed)
 
     def note_taken(self, change: Change) -> None:
         """Learn what counts for a row from now on."""
-        self._doubted.pop(change.key, None)
+        self._unconfirmed.pop(change.key, None)
         if isinstance(change, Removed):
             self._removed.note(change.key, None)
         else:
@@ -71,24 +71,26 @@
             The rows that count at once.
         """
         now = monotonic()
-        self._doubted = {
-            row.key: _Doubted(None, now + self._kept_s(row.key).missing) for row in lost
+        self._unconfirmed = {
+            row.key: _UnconfirmedRow(None, now + self._kept_s(row.key).missing) for row in lost
         }
         for row in rows:
             if row.key in self._removed:
-                self._doubted[row.key] = _Doubted(row, now + self._kept_s(row.key).removed)
+                self._unconfirmed[row.key] = _UnconfirmedRow(
+                    row, now + self._kept_s(row.key).removed
+                )
         return [row for row in rows if row.key not in self._removed]
 
     def note_whole(self, rows: Sequence[Row], *, known: Mapping[str, Row]) -> dict[str, Row]:
         """Learn the whole table once more; return it but for what stays as it is known."""
         present = {row.key: row for row in rows}
-        self._doubted = {
+        self._unconfirmed = {
             key: doubted
-            for key, doubted in self._doubted.items()
-            if present.get(key) == doubted.told
+            for key, doubted in self._unconfirmed.items()
+            if present.get(key) == doubted.reported
         }
-        for key, doubted in self._doubted.items():
-            if doubted.told is None:
+        for key, doubted in self._unconfirmed.items():
+            if doubted.reported is None:
                 present[key] = known[key]
             else:
                 del present[key]
@@ -102,7 +104,7 @@
         """Return what the store tells of rows that nobody has written again in time."""
         now = monotonic()
         return [
-            Removed(key) if doubted.told is None else doubted.told
-            for key, doubted in self._doubted.items()
+            Removed(key) if doubted.reported is None else doubted.reported
+            for key, doubted in self._unconfirmed.items()
             if doubted.until <= now
         ]
--- a/tests/coordination/test_permits.py
+++ b/tests/coordination/test_permits.py
@@ -36,8 +36,8 @@
     held = HeldBook()
     old = held.take(grant(1, fence=2), ends_at=monotonic() + 10)
     assert old is not None
-    told = held.notice_fence("engine-1", 3, "new-owner")
-    assert [(item.fence, item.permit) for item in told] == [(2, 1)]
+    reported = held.notice_fence("engine-1", 3, "new-owner")
+    assert [(item.fence, item.permit) for item in reported] == [(2, 1)]
     assert held.take(grant(9, fence=2), ends_at=monotonic() + 10) is None
     assert held.take(grant(1, fence=3), ends_at=monotonic() + 10) is not None
     assert held.owners_of(old, "old-owner") == {"old-owner", "new-owner"}
--- a/tests/forwarding/test_choosing.py
+++ b/tests/forwarding/test_choosing.py
@@ -7,15 +7,15 @@
 import pytest
 
 from springrock.clock import monotonic
-from springrock.forwarding.adapters import Use, UseOutcome, Wish
+from springrock.forwarding.adapters import AdapterRequest, Use, UseOutcome
 from springrock.forwarding.balancing import Balancer
 from springrock.forwarding.budget import RetryBudget, RetryLimits
 from springrock.forwarding.choosing import ReplicaChooser
 from springrock.forwarding.configuration import BaseModel, Configuration, Engine, Service
 from springrock.forwarding.directory import Directory, LeavingSign, Replica, ReplicaRecord
 from springrock.forwarding.errors import NoReplica
-from springrock.forwarding.journey import AttemptOutcome, Journey
 from springrock.forwarding.message import AdapterKey
+from springrock.forwarding.request_progress import AttemptOutcome, RequestProgress
 from springrock.log import Log
 from springrock.permits.choice import NoPermits
 from tests.forwarding.test_values import make_request, make_route
@@ -44,7 +44,7 @@
     def __init__(self, *, waits: int) -> None:
         self.waits_left = waits
         self.is_held = False
-        self.wishes: list[Wish] = []
+        self.wishes: list[AdapterRequest] = []
 
     def holds(self, replica: Replica, key: AdapterKey) -> bool:
         return self.is_held
@@ -55,8 +55,8 @@
     def newest(self, key: AdapterKey) -> int:
         return 0
 
-    def find(self, wish: Wish) -> Use | None:
-        self.wishes.append(wish)
+    def find(self, adapter_request: AdapterRequest) -> Use | None:
+        self.wishes.append(adapter_request)
         return None if self.waits_left else ScriptedUse()
 
     def await_placer(self, *, until: float) -> bool:
@@ -100,10 +100,10 @@
         permits=NoPermits(),
     )
     request = make_request(model=KEY.model, adapter=KEY.adapter, deadline_s=5.0)
-    journey = Journey(request, make_route(attempts=3), "s")
+    progress = RequestProgress(request, make_route(attempts=3), "s")
     if failed_before:
-        journey.begin("i-1", record_age_s=0.0).outcome = AttemptOutcome.FAILED
-    return chooser.next_replica(journey, until=monotonic() + 1.0).replica.instance
+        progress.begin("i-1", record_age_s=0.0).outcome = AttemptOutcome.FAILED
+    return chooser.next_replica(progress, until=monotonic() + 1.0).replica.instance
 
 
 def test_a_request_that_no_placer_hears_waits_for_one_that_is_likely() -> None:
@@ -135,25 +135,25 @@
     adapters = ScriptedAdapters(waits=0)
     with pytest.raises(NoReplica):
         find(adapters, leaving=True)
-    assert {wish.avoid for wish in adapters.wishes} == {frozenset({"i-1"})}
+    assert {adapter_request.avoid for adapter_request in adapters.wishes} == {frozenset({"i-1"})}
 
 
 def test_an_engine_that_asked_for_rest_meanwhile_is_not_used_though_a_placer_grants_it() -> None:
     adapters = ScriptedAdapters(waits=0)
     with pytest.raises(NoReplica):
         find(adapters, backoff_s=5.0)
-    assert {wish.avoid for wish in adapters.wishes} == {frozenset({"i-1"})}
+    assert {adapter_request.avoid for adapter_request in adapters.wishes} == {frozenset({"i-1"})}
 
 
 def test_no_placer_is_told_to_grant_again_where_a_request_failed_and_rest_was_asked_for() -> None:
     adapters = ScriptedAdapters(waits=0)
     with pytest.raises(NoReplica):
         find(adapters, backoff_s=5.0, failed_before=True)
-    assert {wish.failed_at for wish in adapters.wishes} == {frozenset()}
+    assert {adapter_request.failed_at for adapter_request in adapters.wishes} == {frozenset()}
 
 
 def test_an_engine_that_rests_after_failures_may_get_a_request_again_that_it_failed() -> None:
     adapters = ScriptedAdapters(waits=0)
     assert find(adapters, failed_before=True, failures=2) == "i-1"
-    [wish] = adapters.wishes
-    assert wish.avoid == wish.failed_at == {"i-1"}
+    [adapter_request] = adapters.wishes
+    assert adapter_request.avoid == adapter_request.failed_at == {"i-1"}
--- a/tests/forwarding/test_evacuation_model.py
+++ b/tests/forwarding/test_evacuation_model.py
@@ -166,9 +166,9 @@
                 self.boxes[number].read()
                 self.world.meanwhile = []
             case ("tell", number, back, relied_on):
-                told = self.boxes[1 - number].shared
-                if back < len(told):
-                    reading = told[len(told) - 1 - back]
+                reported = self.boxes[1 - number].shared
+                if back < len(reported):
+                    reading = reported[len(reported) - 1 - back]
                     self.boxes[number].follower.take_reading(reading, relied_on=relied_on)
             case ("restart", number):
                 self._end(self.boxes[number])
--- a/tests/forwarding/test_evacuations.py
+++ b/tests/forwarding/test_evacuations.py
@@ -64,8 +64,8 @@
 
 def test_a_row_evacuates_a_zone_and_its_removal_takes_it_back() -> None:
     evacuations = make_evacuations()
-    told: list[tuple[str, bool]] = []
-    evacuations.on_change.append(lambda zone, evacuated: told.append((zone, evacuated)))
+    reported: list[tuple[str, bool]] = []
+    evacuations.on_change.append(lambda zone, evacuated: reported.append((zone, evacuated)))
     table = make_table(evacuations)
     table.change(evacuate("z-2"))
     table.change(evacuate("z-2"))
@@ -74,7 +74,7 @@
     table.remove("evacuate/z-2")
     assert evacuations.zones == frozenset()
     assert evacuations.ended_at("z-2") is not None
-    assert told == [("z-2", True), ("z-2", False)]
+    assert reported == [("z-2", True), ("z-2", False)]
 
 
 def test_a_whole_table_tells_of_every_zone() -> None:
--- a/tests/forwarding/test_exchange.py
+++ b/tests/forwarding/test_exchange.py
@@ -60,7 +60,7 @@
 
 
 def test_a_closed_answer_tells_what_its_request_and_its_body_took() -> None:
-    told: list[tuple[int, int]] = []
+    reported: list[tuple[int, int]] = []
 
     def script(connection: socket.socket) -> None:
         got.append(read_request(connection))
@@ -75,11 +75,11 @@
             dialect=PlatformDialect(),
             repeatable=True,
             head_within_s=2.0,
-            on_close=lambda sent, received: told.append((sent, received)),
+            on_close=lambda sent, received: reported.append((sent, received)),
         )
-        assert told == []
+        assert reported == []
         assert body_of(found) == b"x" * 100
-    assert told == [(len(got[0]), 100)]
+    assert reported == [(len(got[0]), 100)]
 
 
 def sends(data: bytes) -> Script:
--- a/tests/forwarding/test_keys.py
+++ b/tests/forwarding/test_keys.py
@@ -6,8 +6,8 @@
 
 from springrock.forwarding.configuration import Configuration, RouteTable, Team
 from springrock.forwarding.errors import KeysStale, KeyUnknown
-from springrock.forwarding.journey import Journey
 from springrock.forwarding.keys import Admission, KeyGate, KeyTerms, digest_of, shown
+from springrock.forwarding.request_progress import RequestProgress
 from tests.forwarding.test_values import make_request, make_route
 
 KEY = digest_of("key-of-one")
@@ -32,7 +32,7 @@
 
 def test_a_known_key_gives_the_team() -> None:
     admission = Door(ONE).admit()
-    assert (admission.team, admission.told) == (ONE, "one")
+    assert (admission.team, admission.reported) == (ONE, "one")
 
 
 @pytest.mark.parametrize("digest", [None, digest_of("other")])
@@ -45,7 +45,7 @@
 def test_without_teams_nothing_is_asked_and_the_clients_headers_stand() -> None:
     table = RouteTable(Configuration(version=1))
     admission = Door().gate.admit(table, make_route(), None)
-    assert (admission.team, admission.told) == (None, None)
+    assert (admission.team, admission.reported) == (None, None)
 
 
 def test_no_team_at_all_admits_nobody() -> None:
@@ -56,9 +56,9 @@
 def test_a_public_route_needs_no_key_and_tells_the_team_of_a_known_one() -> None:
     door = Door(ONE)
     door.stale_s = float("inf")
-    assert door.admit(None, public=True).told == ""
-    assert door.admit(digest_of("other"), public=True).told == ""
-    assert door.admit(KEY, public=True).told == "one"
+    assert door.admit(None, public=True).reported == ""
+    assert door.admit(digest_of("other"), public=True).reported == ""
+    assert door.admit(KEY, public=True).reported == "one"
 
 
 def test_a_key_is_trusted_for_less_than_a_removal_may_take() -> None:
@@ -116,9 +116,9 @@
 
 def test_the_rank_of_a_team_goes_before_that_of_the_route() -> None:
     route = make_route(priority=2)
-    assert Journey(make_request(), route, "s").priority == 2
-    assert Journey(make_request(), route, "s", Admission(ONE)).priority == 0
-    assert Journey(make_request(), route, "s", Admission(Team(name="two"))).priority == 2
+    assert RequestProgress(make_request(), route, "s").priority == 2
+    assert RequestProgress(make_request(), route, "s", Admission(ONE)).priority == 0
+    assert RequestProgress(make_request(), route, "s", Admission(Team(name="two"))).priority == 2
 
 
 def test_what_is_shown_of_a_key_tells_keys_apart_and_nothing_else() -> None:
--- a/tests/forwarding/test_notices.py
+++ b/tests/forwarding/test_notices.py
@@ -24,8 +24,8 @@
     def __init__(self) -> None:
         self.directory = Directory(Log("directory", "box-1"))
         self.notices: ReplicaNotices = make_notices(self.directory)
-        self.told: list[str] = []
-        self.notices.on_leaving.append(self.told.append)
+        self.reported: list[str] = []
+        self.notices.on_leaving.append(self.reported.append)
 
     def start(self, born_ms: int) -> None:
         """Let the row of a start of the replica be read."""
@@ -54,7 +54,7 @@
     box.notices.take(replica, LEAVES, sent_at=monotonic())
     box.notices.take(replica, LEAVES, sent_at=monotonic())
     assert box.directory.leaving() == ("i-1@5",)
-    assert box.told == ["i-1@5"]
+    assert box.reported == ["i-1@5"]
 
 
 def test_what_a_replica_said_outlasts_its_row(box: Box) -> None:
--- a/tests/forwarding/test_regions.py
+++ b/tests/forwarding/test_regions.py
@@ -7,7 +7,7 @@
 import pytest
 
 from springrock.clock import monotonic
-from springrock.forwarding.adapters import Use, UseOutcome, Wish
+from springrock.forwarding.adapters import AdapterRequest, Use, UseOutcome
 from springrock.forwarding.balancing import Balancer
 from springrock.forwarding.budget import RetryBudget, RetryLimits
 from springrock.forwarding.choosing import ReplicaChooser
@@ -15,9 +15,9 @@
 from springrock.forwarding.directory import Directory, Replica, ReplicaRecord
 from springrock.forwarding.eligibility import Bounds
 from springrock.forwarding.errors import NoReplica
-from springrock.forwarding.journey import AttemptOutcome, Journey
 from springrock.forwarding.keys import Admission
 from springrock.forwarding.message import AdapterKey
+from springrock.forwarding.request_progress import AttemptOutcome, RequestProgress
 from springrock.log import Log
 from springrock.permits.choice import NoPermits
 from tests.forwarding.test_values import make_request, make_route
@@ -46,7 +46,7 @@
 
     def __init__(self, *, grants: str | None = None) -> None:
         self.grants = grants
-        self.wishes: list[Wish] = []
+        self.wishes: list[AdapterRequest] = []
         self.uses: list[ScriptedUse] = []
         self.waits = 0
 
@@ -59,9 +59,9 @@
     def newest(self, key: AdapterKey) -> int:
         return 0
 
-    def find(self, wish: Wish) -> Use | None:
-        self.wishes.append(wish)
-        return None if self.grants is None else self.use(self.grants, wish.key)
+    def find(self, adapter_request: AdapterRequest) -> Use | None:
+        self.wishes.append(adapter_request)
+        return None if self.grants is None else self.use(self.grants, adapter_request.key)
 
     def await_placer(self, *, until: float) -> bool:
         self.waits += 1
@@ -104,20 +104,20 @@
             permits=NoPermits(),
         )
 
-    def choose(self, journey: Journey) -> str:
+    def choose(self, progress: RequestProgress) -> str:
         """Return the zone of the replica that a request is to be sent to."""
-        chosen = self.chooser.next_replica(journey, until=monotonic() + 1.0)
+        chosen = self.chooser.next_replica(progress, until=monotonic() + 1.0)
         return chosen.replica.record.zone
 
 
-def make_journey(
+def make_progress(
     *regions: str, adapter: bool = False, team_regions: frozenset[str] | None = None
-) -> Journey:
+) -> RequestProgress:
     more = {"model": KEY.model, "adapter": KEY.adapter} if adapter else {}
     team = Team(name="t", regions=team_regions)
     route = make_route(regions=frozenset(regions) if regions else None, attempts=3)
     request = make_request(deadline_s=5.0, **more)
-    return Journey(request, route, "s", Admission(team=team))
+    return RequestProgress(request, route, "s", Admission(team=team))
 
 
 @pytest.mark.parametrize("adapter", [False, True])
@@ -126,8 +126,8 @@
     for replica in box.directory.of_service("s"):
         replica.running = 0 if REGIONS[replica.record.zone] == "a" else 9
     for _ in range(20):
-        assert REGIONS[box.choose(make_journey("b", adapter=adapter))] == "b"
-        bound_twice = make_journey("a", "b", adapter=adapter, team_regions=frozenset("b"))
+        assert REGIONS[box.choose(make_progress("b", adapter=adapter))] == "b"
+        bound_twice = make_progress("a", "b", adapter=adapter, team_regions=frozenset("b"))
         assert REGIONS[box.choose(bound_twice)] == "b"
 
 
@@ -138,12 +138,12 @@
 ) -> None:
     adapters = ScriptedAdapters(grants="i-a-1")
     box = Box(adapters, leaving=leaving)
-    for journey in (
-        make_journey("c", adapter=adapter),
-        make_journey("a", adapter=adapter, team_regions=frozenset("b")),
+    for progress in (
+        make_progress("c", adapter=adapter),
+        make_progress("a", adapter=adapter, team_regions=frozenset("b")),
     ):
         with pytest.raises(NoReplica) as refusal:
-            box.choose(journey)
+            box.choose(progress)
         assert refusal.value.reason == "outside_regions"
         assert refusal.value.status == 503
         assert refusal.value.retry_after_s is not None
@@ -154,14 +154,14 @@
 def test_where_the_allowed_region_itself_is_in_trouble_that_is_the_reason() -> None:
     box = Box(ScriptedAdapters(), leaving=("b-1", "b-2"))
     with pytest.raises(NoReplica) as refusal:
-        box.choose(make_journey("b"))
+        box.choose(make_progress("b"))
     assert refusal.value.reason == "leaving"
 
 
 def test_a_placer_is_asked_with_the_bounds_and_a_grant_beyond_them_is_not_followed() -> None:
     adapters = ScriptedAdapters(grants="i-a-1")
     box = Box(adapters)
-    assert REGIONS[box.choose(make_journey("b", adapter=True))] == "b"
+    assert REGIONS[box.choose(make_progress("b", adapter=True))] == "b"
     assert adapters.wishes[0].bounds == Bounds(frozenset("b"))
     granted, alone = adapters.uses
     assert granted.ended
@@ -170,12 +170,12 @@
 
 def test_a_stream_that_goes_on_stays_within_the_bounds() -> None:
     box = Box(ScriptedAdapters())
-    journey = make_journey("b", adapter=True)
-    first = box.choose(journey)
-    journey.begin(f"i-{first}", record_age_s=0.0).outcome = AttemptOutcome.BROKEN
-    journey.note_event("1")
-    assert {first, box.choose(journey)} == {"b-1", "b-2"}
-    journey.begin("i-b-1", record_age_s=0.0).outcome = AttemptOutcome.BROKEN
-    journey.begin("i-b-2", record_age_s=0.0).outcome = AttemptOutcome.BROKEN
+    progress = make_progress("b", adapter=True)
+    first = box.choose(progress)
+    progress.begin(f"i-{first}", record_age_s=0.0).outcome = AttemptOutcome.BROKEN
+    progress.note_event("1")
+    assert {first, box.choose(progress)} == {"b-1", "b-2"}
+    progress.begin("i-b-1", record_age_s=0.0).outcome = AttemptOutcome.BROKEN
+    progress.begin("i-b-2", record_age_s=0.0).outcome = AttemptOutcome.BROKEN
     with pytest.raises(NoReplica):
-        box.choose(journey)
+        box.choose(progress)
--- a/tests/forwarding/test_values.py
+++ b/tests/forwarding/test_values.py
@@ -22,9 +22,9 @@
 from springrock.forwarding.directory import Directory, LeavingSign, ReplicaRecord
 from springrock.forwarding.events import EventSplitter
 from springrock.forwarding.health import Health
-from springrock.forwarding.journey import AttemptOutcome, Journey
 from springrock.forwarding.message import ClientRequest, Headers
 from springrock.forwarding.reply import own_ending
+from springrock.forwarding.request_progress import AttemptOutcome, RequestProgress
 from springrock.log import Log
 from tests.worlds import make_world
 
@@ -149,27 +149,27 @@
 
 
 def test_a_request_that_may_have_run_runs_again_only_within_its_attempts() -> None:
-    journey = Journey(make_request(), make_route(attempts=2), "s")
-    first = journey.begin("i-1", record_age_s=0.0)
+    progress = RequestProgress(make_request(), make_route(attempts=2), "s")
+    first = progress.begin("i-1", record_age_s=0.0)
     first.outcome = AttemptOutcome.FULL
-    assert journey.may_run_again
-    assert journey.arrivals == 1
-    second = journey.begin("i-2", record_age_s=0.0)
+    assert progress.may_run_again
+    assert progress.arrivals == 1
+    second = progress.begin("i-2", record_age_s=0.0)
     second.outcome = AttemptOutcome.BROKEN
-    assert journey.may_run_again
-    third = journey.begin("i-3", record_age_s=0.0)
+    assert progress.may_run_again
+    third = progress.begin("i-3", record_age_s=0.0)
     third.outcome = AttemptOutcome.BROKEN
-    assert not journey.may_run_again
+    assert not progress.may_run_again
 
 
 def test_an_unsafe_request_that_may_have_run_never_runs_again() -> None:
-    journey = Journey(make_request(), make_route(kind=RouteKind.UNSAFE, attempts=5), "s")
-    attempt = journey.begin("i-1", record_age_s=0.0)
+    progress = RequestProgress(make_request(), make_route(kind=RouteKind.UNSAFE, attempts=5), "s")
+    attempt = progress.begin("i-1", record_age_s=0.0)
     attempt.outcome = AttemptOutcome.UNREACHABLE
-    assert journey.may_run_again
-    assert journey.arrivals == 0
+    assert progress.may_run_again
+    assert progress.arrivals == 0
     attempt.outcome = AttemptOutcome.SILENT
-    assert not journey.may_run_again
+    assert not progress.may_run_again
 
 
 def test_the_route_bounds_the_deadline_and_patience_the_first_event() -> None:
@@ -177,9 +177,9 @@
     route = make_route(
         kind=RouteKind.STREAMING, timeout_s=12.0, target_s=1.0, gap_s=0.4, resumable=True
     )
-    journey = Journey(request, route, "s")
-    assert journey.ends_at == request.received_at + 12.0
-    assert journey.first_event_by == request.received_at + 4.0
+    progress = RequestProgress(request, route, "s")
+    assert progress.ends_at == request.received_at + 12.0
+    assert progress.first_event_by == request.received_at + 4.0
 
 
 # Replicas.
--- a/tests/permits/limit_world.py
+++ b/tests/permits/limit_world.py
@@ -13,7 +13,7 @@
 from springrock.log import Log
 from springrock.permits import counter, named_limits, own_shares, permits
 from springrock.permits.counter import PermitCounter
-from springrock.permits.messages import LimitWord, PermitAsk, Permitted, PermitVerdict
+from springrock.permits.messages import LimitReport, PermitAsk, Permitted, PermitVerdict
 from springrock.permits.named_limits import NamedLimits
 from springrock.permits.own_shares import OwnShares
 from springrock.permits.permit_book import PermitsUnheard
@@ -59,9 +59,9 @@
         self.number = number
         self.world = world
         self.linked = True
-        self.told_at: float | None = None
+        self.reported_at: float | None = None
         self.limits = make_limits()
-        self.limits.on_word.append(self._tell)
+        self.limits.on_limit_report.append(self._notify)
         self.permits = Permits(
             counter=lambda zone: self,
             on_unheard=lambda: None,
@@ -70,15 +70,15 @@
             shares=OwnShares(home_zone=ZONE, boxes=lambda: world.home_boxes),
         )
 
-    def _tell(self, word: LimitWord) -> None:
+    def _notify(self, word: LimitReport) -> None:
         if self.linked and self.world.placer is not None:
-            self.world.placer.limits.take_word(word)
+            self.world.placer.limits.apply_limit_report(word)
 
-    def permit(self, wish: PermitAsk) -> tuple[PermitVerdict, float]:
+    def permit(self, adapter_request: PermitAsk) -> tuple[PermitVerdict, float]:
         placer = self.world.placer
         if not self.linked or placer is None:
             raise PermitsUnheard()
-        verdict = placer.ask(wish)
+        verdict = placer.ask(adapter_request)
         if verdict is None:
             raise PermitsUnheard()
         return verdict, self.world.now + PERMIT_LIFE_S
@@ -139,13 +139,13 @@
         self.placer = Placer()
         for box in self.boxes:
             if box.linked:
-                self.tell_all(box)
+                self.broadcast(box)
 
-    def tell_all(self, box: Box) -> None:
+    def broadcast(self, box: Box) -> None:
         """Let a box tell a placer that is new to it."""
         if self.placer is not None:
-            for word in box.limits.words([RECORD.instance]):
-                self.placer.limits.take_word(word)
+            for word in box.limits.arguments([RECORD.instance]):
+                self.placer.limits.apply_limit_report(word)
 
     def send(self, box: int) -> None:
         """Let a request of a box arrive, and its answer be on its way."""
@@ -164,7 +164,7 @@
             self._heartbeat_at = self.now
             for box in self.boxes:
                 if box.linked:
-                    box.limits.take_told(ZONE, self.placer.limits.named([RECORD.instance]))
+                    box.limits.apply_reported(ZONE, self.placer.limits.named([RECORD.instance]))
 
     def _take(self, answer: Answer) -> None:
         box = self.boxes[answer.box]
@@ -173,7 +173,7 @@
             return
         box.limits.note_named(RECORD.instance, answer.per_s, sent_at=answer.sent_at)
         self.first_named_at = self.now if self.first_named_at is None else self.first_named_at
-        box.told_at = self.now if box.told_at is None else box.told_at
+        box.reported_at = self.now if box.reported_at is None else box.reported_at
 
     def excess(self) -> float:
         """Return by how many requests the replica got more than it bears in the worst window."""
@@ -191,8 +191,8 @@
         return worst
 
     def _counts(self, arrival: Arrival) -> bool:
-        told_at = self.boxes[arrival.box].told_at
-        return told_at is not None and arrival.at >= told_at + TOLD_AFTER_S
+        reported_at = self.boxes[arrival.box].reported_at
+        return reported_at is not None and arrival.at >= reported_at + TOLD_AFTER_S
 
     def _borne(self, end: float) -> float | None:
         """Return what a window bears in which one limit stood all along; else None."""
--- a/tests/permits/test_choosing.py
+++ b/tests/permits/test_choosing.py
@@ -13,7 +13,7 @@
 from springrock.forwarding.configuration import BaseModel, Configuration, Engine, Service
 from springrock.forwarding.directory import Directory, ReplicaRecord
 from springrock.forwarding.errors import NoReplica
-from springrock.forwarding.journey import Journey
+from springrock.forwarding.request_progress import RequestProgress
 from springrock.log import Log
 from springrock.permits.permits import Permit
 from tests.forwarding.test_choosing import ScriptedAdapters, ScriptedUse
@@ -72,8 +72,8 @@
     def choose(self, service: str = "plain") -> Chosen:
         adapter = "a" if service == "s" else ""
         request = make_request(model="m" if adapter else "", adapter=adapter, deadline_s=5.0)
-        self.journey = Journey(request, make_route(), service)
-        return self.chooser.next_replica(self.journey, until=monotonic() + 1.0)
+        self.progress = RequestProgress(request, make_route(), service)
+        return self.chooser.next_replica(self.progress, until=monotonic() + 1.0)
 
     def run(self, instance: str, running: int) -> None:
         replica = self.directory.find(instance)
@@ -124,9 +124,9 @@
 def test_what_turns_cold_while_its_connection_comes_up_is_not_sent_to() -> None:
     choosing = Choosing("1")
     chosen = choosing.choose()
-    assert choosing.chooser.may_send(choosing.journey, chosen)
+    assert choosing.chooser.may_send(choosing.progress, chosen)
     choosing.cold = {"plain-1"}
-    assert not choosing.chooser.may_send(choosing.journey, chosen)
+    assert not choosing.chooser.may_send(choosing.progress, chosen)
 
 
 def test_a_grant_with_a_fresh_permit_is_sent_without_asking(
--- a/tests/permits/test_counter.py
+++ b/tests/permits/test_counter.py
@@ -10,7 +10,7 @@
 from springrock.permits import counter as module
 from springrock.permits import named_limits
 from springrock.permits.counter import PermitCounter
-from springrock.permits.messages import LimitWord, PermitAsk, Permitted
+from springrock.permits.messages import LimitReport, PermitAsk, Permitted
 from springrock.permits.terms import SlowStartTerms
 from tests.worlds import make_limits
 
@@ -124,7 +124,7 @@
 
 
 def test_a_limit_is_counted_out_where_nothing_is_cold(counting: Counting) -> None:
-    counting.limits.take_word(LimitWord("i-9", 2.0))
+    counting.limits.apply_limit_report(LimitReport("i-9", 2.0))
     ask = PermitAsk(7, "r", "plain", "i-9", cold=False, limit_per_s=2.0)
     counting.counter.take("box-2", [ask])
     assert counting.answers[-1] == Permitted(
@@ -139,7 +139,7 @@
 def test_a_placer_that_goes_on_without_a_lease_counts_limits_and_no_cold_start(
     counting: Counting,
 ) -> None:
-    counting.limits.take_word(LimitWord("i-1", 2.0))
+    counting.limits.apply_limit_report(LimitReport("i-1", 2.0))
     counting.lease_left_s = 0.0
     counting.now += 9.0
     assert counting.counter.room_in_s(RECORD, cold=False) == float("inf")
@@ -149,12 +149,12 @@
 
 
 def test_a_cold_replica_with_a_limit_gets_the_stricter_of_both(counting: Counting) -> None:
-    counting.limits.take_word(LimitWord("i-1", 0.5))
+    counting.limits.apply_limit_report(LimitReport("i-1", 0.5))
     counting.now += 9.0
     assert counting.ask() == Permitted(
         7, counts=True, room_in_ms=2000, back_in_ms=2000, limited=True
     )
-    counting.limits.take_word(LimitWord("i-2", 50.0))
+    counting.limits.apply_limit_report(LimitReport("i-2", 50.0))
     counting.ask(instance="i-2")
     assert counting.answers[-1].room_in_ms == 250
 
@@ -163,8 +163,8 @@
     ask = PermitAsk(7, "r", "plain", "i-9", cold=False, limit_per_s=2.0)
     counting.counter.take("box-2", [ask])
     assert not counting.answers[-1].granted
-    counting.limits.take_word(LimitWord("i-9", 2.0))
+    counting.limits.apply_limit_report(LimitReport("i-9", 2.0))
     counting.now += 1.0
-    counting.limits.take_word(LimitWord("i-9", None))
+    counting.limits.apply_limit_report(LimitReport("i-9", None))
     counting.counter.take("box-2", [ask])
     assert counting.answers[-1] == Permitted(7, counts=True, granted=True, limited=True)
--- a/tests/permits/test_limit_model.py
+++ b/tests/permits/test_limit_model.py
@@ -51,7 +51,7 @@
             box = world.boxes[number % len(world.boxes)]
             box.linked = not box.linked
             if box.linked:
-                world.tell_all(box)
+                world.broadcast(box)
         case Replaced():
             world.replace_placer()
         case Lost():
--- a/tests/permits/test_named_limits.py
+++ b/tests/permits/test_named_limits.py
@@ -5,7 +5,7 @@
 import pytest
 
 from springrock.permits import named_limits as module
-from springrock.permits.messages import LimitWord, NamedLimit
+from springrock.permits.messages import LimitReport, NamedLimit
 from springrock.permits.named_limits import NamedLimits
 from tests.worlds import make_limits
 
@@ -17,8 +17,8 @@
         self.now = 100.0
         monkeypatch.setattr(module, "monotonic", lambda: self.now)
         self.limits: NamedLimits = make_limits()
-        self.told: list[LimitWord] = []
-        self.limits.on_word.append(self.told.append)
+        self.reported: list[LimitReport] = []
+        self.limits.on_limit_report.append(self.reported.append)
 
     def named(self, per_s: float, *, sent_ago_s: float = 0.1) -> None:
         self.limits.note_named("i-1", per_s, sent_at=self.now - sent_ago_s)
@@ -38,13 +38,13 @@
 
 def test_an_answer_names_a_limit_and_a_later_one_without_it_ends_it(box: Box) -> None:
     box.silent()
-    assert (box.per_s, box.told) == (None, [])
+    assert (box.per_s, box.reported) == (None, [])
     box.named(1.5)
     assert box.per_s == 1.5
     box.now += 1.0
     box.silent()
     assert box.per_s is None
-    assert box.told == [LimitWord("i-1", 1.5), LimitWord("i-1", None, 100)]
+    assert box.reported == [LimitReport("i-1", 1.5), LimitReport("i-1", None, 100)]
     assert box.limits.count == 0
 
 
@@ -71,41 +71,41 @@
     for _ in range(20):
         box.named(1.5)
         box.now += 0.1
-    assert 3 <= len(box.told) <= 5
+    assert 3 <= len(box.reported) <= 5
 
 
 def test_a_placer_takes_the_words_of_boxes_by_their_age(box: Box) -> None:
-    box.limits.take_word(LimitWord("i-1", None, 0))
+    box.limits.apply_limit_report(LimitReport("i-1", None, 0))
     assert not box.limits.knows("i-1")
-    box.limits.take_word(LimitWord("i-1", 1.5, 10))
+    box.limits.apply_limit_report(LimitReport("i-1", 1.5, 10))
     assert box.limits.named(["i-1", "i-2"]) == (NamedLimit("i-1", 1.5),)
-    box.limits.take_word(LimitWord("i-1", None, 5))
+    box.limits.apply_limit_report(LimitReport("i-1", None, 5))
     assert box.per_s == 1.5, "it may have crossed the limit on its way to another box"
     box.now += 1.0
-    box.limits.take_word(LimitWord("i-1", None, 5))
+    box.limits.apply_limit_report(LimitReport("i-1", None, 5))
     assert box.per_s is None
-    box.limits.take_word(LimitWord("i-1", 1.5, 1000))
+    box.limits.apply_limit_report(LimitReport("i-1", 1.5, 1000))
     assert box.per_s is None, "an old word does not bring it back"
     assert box.limits.knows("i-1")
 
 
 def test_what_a_placer_tells_binds_until_it_ends_or_an_answer_says_otherwise(box: Box) -> None:
-    box.limits.take_told("zone-1", [NamedLimit("i-1", 2.0)])
+    box.limits.apply_reported("zone-1", [NamedLimit("i-1", 2.0)])
     assert (box.per_s, box.limits.count) == (2.0, 1)
     assert box.limits.named(["i-1"]) == (), "what was only told is not told on"
     box.named(5.0)
     assert box.per_s == 2.0, "the stricter of both"
     box.now += 0.3
-    box.limits.take_told("zone-1", [NamedLimit("i-1", 2.0)])
+    box.limits.apply_reported("zone-1", [NamedLimit("i-1", 2.0)])
     box.silent()
     assert box.per_s is None, "told without a pause since before that answer's request"
-    box.limits.take_told("zone-1", [])
-    box.limits.take_told("zone-1", [NamedLimit("i-1", 2.0)])
+    box.limits.apply_reported("zone-1", [])
+    box.limits.apply_reported("zone-1", [NamedLimit("i-1", 2.0)])
     assert box.per_s == 2.0, "told anew"
 
 
 def test_a_placer_that_is_lost_is_believed_for_a_while(box: Box) -> None:
-    box.limits.take_told("zone-1", [NamedLimit("i-1", 2.0)])
+    box.limits.apply_reported("zone-1", [NamedLimit("i-1", 2.0)])
     box.now += 5.0
     assert box.per_s == 2.0
     box.now += 6.0
@@ -114,6 +114,6 @@
 
 def test_a_new_placer_is_told_what_answers_said(box: Box) -> None:
     box.named(1.5)
-    box.limits.take_told("zone-1", [NamedLimit("i-2", 2.0)])
+    box.limits.apply_reported("zone-1", [NamedLimit("i-2", 2.0)])
     box.now += 0.5
-    assert box.limits.words(["i-1", "i-2"]) == [LimitWord("i-1", 1.5, 500)]
+    assert box.limits.arguments(["i-1", "i-2"]) == [LimitReport("i-1", 1.5, 500)]
--- a/tests/permits/test_permits.py
+++ b/tests/permits/test_permits.py
@@ -10,7 +10,7 @@
 from springrock.forwarding.eligibility import Obstacle
 from springrock.forwarding.errors import NoReplica
 from springrock.permits.choice import pick
-from springrock.permits.messages import PermitAsk, Permitted, PermitVerdict, Sighting
+from springrock.permits.messages import PermitAsk, Permitted, PermitVerdict, ReplicaObservation
 from springrock.permits.named_limits import NamedLimits
 from springrock.permits.own_shares import OwnShares
 from springrock.permits.permit_book import PermitBook, PermitsUnheard
@@ -33,11 +33,11 @@
 
 def test_a_permit_is_good_from_before_the_ask() -> None:
     urgent: list[bool] = []
-    book = PermitBook(on_news=urgent.append)
+    book = PermitBook(on_update=urgent.append)
     asked_at = monotonic()
     asking = gevent.spawn(book.ask, PermitAsk(0, "r", "s", "i-1", True))
     gevent.sleep(0.02)
-    assert (book.take_news(), urgent) == (([PermitAsk(1, "r", "s", "i-1", True)], []), [True])
+    assert (book.drain_updates(), urgent) == (([PermitAsk(1, "r", "s", "i-1", True)], []), [True])
     book.note_permitted(Permitted(1, counts=True, granted=True))
     verdict, good_until = asking.get(timeout=5)
     assert verdict == PermitVerdict(True)
@@ -46,33 +46,36 @@
 
 @pytest.mark.parametrize("permitted", [None, Permitted(1, counts=False)])
 def test_who_hears_nobody_that_counts_has_no_permit(permitted: Permitted | None) -> None:
-    book = PermitBook(on_news=lambda urgent: None)
+    book = PermitBook(on_update=lambda urgent: None)
     asking = gevent.spawn(book.ask, PermitAsk(0, "r", "s", "i-1", False))
     gevent.sleep(0)
     if permitted is not None:
         book.note_permitted(permitted)
     with pytest.raises(PermitsUnheard):
         asking.get(timeout=5)
-    assert book.take_news() == ([], [])
+    assert book.drain_updates() == ([], [])
     book.note_permitted(Permitted(1, counts=True, granted=True))
 
 
 def test_a_placer_that_is_lost_ends_all_asks_at_once() -> None:
-    book = PermitBook(on_news=lambda urgent: None)
-    book.note_sighting("i-1", answered=False)
+    book = PermitBook(on_update=lambda urgent: None)
+    book.record_observation("i-1", answered=False)
     asking = gevent.spawn(book.ask, PermitAsk(0, "r", "s", "i-1", False))
     gevent.sleep(0)
     book.forget_placer()
     with pytest.raises(PermitsUnheard):
         asking.get(timeout=5)
-    assert book.take_news() == ([], [])
+    assert book.drain_updates() == ([], [])
 
 
 def test_sightings_are_told_in_order() -> None:
-    book = PermitBook(on_news=lambda urgent: None)
+    book = PermitBook(on_update=lambda urgent: None)
     for answered in (False, False, True):
-        book.note_sighting("i-1", answered=answered)
-    assert book.take_news()[1] == [Sighting("i-1", False), Sighting("i-1", True)]
+        book.record_observation("i-1", answered=answered)
+    assert book.drain_updates()[1] == [
+        ReplicaObservation("i-1", False),
+        ReplicaObservation("i-1", True),
+    ]
 
 
 # Who is asked.
@@ -85,7 +88,7 @@
         self.verdicts = list(verdicts)
         self.asked = 0
 
-    def permit(self, wish: PermitAsk) -> tuple[PermitVerdict, float]:
+    def permit(self, adapter_request: PermitAsk) -> tuple[PermitVerdict, float]:
         self.asked += 1
         if not self.verdicts:
             raise PermitsUnheard()
--- a/tests/permits/test_returns.py
+++ b/tests/permits/test_returns.py
@@ -17,11 +17,11 @@
 from springrock.forwarding.directory import ReplicaRecord
 from springrock.log import Log
 from springrock.permits import counter as counter_module
-from springrock.permits import warmth as warmth_module
+from springrock.permits import warmup as warmup_module
 from springrock.permits.counter import PermitCounter
 from springrock.permits.messages import PermitAsk, Permitted
 from springrock.permits.terms import SlowStartTerms, bound_of
-from springrock.permits.warmth import Warmth
+from springrock.permits.warmup import WarmupTracker
 from tests.permits.test_bound import most_in_a_second
 from tests.worlds import make_limits
 
@@ -102,18 +102,18 @@
         self.boxes = [self._make_box(number) for number in range(BOXES)]
         self._read: list[ReplicaRecord | None] = [None] * BOXES
 
-    def _make_box(self, number: int) -> Warmth:
-        warmth = Warmth(
+    def _make_box(self, number: int) -> WarmupTracker:
+        warmup = WarmupTracker(
             configuration=lambda: CONFIGURATION,
             rows_as_of=lambda: self.rows_as_of[number],
             ended_at=lambda zone: self.ended_at[number],
             log=Log("slow_start", f"box-{number}"),
         )
-        warmth.take_record(RECORD, "i-1")
-        warmth.on_sighting.append(
+        warmup.take_record(RECORD, "i-1")
+        warmup.on_observation.append(
             lambda record, answered: self._tell_placer(number, answered=answered)
         )
-        return warmth
+        return warmup
 
     def run(self) -> None:
         for tick in range(int(LENGTH_S / TICK_S)):
@@ -127,7 +127,7 @@
         if tick % int(POLL_S / TICK_S) == number * 7 and self._reads(number):
             self._read_row(number)
         if tick % int(PLACER_HEARTBEAT_S / TICK_S) == 0 and self._is_linked(number):
-            self.boxes[number].take_doubted("zone-1", self.boxes[0].doubted("zone-1"))
+            self.boxes[number].apply_suspected("zone-1", self.boxes[0].doubted("zone-1"))
         if self.day.evacuated and self.now >= self.day.gone_at and self.ended_at[number] is None:
             # Each box learns in its own time that the zone is taken back.
             if self.now >= self.back_at + 0.3 * number:
@@ -144,7 +144,7 @@
 
     def _tell_placer(self, number: int, *, answered: bool) -> None:
         if self._is_linked(number):
-            self.boxes[0].take_sighting("i-1", answered=answered)
+            self.boxes[0].apply_observation("i-1", answered=answered)
 
     def _read_row(self, number: int) -> None:
         """Read the last row that was written so long ago that it can be read."""
@@ -163,13 +163,13 @@
         self.rows_as_of[number] = self.now
 
     def _send(self, number: int) -> None:
-        warmth = self.boxes[number]
-        if warmth.is_cold(RECORD) and not self._permit(number):
+        warmup = self.boxes[number]
+        if warmup.is_cold(RECORD) and not self._permit(number):
             return
         if not self.day.evacuated and self.day.gone_at <= self.now < self.back_at:
-            warmth.note_failed(RECORD, refused=True)
+            warmup.note_failed(RECORD, refused=True)
             return
-        warmth.note_answered(RECORD, sent_at=self.now)
+        warmup.note_answered(RECORD, sent_at=self.now)
         self.served += 1
         if self.cold_from <= self.now < self.cold_from + COLD_S:
             self.arrivals.append(self.now)
@@ -190,7 +190,7 @@
 def play(day: Day) -> Play:
     clock = [lambda: 0.0]
     with pytest.MonkeyPatch.context() as patch:
-        for module in (counter_module, warmth_module):
+        for module in (counter_module, warmup_module):
             patch.setattr(module, "monotonic", lambda: clock[0]())
         played = Play(day)
         clock[0] = lambda: played.now
--- a/tests/permits/test_sightings.py
+++ b/tests/permits/test_sightings.py
@@ -18,17 +18,17 @@
     ReplicaUnreachable,
     SendingForbidden,
 )
-from springrock.forwarding.journey import AttemptOutcome, Journey
+from springrock.forwarding.request_progress import AttemptOutcome, RequestProgress
 from springrock.forwarding.sending import Sender
 from springrock.forwarding.way_bytes import WayBytes
 from springrock.log import Log
 from springrock.metrics import ForwardingMetrics
-from springrock.permits.warmth import Warmth
+from springrock.permits.warmup import WarmupTracker
 from springrock.platform.dialect import PlatformDialect
 from springrock.topology import Topology
 from tests.forwarding.test_choosing import ScriptedAdapters
 from tests.forwarding.test_values import make_request, make_route
-from tests.worlds import make_notices, make_warmth, make_witness
+from tests.worlds import make_crash_detector, make_notices, make_warmup
 
 RECORD = ReplicaRecord(instance="i-1", service="s", address="127.0.0.1:1", zone="zone-1")
 
@@ -39,30 +39,30 @@
     def __init__(self) -> None:
         slow = Service(name="s", slow_start=SlowStart(lasts_s=5.0, per_s=4.0))
         configuration = Configuration(version=1, services={"s": slow})
-        self.warmth: Warmth = make_warmth(lambda: configuration)
-        self.warmth.take_record(RECORD, "i-1")
-        self.told: list[bool] = []
-        self.warmth.on_sighting.append(lambda record, answered: self.told.append(answered))
+        self.warmup: WarmupTracker = make_warmup(lambda: configuration)
+        self.warmup.take_record(RECORD, "i-1")
+        self.reported: list[bool] = []
+        self.warmup.on_observation.append(lambda record, answered: self.reported.append(answered))
         self.replica = Replica(RECORD)
         self.sender = Sender(
             dialect=PlatformDialect(),
             adapters=ScriptedAdapters(waits=1),
-            warmth=self.warmth,
-            witness=make_witness(),
+            warmup=self.warmup,
+            crash_detector=make_crash_detector(),
             notices=make_notices(),
-            may_send=lambda journey, chosen: True,
+            may_send=lambda progress, chosen: True,
             log=Log("forwarder", "box-1"),
             ways=WayBytes(ForwardingMetrics(), Topology(home="zone-1")),
         )
 
     def attempt(self, outcome: ExchangeError | int, *, age_s: float = 1.0) -> AttemptOutcome:
         request = make_request(deadline_s=9.0, received_at=monotonic() - age_s)
-        journey = Journey(request, make_route(), "s")
-        attempt = self.sender.begin(journey, self.replica)
+        progress = RequestProgress(request, make_route(), "s")
+        attempt = self.sender.begin(progress, self.replica)
         if isinstance(outcome, int):
-            self.sender.note_answer(journey, self.replica, attempt, outcome)
+            self.sender.note_answer(progress, self.replica, attempt, outcome)
         else:
-            self.sender.note_failure(journey, self.replica, attempt, outcome)
+            self.sender.note_failure(progress, self.replica, attempt, outcome)
         self.sender.end(Chosen(self.replica, None), attempt)
         return attempt.outcome
 
@@ -70,30 +70,30 @@
 def test_a_refused_connection_is_told_to_others_and_the_answer_after_it() -> None:
     attempting = Attempting()
     attempting.attempt(ConnectionRefused("scripted"))
-    assert attempting.warmth.is_cold(RECORD)
+    assert attempting.warmup.is_cold(RECORD)
     attempting.attempt(500)
-    assert attempting.told == [False, True]
+    assert attempting.reported == [False, True]
 
 
 @pytest.mark.parametrize("error", [ReplicaUnreachable, AnswerBroken, AnswerSilent])
 def test_other_failures_are_doubts_of_this_box_alone(error: type[ExchangeError]) -> None:
     attempting = Attempting()
     attempting.attempt(error("scripted"))
-    assert attempting.warmth.is_cold(RECORD)
-    assert attempting.told == []
+    assert attempting.warmup.is_cold(RECORD)
+    assert attempting.reported == []
 
 
 @pytest.mark.parametrize("error", [ReplicaChanged, ReplicaFull, SendingForbidden])
 def test_what_a_replica_says_itself_is_no_doubt(error: type[ExchangeError]) -> None:
     attempting = Attempting()
     attempting.attempt(error("scripted"))
-    assert not attempting.warmth.is_cold(RECORD)
+    assert not attempting.warmup.is_cold(RECORD)
 
 
 def test_a_silence_too_short_to_tell_anything_is_none() -> None:
     attempting = Attempting()
     attempting.attempt(AnswerSilent("scripted"), age_s=0.1)
-    assert not attempting.warmth.is_cold(RECORD)
+    assert not attempting.warmup.is_cold(RECORD)
 
 
 def test_what_was_not_sent_for_want_of_time_neither_ran_nor_arrived() -> None:
--- a/tests/permits/test_warmth.py
+++ b/tests/permits/test_warmup.py
@@ -8,8 +8,8 @@
 from springrock.forwarding.configuration import Configuration, Service, SlowStart
 from springrock.forwarding.directory import ReplicaRecord
 from springrock.log import Log
-from springrock.permits import warmth as module
-from springrock.permits.warmth import ROW_DELAY_S, Warmth
+from springrock.permits import warmup as module
+from springrock.permits.warmup import ROW_DELAY_S, WarmupTracker
 
 LASTS_S = 8.0
 RECORD = ReplicaRecord(instance="i-1", service="s", address="127.0.0.1:1", zone="zone-1")
@@ -22,35 +22,35 @@
         self.now = 100.0
         self.rows_age_s = 0.0
         self.ended_at: float | None = None
-        self.told: list[tuple[str, bool]] = []
+        self.reported: list[tuple[str, bool]] = []
         monkeypatch.setattr(module, "monotonic", lambda: self.now)
         slow = Service(name="s", slow_start=SlowStart(lasts_s=LASTS_S, per_s=4.0))
         services = {"s": slow, "plain": Service(name="plain")}
-        self.warmth = Warmth(
+        self.warmup = WarmupTracker(
             configuration=lambda: Configuration(version=1, services=services),
             rows_as_of=lambda: self.now - self.rows_age_s,
             ended_at=lambda zone: self.ended_at if zone == "zone-1" else None,
             log=Log("slow_start", "box-1"),
         )
-        self.warmth.on_sighting.append(
-            lambda record, answered: self.told.append((record.instance, answered))
+        self.warmup.on_observation.append(
+            lambda record, answered: self.reported.append((record.instance, answered))
         )
         self.read()
 
     def read(self, **more: object) -> None:
         self.record = msgspec.structs.replace(RECORD, **more)
-        self.warmth.take_record(self.record, "i-1")
+        self.warmup.take_record(self.record, "i-1")
 
     @property
     def cold(self) -> bool:
-        return self.warmth.is_cold(self.record)
+        return self.warmup.is_cold(self.record)
 
     def fail(self, *, refused: bool = True) -> None:
-        self.warmth.note_failed(self.record, refused=refused)
+        self.warmup.note_failed(self.record, refused=refused)
 
     def succeed(self, *, sent_at: float | None = None) -> None:
         sent_at = self.now if sent_at is None else sent_at
-        self.warmth.note_answered(self.record, sent_at=sent_at)
+        self.warmup.note_answered(self.record, sent_at=sent_at)
 
 
 @pytest.fixture
@@ -63,7 +63,7 @@
     assert not knowing.cold
     knowing.succeed()
     assert not knowing.cold
-    assert knowing.told == []
+    assert knowing.reported == []
 
 
 def test_a_replica_is_cold_for_as_long_as_its_row_said_when_it_was_read(knowing: Knowing) -> None:
@@ -82,19 +82,19 @@
     assert not knowing.cold
     knowing.read(cold_s=5.0, sequence=3)
     assert knowing.cold
-    assert knowing.warmth.cold_count == 1
+    assert knowing.warmup.cold_count == 1
 
 
 def test_a_replica_that_was_never_read_is_what_its_record_says(knowing: Knowing) -> None:
     other = msgspec.structs.replace(RECORD, instance="i-2", cold_s=1.0)
-    assert knowing.warmth.is_cold(other)
+    assert knowing.warmup.is_cold(other)
 
 
 def test_a_service_without_slow_start_is_never_cold(knowing: Knowing) -> None:
     knowing.read(service="plain", cold_s=3.0)
     knowing.fail()
     assert not knowing.cold
-    assert knowing.told == []
+    assert knowing.reported == []
 
 
 def test_a_failed_replica_is_in_doubt_until_rows_tell_of_the_time_after_it_answered(
@@ -109,7 +109,7 @@
     assert knowing.cold, "rows are not known as of then"
     knowing.rows_age_s = 0.0
     assert not knowing.cold
-    assert knowing.told == [], "it may be the trouble of this box's link"
+    assert knowing.reported == [], "it may be the trouble of this box's link"
 
 
 def test_an_answer_to_what_was_sent_before_the_failure_says_nothing(knowing: Knowing) -> None:
@@ -166,42 +166,42 @@
 
 def test_a_refused_connection_is_told_and_so_is_the_answer_after_it(knowing: Knowing) -> None:
     knowing.fail()
-    assert knowing.warmth.doubted("zone-1") == ("i-1",)
-    assert knowing.warmth.doubted("zone-2") == ()
+    assert knowing.warmup.doubted("zone-1") == ("i-1",)
+    assert knowing.warmup.doubted("zone-2") == ()
     knowing.succeed()
     knowing.succeed()
-    assert knowing.told == [("i-1", False), ("i-1", True)]
+    assert knowing.reported == [("i-1", False), ("i-1", True)]
     knowing.now += ROW_DELAY_S
-    assert knowing.warmth.doubted("zone-1") == ()
+    assert knowing.warmup.doubted("zone-1") == ()
 
 
 def test_a_placer_learns_of_another_box_s_failure_and_tells_all(knowing: Knowing) -> None:
-    knowing.warmth.take_sighting("i-1", answered=False)
+    knowing.warmup.apply_observation("i-1", answered=False)
     assert knowing.cold
-    assert knowing.warmth.doubted("zone-1") == ("i-1",)
-    knowing.warmth.take_sighting("i-1", answered=True)
+    assert knowing.warmup.doubted("zone-1") == ("i-1",)
+    knowing.warmup.apply_observation("i-1", answered=True)
     knowing.now += ROW_DELAY_S
     assert not knowing.cold
-    assert knowing.told == []
+    assert knowing.reported == []
 
 
 def test_what_the_placer_doubts_is_cold_until_it_tells_otherwise_or_falls_silent(
     knowing: Knowing,
 ) -> None:
-    knowing.warmth.take_doubted("zone-1", ("i-1",))
+    knowing.warmup.apply_suspected("zone-1", ("i-1",))
     assert knowing.cold
     knowing.now += 0.2
     knowing.succeed()
-    assert knowing.told == [("i-1", True)]
-    knowing.warmth.take_doubted("zone-1", ())
+    assert knowing.reported == [("i-1", True)]
+    knowing.warmup.apply_suspected("zone-1", ())
     assert not knowing.cold
-    knowing.warmth.take_doubted("zone-1", ("i-1",))
+    knowing.warmup.apply_suspected("zone-1", ("i-1",))
     knowing.now += 2.0
     assert not knowing.cold
 
 
 def test_a_replica_that_is_gone_is_forgotten(knowing: Knowing) -> None:
     knowing.fail()
-    knowing.warmth.take_record(None, "i-1")
-    assert knowing.warmth.doubted("zone-1") == ()
-    assert knowing.warmth.cold_count == 0
+    knowing.warmup.take_record(None, "i-1")
+    assert knowing.warmup.doubted("zone-1") == ()
+    assert knowing.warmup.cold_count == 0
--- a/tests/placement/test_demand.py
+++ b/tests/placement/test_demand.py
@@ -6,7 +6,7 @@
 import pytest
 
 from springrock.clock import monotonic
-from springrock.forwarding.adapters import UseOutcome, WaitTerms, Wish
+from springrock.forwarding.adapters import AdapterRequest, UseOutcome, WaitTerms
 from springrock.forwarding.errors import NoReplica
 from springrock.forwarding.message import AdapterKey, PromptPart
 from springrock.placement.demand import DemandBook
@@ -16,19 +16,21 @@
 KEY = AdapterKey("m", "a")
 
 
-def wish(*, target_s: float = 5.0, until_s: float = 10.0, returns_s: float = 1.0) -> Wish:
+def adapter_request(
+    *, target_s: float = 5.0, until_s: float = 10.0, returns_s: float = 1.0
+) -> AdapterRequest:
     now = monotonic()
     terms = WaitTerms(
         worth=2.0, target_at=now + target_s, until=now + until_s, returns_within_s=returns_s
     )
-    return Wish("r-1", KEY, terms, (PromptPart("p", 10),), frozenset({"i-9"}))
+    return AdapterRequest("r-1", KEY, terms, (PromptPart("p", 10),), frozenset({"i-9"}))
 
 
 def make_book(*, has_placer: bool = True) -> DemandBook:
     return DemandBook(has_placer=lambda: has_placer)
 
 
-def find(book: DemandBook, wanted: Wish) -> gevent.Greenlet[..., object]:
+def find(book: DemandBook, wanted: AdapterRequest) -> gevent.Greenlet[..., object]:
     task = gevent.spawn(book.find, wanted)
     gevent.sleep(0)
     return task
@@ -36,31 +38,31 @@
 
 def test_a_request_is_told_once_granted_and_told_to_be_over() -> None:
     book = make_book()
-    task = find(book, wish())
-    told = book.take_news()
-    [ask] = told.asks
+    task = find(book, adapter_request())
+    reported = book.drain_updates()
+    [ask] = reported.asks
     assert (ask.model, ask.adapter, ask.worth) == ("m", "a", 2.0)
     assert (ask.prompt, ask.tried) == ([("p", 10)], ["i-9"])
-    assert book.take_news() == Demand()
+    assert book.drain_updates() == Demand()
     book.note_grant(ask.number, "i-1")
     use = task.get(timeout=10)
     assert use.instance == "i-1"
     use.began()
     use.end(UseOutcome.FULL)
     use.end(UseOutcome.ENDED)
-    told = book.take_news()
-    assert [item.number for item in told.began] == [ask.number]
-    assert told.over == [Over(ask.number, Outcome.FULL)]
+    reported = book.drain_updates()
+    assert [item.number for item in reported.began] == [ask.number]
+    assert reported.over == [Over(ask.number, Outcome.FULL)]
 
 
 def test_all_that_stands_is_told_to_a_new_placer() -> None:
     book = make_book()
-    task = find(book, wish())
-    book.note_grant(book.take_news().asks[0].number, "i-1")
+    task = find(book, adapter_request())
+    book.note_grant(book.drain_updates().asks[0].number, "i-1")
     task.get(timeout=10)
     alone = book.use("i-2", KEY)
-    waiting = find(book, wish())
-    book.take_news()
+    waiting = find(book, adapter_request())
+    book.drain_updates()
     whole = book.whole()
     assert [ask.adapter for ask in whole.asks] == ["a"]
     assert sorted(use.instance for use in whole.uses) == ["i-1", "i-2"]
@@ -72,37 +74,37 @@
 def test_what_was_never_told_needs_no_end() -> None:
     book = make_book()
     book.use("i-1", KEY).end(UseOutcome.ENDED)
-    find(book, wish()).kill()
-    assert book.take_news() == Demand()
+    find(book, adapter_request()).kill()
+    assert book.drain_updates() == Demand()
 
 
 def test_a_request_whose_client_leaves_is_withdrawn() -> None:
     book = make_book()
-    task = find(book, wish())
-    number = book.take_news().asks[0].number
+    task = find(book, adapter_request())
+    number = book.drain_updates().asks[0].number
     task.kill()
     book.note_grant(number, "i-1")
-    assert book.take_news().over == [Over(number)]
+    assert book.drain_updates().over == [Over(number)]
     assert book.whole().uses == []
 
 
 def test_a_silent_placer_is_not_waited_for_long() -> None:
     with pytest.raises(PlacerSilent):
-        make_book().find(wish())
+        make_book().find(adapter_request())
     with pytest.raises(PlacerSilent):
-        make_book(has_placer=False).find(wish())
+        make_book(has_placer=False).find(adapter_request())
 
 
 def test_a_client_that_can_wait_is_told_when_to_come_back_and_is_expected() -> None:
     book = make_book()
-    task = find(book, wish(target_s=0.5, until_s=0.9, returns_s=2.0))
-    book.take_news()
+    task = find(book, adapter_request(target_s=0.5, until_s=0.9, returns_s=2.0))
+    book.drain_updates()
     book.note_forecast(KEY, 1.0)
     with pytest.raises(NoReplica) as refusal:
         task.get(timeout=10)
     assert refusal.value.reason == "load_promised"
     assert 1.0 <= refusal.value.retry_after_s < 1.3
-    [promise] = book.take_news().promises
+    [promise] = book.drain_updates().promises
     assert (promise.model, promise.adapter) == KEY
     assert 900 <= promise.back_in_ms <= 1200
     assert book.whole().promises
@@ -110,8 +112,8 @@
 
 def test_a_request_that_a_load_serves_late_is_held_whatever_its_client_could_wait() -> None:
     book = make_book()
-    task = find(book, wish(target_s=0.1, until_s=9.0, returns_s=3.0))
-    number = book.take_news().asks[0].number
+    task = find(book, adapter_request(target_s=0.1, until_s=9.0, returns_s=3.0))
+    number = book.drain_updates().asks[0].number
     book.note_forecast(KEY, 2.0)
     gevent.sleep(0.3)
     assert not task.ready()
@@ -121,7 +123,7 @@
 
 def test_a_request_is_rejected_the_moment_when_its_load_turns_out_too_late() -> None:
     book = make_book()
-    task = find(book, wish(target_s=0.1, until_s=5.0, returns_s=0.0))
+    task = find(book, adapter_request(target_s=0.1, until_s=5.0, returns_s=0.0))
     book.note_forecast(KEY, 2.0)
     gevent.sleep(0.05)
     assert not task.ready()
@@ -133,18 +135,18 @@
 
 def test_a_client_that_cannot_wait_so_long_is_told_the_truth() -> None:
     book = make_book()
-    task = find(book, wish(target_s=0.5, until_s=0.9, returns_s=0.3))
+    task = find(book, adapter_request(target_s=0.5, until_s=0.9, returns_s=0.3))
     book.note_forecast(KEY, 1.0)
     with pytest.raises(NoReplica) as refusal:
         task.get(timeout=10)
     assert refusal.value.reason == "load_not_in_time"
-    assert book.take_news().promises == []
+    assert book.drain_updates().promises == []
 
 
 def test_a_lost_placer_ends_the_waits_on_its_word() -> None:
     reachable = [True]
     book = DemandBook(has_placer=lambda: reachable[0])
-    task = find(book, wish())
+    task = find(book, adapter_request())
     book.note_forecast(KEY, 0.5)
     gevent.sleep(0)
     reachable[0] = False
@@ -155,16 +157,16 @@
 
 def test_a_demand_survives_its_frame() -> None:
     book = make_book()
-    task = find(book, wish())
+    task = find(book, adapter_request())
     book.use("i-2", KEY)
-    told = book.take_news()
-    assert decode(encode(told)) == told
+    reported = book.drain_updates()
+    assert decode(encode(reported)) == reported
     task.kill()
 
 
 def test_who_waits_where_nothing_is_brought_any_more_asks_elsewhere() -> None:
     book = make_book()
-    task = find(book, wish())
+    task = find(book, adapter_request())
     book.note_forecast(KEY, 0.5)
     book.ask_elsewhere(but_for=lambda key: key == KEY)
     gevent.sleep(0.05)
@@ -176,32 +178,32 @@
 
 def test_a_wish_for_a_copy_is_told_once_with_what_it_saves_last() -> None:
     book = make_book()
-    book.wish_copy(KEY, 80)
-    book.wish_copy(KEY, 120)
-    told = decode(encode(book.take_news()))
-    assert isinstance(told, Demand)
-    assert told.copies == [CopyWish("m", "a", 120)]
-    assert book.take_news() == Demand()
+    book.request_copy(KEY, 80)
+    book.request_copy(KEY, 120)
+    reported = decode(encode(book.drain_updates()))
+    assert isinstance(reported, Demand)
+    assert reported.copies == [CopyWish("m", "a", 120)]
+    assert book.drain_updates() == Demand()
 
 
 def test_a_wish_for_a_copy_that_no_placer_hears_is_dropped() -> None:
     book = make_book(has_placer=False)
-    book.wish_copy(KEY, 80)
-    assert book.take_news() == Demand()
+    book.request_copy(KEY, 80)
+    assert book.drain_updates() == Demand()
 
 
 def test_that_a_replica_leaves_is_told_and_told_anew_to_a_new_placer() -> None:
     book = DemandBook(has_placer=lambda: True, leaving=lambda: ("i-1", "i-2"))
     book.note_leaving("i-1")
-    assert decode(encode(book.take_news())) == Demand(leaving=["i-1"])
-    assert book.take_news() == Demand()
+    assert decode(encode(book.drain_updates())) == Demand(leaving=["i-1"])
+    assert book.drain_updates() == Demand()
     assert book.whole().leaving == ["i-1", "i-2"]
 
 
 def test_how_long_an_engine_wants_rest_is_told_with_the_end_of_its_use() -> None:
     book = make_book()
-    task = find(book, wish())
-    book.note_grant(book.take_news().asks[0].number, "i-1")
+    task = find(book, adapter_request())
+    book.note_grant(book.drain_updates().asks[0].number, "i-1")
     task.get(timeout=10).end(UseOutcome.FULL, backoff_s=2.0005)
-    [over] = decode(encode(book.take_news())).over
+    [over] = decode(encode(book.drain_updates())).over
     assert (over.outcome, over.backoff_ms) == (Outcome.FULL, 2001)
--- a/tests/placement/test_election.py
+++ b/tests/placement/test_election.py
@@ -15,7 +15,7 @@
 from springrock.placement.placer_board import PlacerBoard
 from springrock.placement.placer_row import key_of
 from springrock.placement.settings import PlacementSettings
-from springrock.placement.succession import Heir, Successor
+from springrock.placement.succession import HandoverTarget, Successor
 from springrock.rows import Row
 from tests.placement.test_lease import Store
 
@@ -34,10 +34,10 @@
         self.writes += 1
         gevent.sleep(0.002)
         version = super().write(table, key, value, expected=expected)
-        gevent.spawn_later(0.002, self._tell, Row(key, value, version))
+        gevent.spawn_later(0.002, self._notify, Row(key, value, version))
         return version
 
-    def _tell(self, row: Row) -> None:
+    def _notify(self, row: Row) -> None:
         for board in self.boards:
             board.change(row)
 
@@ -56,7 +56,7 @@
     def hold(self, home_zone: str, *, for_s: float, strength: float = 0.0) -> bool:
         return False
 
-    def heir(self, home_zone: str) -> Heir | None:
+    def handover_target(self, home_zone: str) -> HandoverTarget | None:
         return None
 
 
@@ -73,10 +73,10 @@
     def end_placing(self) -> None:
         """Nothing to end."""
 
-    def tell_heartbeat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Nobody to tell."""
 
-    def tell_successor(self, successor: Successor) -> None:
+    def send_successor(self, successor: Successor) -> None:
         """Nobody to tell."""
 
 
--- a/tests/placement/test_handover.py
+++ b/tests/placement/test_handover.py
@@ -15,7 +15,7 @@
 from springrock.metrics import ForwardingMetrics
 from springrock.placement import handover as handover_module
 from springrock.placement.demand import DemandBook
-from springrock.placement.handover import AheadWants, HandoverDesk, handover_of
+from springrock.placement.handover import AheadWants, HandoverCoordinator, handover_of
 from springrock.placement.handover_messages import AskedFor, Handover
 from springrock.placement.messages import decode, encode
 from springrock.placement.popularity import Popularity
@@ -48,7 +48,7 @@
         popularity=popularity,
         log=LOG,
         metrics=ForwardingMetrics(),
-        on_news=lambda: None,
+        on_update=lambda: None,
     )
 
 
@@ -66,12 +66,12 @@
     for number in range(600):
         popularity.note(key(f"n{number}"), 1 + number)
     popularity.note(key("rare"), 0)
-    told = handover_of(popularity)
-    assert len(told.adapters) == 400
-    assert told.adapters[0].key == key("n599")
-    counts = [item.asked for item in told.adapters]
+    reported = handover_of(popularity)
+    assert len(reported.adapters) == 400
+    assert reported.adapters[0].key == key("n599")
+    counts = [item.asked for item in reported.adapters]
     assert counts == sorted(counts, reverse=True)
-    assert decode(encode(told)) == told
+    assert decode(encode(reported)) == reported
 
 
 # What one zone brings.
@@ -168,10 +168,10 @@
         self.placing = placing
         self.demand = DemandBook(has_placer=lambda: True)
         self.ahead = make_wants(Popularity(), zone=name)
-        self.told: list[Collection[str]] = []
+        self.reported: list[Collection[str]] = []
 
-    def tell_handover(self, boxes: Collection[str]) -> None:
-        self.told.append(boxes)
+    def send_handover(self, boxes: Collection[str]) -> None:
+        self.reported.append(boxes)
 
     @property
     def brings(self) -> set[str]:
@@ -183,7 +183,7 @@
 
     zones: dict[str, ScriptedZone]
     directory: Directory
-    desk: HandoverDesk
+    coordinator: HandoverCoordinator
     announced: set[str]
     evacuated: set[str]
 
@@ -195,7 +195,7 @@
     evacuated: set[str] = set()
     # Told of the engines in any order, with any room.
     views = [ZoneView(name, 1, True, True, room) for room, name in enumerate(ZONES)]
-    desk = HandoverDesk(
+    coordinator = HandoverCoordinator(
         zones=lambda: zones,
         views=lambda: list(reversed(views)),
         placers=lambda: {"box-1", "box-2"},
@@ -205,7 +205,7 @@
         ),
         log=LOG,
     )
-    return Box(zones, directory, desk, announced, evacuated)
+    return Box(zones, directory, coordinator, announced, evacuated)
 
 
 def hold(directory: Directory, zone: str, *names: str) -> None:
@@ -223,7 +223,7 @@
     brings = {}
     for name, box in boxes.items():
         box.announced.add("zone-1")
-        box.desk.take("zone-1", Handover(asked(*ADAPTERS)))
+        box.coordinator.take("zone-1", Handover(asked(*ADAPTERS)))
         brings[name] = box.zones[name].brings
         assert not any(other.brings for zone, other in box.zones.items() if zone != name)
     assert brings["zone-2"] | brings["zone-3"] == set(ADAPTERS)
@@ -235,14 +235,14 @@
     box = make_box("zone-2", "zone-3")
     hold(box.directory, "zone-1", *ADAPTERS)
     hold(box.directory, "zone-3", "a0", "a1")
-    box.desk.take("zone-1", Handover(asked(*ADAPTERS)))
+    box.coordinator.take("zone-1", Handover(asked(*ADAPTERS)))
     assert box.zones["zone-2"].brings | box.zones["zone-3"].brings == set(ADAPTERS) - {"a0", "a1"}
 
 
 def test_nothing_is_brought_to_another_zone_that_is_evacuated() -> None:
     box = make_box("zone-2", "zone-3")
     box.announced.update(("zone-1", "zone-2"))
-    box.desk.take("zone-1", Handover(asked(*ADAPTERS)))
+    box.coordinator.take("zone-1", Handover(asked(*ADAPTERS)))
     assert box.zones["zone-2"].brings == set()
     assert box.zones["zone-3"].brings == set(ADAPTERS)
 
@@ -250,10 +250,10 @@
 def test_what_was_asked_for_stays_in_its_region() -> None:
     regions = {"zone-1": "a", "zone-2": "b", "zone-3": "a"}
     box = make_box("zone-2", "zone-3", regions=regions)
-    box.desk.take("zone-1", Handover(asked(*ADAPTERS)))
+    box.coordinator.take("zone-1", Handover(asked(*ADAPTERS)))
     assert box.zones["zone-3"].brings == set(ADAPTERS)
     box.announced.add("zone-3")
-    box.desk.take("zone-1", Handover(asked("more")))
+    box.coordinator.take("zone-1", Handover(asked("more")))
     assert box.zones["zone-2"].brings == {"more"}, "none remains in the region"
 
 
@@ -273,14 +273,14 @@
 def test_the_placer_of_the_zone_tells_until_the_cut(placing_box: Box) -> None:
     zone = placing_box.zones["zone-1"]
     placing_box.announced.add("zone-1")
-    placing_box.desk.note_change("zone-1", True)
-    wait_for(lambda: len(zone.told) >= 3)
-    assert zone.told[0] == {"box-1", "box-2"}
+    placing_box.coordinator.note_change("zone-1", True)
+    wait_for(lambda: len(zone.reported) >= 3)
+    assert zone.reported[0] == {"box-1", "box-2"}
     placing_box.evacuated.add("zone-1")
     gevent.sleep(0.05)
-    told = len(zone.told)
+    reported = len(zone.reported)
     gevent.sleep(0.1)
-    assert len(zone.told) == told
+    assert len(zone.reported) == reported
 
 
 def test_a_zone_that_is_cut_when_its_placer_learns_of_it_is_told_all_the_same(
@@ -288,19 +288,19 @@
 ) -> None:
     placing_box.announced.add("zone-1")
     placing_box.evacuated.add("zone-1")
-    placing_box.desk.note_change("zone-1", True)
-    wait_for(lambda: placing_box.zones["zone-1"].told)
+    placing_box.coordinator.note_change("zone-1", True)
+    wait_for(lambda: placing_box.zones["zone-1"].reported)
 
 
 def test_where_no_placer_tells_what_the_engines_held_is_brought(quick: None) -> None:
     box = make_box("zone-2", "zone-3")
     hold(box.directory, "zone-1", "a0", "a1")
     box.announced.add("zone-1")
-    box.desk.note_change("zone-1", True)
+    box.coordinator.note_change("zone-1", True)
     wait_for(lambda: box.zones["zone-2"].ahead.pending or box.zones["zone-3"].ahead.pending)
     assert box.zones["zone-2"].brings | box.zones["zone-3"].brings == {"a0", "a1"}
     box.announced.clear()
-    box.desk.note_change("zone-1", False)
+    box.coordinator.note_change("zone-1", False)
     assert not box.zones["zone-2"].ahead.pending and not box.zones["zone-3"].ahead.pending
 
 
@@ -309,8 +309,8 @@
 ) -> None:
     box = make_box("zone-2", "zone-3")
     hold(box.directory, "zone-1", "held", "asked")
-    box.desk.take("zone-1", Handover(asked("asked")))
+    box.coordinator.take("zone-1", Handover(asked("asked")))
     box.announced.add("zone-1")
-    box.desk.note_change("zone-1", True)
+    box.coordinator.note_change("zone-1", True)
     gevent.sleep(0.15)
     assert box.zones["zone-2"].brings | box.zones["zone-3"].brings == {"asked"}
--- a/tests/placement/test_keeper.py
+++ b/tests/placement/test_keeper.py
@@ -107,7 +107,7 @@
 def make_keeper(
     engine: Engine,
     lease: Lease,
-    told: list[set[str]],
+    reported: list[set[str]],
     *,
     newest: int = 0,
     used: set[tuple[str, AdapterKey]] | None = None,
@@ -131,7 +131,7 @@
         newest=lambda key: newest,
         wanted_model=lambda: "m",
         holder="box",
-        on_change=lambda book: told.append({held.adapter for held in book.ready()}),
+        on_change=lambda book: reported.append({held.adapter for held in book.ready()}),
         log=Log("placer", "test"),
         metrics=ForwardingMetrics(),
         takes_orders=takes_orders,
@@ -150,19 +150,19 @@
 
 
 def test_an_assigned_adapter_is_brought_and_told() -> None:
-    engine, told = Engine(), []
-    keeper = make_keeper(engine, Lease(), told)
+    engine, reported = Engine(), []
+    keeper = make_keeper(engine, Lease(), reported)
     keeper.start()
     assign(keeper, "a")
-    wait_for(lambda: bool(told) and told[-1] == {"a"}, "a is told to be there")
+    wait_for(lambda: bool(reported) and reported[-1] == {"a"}, "a is told to be there")
     assert key("a") not in keeper.book.assigned
     keeper.stop()
 
 
 @pytest.mark.parametrize("fault", ["lose_order", "lose_answer"])
 def test_an_order_without_answer_never_takes_two_places(fault: str) -> None:
-    engine, told = Engine(), []
-    keeper = make_keeper(engine, Lease(), told)
+    engine, reported = Engine(), []
+    keeper = make_keeper(engine, Lease(), reported)
     keeper.start()
     wait_for(lambda: keeper.book.sequence is not None, "the engine is known")
     setattr(engine, fault, True)
@@ -174,9 +174,9 @@
 
 
 def test_a_full_engine_gives_up_an_adapter_first() -> None:
-    engine, told = Engine(), []
+    engine, reported = Engine(), []
     engine.adapters = {"x", "y"}
-    keeper = make_keeper(engine, Lease(), told)
+    keeper = make_keeper(engine, Lease(), reported)
     keeper.start()
     assign(keeper, "a")
     wait_for(lambda: "a" in engine.adapters, "a is there")
@@ -190,12 +190,12 @@
 ) -> None:
     """Boxes send without a placer's word too, and link to a new placer a little later."""
     monkeypatch.setattr(keeper_module, "_WORD_WITHIN_S", 60.0)
-    engine, told, known = Engine(), [], [0]
+    engine, reported, known = Engine(), [], [0]
     engine.adapters, engine.running = {"x", "y"}, 2
-    keeper = make_keeper(engine, Lease(), told, known_runs=lambda: known[0])
+    keeper = make_keeper(engine, Lease(), reported, known_runs=lambda: known[0])
     keeper.start()
     assign(keeper, "a")
-    wait_for(lambda: bool(told), "the engine's report is read")
+    wait_for(lambda: bool(reported), "the engine's report is read")
     gevent.sleep(0.2)
     assert engine.orders == []
     known[0] = 2
@@ -207,9 +207,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(keeper_module, "_WORD_WITHIN_S", 0.1)
-    engine, told = Engine(), []
+    engine, reported = Engine(), []
     engine.adapters, engine.running = {"x", "y"}, 2
-    keeper = make_keeper(engine, Lease(), told)
+    keeper = make_keeper(engine, Lease(), reported)
     keeper.start()
     assign(keeper, "a")
     wait_for(lambda: "a" in engine.adapters, "a is there, as nobody told of the runs")
@@ -217,8 +217,8 @@
 
 
 def test_a_newer_fence_ends_the_orders() -> None:
-    engine, lease, told = Engine(), Lease(), []
-    keeper = make_keeper(engine, lease, told)
+    engine, lease, reported = Engine(), Lease(), []
+    keeper = make_keeper(engine, lease, reported)
     keeper.start()
     wait_for(lambda: keeper.book.sequence is not None, "the engine is known")
     engine.newest_fence = 6
@@ -232,9 +232,9 @@
 
 
 def test_an_engine_that_came_back_empty_loads_its_model_first() -> None:
-    engine, told = Engine(), []
+    engine, reported = Engine(), []
     engine.models = frozenset()
-    keeper = make_keeper(engine, Lease(), told)
+    keeper = make_keeper(engine, Lease(), reported)
     keeper.start()
     assign(keeper, "a")
     wait_for(lambda: bool(engine.orders), "an order is given")
@@ -245,9 +245,9 @@
 
 
 def test_an_older_version_gives_way_to_the_newer_one() -> None:
-    engine, told = Engine(), []
+    engine, reported = Engine(), []
     engine.adapters = {"a", "b"}
-    keeper = make_keeper(engine, Lease(), told, newest=2)
+    keeper = make_keeper(engine, Lease(), reported, newest=2)
     keeper.start()
     assign(keeper, "a")
     wait_for(lambda: len(engine.orders) >= 2, "two orders are given")
@@ -260,10 +260,10 @@
 
 
 def test_an_older_version_in_use_is_not_ordered_away() -> None:
-    engine, told = Engine(), []
+    engine, reported = Engine(), []
     engine.adapters = {"a", "b"}
     used = {("i-1", key("a"))}
-    keeper = make_keeper(engine, Lease(), told, newest=2, used=used)
+    keeper = make_keeper(engine, Lease(), reported, newest=2, used=used)
     keeper.start()
     assign(keeper, "a")
     gevent.sleep(0.3)
@@ -335,9 +335,9 @@
 
 @pytest.mark.parametrize("born_ms", [2, None])
 def test_a_report_of_another_start_is_not_taken_for_the_engines(born_ms: int | None) -> None:
-    engine, told = RebornEngine(), []
+    engine, reported = RebornEngine(), []
     engine.adapters = {"a"}
-    keeper = make_keeper(engine, Lease(), told)
+    keeper = make_keeper(engine, Lease(), reported)
     told_start(keeper)
     keeper.start()
     wait_for(lambda: keeper.book.reachable, "the engine is known")
@@ -380,17 +380,17 @@
 
 
 def test_an_engine_that_takes_no_orders_is_looked_at_and_given_none() -> None:
-    engine, told = Engine(), []
+    engine, reported = Engine(), []
     orders_from: list[bool] = []
-    keeper = make_keeper(engine, Lease(), told, takes_orders=lambda: bool(orders_from))
+    keeper = make_keeper(engine, Lease(), reported, takes_orders=lambda: bool(orders_from))
     keeper.start()
     assign(keeper, "a")
     engine.adapters = {"x"}
-    wait_for(lambda: bool(told) and told[-1] == {"x"}, "what it holds is seen")
+    wait_for(lambda: bool(reported) and reported[-1] == {"x"}, "what it holds is seen")
     gevent.sleep(0.1)
     assert engine.orders == []
     orders_from.append(True)
-    wait_for(lambda: bool(told) and told[-1] == {"x", "a"}, "a is there")
+    wait_for(lambda: bool(reported) and reported[-1] == {"x", "a"}, "a is there")
     keeper.stop()
 
 
--- a/tests/placement/test_known_state.py
+++ b/tests/placement/test_known_state.py
@@ -11,11 +11,11 @@
 from springrock.errors import PeerRejected
 from springrock.forwarding.directory import Directory
 from springrock.log import Log
-from springrock.placement import state_asker
+from springrock.placement import state_fetcher
 from springrock.placement.messages import Hello, KnownState, decode, encode
 from springrock.placement.placer_board import PlacerBoard
-from springrock.placement.state_asker import StateAsker
-from springrock.placement.state_teller import StateTeller
+from springrock.placement.state_fetcher import StateFetcher
+from springrock.placement.state_provider import StateProvider
 from springrock.placement.succession import Successor
 from springrock.rows import Row, TableReading
 from springrock.table_follower import TableFollower
@@ -44,7 +44,7 @@
         self.board = PlacerBoard(age_s=lambda: 0.0)
         self.directory = Directory(log)
         self.zones = zones
-        self.teller = StateTeller(
+        self.teller = StateProvider(
             zones=zones,
             followers=self.followers,
             board=self.board,
@@ -54,8 +54,8 @@
 
     def learn(self, version: int, *, age_s: float = 0.0, value: bytes = b"1") -> None:
         for follower in self.followers:
-            told = reading(follower.table, version, value)
-            follower.take_copy(told, newest_at=monotonic() - age_s)
+            reported = reading(follower.table, version, value)
+            follower.take_copy(reported, newest_at=monotonic() - age_s)
 
     def ask(self, *others: Box | Exception) -> None:
         """Ask other boxes, by frames as they go over a link, until all is known."""
@@ -69,7 +69,7 @@
             assert isinstance(state, KnownState)
             return state
 
-        asker = StateAsker(
+        requester = StateFetcher(
             list(seeds),
             fetch=_fetch,
             zones=self.zones,
@@ -79,7 +79,7 @@
             log=Log("state", "test"),
         )
         with gevent.Timeout(5.0):
-            asker.run()
+            requester.run()
 
     def values(self) -> list[dict[str, bytes]]:
         return [listener.rows for listener in self.listeners.values()]
@@ -87,7 +87,7 @@
 
 @pytest.fixture(autouse=True)
 def no_wait_for_the_store(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(state_asker, "_STORE_FIRST_S", 0.0)
+    monkeypatch.setattr(state_fetcher, "_STORE_FIRST_S", 0.0)
 
 
 @pytest.fixture
--- a/tests/placement/test_lease_model.py
+++ b/tests/placement/test_lease_model.py
@@ -86,9 +86,9 @@
 
     @rule(holder=boxes, other=boxes)
     def hear_heartbeat(self, holder: str, other: str) -> None:
-        told, heard = self.leases[holder], self.leases[other]
-        if told.holds and not heard.held:
-            heard.note_heartbeat(told.version, told.left_s)
+        reported, heard = self.leases[holder], self.leases[other]
+        if reported.holds and not heard.held:
+            heard.note_heartbeat(reported.version, reported.left_s)
 
     @rule(down=st.booleans())
     def store_fails_or_heals(self, down: bool) -> None:
--- a/tests/placement/test_lease_return.py
+++ b/tests/placement/test_lease_return.py
@@ -6,7 +6,7 @@
 
 from springrock.placement.lease import PlacerLease
 from springrock.placement.placer_row import placer_row_from
-from springrock.placement.succession import Heir, Successor
+from springrock.placement.succession import HandoverTarget, Successor
 from tests.placement.conftest import Clock
 from tests.placement.test_lease import LEASE_S, ReadRows, make_lease
 from tests.placement.test_return_model import Client, ReturningStore
@@ -33,8 +33,10 @@
         """Let the second box go on in the stead of the first, and the store answer again."""
         self.store.down = True
         self.one.renew()
-        heir = Heir("two", "two-1", "127.0.0.1:1")
-        handover = self.one.give_up(reason="a test", successor=True, heir=heir)
+        handover_target = HandoverTarget("two", "two-1", "127.0.0.1:1")
+        handover = self.one.give_up(
+            reason="a test", successor=True, handover_target=handover_target
+        )
         assert handover is not None
         assert self.two.adopt(handover)
         self.store.down = False
--- a/tests/placement/test_link_server.py
+++ b/tests/placement/test_link_server.py
@@ -21,7 +21,7 @@
     Message,
     encode,
 )
-from springrock.placement.succession import Heir
+from springrock.placement.succession import HandoverTarget
 
 
 class Connection:
@@ -50,16 +50,16 @@
     """Notes what it is told."""
 
     def __init__(self) -> None:
-        self.told: list[Any] = []
+        self.reported: list[Any] = []
 
     def first_messages(self) -> list[Message]:
         return []
 
     def take_demand(self, box: str, demand: Demand) -> None:
-        self.told.append((box, [ask.number for ask in demand.asks]))
+        self.reported.append((box, [ask.number for ask in demand.asks]))
 
     def forget_box(self, box: str) -> None:
-        self.told.append(f"forget {box}")
+        self.reported.append(f"forget {box}")
 
 
 def asking(number: int) -> bytes:
@@ -68,9 +68,9 @@
 
 def wait_for(host: Host, count: int) -> list[Any]:
     with gevent.Timeout(10):
-        while len(host.told) < count:
+        while len(host.reported) < count:
             gevent.sleep(0.01)
-    return host.told
+    return host.reported
 
 
 def test_a_box_that_links_again_is_forgotten_first_and_its_older_link_not_heard() -> None:
@@ -109,8 +109,8 @@
     assert links.home_zone("box-zone-2") == "zone-2"
     assert links.home_zone("box-9") is None
     grant = Grant(1, "i-1")
-    links.tell_all(grant)
-    links.tell("box-zone-2", grant)
+    links.broadcast(grant)
+    links.notify("box-zone-2", grant)
     with gevent.Timeout(10):
         while sum(sent.values()) < 3 * len(encode(grant)):
             gevent.sleep(0.01)
@@ -128,8 +128,8 @@
     with gevent.Timeout(10):
         while links.count < 2:
             gevent.sleep(0.01)
-    links.tell_zones(Grant(1, "i-1"), far=False)
-    links.tell_zones(Grant(2, "i-1"), far=True)
+    links.send_to_zones(Grant(1, "i-1"), far=False)
+    links.send_to_zones(Grant(2, "i-1"), far=True)
     with gevent.Timeout(10):
         while not all(connection.sent for connection in connections.values()):
             gevent.sleep(0.01)
@@ -153,13 +153,13 @@
     with gevent.Timeout(10):
         while links.count < len(hellos):
             gevent.sleep(0.01)
-    assert links.heir("zone-1") == Heir("strong", "c", "127.0.0.1:3")
+    assert links.handover_target("zone-1") == HandoverTarget("strong", "c", "127.0.0.1:3")
     for box in ("strong", "weak"):
         connections[box].frames.put(encode(Demand(stopping=True)))
     with gevent.Timeout(10):
-        while links.heir("zone-1") != Heir("away", "a", "127.0.0.1:1"):
+        while links.handover_target("zone-1") != HandoverTarget("away", "a", "127.0.0.1:1"):
             gevent.sleep(0.01)
-    links.tell_all(Grant(1, "i-1"))
+    links.broadcast(Grant(1, "i-1"))
     links.flush(within_s=10.0)
     assert all(connection.sent for connection in connections.values())
     for connection in connections.values():
--- a/tests/placement/test_messages.py
+++ b/tests/placement/test_messages.py
@@ -13,7 +13,13 @@
 
 from springrock.errors import PeerRejected
 from springrock.forwarding.directory import HeldAdapter
-from springrock.permits.messages import LimitWord, PermitAsk, Permitted, PermitVerdict, Sighting
+from springrock.permits.messages import (
+    LimitReport,
+    PermitAsk,
+    Permitted,
+    PermitVerdict,
+    ReplicaObservation,
+)
 from springrock.placement import messages as messages_module
 from springrock.placement.messages import (
     Demand,
@@ -48,10 +54,10 @@
 
 
 def test_a_whole_configuration_takes_a_tenth_of_its_bytes_and_comes_back_whole() -> None:
-    news = table_news(json.dumps({"routes": ROUTES}).encode())
-    frame = encode(news)
-    assert len(frame) < len(news.rows[0].value) / 10
-    assert decode(frame) == news
+    updates = table_news(json.dumps({"routes": ROUTES}).encode())
+    frame = encode(updates)
+    assert len(frame) < len(updates.rows[0].value) / 10
+    assert decode(frame) == updates
 
 
 def test_what_engines_hold_takes_a_third_of_its_bytes_and_comes_back_whole() -> None:
@@ -103,7 +109,8 @@
 
 def test_what_is_told_of_cold_replicas_comes_as_it_was() -> None:
     demand = Demand(
-        permits=[PermitAsk(4, "r", "s", "i-1", True, 3)], sightings=[Sighting("i-2", True)]
+        permits=[PermitAsk(4, "r", "s", "i-1", True, 3)],
+        observations=[ReplicaObservation("i-2", True)],
     )
     refused = Permitted.from_verdict(4, PermitVerdict(False, 0.05, 0.25))
     heartbeat = Heartbeat(row_version=1, lease_left_ms=900, room=0, doubted=("i-2",))
@@ -114,7 +121,7 @@
 
 
 def test_a_message_of_an_older_or_a_newer_build_is_understood() -> None:
-    demand = Demand(stopping=True, limits=[LimitWord("i-1", 1.5, 20)])
+    demand = Demand(stopping=True, limits=[LimitReport("i-1", 1.5, 20)])
     fields = cbor2.loads(encode(demand))
     assert decode(cbor2.dumps(fields[:-1])) == Demand(stopping=True)
     assert decode(cbor2.dumps([*fields, "what a later build tells"])) == demand
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -9,7 +9,7 @@
 import pytest
 
 from springrock.clock import monotonic
-from springrock.forwarding.adapters import WaitTerms, Wish
+from springrock.forwarding.adapters import AdapterRequest, WaitTerms
 from springrock.forwarding.configuration import BaseModel, Configuration, Engine, Service
 from springrock.forwarding.directory import Directory, HeldAdapter, ReplicaRecord
 from springrock.forwarding.eligibility import Bounds
@@ -20,28 +20,30 @@
 from springrock.placement import placement as placement_module
 from springrock.placement.errors import PlacerSilent
 from springrock.placement.messages import KnownState, TableNews
-from springrock.placement.outlook import Outlook
 from springrock.placement.placement import Placement
 from springrock.placement.placer_board import PlacerBoard
 from springrock.placement.placer_row import PlacerRow, key_of
 from springrock.placement.residency import Versions
 from springrock.placement.settings import PlacementSettings
-from springrock.placement.surroundings import Surroundings
+from springrock.placement.wait_estimate import WaitEstimate
+from springrock.placement.zone_dependencies import ZoneDependencies
 from springrock.quotas.shares import QuotaTerms
 from springrock.rows import Row, TableReading
 from tests.placement.test_lease import Store
 from tests.placement.test_placer import SlowEngine
-from tests.worlds import make_limits, make_warmth, make_world
+from tests.worlds import make_limits, make_warmup, make_world
 
 KEY = AdapterKey("m", "a")
-WISH = Wish("r-1", KEY, WaitTerms(worth=1.0, target_at=0.0, until=0.0, returns_within_s=0.0))
+ADAPTER_REQUEST = AdapterRequest(
+    "r-1", KEY, WaitTerms(worth=1.0, target_at=0.0, until=0.0, returns_within_s=0.0)
+)
 ZONES = ("zone-1", "zone-2", "zone-3")
 
 
 class ScriptedZone:
     """A zone whose placer answers, is silent or cannot be reached; also its own demand book."""
 
-    def __init__(self, name: str, settings: PlacementSettings, around: Surroundings) -> None:
+    def __init__(self, name: str, settings: PlacementSettings, around: ZoneDependencies) -> None:
         self.name = name
         self.demand = self
         self.reachable = True
@@ -49,23 +51,23 @@
         self.room = 1
         self.boxes = 3
         self.spread: frozenset[str] = frozenset()
-        self.outlook = Outlook()
+        self.wait_estimate = WaitEstimate()
         self.wished: list[tuple[AdapterKey, int]] = []
         self.asks = 0
-        self.tells_home = False
-        self.told: list[tuple[TableNews, set[str]]] = []
+        self.notifies_home_zone = False
+        self.reported: list[tuple[TableNews, set[str]]] = []
         self.around = around
 
     def start(self) -> None:
         """Nothing to start."""
 
-    def tell_table(self, news: TableNews, *, also: Collection[str] = ()) -> None:
-        self.told.append((news, set(also)))
+    def publish_table(self, updates: TableNews, *, also: Collection[str] = ()) -> None:
+        self.reported.append((updates, set(also)))
 
-    def wish_copy(self, key: AdapterKey, saves: int) -> None:
+    def request_copy(self, key: AdapterKey, saves: int) -> None:
         self.wished.append((key, saves))
 
-    def find(self, wish: Wish) -> str:
+    def find(self, adapter_request: AdapterRequest) -> str:
         self.asks += 1
         if self.silent:
             raise PlacerSilent("scripted")
@@ -95,9 +97,9 @@
             control=SlowEngine("m"),
             quota_terms=lambda: QuotaTerms(8.0, 0.1, 0.0, 1),
             slow_start_terms=lambda: SlowStartTerms(1.0, 0.0),
-            warmth=make_warmth(lambda: configuration),
+            warmup=make_warmup(lambda: configuration),
             limits=make_limits(),
-            tell_state=lambda hello: KnownState([]),
+            state_for=lambda hello: KnownState([]),
             log_of=lambda part: Log(part, "box-1"),
             metrics=ForwardingMetrics(),
         )
@@ -125,7 +127,7 @@
 
     def find(self, **changes: object) -> str | None:
         """Return the zone that granted, if one did."""
-        return self.placement.find(WISH._replace(**changes))  # type: ignore[arg-type, return-value]
+        return self.placement.find(ADAPTER_REQUEST._replace(**changes))  # type: ignore[arg-type, return-value]
 
 
 @pytest.fixture
@@ -141,7 +143,7 @@
 def test_what_would_push_out_more_at_home_is_always_asked_of_one_other_zone(
     deployment: Deployment,
 ) -> None:
-    deployment.zones["zone-1"].outlook = Outlook(pressure=3.0)
+    deployment.zones["zone-1"].wait_estimate = WaitEstimate(pressure=3.0)
     first = deployment.find()
     assert first in ("zone-2", "zone-3")
     assert [deployment.find() for _ in range(3)] == [first] * 3
@@ -274,9 +276,9 @@
 ) -> None:
     hold_lease(deployment, "zone-2", "box-2")
     hold_lease(deployment, "zone-3", "box-3")
-    deployment.placement.tell_reading(READING, is_own=True)
-    deployment.placement.tell_reading(READING, is_own=False)
-    (own, to_placers), (passed_on, to_none) = deployment.zones["zone-1"].told
+    deployment.placement.publish_reading(READING, is_own=True)
+    deployment.placement.publish_reading(READING, is_own=False)
+    (own, to_placers), (passed_on, to_none) = deployment.zones["zone-1"].reported
     assert own == passed_on
     assert to_placers == {"box-2", "box-3"}
     assert to_none == set()
@@ -296,12 +298,12 @@
 ) -> None:
     placement = deployment.placement
     placement._settings = placement._settings._replace(zone=home)
-    deployment.zones[home].tells_home = places
+    deployment.zones[home].notifies_home_zone = places
     taken: list[tuple[TableReading, bool]] = []
     placement.on_reading = lambda reading, relied_on, teller: taken.append((reading, relied_on))
-    deployment.placement.tell_reading(READING, is_own=True)
-    ((news, _),) = deployment.zones[home].told
-    deployment.zones[teller].around.on_table_news(teller, news)
+    deployment.placement.publish_reading(READING, is_own=True)
+    ((updates, _),) = deployment.zones[home].reported
+    deployment.zones[teller].around.on_table_news(teller, updates)
     assert taken == [(READING, relies)]
 
 
--- a/tests/placement/test_placer.py
+++ b/tests/placement/test_placer.py
@@ -68,7 +68,7 @@
 
 
 @pytest.fixture
-def told(monkeypatch: pytest.MonkeyPatch) -> list[Told]:
+def reported(monkeypatch: pytest.MonkeyPatch) -> list[Told]:
     began_at = monotonic()
     for module in (placer_module, keeper_module):
         monkeypatch.setattr(module, "monotonic", lambda: began_at)
@@ -76,17 +76,17 @@
 
 
 @pytest.fixture
-def placer(told: list[Told]) -> Iterator[Placer]:
-    placer = make_placer(SlowEngine("m"), told)
+def placer(reported: list[Told]) -> Iterator[Placer]:
+    placer = make_placer(SlowEngine("m"), reported)
     placer.start()
     yield placer
     placer.stop()
 
 
 @pytest.fixture
-def holding(told: list[Told]) -> Iterator[Placer]:
+def holding(reported: list[Told]) -> Iterator[Placer]:
     """A placer of an engine that holds the adapter x, and has been heard."""
-    placer = start_holding(SlowEngine("m", adapters=("x",)), told)
+    placer = start_holding(SlowEngine("m", adapters=("x",)), reported)
     yield placer
     placer.stop()
 
@@ -109,7 +109,7 @@
 
 def make_placer(
     control: EngineControl,
-    told: list[Told],
+    reported: list[Told],
     *,
     world: Callable[[], World] = make_world,
     permits: ScriptedPermits | None = None,
@@ -149,7 +149,7 @@
         box="box-1",
         ceiling_ratio=1.0,
         ceiling_burst=2.0,
-        send=lambda box, message: told.append((box, message)),
+        send=lambda box, message: reported.append((box, message)),
         log=LOG,
         metrics=ForwardingMetrics(),
         home_zone_of=home_zone_of,
@@ -158,14 +158,14 @@
 
 def start_holding(
     control: EngineControl,
-    told: list[Told],
+    reported: list[Told],
     *,
     world: Callable[[], World] = make_world,
     permits: ScriptedPermits | None = None,
     home_zone_of: Callable[[str], str | None] = lambda box: None,
 ) -> Placer:
     """Start a placer and wait until it has heard that its engine holds the adapter x."""
-    placer = make_placer(control, told, world=world, permits=permits, home_zone_of=home_zone_of)
+    placer = make_placer(control, reported, world=world, permits=permits, home_zone_of=home_zone_of)
     placer.start()
     with gevent.Timeout(10):
         while not placer.requests.holders(AdapterKey("m", "x")):
@@ -177,20 +177,20 @@
     return Demand(asks=[Ask(number, "r", "m", adapter, 1.0, 500)])
 
 
-def wait_for(told: list[Told], kind: type[Message], *, count: int) -> list[Told]:
+def wait_for(reported: list[Told], kind: type[Message], *, count: int) -> list[Told]:
     with gevent.Timeout(10):
-        while sum(isinstance(message, kind) for _, message in told) < count:
+        while sum(isinstance(message, kind) for _, message in reported) < count:
             gevent.sleep(0.01)
-    return [(box, message) for box, message in told if isinstance(message, kind)]
+    return [(box, message) for box, message in reported if isinstance(message, kind)]
 
 
 def test_each_box_that_waits_is_told_when_the_adapter_will_be_there(
-    placer: Placer, told: list[Told]
+    placer: Placer, reported: list[Told]
 ) -> None:
     placer.take_demand("box-1", asking("a"))
-    assert [box for box, _ in wait_for(told, Forecast, count=1)] == ["box-1"]
+    assert [box for box, _ in wait_for(reported, Forecast, count=1)] == ["box-1"]
     placer.take_demand("box-2", asking("a"))
-    assert [box for box, _ in wait_for(told, Forecast, count=2)] == ["box-1", "box-2"]
+    assert [box for box, _ in wait_for(reported, Forecast, count=2)] == ["box-1", "box-2"]
 
 
 def test_what_an_engine_newly_holds_is_told_once(holding: Placer) -> None:
@@ -202,36 +202,38 @@
     assert holding.take_changed() is None
 
 
-def test_a_box_that_asks_again_is_told_again(placer: Placer, told: list[Told]) -> None:
+def test_a_box_that_asks_again_is_told_again(placer: Placer, reported: list[Told]) -> None:
     placer.take_demand("box-1", asking("a", number=1))
-    wait_for(told, Forecast, count=1)
+    wait_for(reported, Forecast, count=1)
     placer.take_demand("box-1", Demand(over=[Over(1)]))
     placer.take_demand("box-1", asking("a", number=2))
-    wait_for(told, Forecast, count=2)
+    wait_for(reported, Forecast, count=2)
 
 
 def test_a_request_for_what_an_engine_holds_is_granted_at_once(
-    holding: Placer, told: list[Told]
+    holding: Placer, reported: list[Told]
 ) -> None:
     holding.take_demand("box-1", asking("x", number=7))
-    assert told == [("box-1", Grant(7, "i-1"))]
+    assert reported == [("box-1", Grant(7, "i-1"))]
 
 
-def test_an_engine_that_was_tried_is_not_granted_again(holding: Placer, told: list[Told]) -> None:
+def test_an_engine_that_was_tried_is_not_granted_again(
+    holding: Placer, reported: list[Told]
+) -> None:
     again = Ask(8, "r", "m", "x", 1.0, 500, tried=["i-1"])
     holding.take_demand("box-1", Demand(asks=[again]))
-    wait_for(told, Forecast, count=1)
-    assert not any(isinstance(message, Grant) for _, message in told)
+    wait_for(reported, Forecast, count=1)
+    assert not any(isinstance(message, Grant) for _, message in reported)
 
 
 @pytest.mark.parametrize(("region", "granted"), [("a", True), ("b", False)])
 @pytest.mark.parametrize("failed", [False, True])
 def test_an_engine_is_granted_only_where_the_request_may_be_served(
-    told: list[Told], region: str, granted: bool, failed: bool
+    reported: list[Told], region: str, granted: bool, failed: bool
 ) -> None:
     placer = start_holding(
         SlowEngine("m", adapters=("x",)),
-        told,
+        reported,
         world=lambda: make_world("zone-1", regions={"zone-1": "a", "zone-2": "b"}),
     )
     tried = ["i-1"] if failed else []
@@ -240,25 +242,25 @@
     assert isinstance(sent, Demand)
     placer.take_demand("box-2", sent)
     placer.stop()
-    assert any(isinstance(message, Grant) for _, message in told) is granted
+    assert any(isinstance(message, Grant) for _, message in reported) is granted
 
 
 def test_a_copy_that_boxes_of_this_zone_wish_for_is_brought_and_kept(
-    placer: Placer, told: list[Told]
+    placer: Placer, reported: list[Told]
 ) -> None:
     placer.take_demand("box-1", Demand(copies=[CopyWish("m", "far", 300)]))
     with gevent.Timeout(10):
         while AdapterKey("m", "far") not in placer._keepers["i-1"].book.assigned:
             gevent.sleep(0.01)
     assert 2.0 < placer._popularity.of(AdapterKey("m", "far")) <= 3.0
-    assert told == [], "nobody waits for it"
+    assert reported == [], "nobody waits for it"
 
 
 def test_a_box_of_another_zone_that_asks_often_is_told_that_a_copy_there_pays(
-    told: list[Told],
+    reported: list[Told],
 ) -> None:
     homes = {"box-2": "zone-2", "box-3": "zone-3", "box-1": "zone-1"}
-    placer = start_holding(SlowEngine("m", adapters=("x",)), told, home_zone_of=homes.get)
+    placer = start_holding(SlowEngine("m", adapters=("x",)), reported, home_zone_of=homes.get)
     long_prompt = [("p", 10_000)]
     for number in range(4):
         for box in ("box-1", "box-2", "box-4"):
@@ -267,38 +269,38 @@
     bound = Ask(9, "r", "m", "x", 1.0, 500, long_prompt, regions=["nowhere"])
     placer.take_demand("box-3", Demand(asks=[bound]))
     placer.stop()
-    grants = [(box, message.saves) for box, message in told if isinstance(message, Grant)]
+    grants = [(box, message.saves) for box, message in reported if isinstance(message, Grant)]
     saved = [saves for box, saves in grants if box == "box-2"]
     assert saved == sorted(saved)
     assert saved[0] > 100, "42 KB are dearer than a load"
     assert {saves for box, saves in grants if box != "box-2"} == {0}
 
 
-def fail_at_once(placer: Placer, told: list[Told], *, times: int) -> None:
+def fail_at_once(placer: Placer, reported: list[Told], *, times: int) -> None:
     """Let requests for the adapter x fail at its only engine, one after the other."""
     for number in range(100, 100 + times):
         placer.take_demand("box-1", asking("x", number=number))
         placer.take_demand("box-1", Demand(over=[Over(number, Outcome.FAILED)]))
-    told.clear()
+    reported.clear()
 
 
 def test_an_engine_that_failed_a_request_gets_it_again_where_a_load_would_cost_more(
-    holding: Placer, told: list[Told]
+    holding: Placer, reported: list[Told]
 ) -> None:
-    fail_at_once(holding, told, times=1)
+    fail_at_once(holding, reported, times=1)
     again = Ask(8, "r", "m", "x", 1.0, 500, tried=["i-1"], failed_at=["i-1"])
     holding.take_demand("box-1", Demand(asks=[again]))
-    assert told == [("box-1", Grant(8, "i-1"))]
+    assert reported == [("box-1", Grant(8, "i-1"))]
 
 
 def test_an_engine_that_fails_far_more_than_others_does_not_get_a_request_again(
-    holding: Placer, told: list[Told]
+    holding: Placer, reported: list[Told]
 ) -> None:
-    fail_at_once(holding, told, times=10)
+    fail_at_once(holding, reported, times=10)
     again = Ask(8, "r", "m", "x", 4.0, 500, tried=["i-1"], failed_at=["i-1"])
     holding.take_demand("box-1", Demand(asks=[again]))
-    wait_for(told, Forecast, count=1)
-    assert not any(isinstance(message, Grant) for _, message in told)
+    wait_for(reported, Forecast, count=1)
+    assert not any(isinstance(message, Grant) for _, message in reported)
 
 
 class CrashingEngine(SlowEngine):
@@ -313,10 +315,10 @@
 
 
 def test_an_engine_that_a_box_could_not_reach_is_asked_and_granted_to_nobody_if_it_is_gone(
-    told: list[Told],
+    reported: list[Told],
 ) -> None:
     control = CrashingEngine("m", adapters=("x",))
-    placer = start_holding(control, told)
+    placer = start_holding(control, reported)
     with gevent.Timeout(10):
         placer.take_demand("box-1", asking("x"))
         control.crashed = True
@@ -324,27 +326,27 @@
         while placer.requests.holders(AdapterKey("m", "x")):
             gevent.sleep(0.01)
     placer.take_demand("box-2", asking("x"))
-    assert [box for box, message in told if isinstance(message, Grant)] == ["box-1"]
+    assert [box for box, message in reported if isinstance(message, Grant)] == ["box-1"]
     placer.stop()
 
 
 def test_an_engine_that_lacks_the_adapter_is_asked_what_it_holds(
-    told: list[Told],
+    reported: list[Told],
 ) -> None:
     control = SlowEngine("m", adapters=("x",))
-    placer = start_holding(control, told)
+    placer = start_holding(control, reported)
     with gevent.Timeout(10):
         placer.take_demand("box-1", asking("x"))
         heard = control.reports
         placer.take_demand("box-1", Demand(over=[Over(1, Outcome.LACKING)]))
         placer.take_demand("box-2", asking("x"))
-        assert [box for box, message in told if isinstance(message, Grant)] == ["box-1"]
+        assert [box for box, message in reported if isinstance(message, Grant)] == ["box-1"]
         while control.reports == heard:
             gevent.sleep(0.01)
     placer.stop()
 
 
-def test_an_adapter_that_requests_use_is_no_room(holding: Placer, told: list[Told]) -> None:
+def test_an_adapter_that_requests_use_is_no_room(holding: Placer, reported: list[Told]) -> None:
     with gevent.Timeout(10):
         while holding.room() != 1:
             gevent.sleep(0.01)
@@ -358,7 +360,7 @@
 
 
 def test_a_client_that_was_told_to_come_back_has_its_adapter_brought(
-    placer: Placer, told: list[Told]
+    placer: Placer, reported: list[Told]
 ) -> None:
     placer.take_demand("box-1", Demand(promises=[Promise("m", "a", 1.0, 300)]))
     with gevent.Timeout(10):
@@ -368,9 +370,9 @@
 
 @pytest.mark.parametrize(("models", "room"), [(("m",), 2), ((), 0)])
 def test_an_engine_without_a_base_model_has_no_room(
-    told: list[Told], models: tuple[str, ...], room: int
+    reported: list[Told], models: tuple[str, ...], room: int
 ) -> None:
-    placer = make_placer(SlowEngine(*models), told)
+    placer = make_placer(SlowEngine(*models), reported)
     placer.start()
     with gevent.Timeout(10):
         while any(keeper.book.sequence is None for keeper in placer._keepers.values()):
@@ -381,18 +383,18 @@
 
 @pytest.mark.parametrize("wanted", ["ask", "promise"])
 def test_a_place_that_a_request_gives_up_goes_at_once_to_who_wants_it(
-    monkeypatch: pytest.MonkeyPatch, told: list[Told], wanted: str
+    monkeypatch: pytest.MonkeyPatch, reported: list[Told], wanted: str
 ) -> None:
     monkeypatch.setattr(placer_module, "_PLAN_EVERY_S", 60.0)
-    placer = start_holding(SlowEngine("m", adapters=("x", "y")), told)
+    placer = start_holding(SlowEngine("m", adapters=("x", "y")), reported)
     for number, adapter in enumerate(("x", "y")):
         placer.take_demand("box-1", asking(adapter, number=number))
-    news = (
+    updates = (
         asking("a", number=5)
         if wanted == "ask"
         else Demand(promises=[Promise("m", "a", 1.0, 60_000)])
     )
-    placer.take_demand("box-1", news)
+    placer.take_demand("box-1", updates)
     [keeper] = placer._keepers.values()
     gevent.sleep(0.1)
     assert not keeper.book.assigned, "both places are used"
@@ -405,8 +407,8 @@
     placer.stop()
 
 
-def test_a_promise_is_planned_for_again_until_there_is_a_place(told: list[Told]) -> None:
-    placer = start_holding(SlowEngine("m", adapters=("x", "y")), told)
+def test_a_promise_is_planned_for_again_until_there_is_a_place(reported: list[Told]) -> None:
+    placer = start_holding(SlowEngine("m", adapters=("x", "y")), reported)
     [keeper] = placer._keepers.values()
     for place in keeper.book.places.values():
         place.since += 10
@@ -422,10 +424,10 @@
 
 
 def test_who_waits_for_an_engine_out_of_reach_is_granted_it_once_it_answers_again(
-    told: list[Told],
+    reported: list[Told],
 ) -> None:
     control = CrashingEngine("m", adapters=("x", "y"))
-    placer = start_holding(control, told)
+    placer = start_holding(control, reported)
     control.crashed = True
     placer.take_demand("box-1", asking("x"))
     placer.take_demand("box-1", Demand(over=[Over(1, Outcome.UNREACHABLE)]))
@@ -434,7 +436,7 @@
             gevent.sleep(0.01)
         placer.take_demand("box-2", asking("x", number=2))
         control.crashed = False
-        while ("box-2", Grant(2, "i-1")) not in told:
+        while ("box-2", Grant(2, "i-1")) not in reported:
             gevent.sleep(0.01)
     placer.stop()
 
@@ -451,48 +453,50 @@
         return super().order(address, instance=instance, order=order)
 
 
-def test_an_evacuated_zone_is_granted_until_its_cut_and_brought_nothing(told: list[Told]) -> None:
+def test_an_evacuated_zone_is_granted_until_its_cut_and_brought_nothing(
+    reported: list[Told],
+) -> None:
     worlds = [make_world(announced=("zone-1",))]
     control = OrderedEngine("m", adapters=("x",))
-    placer = start_holding(control, told, world=lambda: worlds[-1])
+    placer = start_holding(control, reported, world=lambda: worlds[-1])
     assert placer.room() == 0
     placer.take_demand("box-1", asking("a", number=1))
     placer.take_demand("box-1", asking("x", number=2))
-    assert told == [("box-1", Grant(2, "i-1"))]
+    assert reported == [("box-1", Grant(2, "i-1"))]
     worlds.append(make_world(evacuated=("zone-1",)))
     placer.take_demand("box-1", asking("x", number=3))
     gevent.sleep(0.2)
-    assert told == [("box-1", Grant(2, "i-1"))], "neither granted nor told of a load"
+    assert reported == [("box-1", Grant(2, "i-1"))], "neither granted nor told of a load"
     assert control.ordered == []
     worlds.append(make_world())
     placer.take_demand("box-1", asking("b", number=4))
     assert placer.room() > 0
-    assert ("box-1", Grant(3, "i-1")) in wait_for(told, Grant, count=2)
+    assert ("box-1", Grant(3, "i-1")) in wait_for(reported, Grant, count=2)
     placer.stop()
 
 
 def test_what_was_asked_for_in_an_evacuated_zone_is_loaded_though_nobody_waits(
-    told: list[Told],
+    reported: list[Told],
 ) -> None:
     control = OrderedEngine("m")
-    placer = make_placer(control, told)
+    placer = make_placer(control, reported)
     placer.start()
     placer.ahead.take("zone-2", [AskedFor("m", "a", 3.0), AskedFor("m", "b", 1.0)])
     with gevent.Timeout(10):
         while set(control.ordered) != {"a", "b"}:
             gevent.sleep(0.01)
     assert control.ordered[0] == "a"
-    assert told == []
+    assert reported == []
     placer.stop()
     assert not placer.ahead.pending
 
 
-def test_a_cold_engine_is_granted_as_far_as_there_are_permits(told: list[Told]) -> None:
+def test_a_cold_engine_is_granted_as_far_as_there_are_permits(reported: list[Told]) -> None:
     cold: list[str] = []
     permits = ScriptedPermits()
     placer = start_holding(
         SlowEngine("m", adapters=("x",)),
-        told,
+        reported,
         world=lambda: make_world(is_cold=lambda record: record.instance in cold),
         permits=permits,
     )
@@ -500,47 +504,49 @@
         placer.take_demand("box-2", asking("x", number=1))
         cold.append("i-1")
         placer.take_demand("box-2", asking("x", number=2))
-        assert [message for _, message in told if isinstance(message, Grant)] == [Grant(1, "i-1")]
+        assert [message for _, message in reported if isinstance(message, Grant)] == [
+            Grant(1, "i-1")
+        ]
         permits.left = 1
         placer.requests.grant_all()
         placer.take_demand("box-2", asking("x", number=3))
-        grants = [message for _, message in told if isinstance(message, Grant)]
+        grants = [message for _, message in reported if isinstance(message, Grant)]
         assert grants == [Grant(1, "i-1"), Grant(2, "i-1", permitted=True)]
     finally:
         placer.stop()
 
 
-def test_a_cold_engine_is_given_adapters_meanwhile(told: list[Told]) -> None:
+def test_a_cold_engine_is_given_adapters_meanwhile(reported: list[Told]) -> None:
     placer = make_placer(
-        SlowEngine("m"), told, world=lambda: make_world(is_cold=lambda record: True)
+        SlowEngine("m"), reported, world=lambda: make_world(is_cold=lambda record: True)
     )
     placer.start()
     try:
         placer.take_demand("box-1", asking("a"))
-        wait_for(told, Forecast, count=1)
+        wait_for(reported, Forecast, count=1)
     finally:
         placer.stop()
 
 
 def test_who_waits_for_what_stands_only_where_a_limit_keeps_it_out_asks_another_zone(
-    told: list[Told],
+    reported: list[Told],
 ) -> None:
     limited: list[str] = []
     permits = ScriptedPermits()
     placer = start_holding(
         SlowEngine("m", adapters=("x",)),
-        told,
+        reported,
         world=lambda: make_world(is_limited=lambda record: record.instance in limited),
         permits=permits,
     )
     try:
         limited.append("i-1")
         placer.take_demand("box-2", asking("x", number=1))
-        [(_, forecast), *_] = wait_for(told, Forecast, count=1)
+        [(_, forecast), *_] = wait_for(reported, Forecast, count=1)
         assert isinstance(forecast, Forecast) and forecast.elsewhere
         permits.left = 1
         placer.take_demand("box-3", asking("x", number=2))
-        grants = [(box, m) for box, m in told if isinstance(m, Grant)]
+        grants = [(box, m) for box, m in reported if isinstance(m, Grant)]
         assert len(grants) == 1 and grants[0][1].permitted
     finally:
         placer.stop()
--- a/tests/placement/test_placer_reborn.py
+++ b/tests/placement/test_placer_reborn.py
@@ -52,13 +52,13 @@
 
 
 @pytest.fixture
-def told() -> list[Told]:
+def reported() -> list[Told]:
     return []
 
 
 @pytest.fixture
-def placer(engine: RebornEngine, told: list[Told]) -> Iterator[Placer]:
-    placer = make_placer(engine, told)
+def placer(engine: RebornEngine, reported: list[Told]) -> Iterator[Placer]:
+    placer = make_placer(engine, reported)
     placer._directory.update(record_of(1))
     placer.start()
     wait_for_holders(placer, ["i-1@1"])
@@ -73,10 +73,10 @@
 
 
 def test_nothing_of_the_earlier_start_is_granted(
-    placer: Placer, engine: RebornEngine, told: list[Told]
+    placer: Placer, engine: RebornEngine, reported: list[Told]
 ) -> None:
     placer.take_demand("box-1", asking("x", number=1))
-    assert told == [("box-1", Grant(1, "i-1@1"))]
+    assert reported == [("box-1", Grant(1, "i-1@1"))]
     engine.start_anew()
     placer._directory.update(record_of(2))
     assert list(placer._keepers) == ["i-1@2"]
@@ -84,10 +84,10 @@
     dispatcher = placer.requests.dispatcher("s")
     assert "i-1@1" not in dispatcher.waits()
     placer.take_demand("box-1", asking("x", number=2))
-    assert not any(message == Grant(2, "i-1@2") for _, message in told)
+    assert not any(message == Grant(2, "i-1@2") for _, message in reported)
     engine.adapters = ("x",)
     wait_for_holders(placer, ["i-1@2"])
-    assert ("box-1", Grant(2, "i-1@2")) in told
+    assert ("box-1", Grant(2, "i-1@2")) in reported
 
 
 def test_a_new_start_that_only_the_engine_tells_is_granted_nothing(
--- a/tests/placement/test_residency.py
+++ b/tests/placement/test_residency.py
@@ -40,11 +40,11 @@
     assert world.holders == []
     world.record(HeldAdapter("m", "a", 1))
     assert world.holders == ["i-1"]
-    world.residency.note_told("i-1", [])
+    world.residency.record_reported("i-1", [])
     assert world.holders == []
     world.record(HeldAdapter("m", "a", 1), HeldAdapter("m", "b", 1))
     assert world.holders == [], "the row may be older than the placer's word"
-    world.residency.forget_told("zone-1")
+    world.residency.forget_reported("zone-1")
     assert world.holders == ["i-1"]
     world.directory.remove("i-1")
     assert world.holders == []
@@ -55,7 +55,7 @@
     world.record(HeldAdapter("m", "a", 1))
     world.versions.note(KEY, 2)
     assert world.holders == []
-    world.residency.note_told("i-1", [HeldAdapter("m", "a", 2)])
+    world.residency.record_reported("i-1", [HeldAdapter("m", "a", 2)])
     assert world.holders == ["i-1"]
 
 
@@ -64,14 +64,14 @@
     world.record(HeldAdapter("m", "a", 1))
     world.residency.deny("i-1", KEY)
     assert world.holders == []
-    world.residency.note_told("i-1", [])
-    world.residency.note_told("i-1", [HeldAdapter("m", "a", 1)])
+    world.residency.record_reported("i-1", [])
+    world.residency.record_reported("i-1", [HeldAdapter("m", "a", 1)])
     assert world.holders == ["i-1"]
 
 
 def test_what_was_told_of_a_replica_that_is_not_known_yet_counts_once_it_is() -> None:
     world = World()
-    world.residency.note_told("i-1", [HeldAdapter("m", "a", 1)])
+    world.residency.record_reported("i-1", [HeldAdapter("m", "a", 1)])
     assert world.holders == []
     world.record()
     assert world.holders == ["i-1"]
@@ -85,11 +85,11 @@
         return [replica.instance for replica in world.residency.keepers(KEY)]
 
     assert _keepers() == []
-    world.residency.note_told("i-1", [HeldAdapter("m", "b", 1)])
+    world.residency.record_reported("i-1", [HeldAdapter("m", "b", 1)])
     assert _keepers() == ["i-1"]
-    world.residency.note_told("i-1", [HeldAdapter("m", "a", 1)])
+    world.residency.record_reported("i-1", [HeldAdapter("m", "a", 1)])
     assert _keepers() == [], "it stands there again"
-    world.residency.note_told("i-1", [])
+    world.residency.record_reported("i-1", [])
     world.versions.note(KEY, 2)
     assert _keepers() == [], "what it keeps is an older version"
 
@@ -97,13 +97,13 @@
 def test_a_replica_keeps_only_so_much_at_hand_and_nothing_once_it_is_gone() -> None:
     world = World()
     world.record(HeldAdapter("m", "a", 1))
-    world.residency.note_told("i-1", [])
+    world.residency.record_reported("i-1", [])
     for number in range(LATELY_KEPT - 1):
-        world.residency.note_told("i-1", [HeldAdapter("m", f"x{number}", 1)])
-    world.residency.note_told("i-1", [])
+        world.residency.record_reported("i-1", [HeldAdapter("m", f"x{number}", 1)])
+    world.residency.record_reported("i-1", [])
     assert world.residency.keepers(KEY)
-    world.residency.note_told("i-1", [HeldAdapter("m", "last", 1)])
-    world.residency.note_told("i-1", [])
+    world.residency.record_reported("i-1", [HeldAdapter("m", "last", 1)])
+    world.residency.record_reported("i-1", [])
     assert world.residency.keepers(KEY) == []
     last = AdapterKey("m", "last")
     assert world.residency.keepers(last)
@@ -127,9 +127,9 @@
                 born_ms=born_ms,
             )
         )
-        world.residency.note_told(f"i-1@{born_ms}", [HeldAdapter("m", "b", 1)])
+        world.residency.record_reported(f"i-1@{born_ms}", [HeldAdapter("m", "b", 1)])
         world.residency.deny("i-1@1", KEY)
     assert world.holders == []
     assert world.residency.keepers(KEY) == []
-    world.residency.note_told("i-1@1", [HeldAdapter("m", "a", 1)])
+    world.residency.record_reported("i-1@1", [HeldAdapter("m", "a", 1)])
     assert world.holders == [], "a placer that has not heard of the new start yet"
--- a/tests/placement/test_residents_news.py
+++ b/tests/placement/test_residents_publisher.py
@@ -5,9 +5,9 @@
 import pytest
 
 from springrock.forwarding.directory import HeldAdapter
-from springrock.placement import residents_news as residents_news_module
+from springrock.placement import residents_publisher as residents_publisher_module
 from springrock.placement.messages import EngineHolds, Message, Residents
-from springrock.placement.residents_news import ResidentsNews, is_far
+from springrock.placement.residents_publisher import ResidentsPublisher, is_far
 from springrock.topology import Topology
 
 
@@ -21,10 +21,10 @@
     """Notes what is told, near and far."""
 
     def __init__(self) -> None:
-        self.told: dict[bool, list[Message]] = {False: [], True: []}
+        self.reported: dict[bool, list[Message]] = {False: [], True: []}
 
-    def tell_zones(self, message: Message, *, far: bool) -> None:
-        self.told[far].append(message)
+    def send_to_zones(self, message: Message, *, far: bool) -> None:
+        self.reported[far].append(message)
 
 
 def holds(instance: str, *adapters: str) -> EngineHolds:
@@ -35,9 +35,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     clock = Clock()
-    monkeypatch.setattr(residents_news_module, "monotonic", lambda: clock.now)
+    monkeypatch.setattr(residents_publisher_module, "monotonic", lambda: clock.now)
     links = Links()
-    news = ResidentsNews(links)
+    updates = ResidentsPublisher(links)
     changes = [
         Residents([holds("i-1", "a"), holds("i-2", "b")]),
         Residents([holds("i-1", "a", "c")]),
@@ -45,17 +45,17 @@
     ]
     for changed in changes:
         clock.now += 0.5
-        news.tell(changed)
-    assert links.told[False] == changes[:2]
-    assert links.told[True] == []
+        updates.notify(changed)
+    assert links.reported[False] == changes[:2]
+    assert links.reported[True] == []
     clock.now += 0.5
-    news.tell(None)
-    assert links.told[True] == [Residents([holds("i-1", "a", "c"), holds("i-2", "b")])]
+    updates.notify(None)
+    assert links.reported[True] == [Residents([holds("i-1", "a", "c"), holds("i-2", "b")])]
     clock.now += 9.0
-    news.tell(None)
-    assert len(links.told[True]) == 1, "nothing is new"
-    news.tell(changes[1])
-    assert links.told[True][1:] == [changes[1]]
+    updates.notify(None)
+    assert len(links.reported[True]) == 1, "nothing is new"
+    updates.notify(changes[1])
+    assert links.reported[True][1:] == [changes[1]]
 
 
 @pytest.mark.parametrize(
--- a/tests/placement/test_return_model.py
+++ b/tests/placement/test_return_model.py
@@ -11,7 +11,7 @@
 from springrock.placement import lease as lease_module
 from springrock.placement.lease import PlacerLease
 from springrock.placement.placer_row import TABLE
-from springrock.placement.succession import Heir, Successor
+from springrock.placement.succession import HandoverTarget, Successor
 from springrock.rows import (
     Changes,
     Row,
@@ -119,7 +119,7 @@
         self.patch.setattr(lease_module, "monotonic", lambda: self.now)
         self.store = ReturningStore()
         self.engine = Engine()
-        self.told: list[Successor] = []
+        self.reported: list[Successor] = []
         self.clients = {box: Client(self.store) for box in BOXES}
         self.leases = {box: self._lease(box) for box in BOXES}
         for box in BOXES:
@@ -149,18 +149,20 @@
         if self.leases[box].held:
             self.leases[box].give_up(reason="a test", successor=True)
 
-    @rule(box=boxes, heir=boxes)
-    def hand_over(self, box: str, heir: str) -> None:
-        if self.leases[box].held and box != heir:
-            chosen = Heir(heir, f"{heir}-1", "127.0.0.1:1")
-            handover = self.leases[box].give_up(reason="a test", successor=True, heir=chosen)
+    @rule(box=boxes, handover_target=boxes)
+    def hand_over(self, box: str, handover_target: str) -> None:
+        if self.leases[box].held and box != handover_target:
+            chosen = HandoverTarget(handover_target, f"{handover_target}-1", "127.0.0.1:1")
+            handover = self.leases[box].give_up(
+                reason="a test", successor=True, handover_target=chosen
+            )
             if handover is not None:
-                self.told.append(handover)
+                self.reported.append(handover)
 
-    @precondition(lambda self: self.told)
+    @precondition(lambda self: self.reported)
     @rule(data=st.data())
     def hear_of_a_handover(self, data: st.DataObject) -> None:
-        handover = data.draw(st.sampled_from(self.told))
+        handover = data.draw(st.sampled_from(self.reported))
         self.leases[handover.box].adopt(handover)
 
     @rule(order=st.permutations(BOXES))
@@ -213,16 +215,16 @@
             self.one_box_has_time_on_the_lease()
         self.order(order)
 
-    @rule(box=boxes, heir=boxes, order=st.permutations(BOXES))
-    def hand_over_in_an_outage(self, box: str, heir: str, order: list[str]) -> None:
+    @rule(box=boxes, handover_target=boxes, order=st.permutations(BOXES))
+    def hand_over_in_an_outage(self, box: str, handover_target: str, order: list[str]) -> None:
         """The usual case, which the rules above reach seldom: the heir hears of it and goes on."""
         self.store.down = True
         self.renew(box)
-        before = len(self.told)
-        self.hand_over(box, heir)
-        for handover in self.told[before:]:
+        before = len(self.reported)
+        self.hand_over(box, handover_target)
+        for handover in self.reported[before:]:
             self.leases[handover.box].adopt(handover)
-        self.renew(heir)
+        self.renew(handover_target)
         self.order(order)
 
     @precondition(lambda self: self.store.late)
--- a/tests/placement/test_succession.py
+++ b/tests/placement/test_succession.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from springrock.placement.lease import PlacerLease
-from springrock.placement.succession import RESERVED_FENCES, Heir, Successor
+from springrock.placement.succession import RESERVED_FENCES, HandoverTarget, Successor
 from tests.placement.conftest import Clock
 from tests.placement.test_lease import LEASE_S, Store, make_lease
 
-HEIR = Heir("two", "two-1", "127.0.0.1:1")
+HANDOVER_TARGET = HandoverTarget("two", "two-1", "127.0.0.1:1")
 
 
 def held(store: Store, box: str) -> PlacerLease:
@@ -17,11 +17,13 @@
     return lease
 
 
-def handed_over(store: Store, lease: PlacerLease, heir: Heir = HEIR) -> Successor:
+def handed_over(
+    store: Store, lease: PlacerLease, handover_target: HandoverTarget = HANDOVER_TARGET
+) -> Successor:
     """What a box tells that stops while the store is silent."""
     store.down = True
     lease.renew()
-    handover = lease.give_up(reason="a test", successor=True, heir=heir)
+    handover = lease.give_up(reason="a test", successor=True, handover_target=handover_target)
     assert handover is not None
     return handover
 
@@ -29,7 +31,7 @@
 def test_a_role_is_given_back_to_a_store_that_answers(clock: Clock) -> None:
     store = Store()
     one, two = held(store, "one"), make_lease(store, "two")
-    assert one.give_up(reason="a test", successor=True, heir=HEIR) is None
+    assert one.give_up(reason="a test", successor=True, handover_target=HANDOVER_TARGET) is None
     assert two.challenge(two.look())
 
 
@@ -64,14 +66,16 @@
     fences = [lease.fence]
     for number in range(1, RESERVED_FENCES + 1):
         name = f"box-{number}"
-        handover = handed_over(store, lease, Heir(name, f"{name}-1", "127.0.0.1:1"))
+        handover = handed_over(store, lease, HandoverTarget(name, f"{name}-1", "127.0.0.1:1"))
         lease = make_lease(store, name)
         assert lease.adopt(handover)
         fences.append(lease.fence)
     assert fences == sorted(set(fences))
     assert fences[-1] <= lease.last_fence
     lease.renew()
-    assert lease.give_up(reason="a test", successor=True, heir=HEIR) is None, "none is left"
+    assert (
+        lease.give_up(reason="a test", successor=True, handover_target=HANDOVER_TARGET) is None
+    ), "none is left"
 
 
 def test_a_late_write_of_who_went_before_is_no_other_holder(clock: Clock) -> None:
@@ -112,4 +116,4 @@
     assert one.challenge(one.look())
     store.down = True
     one.renew()
-    assert one.give_up(reason="a test", successor=True, heir=HEIR) is None
+    assert one.give_up(reason="a test", successor=True, handover_target=HANDOVER_TARGET) is None
--- a/tests/placement/test_succession_model.py
+++ b/tests/placement/test_succession_model.py
@@ -9,7 +9,7 @@
 
 from springrock.placement import lease as lease_module
 from springrock.placement.lease import PlacerLease
-from springrock.placement.succession import Heir, Successor
+from springrock.placement.succession import HandoverTarget, Successor
 from springrock.rows import RowStoreUnavailable
 from tests.placement.test_lease import LEASE_S, Store, make_lease
 
@@ -59,7 +59,7 @@
         self.store = LateStore()
         self.engine = Engine()
         self.starts = 0
-        self.told: list[Successor] = []
+        self.reported: list[Successor] = []
         self.incarnations: dict[str, str] = {}
         self.leases = {box: self.started(box) for box in BOXES}
         self.look("one")
@@ -86,21 +86,21 @@
             if lease.held:
                 lease.renew()
 
-    @rule(heir=boxes, stays=st.booleans())
-    def stop(self, heir: str, stays: bool) -> None:
+    @rule(handover_target=boxes, stays=st.booleans())
+    def stop(self, handover_target: str, stays: bool) -> None:
         """A holder stops as planned and starts anew, or gives its role to one that does better."""
         held = [box for box, lease in self.leases.items() if lease.held]
         if held:
-            self._stop(held[0], heir, stays)
+            self._stop(held[0], handover_target, stays)
 
-    @rule(heir=boxes, stays=st.booleans())
-    def stop_in_an_outage(self, heir: str, stays: bool) -> None:
+    @rule(handover_target=boxes, stays=st.booleans())
+    def stop_in_an_outage(self, handover_target: str, stays: bool) -> None:
         """The usual case, which the rules above reach seldom: the heir hears of it and goes on."""
         self.store.down = True
         self.renew()
-        before = len(self.told)
-        self.stop(heir, stays)
-        for handover in self.told[before:]:
+        before = len(self.reported)
+        self.stop(handover_target, stays)
+        for handover in self.reported[before:]:
             self._hear(handover)
         self.renew()
         self.order(list(BOXES))
@@ -117,11 +117,15 @@
             self.pass_time(LEASE_S * 1.15)
         self.order(order)
 
-    def _stop(self, box: str, heir: str, stays: bool) -> None:
-        chosen = Heir(heir, self.incarnations[heir], "127.0.0.1:1") if heir != box else None
-        handover = self.leases[box].give_up(reason="a test", successor=True, heir=chosen)
+    def _stop(self, box: str, handover_target: str, stays: bool) -> None:
+        chosen = (
+            HandoverTarget(handover_target, self.incarnations[handover_target], "127.0.0.1:1")
+            if handover_target != box
+            else None
+        )
+        handover = self.leases[box].give_up(reason="a test", successor=True, handover_target=chosen)
         if handover is not None:
-            self.told.append(handover)
+            self.reported.append(handover)
         if not stays:
             self.leases[box] = self.started(box)
 
@@ -129,12 +133,12 @@
     def kill(self, box: str) -> None:
         self.leases[box] = self.started(box)
 
-    @precondition(lambda self: self.told)
+    @precondition(lambda self: self.reported)
     @rule(data=st.data(), again=st.booleans())
     def hear_of_a_handover(self, data: st.DataObject, again: bool) -> None:
-        handover = data.draw(st.sampled_from(self.told))
+        handover = data.draw(st.sampled_from(self.reported))
         if not again:
-            self.told.remove(handover)
+            self.reported.remove(handover)
         self._hear(handover)
 
     def _hear(self, handover: Successor) -> None:
--- a/tests/placement/test_zone.py
+++ b/tests/placement/test_zone.py
@@ -10,23 +10,23 @@
 from springrock.metrics import ForwardingMetrics
 from springrock.permits.terms import SlowStartTerms
 from springrock.placement.messages import Demand, Heartbeat, TableNews, TableRow, decode, encode
-from springrock.placement.outlook import Outlook
 from springrock.placement.placer_board import PlacerBoard
 from springrock.placement.residency import Residency, Versions
 from springrock.placement.settings import PlacementSettings
-from springrock.placement.surroundings import Surroundings
+from springrock.placement.wait_estimate import WaitEstimate
 from springrock.placement.zone import ZonePlacement
+from springrock.placement.zone_dependencies import ZoneDependencies
 from springrock.quotas.shares import QuotaTerms
 from tests.placement.test_lease import Store
 from tests.placement.test_placer import SlowEngine
-from tests.worlds import make_limits, make_warmth, make_world
+from tests.worlds import make_limits, make_warmup, make_world
 
 RECORD = ReplicaRecord(instance="i-1", service="s", address="127.0.0.1:1", zone="zone-2")
 
 
-def make_zone(directory: Directory, news: list[TableNews] | None = None) -> ZonePlacement:
+def make_zone(directory: Directory, updates: list[TableNews] | None = None) -> ZonePlacement:
     versions = Versions()
-    around = Surroundings(
+    around = ZoneDependencies(
         incarnation="1",
         store=Store(),
         board=PlacerBoard(age_s=lambda: 0.0),
@@ -38,9 +38,9 @@
         control=SlowEngine("m"),
         quota_terms=lambda: QuotaTerms(8.0, 0.1, 0.0, 1),
         slow_start_terms=lambda: SlowStartTerms(1.0, 0.0),
-        warmth=make_warmth(),
+        warmup=make_warmup(),
         limits=make_limits(),
-        on_table_news=lambda zone, told: None if news is None else news.append(told),
+        on_table_news=lambda zone, reported: None if updates is None else updates.append(reported),
         on_placer_heard=lambda: None,
         on_placer_lost=lambda zone: None,
         on_copy_pays=lambda zone, key, saves: None,
@@ -67,19 +67,19 @@
     )
     zone.take(decode(encode(heartbeat)))
     assert (zone.room, zone.boxes, zone.spread) == (4, 7, frozenset({"m/hot"}))
-    assert zone.outlook == Outlook(pressure=1.3, wait_s=0.04)
+    assert zone.wait_estimate == WaitEstimate(pressure=1.3, wait_s=0.04)
     assert directory.leaving() == ("i-1",)
     directory.update(msgspec.structs.replace(RECORD, instance="i-2"))
     assert directory.leaving() == ("i-1", "i-2")
 
 
 def test_what_the_placer_has_read_of_a_table_is_handed_on_as_it_was() -> None:
-    news: list[TableNews] = []
-    zone = make_zone(Directory(Log("directory", "box-1")), news)
+    updates: list[TableNews] = []
+    zone = make_zone(Directory(Log("directory", "box-1")), updates)
     rows = [TableRow("config", b"\x00{}", 8), TableRow("i-1", b"", 9, gone=True)]
-    told = TableNews("op", 7, 9, rows)
-    zone.take(decode(encode(told)))
-    assert news == [told]
+    reported = TableNews("op", 7, 9, rows)
+    zone.take(decode(encode(reported)))
+    assert updates == [reported]
 
 
 def test_a_box_tells_the_placer_what_leaves_and_the_placer_tells_all_boxes() -> None:
--- a/tests/platform/test_engine.py
+++ b/tests/platform/test_engine.py
@@ -16,14 +16,14 @@
 
 @pytest.mark.parametrize("status", ["200 OK", "503 Service Unavailable"])
 def test_the_answer_to_a_report_tells_that_the_engine_leaves(status: str) -> None:
-    told: list[tuple[str, ReplicaNotice]] = []
+    reported: list[tuple[str, ReplicaNotice]] = []
 
     def _script(connection: socket.socket) -> None:
         read_request(connection)
         connection.sendall(answer("", REPORT, "Server-Leaving: 1", status=status))
 
     engines = PlatformEngines(
-        notice_taker=lambda replica_id: lambda notice: told.append((replica_id, notice))
+        notice_taker=lambda replica_id: lambda notice: reported.append((replica_id, notice))
     )
     with ScriptedReplica(_script) as replica:
         if status.startswith("200"):
@@ -31,4 +31,4 @@
         else:
             with pytest.raises(ControlUnanswered):
                 engines.report(replica.address, instance="i-1")
-    assert told == [("i-1", ReplicaNotice(leaving=True))]
+    assert reported == [("i-1", ReplicaNotice(leaving=True))]
--- a/tests/platform/test_replica_rows.py
+++ b/tests/platform/test_replica_rows.py
@@ -57,14 +57,14 @@
         self.residency = Residency(self.directory, Versions())
         self.faults: list[RowFault] = []
         self.lines: list[str] = []
-        self.told: list[tuple[str, bool]] = []
+        self.reported: list[tuple[str, bool]] = []
         log = Log("directory", "box")
         log.say = lambda sentence, **fields: self.lines.append(sentence)  # type: ignore[method-assign]
         self.rows = ReplicaTable(
             self.directory, knows_zone=KNOWS, count_fault=self.faults.append, log=log
         )
         self.directory.on_change.append(
-            lambda record, instance: self.told.append((instance, record is not None))
+            lambda record, instance: self.reported.append((instance, record is not None))
         )
 
     @property
@@ -218,7 +218,7 @@
 def test_an_unknown_id_that_is_not_understood_is_counted_and_nothing_else() -> None:
     table = Table()
     table.rows.change(row({**SOUND, "state": "resting"}))
-    assert table.told == []
+    assert table.reported == []
     assert table.faults == [RowFault.UNKNOWN_STATE]
 
 
@@ -251,7 +251,7 @@
     table.rows.change(row(SOUND))
     table.rows.change(row({**SOUND, "born": SOUND["born"] + 1, "sequence": 0, "models": []}))
     first, second = f"i-1@{SOUND['born']}", f"i-1@{SOUND['born'] + 1}"
-    assert table.told == [(first, True), (first, False), (second, True)]
+    assert table.reported == [(first, True), (first, False), (second, True)]
     assert list(table.known) == [second]
     table.rows.remove(ID)
     assert table.known == {}
@@ -335,10 +335,10 @@
 
 
 @given(st.lists(st.tuples(_IDS, _VALUES), max_size=6))
-def test_no_rows_harm_the_table_or_another_replica(news: list[tuple[str, Any]]) -> None:
+def test_no_rows_harm_the_table_or_another_replica(updates: list[tuple[str, Any]]) -> None:
     table = Table()
     table.rows.replace([row(SOUND, "sound")])
-    for key, value in news:
+    for key, value in updates:
         table.rows.change(_row_of(value, key))
     instance = f"sound@{SOUND['born']}"
     assert table.known[instance] == replica_from(row(SOUND, "sound"), knows_zone=KNOWS)
--- a/tests/platform/test_store_return.py
+++ b/tests/platform/test_store_return.py
@@ -14,7 +14,7 @@
 from springrock.eras import number_of
 from springrock.log import Log
 from springrock.placement.messages import TableNews, decode, encode
-from springrock.placement.table_news import news_from, reading_from
+from springrock.placement.table_news import reading_from, table_news_from
 from springrock.platform.store import PlatformStore
 from springrock.rows import (
     Changes,
@@ -107,15 +107,15 @@
     return follower, listener
 
 
-def tell(told: TableFollower) -> Callable[[TableReading, bool], None]:
+def notify(reported: TableFollower) -> Callable[[TableReading, bool], None]:
     """Return what tells a follower each reading over a link."""
 
-    def _tell(reading: TableReading, is_own: bool) -> None:
-        news = decode(encode(news_from(reading)))
-        assert isinstance(news, TableNews)
-        told.take_reading(reading_from(news))
+    def _notify(reading: TableReading, is_own: bool) -> None:
+        updates = decode(encode(table_news_from(reading)))
+        assert isinstance(updates, TableNews)
+        reported.take_reading(reading_from(updates))
 
-    return _tell
+    return _notify
 
 
 def eventually(condition: Callable[[], bool], what: str, within_s: float = 2.0) -> None:
@@ -169,20 +169,20 @@
     store: ReturningStore,
 ) -> None:
     teller, _ = follow(store, pause_s=0.0)
-    told, listener = follow(store, pause_s=LATER_S)
+    reported, listener = follow(store, pause_s=LATER_S)
     for number in range(5):
         store.put(f"before-{number}", "aaaa")
-    told.start()
+    reported.start()
     eventually(lambda: "before-4" in listener.rows, "the table is read")
     teller.sharing = lambda: True
-    teller.shared_with = tell(told)
+    teller.shared_with = notify(reported)
     teller.start()
     gevent.sleep(0.2)
     store.return_from_copy(copy_s=COPY_S + 5.0)
     store.put("after", "bbbb")
     eventually(lambda: "after" in listener.rows, "a change after the return is known")
     teller.stop()
-    told.stop()
+    reported.stop()
 
 
 def test_a_box_that_asks_only_after_versions_were_given_out_again_misses_no_change(
--- a/tests/quarantine/test_witness.py
+++ b/tests/quarantine/test_crash_detector.py
@@ -12,12 +12,12 @@
 from springrock.forwarding.directory import ReplicaRecord
 from springrock.forwarding.fingerprint import Fingerprint
 from springrock.log import Log
-from springrock.quarantine import witness as witness_module
+from springrock.quarantine import crash_detector as crash_detector_module
 from springrock.quarantine.book import CrashBook
+from springrock.quarantine.crash_detector import CrashDetector
 from springrock.quarantine.report import MOST_REQUESTS
 from springrock.quarantine.terms import QuarantineTerms
-from springrock.quarantine.witness import Witness
-from tests.worlds import NoReports, make_witness
+from tests.worlds import NoReports, make_crash_detector
 
 RECORD = ReplicaRecord(instance="i-1", service="s", address="127.0.0.1:1", zone="zone-1")
 GUILTY = Fingerprint("a" * 32)
@@ -32,7 +32,7 @@
         terms = QuarantineTerms(crashes=1)
         self.book = CrashBook(terms=lambda: terms, log=Log("quarantine", "box-1"))
         self.reports = NoReports()
-        self.witness: Witness = make_witness(self.book, self.reports)
+        self.crash_detector: CrashDetector = make_crash_detector(self.book, self.reports)
 
     def is_held(self, fingerprint: Fingerprint) -> bool:
         return self.book.quarantined_for_s(fingerprint) is not None
@@ -44,13 +44,13 @@
 
 @pytest.fixture
 def scene(monkeypatch: pytest.MonkeyPatch) -> Iterator[Scene]:
-    monkeypatch.setattr(witness_module, "_SIGNS_OF_LIFE_S", SIGNS_OF_LIFE_S)
+    monkeypatch.setattr(crash_detector_module, "_SIGNS_OF_LIFE_S", SIGNS_OF_LIFE_S)
     yield Scene()
 
 
 def test_all_that_broke_at_a_replica_is_held_at_once_and_reported_together(scene: Scene) -> None:
     for fingerprint in (GUILTY, OTHER, GUILTY):
-        scene.witness.note_broken(fingerprint, RECORD)
+        scene.crash_detector.note_broken(fingerprint, RECORD)
     assert scene.is_held(GUILTY) and scene.is_held(OTHER)
     assert scene.settle() == [[GUILTY, OTHER]]
     assert scene.reports.published[0].instance == "i-1"
@@ -58,43 +58,43 @@
 
 
 def test_a_replica_that_answers_a_later_request_has_not_crashed(scene: Scene) -> None:
-    scene.witness.note_broken(GUILTY, RECORD)
-    scene.witness.note_answered("i-1", sent_at=monotonic())
+    scene.crash_detector.note_broken(GUILTY, RECORD)
+    scene.crash_detector.note_answered("i-1", sent_at=monotonic())
     assert not scene.is_held(GUILTY)
     assert scene.settle() == []
 
 
 def test_an_answer_to_an_earlier_request_shows_nothing(scene: Scene) -> None:
     sent_at = monotonic()
-    scene.witness.note_broken(GUILTY, RECORD)
-    scene.witness.note_answered("i-1", sent_at=sent_at)
-    scene.witness.note_answered("i-2", sent_at=monotonic() + 1.0)
+    scene.crash_detector.note_broken(GUILTY, RECORD)
+    scene.crash_detector.note_answered("i-1", sent_at=sent_at)
+    scene.crash_detector.note_answered("i-2", sent_at=monotonic() + 1.0)
     assert scene.settle() == [[GUILTY]]
 
 
 def test_a_replica_that_is_out_of_reach_may_live(scene: Scene) -> None:
-    scene.witness.note_broken(GUILTY, RECORD)
-    scene.witness.note_out_of_reach("i-1")
+    scene.crash_detector.note_broken(GUILTY, RECORD)
+    scene.crash_detector.note_out_of_reach("i-1")
     assert not scene.is_held(GUILTY)
     assert scene.settle() == []
 
 
 def test_the_end_of_a_leaving_replica_accuses_nobody(scene: Scene) -> None:
-    scene.witness.note_broken(GUILTY, msgspec.structs.replace(RECORD, leaving=True))
+    scene.crash_detector.note_broken(GUILTY, msgspec.structs.replace(RECORD, leaving=True))
     assert not scene.is_held(GUILTY)
     assert scene.settle() == []
 
 
 def test_what_breaks_later_at_the_same_incarnation_makes_another_report(scene: Scene) -> None:
-    scene.witness.note_broken(GUILTY, RECORD)
+    scene.crash_detector.note_broken(GUILTY, RECORD)
     scene.settle()
-    scene.witness.note_broken(OTHER, RECORD)
+    scene.crash_detector.note_broken(OTHER, RECORD)
     assert scene.settle() == [[GUILTY], [OTHER]]
 
 
 def test_a_report_holds_no_more_than_the_last_so_many(scene: Scene) -> None:
     for number in range(MOST_REQUESTS + 5):
-        scene.witness.note_broken(Fingerprint(f"{number:032x}"), RECORD)
+        scene.crash_detector.note_broken(Fingerprint(f"{number:032x}"), RECORD)
     [requests] = scene.settle()
     assert len(requests) == MOST_REQUESTS
     assert requests[-1] == f"{MOST_REQUESTS + 4:032x}"
--- a/tests/quarantine/test_quarantine_model.py
+++ b/tests/quarantine/test_quarantine_model.py
@@ -107,10 +107,10 @@
             return None
         self.world.instances += 1
         instance = f"i-{self.world.instances}"
-        self.witness(instance, [GUILTY, *BESIDE[:beside]])
+        self.crash_detector(instance, [GUILTY, *BESIDE[:beside]])
         return instance
 
-    def witness(self, instance: str, requests: list[Fingerprint]) -> None:
+    def crash_detector(self, instance: str, requests: list[Fingerprint]) -> None:
         """See a replica crash under some requests of this box."""
         for fingerprint in requests:
             self.world.crashes_of.setdefault(fingerprint, set()).add(instance)
@@ -183,7 +183,7 @@
             instance = of_world[number].send(beside)
             if instance is not None and other != number:
                 # The same request came to two boxes, and both had sent it to this replica.
-                of_world[other].witness(instance, [GUILTY])
+                of_world[other].crash_detector(instance, [GUILTY])
         case ("try", (number, beside, other)):
             of_world[number].read()
             take(world, of_world, ("send", (number, beside, other)))
@@ -194,9 +194,9 @@
         case ("read", number):
             of_world[number].read()
         case ("tell", number, teller, back):
-            told = of_world[teller].shared
-            if back < len(told) and number != teller:
-                of_world[number].follower.take_reading(told[len(told) - 1 - back])
+            reported = of_world[teller].shared
+            if back < len(reported) and number != teller:
+                of_world[number].follower.take_reading(reported[len(reported) - 1 - back])
         case ("ran_well", number, beside):
             of_world[number].book.note_ran_well(BESIDE[beside])
         case ("restart", number):
--- a/tests/quarantine/test_ways.py
+++ b/tests/quarantine/test_ways.py
@@ -197,9 +197,9 @@
     def _report(self, key: str, report: CrashReport, own: CrashBook) -> None:
         own.take(key, report)
         others = [book for book in self.books if book is not own]
-        self.environment.process(self._tell(key, report, others))
+        self.environment.process(self._notify(key, report, others))
 
-    def _tell(self, key: str, report: CrashReport, others: list[CrashBook]) -> Iterator[Any]:
+    def _notify(self, key: str, report: CrashReport, others: list[CrashBook]) -> Iterator[Any]:
         yield self.environment.timeout(TOLD_AFTER_S)
         for book in others:
             book.take(key, report)
--- a/tests/quotas/test_charging.py
+++ b/tests/quotas/test_charging.py
@@ -93,39 +93,39 @@
 
 def test_an_answer_ends_the_wait() -> None:
     urgent: list[bool] = []
-    book = ChargeBook(on_news=urgent.append)
+    book = ChargeBook(on_update=urgent.append)
     task = asking(book)
-    assert book.take_news() == ([Charge(1, "r", "one", 7)], [])
+    assert book.drain_updates() == ([Charge(1, "r", "one", 7)], [])
     book.note_charged(Charged(1, counts=True, taken=False, back_in_ms=250))
     assert task.get(timeout=10) == (Verdict(False, 0.25), 1)
     book.give_back(1)
-    assert book.take_news() == ([], [GiveBack(1)])
+    assert book.drain_updates() == ([], [GiveBack(1)])
     assert urgent == [True, False]
 
 
 def test_a_charge_without_an_answer_is_taken_back() -> None:
-    book = ChargeBook(on_news=lambda urgent: None)
+    book = ChargeBook(on_update=lambda urgent: None)
     task = asking(book)
-    book.take_news()
+    book.drain_updates()
     with pytest.raises(CounterSilent):
         task.get(timeout=10)
-    assert book.take_news() == ([], [GiveBack(1)])
+    assert book.drain_updates() == ([], [GiveBack(1)])
     book.note_charged(Charged(1, counts=True, taken=True))
 
 
 def test_a_charge_that_was_never_told_is_withdrawn() -> None:
-    book = ChargeBook(on_news=lambda urgent: None)
+    book = ChargeBook(on_update=lambda urgent: None)
     with pytest.raises(CounterSilent):
         asking(book).get(timeout=10)
-    assert book.take_news() == ([], [])
+    assert book.drain_updates() == ([], [])
 
 
 def test_a_client_that_leaves_while_its_charge_is_asked_for_pays_nothing() -> None:
-    book = ChargeBook(on_news=lambda urgent: None)
+    book = ChargeBook(on_update=lambda urgent: None)
     task = asking(book)
-    book.take_news()
+    book.drain_updates()
     task.kill()
-    assert book.take_news() == ([], [GiveBack(1)])
+    assert book.drain_updates() == ([], [GiveBack(1)])
 
 
 def test_a_placer_that_is_lost_or_may_not_count_ends_the_wait_at_once() -> None:
@@ -133,7 +133,7 @@
         lambda book: book.forget_placer(),
         lambda book: book.note_charged(Charged(1, counts=False)),
     ):
-        book = ChargeBook(on_news=lambda urgent: None)
+        book = ChargeBook(on_update=lambda urgent: None)
         task = asking(book)
         end(book)
         with pytest.raises(CounterSilent):
--- a/tests/routed/callers.py
+++ b/tests/routed/callers.py
@@ -30,8 +30,8 @@
         self.answers: list[Answer] = []
         wanted = list(wishes)
         for box in boxes:
-            for wish in wanted:
-                self.add(self._send, box, *wish)
+            for adapter_request in wanted:
+                self.add(self._send, box, *adapter_request)
 
     def _send(self, box: str, path: str, adapter: str) -> None:
         while not self.stop.wait(timeout=PAUSE_S):
--- a/tests/routed/deployment.py
+++ b/tests/routed/deployment.py
@@ -256,8 +256,8 @@
     def team_told(self, request_id: str) -> str | None:
         """The team that the replica was told that ran a request; None if none ran it."""
         names = [name for name in self.addresses if name != "store"]
-        told = (self.counters(name)["teams"].get(request_id) for name in names)
-        return next((team for team in told if team is not None), None)
+        reported = (self.counters(name)["teams"].get(request_id) for name in names)
+        return next((team for team in reported if team is not None), None)
 
     def evacuate(self, zone: str) -> float:
         """Evacuate a zone; return a moment just before that was acknowledged.
--- a/tests/routed/test_path.py
+++ b/tests/routed/test_path.py
@@ -155,12 +155,12 @@
     deployment.fault("rosters-1", leaving=True)
     instance = deployment.counters("rosters-1")["instance"]
 
-    def _told(box: str) -> bool:
+    def _reported(box: str) -> bool:
         lines = deployment.log(box).splitlines()
         return any("is leaving" in line and instance in line for line in lines)
 
     for box in deployment.clients:
-        wait_until(lambda box=box: _told(box), what=f"{box} knows that the replica leaves")
+        wait_until(lambda box=box: _reported(box), what=f"{box} knows that the replica leaves")
     before = sum(deployment.counters("rosters-1")["runs"].values())
     for _ in range(10):
         assert deployment.send("box-1", "/lookup/x", method="GET").status == 200
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -6,11 +6,11 @@
 
 from springrock.eras import (
     VersionOutOfRange,
-    era_from_told,
+    era_from_reported,
     era_of,
     number_of,
+    peer_version,
     shown,
-    told_version,
     version_in,
 )
 from springrock.errors import PeerRejected
@@ -27,10 +27,10 @@
     with pytest.raises(VersionOutOfRange):
         version_in(era, number)
     with pytest.raises(PeerRejected):
-        told_version(era, number)
+        peer_version(era, number)
 
 
 def test_versions_are_shown_as_the_store_names_them() -> None:
-    assert shown(version_in(era_from_told(None), 812)) == "812"
-    assert shown(version_in(era_from_told(0), 812)) == "0:812"
-    assert shown(version_in(era_from_told(3), 1)) == "3:1"
+    assert shown(version_in(era_from_reported(None), 812)) == "812"
+    assert shown(version_in(era_from_reported(0), 812)) == "0:812"
+    assert shown(version_in(era_from_reported(3), 1)) == "3:1"
--- a/tests/test_freshness_model.py
+++ b/tests/test_freshness_model.py
@@ -42,7 +42,7 @@
     removed_at: int | None = None
     relay_asks: Question | None = None
     relay_clock: tuple[int, int, int] | None = None
-    news: tuple[News, ...] = ()
+    updates: tuple[News, ...] = ()
     box_asks: Question | None = None
     box_clock: tuple[int, int, int] | None = None
     box_valid: bool = False
@@ -70,17 +70,17 @@
     return clock
 
 
-def by_the_stores_clock(state: State, news: News) -> int | None:
+def by_the_stores_clock(state: State, updates: News) -> int | None:
     """When what is told was surely the newest, as the product reckons it."""
     if state.box_clock is None:
         return None
     now = state.tick + BOX_AHEAD
-    newest = clock_from(state.box_clock).earliest_local(news.as_of)
+    newest = clock_from(state.box_clock).earliest_local(updates.as_of)
     assert newest is not None
     return round(newest) if newest <= now else None
 
 
-def by_receipt(state: State, news: News) -> int | None:
+def by_receipt(state: State, updates: News) -> int | None:
     """The mutation: what is told counts as the newest when it is received."""
     return state.tick + BOX_AHEAD
 
@@ -108,27 +108,27 @@
     noted = (asked.read_at, asked.sent_at, now)
     as_of = clock_from(noted).earliest_store(asked.sent_at)
     assert as_of is not None
-    news = News(asked.valid, round(as_of))
-    if len(state.news) < 2:
-        yield state._replace(relay_asks=None, news=(*state.news, news))
+    updates = News(asked.valid, round(as_of))
+    if len(state.updates) < 2:
+        yield state._replace(relay_asks=None, updates=(*state.updates, updates))
 
 
 def _box_steps(state: State, take: Take) -> Iterator[State]:
     now = state.tick + BOX_AHEAD
     # The box restarts and knows nothing.
     yield state._replace(
-        box_asks=None, box_clock=None, box_valid=False, box_newest=None, news=state.news
+        box_asks=None, box_clock=None, box_valid=False, box_newest=None, updates=state.updates
     )
-    if state.news:
-        first, *rest = state.news
-        yield state._replace(news=tuple(rest))
+    if state.updates:
+        first, *rest = state.updates
+        yield state._replace(updates=tuple(rest))
         if state.box_clock is not None:
             newest = take(state, first)
             known = state.box_newest
             later = max((at for at in (known, newest) if at is not None), default=None)
             # A removal is never taken back: rising versions.
             valid = state.box_valid and first.valid
-            yield state._replace(news=tuple(rest), box_valid=valid, box_newest=later)
+            yield state._replace(updates=tuple(rest), box_valid=valid, box_newest=later)
     asked = state.box_asks
     if asked is None:
         if state.box_clock is None:
--- a/tests/test_kept_rows.py
+++ b/tests/test_kept_rows.py
@@ -8,9 +8,8 @@
 import msgspec
 import pytest
 
-from springrock import doubted_rows
+from springrock import unconfirmed_rows
 from springrock.clock import monotonic
-from springrock.doubted_rows import KeptS
 from springrock.eras import version_in
 from springrock.forwarding.directory import Directory
 from springrock.forwarding.evacuations import Evacuations
@@ -23,6 +22,7 @@
 from springrock.rows import Change, Removed, Row, RowStore, TableListener, TableReading
 from springrock.table_follower import TableFollower
 from springrock.topology import Topology
+from springrock.unconfirmed_rows import KeptS
 
 LOG = Log("test", "box")
 
@@ -36,7 +36,7 @@
         whole = TableReading("table", 0, version_in(1, 0), [], whole=True)
         self.follower.take_copy(whole, newest_at=monotonic())
 
-    def tell(self, version: int, *changes: Change) -> None:
+    def notify(self, version: int, *changes: Change) -> None:
         after = self.follower.version
         self.follower.take_reading(TableReading("table", after, version, changes))
 
@@ -54,7 +54,7 @@
         nonlocal offset_s
         offset_s += seconds
 
-    monkeypatch.setattr(doubted_rows, "monotonic", lambda: monotonic() + offset_s)
+    monkeypatch.setattr(unconfirmed_rows, "monotonic", lambda: monotonic() + offset_s)
     return _pass
 
 
@@ -88,14 +88,14 @@
 ) -> None:
     evacuated = evacuations()
     table = Table(operator_table(evacuated), kept_operator_row)
-    table.tell(version_in(1, 5), Row("evacuate/zone-1", b"{}", version_in(1, 5)))
+    table.notify(version_in(1, 5), Row("evacuate/zone-1", b"{}", version_in(1, 5)))
     table.return_with()
     assert evacuated.announced == {"zone-1"}
     pass_s(9.0)
-    table.tell(version_in(2, 2))
+    table.notify(version_in(2, 2))
     assert evacuated.announced == {"zone-1"}
     pass_s(2.0)
-    table.tell(version_in(2, 3))
+    table.notify(version_in(2, 3))
     assert evacuated.announced == frozenset(), "the store's word stands in the end"
 
 
@@ -109,13 +109,13 @@
         ),
         kept_replica,
     )
-    table.tell(
+    table.notify(
         version_in(1, 5),
         replica_row("i-gone", version_in(1, 3)),
         replica_row("i-leaving", version_in(1, 4)),
         replica_row("i-young", version_in(1, 5)),
     )
-    table.tell(
+    table.notify(
         version_in(1, 7),
         Removed("i-gone", version_in(1, 6)),
         replica_row("i-leaving", version_in(1, 7), state="draining"),
@@ -127,7 +127,7 @@
     assert directory.leaving() == ("i-leaving",)
     assert directory.find("i-young") is not None, "its row was written after the copy was made"
     pass_s(2.5)
-    table.tell(version_in(2, 2))
+    table.notify(version_in(2, 2))
     assert directory.find("i-young") is None, "it has not written its row again"
     assert directory.find("i-gone") is not None, "nor has anybody removed this one again"
 
@@ -137,8 +137,8 @@
 ) -> None:
     book = CrashBook(terms=lambda: QuarantineTerms(crashes=1, for_s=60.0), log=LOG)
     table = Table(book, kept_own_row)
-    table.tell(version_in(1, 2), report_row("lost", "a"), report_row("swept", "b"))
-    table.tell(version_in(1, 3), Removed("crash/swept", version_in(1, 3)))
+    table.notify(version_in(1, 2), report_row("lost", "a"), report_row("swept", "b"))
+    table.notify(version_in(1, 3), Removed("crash/swept", version_in(1, 3)))
     table.return_with(report_row("swept", "b")._replace(version=version_in(2, 1)))
     assert book.quarantined_count == 1
     pass_s(3600.0)
--- a/tests/test_language.py
+++ b/tests/test_language.py
@@ -45,15 +45,15 @@
     ],
 )
 def test_a_statement_is_understood(text: str, name: str, values: dict[str, str]) -> None:
-    statement, words = parse(text)
+    statement, arguments = parse(text)
     assert statement is statements.get(name)
-    assert words.values == values
+    assert arguments.values == values
 
 
 def test_lists_are_kept_whole() -> None:
-    _, words = parse("create adapter base:x version 1,2,3 for workload a,b")
-    assert words.integers("version") == [1, 2, 3]
-    assert words.lists["workload"] == ["a", "b"]
+    _, arguments = parse("create adapter base:x version 1,2,3 for workload a,b")
+    assert arguments.integers("version") == [1, 2, 3]
+    assert arguments.lists["workload"] == ["a", "b"]
 
 
 @pytest.mark.parametrize(
@@ -90,8 +90,8 @@
         max_size=8,
     )
 )
-def test_no_mixture_of_words_breaks_the_parser(words: list[str]) -> None:
+def test_no_mixture_of_words_breaks_the_parser(arguments: list[str]) -> None:
     try:
-        parse(" ".join(words))
+        parse(" ".join(arguments))
     except StatementError:
         return
--- a/tests/test_table_follower.py
+++ b/tests/test_table_follower.py
@@ -9,7 +9,6 @@
 
 from springrock import table_follower as follower_module
 from springrock.clock import monotonic
-from springrock.doubted_rows import KeptS
 from springrock.eras import version_in
 from springrock.log import Journal, Log
 from springrock.rows import (
@@ -24,6 +23,7 @@
 )
 from springrock.store_clock import StoreClock
 from springrock.table_follower import TableFollower
+from springrock.unconfirmed_rows import KeptS
 
 TABLE = "replicas"
 
@@ -33,19 +33,19 @@
 
     def __init__(self) -> None:
         self.rows: dict[str, bytes] = {}
-        self.told: list[str] = []
+        self.reported: list[str] = []
 
     def replace(self, rows: Sequence[Row]) -> None:
         self.rows = {row.key: row.value for row in rows}
-        self.told.append("all")
+        self.reported.append("all")
 
     def change(self, row: Row) -> None:
         self.rows[row.key] = row.value
-        self.told.append(f"+{row.key}")
+        self.reported.append(f"+{row.key}")
 
     def remove(self, key: str) -> None:
         self.rows.pop(key, None)
-        self.told.append(f"-{key}")
+        self.reported.append(f"-{key}")
 
 
 class ScriptedStore:
@@ -73,17 +73,17 @@
     return follower, listener
 
 
-def told(listener: Listener, *, count: int) -> list[str]:
+def reported(listener: Listener, *, count: int) -> list[str]:
     with gevent.Timeout(10):
-        while len(listener.told) < count:
+        while len(listener.reported) < count:
             gevent.sleep(0.01)
-    return listener.told
+    return listener.reported
 
 
 def test_a_row_that_is_removed_and_put_again_at_once_stays() -> None:
     store = ScriptedStore([Removed("a"), Removed("b"), Row("a", b"2", 4)])
     follower, listener = follow(store)
-    assert told(listener, count=3) == ["all", "-b", "+a"]
+    assert reported(listener, count=3) == ["all", "-b", "+a"]
     assert listener.rows == {"a": b"2"}
     follower.stop()
 
@@ -91,18 +91,18 @@
 def test_a_row_that_is_put_and_removed_at_once_is_gone() -> None:
     store = ScriptedStore([Row("a", b"2", 3), Removed("a")], [Row("b", b"2", 5)])
     follower, listener = follow(store)
-    assert told(listener, count=4) == ["all", "+a", "-a", "+b"]
+    assert reported(listener, count=4) == ["all", "+a", "-a", "+b"]
     assert listener.rows == {"b": b"2"}
     follower.stop()
 
 
 def test_what_another_box_has_read_is_taken_where_it_joins_what_is_known() -> None:
     follower, listener = follow(ScriptedStore())
-    assert told(listener, count=1) == ["all"]
+    assert reported(listener, count=1) == ["all"]
     follower.take_reading(TableReading(TABLE, 5, 6, [Row("a", b"6", 6)]))
-    assert listener.told == ["all"], "changes between 1 and 5 are missing"
+    assert listener.reported == ["all"], "changes between 1 and 5 are missing"
     follower.take_reading(TableReading(TABLE, 0, 3, [Row("b", b"0", 1), Row("a", b"3", 3)]))
-    assert listener.told == ["all", "+a"], "what was known already is passed over"
+    assert listener.reported == ["all", "+a"], "what was known already is passed over"
     follower.take_reading(TableReading(TABLE, 3, 4, [Removed("a", 4)]))
     assert listener.rows == {"b": b"1"}
     follower.stop()
@@ -115,10 +115,10 @@
     follower.take_copy(TableReading(TABLE, 0, 9, [], whole=True), newest_at=monotonic())
     for version in (5, 6, 9):
         follower.take_reading(TableReading(TABLE, 4, version, []), teller="zone-2")
-    told = [
+    reported = [
         (line.fields["told"], line.fields["known"]) for line in journal.about("teller", "zone-2")
     ]
-    assert told == [("5", "9"), ("9", "9")]
+    assert reported == [("5", "9"), ("9", "9")]
 
 
 class CountingStore(ScriptedStore):
@@ -142,7 +142,7 @@
     monkeypatch.setattr(follower_module, "_TOLD_FRESH_S", 0.3)
     store = CountingStore()
     follower, listener = follow(store)
-    told(listener, count=1)
+    reported(listener, count=1)
     follower.take_reading(TableReading(TABLE, 1, 1, []))
     gevent.sleep(0.05)
     asked = store.asked
@@ -173,7 +173,7 @@
 
 def test_who_is_told_passes_it_on_to_those_who_go_by_it() -> None:
     follower, listener = follow(ScriptedStore())
-    assert told(listener, count=1) == ["all"]
+    assert reported(listener, count=1) == ["all"]
     passed_on: list[tuple[TableReading, bool]] = []
     follower.sharing = lambda: True
     follower.shared_with = lambda reading, is_own: passed_on.append((reading, is_own))
@@ -185,7 +185,7 @@
 
 def test_a_whole_table_replaces_what_is_known_unless_it_is_older() -> None:
     follower, listener = follow(ScriptedStore())
-    assert told(listener, count=1) == ["all"]
+    assert reported(listener, count=1) == ["all"]
     follower.take_reading(TableReading(TABLE, 0, 9, [Row("c", b"9", 9)], whole=True))
     assert listener.rows == {"c": b"9"}
     follower.take_reading(TableReading(TABLE, 0, 8, [Row("d", b"8", 8)], whole=True))
@@ -198,7 +198,7 @@
 def test_who_may_not_rely_on_being_told_goes_on_reading() -> None:
     store = CountingStore()
     follower, listener = follow(store)
-    told(listener, count=1)
+    reported(listener, count=1)
     follower.take_reading(TableReading(TABLE, 1, 2, [Row("a", b"2", 2)]), relied_on=False)
     assert listener.rows["a"] == b"2"
     asked = store.asked
@@ -239,7 +239,7 @@
 def test_who_is_no_longer_told_can_read_at_once() -> None:
     store = CountingStore()
     follower, listener = follow(store)
-    told(listener, count=1)
+    reported(listener, count=1)
     gevent.sleep(0.02)
     follower.take_reading(TableReading(TABLE, 1, 1, []))
     gevent.sleep(0.05)
@@ -266,7 +266,7 @@
 def test_how_stale_a_table_is_counts_from_before_the_question() -> None:
     follower, listener = follow(SlowStore())
     assert follower.staleness_s == float("inf")
-    assert told(listener, count=1) == ["all"]
+    assert reported(listener, count=1) == ["all"]
     assert follower.staleness_s >= 0.1 > follower.age_s
     follower.stop()
 
@@ -310,8 +310,8 @@
     """A follower that another box has told its table."""
     listener = Listener()
     follower = TableFollower(store, TABLE, listener, pause_s=0.01, log=Log("rows", "test"))
-    told = TableReading(TABLE, 0, version, [Row("a", b"copy", version)], whole=True)
-    follower.take_copy(told, newest_at=monotonic() - 2.0)
+    reported = TableReading(TABLE, 0, version, [Row("a", b"copy", version)], whole=True)
+    follower.take_copy(reported, newest_at=monotonic() - 2.0)
     return follower, listener
 
 
@@ -363,8 +363,8 @@
     follower.start()
     wait_for_value(listener, b"store")
     follower.stop()
-    told = TableReading(TABLE, 0, 7, [Row("a", b"copy", 7)], whole=True)
-    follower.take_copy(told, newest_at=monotonic())
+    reported = TableReading(TABLE, 0, 7, [Row("a", b"copy", 7)], whole=True)
+    follower.take_copy(reported, newest_at=monotonic())
     assert listener.rows == {"a": b"copy"}
     follower.start()
     wait_for_value(listener, b"store")
@@ -451,7 +451,7 @@
     follower.start()
     gevent.sleep(0.1)
     assert not follower.unread
-    assert listener.told[-1] == "all"
+    assert listener.reported[-1] == "all"
     assert listener.rows == {"b": b"new"}
     follower.stop()
 
--- a/tests/traffic.py
+++ b/tests/traffic.py
@@ -56,7 +56,7 @@
         self._deadline_s = deadline_s
         self._stop = threading.Event()
         self._numbers = itertools.count()
-        self._threads = [threading.Thread(target=self._send_forever) for _ in range(threads)]
+        self._threads = [threading.Thread(target=self._send_loop) for _ in range(threads)]
         self.ended: list[Judged] = []
 
     def __enter__(self) -> Traffic:
@@ -82,7 +82,7 @@
         """The endings that no fault excuses."""
         return [item for item in self.ended if item.wrong or item.state == "silent"]
 
-    def _send_forever(self) -> None:
+    def _send_loop(self) -> None:
         while not self._stop.is_set():
             number = next(self._numbers)
             box = self._boxes[number % len(self._boxes)]
--- a/tests/worlds.py
+++ b/tests/worlds.py
@@ -11,17 +11,17 @@
 from springrock.forwarding.notices import ReplicaNotices
 from springrock.log import Log
 from springrock.permits.named_limits import NamedLimits
-from springrock.permits.warmth import Warmth
+from springrock.permits.warmup import WarmupTracker
 from springrock.quarantine.book import CrashBook
+from springrock.quarantine.crash_detector import CrashDetector
 from springrock.quarantine.report import CrashReport
 from springrock.quarantine.terms import QuarantineTerms
-from springrock.quarantine.witness import Witness
 from springrock.topology import Topology
 
 
-def make_warmth(configuration: Callable[[], Configuration] = Configuration) -> Warmth:
+def make_warmup(configuration: Callable[[], Configuration] = Configuration) -> WarmupTracker:
     """Return what a box knows that always reads the newest rows, and of no evacuation."""
-    return Warmth(
+    return WarmupTracker(
         configuration=configuration,
         rows_as_of=monotonic,
         ended_at=lambda zone: None,
@@ -58,7 +58,7 @@
 
 
 class NoReports:
-    """Implements `springrock.quarantine.witness.Publishes`; keeps what was published."""
+    """Implements `springrock.quarantine.crash_detector.Publishes`; keeps what was published."""
 
     def __init__(self) -> None:
         self.published: list[CrashReport] = []
@@ -67,9 +67,11 @@
         self.published.append(report)
 
 
-def make_witness(book: CrashBook | None = None, reports: NoReports | None = None) -> Witness:
+def make_crash_detector(
+    book: CrashBook | None = None, reports: NoReports | None = None
+) -> CrashDetector:
     """Return a witness of crashes, on a book of its own if none is given."""
-    return Witness(
+    return CrashDetector(
         box="box-1",
         book=book or CrashBook(terms=QuarantineTerms, log=Log("quarantine", "box-1")),
         reports=reports or NoReports(),
