--- a/bench/loads.py
+++ b/bench/loads.py
@@ -60,7 +60,7 @@
         self._came_as: dict[str, dict[str, int]] = defaultdict(dict)
         self._arrivals = Counter[str]()
 
-    def note_assigned(self, said: dict[str, Any]) -> None:
+    def record_assigned(self, said: dict[str, Any]) -> None:
         """Learn what a load that is to be ordered is for."""
         name = (said["instance"], said["adapter"])
         self._zones[said["instance"]] = said["zone"]
@@ -68,14 +68,14 @@
         if said["is_copy"]:
             self._copies.add(name)
 
-    def note_came(self, said: dict[str, Any]) -> None:
+    def record_arrival(self, said: dict[str, Any]) -> None:
         """Learn that an adapter came."""
         adapter, instance = said["adapter"], said["instance"]
         self._arrivals[instance] += 1
         self._stands[adapter].add(instance)
         self._came_as[adapter][instance] = self._arrivals[instance]
 
-    def note_unloaded(self, said: dict[str, Any]) -> None:
+    def record_unloaded(self, said: dict[str, Any]) -> None:
         """Learn that an adapter gave up its place."""
         self._stands[said["adapter"]].discard(said["instance"])
 
@@ -86,9 +86,9 @@
         if (instance, adapter) in self._copies:
             return Cause.COPY
         zone = self._zones.get(instance)
-        standing = self._zones_of(self._stands[adapter])
-        if standing:
-            return Cause.STANDS_IN_ZONE if zone in standing else Cause.STANDS_ELSEWHERE
+        existing = self._zones_of(self._stands[adapter])
+        if existing:
+            return Cause.STANDS_IN_ZONE if zone in existing else Cause.STANDS_ELSEWHERE
         at_hand = self._zones_of(self._keepers(adapter))
         if at_hand:
             return Cause.AT_HAND_IN_ZONE if zone in at_hand else Cause.AT_HAND_ELSEWHERE
@@ -115,14 +115,14 @@
     for said in sorted(said_in(lines, _TEXTS), key=lambda said: said["timestamp"]):
         match said["text"]:
             case str(text) if text == _ASSIGNED:
-                engines.note_assigned(said)
+                engines.record_assigned(said)
             case str(text) if text == _CAME:
                 if said["cold"]:
                     cause = engines.cause_of(said["adapter"], said["instance"])
                     yield Load(said["timestamp"], said["adapter"], said["instance"], cause)
-                engines.note_came(said)
+                engines.record_arrival(said)
             case _ if said["answer"] in _GIVEN_UP:
-                engines.note_unloaded(said)
+                engines.record_unloaded(said)
 
 
 def report(*logs: Path) -> None:
--- a/bench/soak/crashing.py
+++ b/bench/soak/crashing.py
@@ -17,7 +17,7 @@
 _PAUSE_S = 0.15
 """Between two tries: in the shortest span of such a fault some twenty, at all boxes."""
 
-_PATIENCE_S = 2.0
+_TIMEOUT_S = 2.0
 _ENDS_WITHIN_S = 0.1
 """A process that a request has crashed is seen to have ended after so long."""
 
@@ -81,5 +81,5 @@
         self._attempts.append(attempt)
         host, port = split_address(self._boxes[attempt.box])
         connection = http.client.HTTPConnection(host, port)
-        attempt_once(attempt, connection, ends_at=attempt.sent_at + _PATIENCE_S)
+        attempt_once(attempt, connection, ends_at=attempt.sent_at + _TIMEOUT_S)
         connection.close()
--- a/bench/soak/mechanisms.py
+++ b/bench/soak/mechanisms.py
@@ -125,6 +125,6 @@
 def _know_no_limit() -> None:
     from springrock.permits.named_limits import NamedLimits
 
-    NamedLimits.note_named = (  # type: ignore[method-assign]
+    NamedLimits.record_limit_named = (  # type: ignore[method-assign]
         lambda self, instance, per_s, *, sent_at: None
     )
--- a/springrock/box.py
+++ b/springrock/box.py
@@ -93,7 +93,7 @@
             direct,
             zone=self.zone,
             metrics=self.metrics,
-            on_failure=lambda: self.members.note_outage(),
+            on_failure=lambda: self.members.record_outage(),
         )
         self.members = Members(
             self.platform,
@@ -112,8 +112,8 @@
         self.platform.use_peers(self.peers)
         self.peers.handle(wire.StatusQuery, lambda _, query: self.status(query.number))
         self.peers.handle(wire.StopBox, self._on_stop)
-        self.peers.on_link.append(self._look_for_unknown)
-        self.peers.on_lost.append(lambda _: self.members.look_soon())
+        self.peers.on_link.append(self._scan_for_unknown)
+        self.peers.on_lost.append(lambda _: self.members.check_soon())
         self.session = Session(
             self.platform,
             settings.lease,
@@ -148,7 +148,7 @@
             self.platform,
             poll_s=settings.platform.list_poll_s,
             log=self.log("list"),
-            on_change=lambda leaving: self.owner.note_leaving(leaving),
+            on_change=lambda leaving: self.owner.record_leaving(leaving),
         )
         self.claims = Claims(self.platform, box=self.name)
         self.steward = Steward(
@@ -230,9 +230,9 @@
             if replica.availability_zone == self.zone
         ]
 
-    def _look_for_unknown(self, link: Link) -> None:
+    def _scan_for_unknown(self, link: Link) -> None:
         if self.members.holder(link.incarnation) is None:
-            self.members.look_soon(all_zones=True)
+            self.members.check_soon(all_zones=True)
 
     def _zone_in_trouble(self) -> bool:
         """Whether the zone's rows should be read fast: a box is not linked, or all is new."""
--- a/springrock/coordination/claims.py
+++ b/springrock/coordination/claims.py
@@ -49,11 +49,11 @@
     def decide(self, rows: dict[str, Row]) -> None:
         """Settle by what stands in the table."""
         row = rows[self.key]
-        standing = msgspec.json.decode(row.value, type=ClaimValue)
-        if standing.nonce == self.value.nonce:
+        existing = msgspec.json.decode(row.value, type=ClaimValue)
+        if existing.nonce == self.value.nonce:
             self.result.set(Ok(None))
         else:
-            self.result.set(Error(_already_claimed(standing)))
+            self.result.set(Error(_already_claimed(existing)))
 
 
 class Claims:
@@ -124,7 +124,7 @@
             try:
                 batch = self._write_once(batch)
             except PlatformUnavailable:
-                self._settle_by_reading(batch)
+                self._resolve_by_reading(batch)
                 return
 
     def _write_once(self, batch: list[_Wanted]) -> list[_Wanted]:
@@ -147,7 +147,7 @@
                 wanted.decide(failed)
         return [wanted for wanted in batch if wanted.key not in failed]
 
-    def _settle_by_reading(self, batch: list[_Wanted]) -> None:
+    def _resolve_by_reading(self, batch: list[_Wanted]) -> None:
         """After a lost answer: refuse. A claim that stands after all blocks only its repeat.
 
         The request has not been sent, so "not run" is true either way; the claim is taken back
@@ -155,9 +155,9 @@
         """
         for wanted in batch:
             wanted.result.set(Error(_platform_out()))
-            gevent.spawn(self._take_back, wanted)
+            gevent.spawn(self._delete_claim, wanted)
 
-    def _take_back(self, wanted: _Wanted) -> None:
+    def _delete_claim(self, wanted: _Wanted) -> None:
         """Delete our claim once the table answers again, if the lost write took effect."""
         while True:
             gevent.sleep(1.0)
@@ -179,14 +179,14 @@
     """Refuse all but the first of several claims to the same request."""
     first: dict[str, _Wanted] = {}
     for wanted in batch:
-        standing = first.setdefault(wanted.key, wanted)
-        if standing is not wanted:
-            wanted.result.set(Error(_already_claimed(standing.value)))
+        existing = first.setdefault(wanted.key, wanted)
+        if existing is not wanted:
+            wanted.result.set(Error(_already_claimed(existing.value)))
     return list(first.values())
 
 
-def _already_claimed(standing: ClaimValue) -> Refusal:
-    detail = f"the request was taken before, by box {standing.box}; its outcome is not known here"
+def _already_claimed(existing: ClaimValue) -> Refusal:
+    detail = f"the request was taken before, by box {existing.box}; its outcome is not known here"
     return Refusal(Cause.ALREADY_CLAIMED, detail, RunState.UNKNOWN)
 
 
--- a/springrock/coordination/feed.py
+++ b/springrock/coordination/feed.py
@@ -144,7 +144,7 @@
             if self.catalog.revision < self._head.revision:
                 self._load_changes()
             self.loaded = True
-            self._note_known(self._head.revision)
+            self._record_known(self._head.revision)
 
     def commit(self, build: Callable[[Catalog], Change], *, expects: dict[str, int]) -> int:
         """Commit a change, or find that it was committed before.
@@ -264,7 +264,7 @@
         )
         self._on_change()
 
-    def _note_known(self, revision: int) -> None:
+    def _record_known(self, revision: int) -> None:
         self._known_revision = max(self._known_revision, revision)
         if self.catalog.revision >= self._known_revision:
             self._behind_since = None
@@ -302,7 +302,7 @@
 
     def _on_head(self, _: Link, head: wire.Head) -> None:
         if head.revision > self.catalog.revision:
-            self._note_known(head.revision)
+            self._record_known(head.revision)
             self._wake.set()
 
     def _on_fetch(self, _: Link, question: wire.FetchChanges) -> wire.Changes:
@@ -322,7 +322,7 @@
             with self._lock:
                 for encoded in answer.changes:
                     self._apply(msgspec.json.decode(encoded, type=Change))
-                self._note_known(self.catalog.revision)
+                self._record_known(self.catalog.revision)
 
 
 def _change_key(revision: int) -> str:
--- a/springrock/coordination/members.py
+++ b/springrock/coordination/members.py
@@ -104,7 +104,7 @@
         prefix = SESSION_PREFIX if due else f"{SESSION_PREFIX}{self._zone}/"
         self._take(self._platform.rows(prefix), whole=due)
 
-    def note_outage(self) -> None:
+    def record_outage(self) -> None:
         """Note that the table did not answer this box at some call."""
         self._outage = True
 
@@ -196,7 +196,7 @@
         every_s = min(self._lease.all_zones_scan_every_s, age_s)
         return self._all_scanned_at + every_s - monotonic()
 
-    def look_soon(self, *, all_zones: bool = False) -> None:
+    def check_soon(self, *, all_zones: bool = False) -> None:
         """Scan at once, as when a link was lost or an unknown box has dialed."""
         self._whole_wanted = self._whole_wanted or all_zones
         self._wake.set()
--- a/springrock/coordination/ownership.py
+++ b/springrock/coordination/ownership.py
@@ -111,7 +111,7 @@
         self._boxes: tuple[str, ...] = ()
         self._moved_at = 0.0
         self.zone = session.value.zone
-        peers.handle(wire.HandOver, lambda _, __: self.look_soon())
+        peers.handle(wire.HandOver, lambda _, __: self.check_soon())
 
     @property
     def owned(self) -> dict[str, int]:
@@ -128,9 +128,9 @@
         """Begin looking in the background."""
         self._task = gevent.spawn(self._check_loop)
 
-    def look_soon(self) -> None:
+    def check_soon(self) -> None:
         """Look at once, as after a hand-over to this box."""
-        gevent.spawn(self._look_afresh)
+        gevent.spawn(self._reconcile_after_refresh)
 
     def stop(self) -> None:
         """Stop looking."""
@@ -168,18 +168,18 @@
 
     def _check_loop(self) -> None:
         while True:
-            self._look_quietly()
+            self._reconcile_logging_errors()
             gevent.sleep(self._lease.scan_every_s)
 
-    def _look_afresh(self) -> None:
+    def _reconcile_after_refresh(self) -> None:
         """Look after reading the sessions again: the sender may have just begun to stop."""
         try:
             self._members.scan()
         except PlatformUnavailable:
             return
-        self._look_quietly()
+        self._reconcile_logging_errors()
 
-    def _look_quietly(self) -> None:
+    def _reconcile_logging_errors(self) -> None:
         with self._looking:
             try:
                 self.look()
@@ -196,9 +196,11 @@
         if not self._session.held or self._stopping:
             return
         rows = self._read()
-        self._note_boxes()
+        self._record_boxes()
         for name, upstream in self._upstreams.items():
-            self._look_at(upstream, rows.get(name, Row(_key(self.zone, name), ABSENT, b"")))
+            self._reconcile_replica(
+                upstream, rows.get(name, Row(_key(self.zone, name), ABSENT, b""))
+            )
         self._sweep(rows)
 
     def _sweep(self, rows: dict[str, Row]) -> None:
@@ -225,7 +227,7 @@
         rows = self._platform.rows(f"{REPLICA_PREFIX}{self.zone}/")
         return {row.key.rpartition("/")[2]: row for row in rows}
 
-    def _note_boxes(self) -> None:
+    def _record_boxes(self) -> None:
         boxes = tuple(self._eligible())
         if boxes != self._boxes:
             self._boxes = boxes
@@ -244,7 +246,7 @@
     def _desired(self, replica: str) -> str | None:
         return next(iter(rendezvous_order(replica, self._eligible())), None)
 
-    def _look_at(self, upstream: Upstream, row: Row) -> None:
+    def _reconcile_replica(self, upstream: Upstream, row: Row) -> None:
         name = upstream.settings.name
         if row.version == ABSENT:
             if self._desired(name) == self._session.box:
@@ -252,14 +254,14 @@
             return
         value = msgspec.json.decode(row.value, type=ReplicaValue)
         if value.incarnation == self._session.incarnation:
-            self._look_at_own(upstream, row, value)
+            self._reconcile_own(upstream, row, value)
             return
         if name in self._owned:
             self._drop(name)
         if self._desired(name) == self._session.box:
             self._challenge(upstream, row, value)
 
-    def _look_at_own(self, upstream: Upstream, row: Row, value: ReplicaValue) -> None:
+    def _reconcile_own(self, upstream: Upstream, row: Row, value: ReplicaValue) -> None:
         name = upstream.settings.name
         if self._owned.get(name) != value.fence:
             self._gain(upstream, value.fence, previous="")
--- a/springrock/coordination/peers.py
+++ b/springrock/coordination/peers.py
@@ -157,7 +157,7 @@
         while True:
             for member in self._wanted():
                 if member.box not in self._links and member.box not in self._dialing:
-                    gevent.spawn(self._dial_quietly, member)
+                    gevent.spawn(self._dial_logging_errors, member)
             gevent.sleep(_DIAL_EVERY_S)
 
     def _wanted(self) -> list[Member]:
@@ -170,7 +170,7 @@
             wanted += [by_box[box] for box in order[: self._settings.remote_zone_links]]
         return wanted
 
-    def _dial_quietly(self, member: Member) -> None:
+    def _dial_logging_errors(self, member: Member) -> None:
         try:
             self._dial(member)
         except PeerUnreachable as error:
--- a/springrock/coordination/relayed.py
+++ b/springrock/coordination/relayed.py
@@ -110,7 +110,7 @@
         try:
             answer = direct()
         except PlatformUnavailable:
-            self._note_failure(kind)
+            self._record_failure(kind)
             raise
         self._count(kind, "done")
         return answer
@@ -118,7 +118,7 @@
     def _direct_allowed(self) -> bool:
         return monotonic() >= self._skip_direct_until
 
-    def _note_failure(self, kind: str) -> None:
+    def _record_failure(self, kind: str) -> None:
         self._count(kind, "failed")
         self._on_failure()
         self._skip_direct_until = monotonic() + _DIRECT_AGAIN_AFTER_S
--- a/springrock/coordination/session.py
+++ b/springrock/coordination/session.py
@@ -176,9 +176,9 @@
             if row.version == ABSENT:
                 self._begin_again()
                 return
-            standing = msgspec.json.decode(row.value, type=SessionValue)
+            existing = msgspec.json.decode(row.value, type=SessionValue)
             self._version = row.version
-            self.value = msgspec.structs.replace(self.value, renewal=standing.renewal)
+            self.value = msgspec.structs.replace(self.value, renewal=existing.renewal)
 
     def _begin_again(self) -> None:
         self._version = ABSENT
--- a/springrock/doors/caller.py
+++ b/springrock/doors/caller.py
@@ -195,7 +195,7 @@
                 yield event.raw
             self._count(RunState.ANSWERED)
         except RequestRefused as error:
-            self._note_cut(request, error.refusal)
+            self._handle_cut(request, error.refusal)
             yield wire.error_event(error.refusal, request.request_id)
         except (CallerGone, GeneratorExit):
             self._log.say(f"The caller of {request.request_id} left.", request=request.request_id)
@@ -215,7 +215,7 @@
                     pieces.append(choice.piece)
                     finish_reason = choice.finish_reason or finish_reason
         except RequestRefused as error:
-            self._note_cut(request, error.refusal)
+            self._handle_cut(request, error.refusal)
             return self._refuse(error.refusal, request.request_id, counted=True)
         finally:
             answer.close()
@@ -307,7 +307,7 @@
         body = wire.error_body(refusal, request_id)
         return json_response(body, status=wire.status_of(refusal), headers=headers)
 
-    def _note_cut(self, request: ServingRequest, refusal: Refusal) -> None:
+    def _handle_cut(self, request: ServingRequest, refusal: Refusal) -> None:
         self._log.say(
             f"Cut {request.request_id}: {refusal.cause}.",
             request=request.request_id,
--- a/springrock/emulator/load.py
+++ b/springrock/emulator/load.py
@@ -367,9 +367,9 @@
     def take(self, data: bytes) -> None:
         *events, self._buffer = (self._buffer + data).split(b"\n\n")
         for event in events:
-            self._take_event(event)
+            self._handle_event(event)
 
-    def _take_event(self, event: bytes) -> None:
+    def _handle_event(self, event: bytes) -> None:
         if event.startswith(b"event: error"):
             payload = event.partition(_DATA_PREFIX)[2]
             self.error = msgspec.json.decode(payload)["error"]
--- a/springrock/emulator/ports.py
+++ b/springrock/emulator/ports.py
@@ -33,12 +33,12 @@
         """
         while True:
             if not self._left:
-                self._left = self._take_block()
+                self._left = self._reserve_block()
             port = self._left.pop(0)
             if _is_free(port):
                 return port
 
-    def _take_block(self) -> list[int]:
+    def _reserve_block(self) -> list[int]:
         for _ in range(_BLOCKS):
             first = _FIRST_PORT + self._next_block % _BLOCKS * _PORTS_EACH
             self._next_block += 1
--- a/springrock/emulator/proxy.py
+++ b/springrock/emulator/proxy.py
@@ -18,7 +18,7 @@
 Direction = Literal["to_target", "to_caller"]
 _BLOCK_BYTES = 65_536
 _CONNECT_TIMEOUT_S = 2.0
-_STUCK_LOOK_S = 0.05
+_STUCK_POLL_INTERVAL_S = 0.05
 
 
 class RouteFault(msgspec.Struct, frozen=True, kw_only=True):
@@ -89,7 +89,7 @@
                 if self.fault.delay_s:
                     gevent.sleep(self.fault.delay_s)
                 while self._stuck(direction):
-                    gevent.sleep(_STUCK_LOOK_S)
+                    gevent.sleep(_STUCK_POLL_INTERVAL_S)
                 limit = self.fault.half_answer_bytes
                 if direction == "to_caller" and limit and passed + len(block) >= limit:
                     sink.sendall(block[: max(0, limit - passed)])
--- a/springrock/emulator/replica.py
+++ b/springrock/emulator/replica.py
@@ -141,7 +141,7 @@
             "state": "draining" if leaving else "ready",
             "models": self._models(),
             "sequence": self._sequence,
-            **self._start_told(),
+            **self._reported_start(),
             "coldRemainingMs": round(self._cold_left_s * 1000),
         }
         encoded = base64.b64encode(msgspec.json.encode(value)).decode()
@@ -155,7 +155,7 @@
             self._leaving_acknowledged = True
             self._note(ReplicaEventKind.LEAVING_ACKNOWLEDGED)
 
-    def _start_told(self) -> dict[str, int]:
+    def _reported_start(self) -> dict[str, int]:
         return {"born": self._born_ms} if self._settings.tells_start else {}
 
     @property
@@ -197,7 +197,7 @@
             "coming": [f"{model}/{name}@{version}" for name, version in self._coming.items()],
             "running": sum(len(begun) for begun in self._running.values()),
             "queued": 0,
-            **self._start_told(),
+            **self._reported_start(),
         }
 
     # Orders.
@@ -257,17 +257,17 @@
         headers = {names.REQUEST_ID: request_id, names.INSTANCE_ID: self._instance}
         adapter = request.get_header(names.MODEL, "").partition("/")[2]
         if not self._is_meant(adapter):
-            self._note_request(ReplicaEventKind.MISDIRECTED, adapter)
+            self._record_request(ReplicaEventKind.MISDIRECTED, adapter)
             return self._answer(b"", status=421, headers=headers)
         self._arrivals.append(monotonic())
         if self._fault.refuse:
             rest_s = self._fault.asks_rest_s
-            self._note_request(ReplicaEventKind.REFUSED, adapter, asked_rest_s=rest_s)
+            self._record_request(ReplicaEventKind.REFUSED, adapter, asked_rest_s=rest_s)
             return self._answer(b"", status=503, headers={**headers, **self._refusal()})
         self.runs[request_id] += 1
         self._sockets.add(request.environ[SOCKET_KEY])
         self.teams[request_id] = request.get_header(names.TEAM, "")
-        self._note_request(ReplicaEventKind.RAN, adapter)
+        self._record_request(ReplicaEventKind.RAN, adapter)
         if self._crashes_on(path, body):
             os._exit(CRASHED)
         if request.get_header(names.API_KEY) is not None:
@@ -331,7 +331,7 @@
         self.violations[detail] += 1
         self._note(ReplicaEventKind.VIOLATION, detail=detail)
 
-    def _note_request(self, kind: ReplicaEventKind, adapter: str, **more: Any) -> None:
+    def _record_request(self, kind: ReplicaEventKind, adapter: str, **more: Any) -> None:
         request = bottle.request
         self._note(
             kind,
@@ -361,12 +361,12 @@
     def _post_fault(self) -> Any:
         self._fault = msgspec.json.decode(bottle.request.body.read(), type=ReplicaFault)
         if self._fault.reborn:
-            self._start_anew()
+            self._restart()
         if self._fault.cold_s:
             self._cold_until = monotonic() + self._fault.cold_s
         return b""
 
-    def _start_anew(self) -> None:
+    def _restart(self) -> None:
         """Forget all but what tests look at; break off what runs."""
         self._born_ms = max(_now_ms(), self._born_ms + 1)
         self._adapters = {}
--- a/springrock/emulator/rowstore.py
+++ b/springrock/emulator/rowstore.py
@@ -171,11 +171,11 @@
         transaction = msgspec.json.decode(bottle.request.body.read(), type=_Transaction)
         if not operator and any(row.table in _STORE_TABLES for row in transaction.put):
             return self._refusal(403)
-        standing = [self._standing(item) for item in transaction.expected]
+        existing = [self._standing(item) for item in transaction.expected]
         if any(
-            row.ver != item.ver for row, item in zip(standing, transaction.expected, strict=True)
+            row.ver != item.ver for row, item in zip(existing, transaction.expected, strict=True)
         ):
-            body = msgspec.json.encode({"rows": standing, "ver": self._version})
+            body = msgspec.json.encode({"rows": existing, "ver": self._version})
             return self._response(body, status=412)
         self._apply(transaction)
         if self._fault.lose_answers and not operator:
--- a/springrock/entry.py
+++ b/springrock/entry.py
@@ -115,10 +115,10 @@
             ended_at=self._evacuations.ended_at,
             log=self._log_of("slow_start"),
         )
-        self.directory.on_change.append(self._warmup.take_record)
+        self.directory.on_change.append(self._warmup.apply_record)
         self._limits = NamedLimits(self._log_of("permits"))
         self._store = CountedStore(
-            PlatformStore(settings.store.address, on_era=self._note_era),
+            PlatformStore(settings.store.address, on_era=self._record_era),
             calls=self.metrics.store_calls,
         )
         self._build_followers()
@@ -191,8 +191,8 @@
 
     def _build_followers(self) -> None:
         operator = OperatorTable(
-            on_configuration=self._take_configuration,
-            on_unreadable=self._note_unreadable,
+            on_configuration=self._apply_configuration,
+            on_unreadable=self._record_unreadable,
             on_version=self._versions.note,
             evacuations=self._evacuations,
             log=self._log_of("configuration"),
@@ -257,7 +257,7 @@
             lambda: float(number_of(follower.version))
         )
 
-    def _note_era(self, reported: int | None) -> None:
+    def _record_era(self, reported: int | None) -> None:
         if reported is None or reported == self._store_era:
             return
         self._log_of("store").say(
@@ -293,7 +293,7 @@
             directory=self.directory,
             versions=self._versions,
             world=self._world,
-            control=PlatformEngines(notice_taker=self._notices.taker),
+            control=PlatformEngines(notice_taker=self._notices.notice_handler),
             quota_terms=self._quota_terms,
             slow_start_terms=lambda: self.settings.slow_start.terms,
             warmup=self._warmup,
@@ -337,7 +337,7 @@
             budget_of=self._budget_of,
             permits=Permits(
                 counter=self._placement.counter,
-                on_unheard=self.metrics.permits_unheard.inc,
+                on_unanswered=self.metrics.permits_unanswered.inc,
                 is_cold=self._warmup.is_cold,
                 limits=self._limits,
                 shares=OwnShares(
@@ -402,7 +402,7 @@
         def _take(reading: TableReading, relied_on: bool, teller: str) -> None:
             if reading.table in by_table:
                 follower = by_table[reading.table]
-                follower.take_reading(reading, relied_on=relied_on, teller=teller)
+                follower.apply_reading(reading, relied_on=relied_on, teller=teller)
 
         self._placement.on_reading = _take
         self._placement.on_alone = lambda: by_table[PLACERS_TABLE].read_alone()
@@ -417,10 +417,10 @@
         )
         for zone in self._topology.zones:
             watch.show(zone)
-        self._evacuations.on_change.append(self._placement.handovers.note_change)
-        self._evacuations.on_cut.append(self._placement.handovers.note_cut)
+        self._evacuations.on_change.append(self._placement.handovers.handle_change)
+        self._evacuations.on_cut.append(self._placement.handovers.handle_cut)
 
-    def _take_configuration(self, configuration: Configuration) -> None:
+    def _apply_configuration(self, configuration: Configuration) -> None:
         """Put a configuration in force; an older one than that in force is passed over."""
         self._is_unreadable = False
         if configuration.version <= self._routes.configuration.version:
@@ -437,7 +437,7 @@
         if any(team.limited for team in configuration.teams or ()) and not self._quota_zones():
             self._log.say("Teams have quotas, but the settings do not list the zones.")
 
-    def _note_unreadable(self) -> None:
+    def _record_unreadable(self) -> None:
         """Learn that there is a configuration that this box cannot read; it may take keys away."""
         self._is_unreadable = True
 
--- a/springrock/entry_process.py
+++ b/springrock/entry_process.py
@@ -18,7 +18,7 @@
 from springrock.platform.names import SETTINGS_VARIABLE
 from springrock.settings import read
 
-_LOOK_AT_SETTINGS_S = 1.0
+_SETTINGS_POLL_INTERVAL_S = 1.0
 
 
 def run_entry(settings_path: str = "") -> int:
@@ -61,7 +61,7 @@
     def run(self) -> None:
         """Look at the file again and again."""
         while True:
-            gevent.sleep(_LOOK_AT_SETTINGS_S)
+            gevent.sleep(_SETTINGS_POLL_INTERVAL_S)
             if self._modified_at() != self._seen:
                 self.reload()
 
--- a/springrock/forwarding/budget.py
+++ b/springrock/forwarding/budget.py
@@ -42,7 +42,7 @@
         self._requests: deque[float] = deque()
         self._retries: deque[float] = deque()
 
-    def note_request(self) -> None:
+    def record_request(self) -> None:
         """Count a request that a client sent."""
         self._requests.append(monotonic())
 
--- a/springrock/forwarding/choosing.py
+++ b/springrock/forwarding/choosing.py
@@ -148,9 +148,9 @@
         self._deadlines = _UsualDeadlines()
         self._chance = random.Random()
 
-    def note_request(self, progress: RequestProgress) -> None:
+    def record_request(self, progress: RequestProgress) -> None:
         """Count a new request."""
-        self._budget_of(progress.service).note_request()
+        self._budget_of(progress.service).record_request()
         self._deadlines.note(progress)
 
     def is_returning(self, progress: RequestProgress) -> bool:
--- a/springrock/forwarding/connection.py
+++ b/springrock/forwarding/connection.py
@@ -127,7 +127,7 @@
             raise AnswerBroken(f"no answer: {type(error).__name__}: {error}") from None
         self._response = response
         headers = Headers.from_pairs(response.getheaders())
-        self._note_idle_time(headers.get("keep-alive"))
+        self._record_idle_timeout(headers.get("keep-alive"))
         return AnswerHead(response.status, response.reason, headers)
 
     def read(self, *, within_s: float) -> bytes:
@@ -158,7 +158,7 @@
             return False
         return response.isclosed() or response.length == 0
 
-    def note_kept(self) -> None:
+    def record_kept(self) -> None:
         """Note that the connection begins to rest."""
         self._kept_since = monotonic()
         self._response = None
@@ -185,7 +185,7 @@
             pass
         self._socket.close()
 
-    def _note_idle_time(self, keep_alive: str | None) -> None:
+    def _record_idle_timeout(self, keep_alive: str | None) -> None:
         if keep_alive is None:
             return
         for part in keep_alive.split(","):
@@ -247,7 +247,7 @@
         if self._closed or not connection.reusable or len(self._resting) >= _KEPT_AT_MOST:
             connection.close()
             return
-        connection.note_kept()
+        connection.record_kept()
         self._resting.append(connection)
 
     def close(self) -> None:
--- a/springrock/forwarding/directory.py
+++ b/springrock/forwarding/directory.py
@@ -177,7 +177,7 @@
         """Return the newest start that was told of an id, in Unix milliseconds."""
         return self._starts.get(replica_id)
 
-    def note_leaving(self, instance: str, sign: LeavingSign) -> None:
+    def record_leaving(self, instance: str, sign: LeavingSign) -> None:
         """Learn otherwise than by its row that a replica leaves, which may come much later.
 
         That a replica that is not known yet leaves is remembered.
@@ -188,7 +188,7 @@
         elif not known.record.leaving:
             self._take(msgspec.structs.replace(known.record, leaving=True), sign=sign)
 
-    def note_backoff(self, replica_id: str, seconds: float) -> None:
+    def record_backoff(self, replica_id: str, seconds: float) -> None:
         """Learn that the replica of an id wants nothing from this box for so long.
 
         It holds for whatever start stands under the id, and after its row went for a while: what
@@ -200,7 +200,7 @@
         backoff.extend(seconds)
         self._backoffs.note(replica_id, backoff)
 
-    def note_not_understood(self, replica_id: str) -> None:
+    def record_not_understood(self, replica_id: str) -> None:
         """Learn that what stands under an id is not understood: it gets no new work.
 
         What is known of it stays until it says something sound, or is gone.
@@ -227,7 +227,7 @@
         for replica_id in self._by_id.keys() - by_id.keys() - doubtful:
             self.remove(replica_id)
         for replica_id in doubtful:
-            self.note_not_understood(replica_id)
+            self.record_not_understood(replica_id)
         for record in by_id.values():
             self.update(record)
 
--- a/springrock/forwarding/door.py
+++ b/springrock/forwarding/door.py
@@ -81,7 +81,7 @@
                 headers.append(("Connection", "close"))  # type: ignore[arg-type]
             start_response(f"{reply.head.status} {reply.head.reason}", headers)
         except CallerGone:
-            self._note_gone(environ)
+            self._record_disconnect(environ)
             finish.run("gone")
             raise
         except BaseException:
@@ -118,7 +118,7 @@
             outcome = str(reply.head.status)
         except (CallerGone, GeneratorExit):
             outcome = "gone"
-            self._note_gone(environ)
+            self._record_disconnect(environ)
             raise
         finally:
             close = getattr(reply.body, "close", None)
@@ -126,7 +126,7 @@
                 close()
             finish.run(outcome)
 
-    def _note_gone(self, environ: dict[str, Any]) -> None:
+    def _record_disconnect(self, environ: dict[str, Any]) -> None:
         self._log.say("A client left.", target=environ[TARGET_KEY])
 
     def finished(self, outcome: str, seconds: float) -> None:
--- a/springrock/forwarding/evacuation_watch.py
+++ b/springrock/forwarding/evacuation_watch.py
@@ -36,7 +36,7 @@
         self._directory = directory
         self._metrics = metrics
         self._log = log
-        evacuations.on_change.append(self._note_change)
+        evacuations.on_change.append(self._handle_change)
 
     def show(self, zone: str) -> None:
         """Show a zone in the metrics, evacuated or not."""
@@ -45,17 +45,17 @@
         running = self._metrics.evacuated_running.labels(zone)
         running.set_function(lambda: float(self._running(zone)))
 
-    def _note_change(self, zone: str, evacuated: bool) -> None:
+    def _handle_change(self, zone: str, evacuated: bool) -> None:
         self.show(zone)
         if evacuated:
-            gevent.spawn(self._watch, zone, self._evacuations.learnt_at(zone))
+            gevent.spawn(self._watch, zone, self._evacuations.learned_at(zone))
 
-    def _watch(self, zone: str, learnt_at: float | None) -> None:
+    def _watch(self, zone: str, learned_at: float | None) -> None:
         """Log each change of what still runs in a zone after its cut, until nothing does."""
         while left_s := self._evacuations.cut_in_s(zone):
             gevent.sleep(left_s)
         reported: int | None = None
-        while self._evacuations.learnt_at(zone) == learnt_at:
+        while self._evacuations.learned_at(zone) == learned_at:
             running = self._running(zone)
             if running != reported:
                 self._log.say("Requests still run in an evacuated zone.", zone=zone, count=running)
@@ -67,13 +67,13 @@
 
     def _running(self, zone: str) -> int:
         """Return how many requests of this box run in a zone that is evacuated; 0 in any other."""
-        if self._evacuations.learnt_at(zone) is None:
+        if self._evacuations.learned_at(zone) is None:
             return 0
         return sum(replica.running for replica in self._directory.in_zone(zone))
 
     def _is_evacuated(self, zone: str) -> float:
-        return float(self._evacuations.learnt_at(zone) is not None)
+        return float(self._evacuations.learned_at(zone) is not None)
 
     def _age_s(self, zone: str) -> float:
-        learnt_at = self._evacuations.learnt_at(zone)
-        return 0.0 if learnt_at is None else round(monotonic() - learnt_at, 3)
+        learned_at = self._evacuations.learned_at(zone)
+        return 0.0 if learned_at is None else round(monotonic() - learned_at, 3)
--- a/springrock/forwarding/evacuations.py
+++ b/springrock/forwarding/evacuations.py
@@ -34,7 +34,7 @@
         cut_at: From when on nothing is sent to the zone.
     """
 
-    learnt_at: float
+    learned_at: float
     cut_at: float
 
 
@@ -83,15 +83,15 @@
         now = monotonic()
         return frozenset(zone for zone, item in self._standing.items() if item.cut_at <= now)
 
-    def learnt_at(self, zone: str) -> float | None:
+    def learned_at(self, zone: str) -> float | None:
         """Return when this box learnt that a zone is evacuated; None if it is not."""
-        standing = self._standing.get(zone)
-        return None if standing is None else standing.learnt_at
+        existing = self._standing.get(zone)
+        return None if existing is None else existing.learned_at
 
     def cut_in_s(self, zone: str) -> float | None:
         """Return in how many seconds a zone gets nothing any more; None if it is not evacuated."""
-        standing = self._standing.get(zone)
-        return None if standing is None else max(0.0, standing.cut_at - monotonic())
+        existing = self._standing.get(zone)
+        return None if existing is None else max(0.0, existing.cut_at - monotonic())
 
     def ended_at(self, zone: str) -> float | None:
         """Return when a zone was taken back, on the local monotonic clock; None if never."""
@@ -113,13 +113,13 @@
 
     def end(self, zone: str) -> None:
         """Take a zone back."""
-        standing = self._standing.pop(zone, None)
-        if standing is None:
+        existing = self._standing.pop(zone, None)
+        if existing is None:
             return
         now = monotonic()
         self._ended_at[zone] = now
         self._log.say(
-            "A zone is taken back.", zone=zone, after_s=round(now - standing.learnt_at, 3)
+            "A zone is taken back.", zone=zone, after_s=round(now - existing.learned_at, 3)
         )
         self._notify(zone, False)
 
@@ -137,7 +137,7 @@
             return
         now = monotonic()
         announced_s = max(0.0, self._announced_s(age_s))
-        standing = self._standing[zone] = _Evacuation(now, now + announced_s)
+        existing = self._standing[zone] = _Evacuation(now, now + announced_s)
         self._log.say(
             "A zone is evacuated.",
             zone=zone,
@@ -146,7 +146,7 @@
         )
         self._notify(zone, True)
         if announced_s:
-            gevent.spawn(self._cut_in_time, zone, standing)
+            gevent.spawn(self._cut_in_time, zone, existing)
         else:
             self._cut(zone)
 
@@ -155,11 +155,11 @@
         within_s = self._within_s()
         return min(_ANNOUNCED_PART * within_s, _CUT_PART * within_s - age_s)
 
-    def _cut_in_time(self, zone: str, standing: _Evacuation) -> None:
+    def _cut_in_time(self, zone: str, existing: _Evacuation) -> None:
         # A timer may end a little early by the clock that everybody compares with.
-        while (left_s := standing.cut_at - monotonic()) > 0:
+        while (left_s := existing.cut_at - monotonic()) > 0:
             gevent.sleep(left_s)
-            if self._standing.get(zone) is not standing:
+            if self._standing.get(zone) is not existing:
                 return
         self._cut(zone)
 
--- a/springrock/forwarding/events.py
+++ b/springrock/forwarding/events.py
@@ -38,7 +38,7 @@
             events.append(Event(raw, found.group(1).decode("latin-1") if found else ""))
         return events
 
-    def take_rest(self) -> bytes:
+    def drain_rest(self) -> bytes:
         """Return the bytes of an event that is not whole, at the end of the stream."""
         rest, self._rest = self._rest, b""
         return rest
--- a/springrock/forwarding/exchange.py
+++ b/springrock/forwarding/exchange.py
@@ -29,7 +29,7 @@
     """Take what nobody counts."""
 
 
-def _learn_nothing(head: AnswerHead) -> None:
+def _ignore_head(head: AnswerHead) -> None:
     """Take what nobody learns from."""
 
 
@@ -97,7 +97,7 @@
     head_within_s: float,
     may_send: Callable[[], bool] = lambda: True,
     on_close: OnClose = _count_nothing,
-    on_head: Callable[[AnswerHead], None] = _learn_nothing,
+    on_head: Callable[[AnswerHead], None] = _ignore_head,
 ) -> Answer:
     """Send a request to a replica and return its answer, to be closed by the caller.
 
--- a/springrock/forwarding/forwarder.py
+++ b/springrock/forwarding/forwarder.py
@@ -87,7 +87,7 @@
             self._say_not_admitted(request, route, rejection, table.configuration.version)
             return rejected(rejection)
         progress = RequestProgress(request, route, route.pick_service(self._chance), admission)
-        self._chooser.note_request(progress)
+        self._chooser.record_request(progress)
         reply = self._forward_charged(progress)
         self._say_ending(progress, reply, table.configuration.version)
         return reply
@@ -131,12 +131,12 @@
             finally:
                 answer.close()
         except ExchangeError as error:
-            self._sender.note_failure(progress, replica, attempt, error)
+            self._sender.record_failure(progress, replica, attempt, error)
             raise
         finally:
             self._sender.end(chosen, attempt)
-        self._sender.note_answer(progress, replica, attempt, answer.head.status)
-        self._sender.note_whole(progress)
+        self._sender.record_answer(progress, replica, attempt, answer.head.status)
+        self._sender.record_full_table(progress)
         return pass_on(answer.head, [body])
 
     # Streams.
--- a/springrock/forwarding/health.py
+++ b/springrock/forwarding/health.py
@@ -19,7 +19,7 @@
 """How fast a replica that said it is full is believed to have a place again: of several that run
 at once one soon ends."""
 
-_DOUBT_HALF_LIFE_S = 20.0
+_FAILURE_HALF_LIFE_S = 20.0
 """How fast failures stop to keep requests of this box away: one that is not tried shows nothing."""
 
 
@@ -31,7 +31,7 @@
     """
 
     def __init__(self) -> None:
-        self._noted_at = 0.0
+        self._recorded_at = 0.0
         self._full_at: float | None = None
         self._in_a_row = 0
         self._rests = 0
@@ -53,7 +53,7 @@
         """The failure rate, the less so the longer ago this box saw the last outcome."""
         if not self.failure_rate:
             return 0.0
-        return self.failure_rate * _half_lives(self._noted_at, _DOUBT_HALF_LIFE_S)
+        return self.failure_rate * _half_lives(self._recorded_at, _FAILURE_HALF_LIFE_S)
 
     @property
     def fullness(self) -> float:
@@ -62,26 +62,26 @@
             return 0.0
         return _half_lives(self._full_at, _FULL_HALF_LIFE_S)
 
-    def note_full(self) -> None:
+    def record_full(self) -> None:
         """Note that the replica did not run a request for want of room."""
         self._full_at = monotonic()
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Note an answer."""
-        self._noted_at = monotonic()
+        self._recorded_at = monotonic()
         self._in_a_row = 0
         self._rests = 0
         self.failure_rate *= 1 - _RATE_STEP
 
-    def note_failure(self) -> None:
+    def record_failure(self) -> None:
         """Note an exchange that failed after the replica was reached."""
-        self._noted_at = monotonic()
+        self._recorded_at = monotonic()
         self._in_a_row += 1
         self.failure_rate += (1 - self.failure_rate) * _RATE_STEP
         if self._in_a_row >= _FAILURES_TO_REST:
             self._rest()
 
-    def note_unreachable(self) -> None:
+    def record_unreachable(self) -> None:
         """Note that no connection came up."""
         self._in_a_row += 1
         self._rest()
--- a/springrock/forwarding/notices.py
+++ b/springrock/forwarding/notices.py
@@ -53,13 +53,13 @@
         self._unknown: Remembered[None] = Remembered(at_most=_UNKNOWN_KEPT)
         self.on_leaving: list[Callable[[str], None]] = []
 
-    def take_answer(self, replica: Replica, notice: ReplicaNotice, *, sent_at: float) -> None:
+    def handle_answer(self, replica: Replica, notice: ReplicaNotice, *, sent_at: float) -> None:
         """Take what the answer to a request that was sent at a time told of its replica.
 
         One that names no limit tells that none stands; answers to orders and reports do not.
         """
         if notice.of_replica and notice.limit_per_s is None and not notice.unreadable:
-            self._limits.note_silent(replica.instance, sent_at=sent_at)
+            self._limits.record_silent(replica.instance, sent_at=sent_at)
         self.take(replica, notice, sent_at=sent_at)
 
     def take(self, replica: Replica, notice: ReplicaNotice, *, sent_at: float) -> None:
@@ -75,7 +75,7 @@
             )
         if notice.backoff_s:
             self._count("backoff")
-            self._directory.note_backoff(replica.record.replica_id, notice.backoff_s)
+            self._directory.record_backoff(replica.record.replica_id, notice.backoff_s)
             self._log.say(
                 "A replica asks for rest.",
                 instance=replica.instance,
@@ -85,17 +85,17 @@
             )
         if notice.limit_per_s is not None:
             self._count("limit")
-            self._limits.note_named(replica.instance, notice.limit_per_s, sent_at=sent_at)
+            self._limits.record_limit_named(replica.instance, notice.limit_per_s, sent_at=sent_at)
         for word in notice.unknown:
-            self._note_unknown(replica, word)
+            self._record_unknown(replica, word)
         # One whose row went may come back: what it said is remembered of its incarnation.
         if notice.leaving and not self._directory.is_leaving(replica.instance):
             self._count("leaving")
-            self._directory.note_leaving(replica.instance, LeavingSign.ANSWER)
+            self._directory.record_leaving(replica.instance, LeavingSign.ANSWER)
             for listener in self.on_leaving:
                 listener(replica.instance)
 
-    def _note_unknown(self, replica: Replica, word: str) -> None:
+    def _record_unknown(self, replica: Replica, word: str) -> None:
         """Show that a replica says what no part reads, once for each replica and name."""
         said = f"{replica.instance} {word}"
         if said in self._unknown:
@@ -109,7 +109,7 @@
             said=word,
         )
 
-    def taker(self, replica_id: str) -> NoticeTaker:
+    def notice_handler(self, replica_id: str) -> NoticeTaker:
         """Return what takes the answer to a call that is about to be sent to the replica of an id.
 
         It binds the start that is known now: by the time of the answer a later one may stand there.
--- a/springrock/forwarding/request_progress.py
+++ b/springrock/forwarding/request_progress.py
@@ -15,9 +15,9 @@
 from springrock.forwarding.message import ClientRequest
 
 _DEFAULT_DEADLINE_S = 60.0
-_SHORTEST_PATIENCE_S = 2.0
-_TARGETS_OF_PATIENCE = 4
-_GAPS_OF_PATIENCE = 8
+_MIN_FIRST_EVENT_TIMEOUT_S = 2.0
+_TARGETS_PER_TIMEOUT = 4
+_GAPS_PER_TIMEOUT = 8
 
 
 class AttemptOutcome(StrEnum):
@@ -116,7 +116,7 @@
         if route.timeout_s is not None:
             limits_s.append(route.timeout_s)
         self.ends_at = received_at + min(limits_s)
-        self.first_event_by = min(self.ends_at, received_at + self.patience_s)
+        self.first_event_by = min(self.ends_at, received_at + self.first_event_timeout_s)
         self.last_event_id = request.last_event_id
         self.resuming = False
         self.bounds = _bounds_of(route, admission)
@@ -133,14 +133,14 @@
         return self.route.priority if team is None or team.priority is None else team.priority
 
     @property
-    def patience_s(self) -> float:
+    def first_event_timeout_s(self) -> float:
         """How long a client of a stream waits for the next event."""
         if not self.streaming:
             return _DEFAULT_DEADLINE_S
         return max(
-            _SHORTEST_PATIENCE_S,
-            _TARGETS_OF_PATIENCE * self.route.target_s,
-            _GAPS_OF_PATIENCE * self.route.gap_s,
+            _MIN_FIRST_EVENT_TIMEOUT_S,
+            _TARGETS_PER_TIMEOUT * self.route.target_s,
+            _GAPS_PER_TIMEOUT * self.route.gap_s,
         )
 
     @property
@@ -166,7 +166,7 @@
         self.attempts.append(attempt)
         return attempt
 
-    def note_event(self, event_id: str) -> None:
+    def record_event(self, event_id: str) -> None:
         """Note that an event goes to the client."""
         self.last_event_id = event_id
         self.resuming = True
--- a/springrock/forwarding/sending.py
+++ b/springrock/forwarding/sending.py
@@ -143,38 +143,38 @@
             head_within_s=head_within_s,
             may_send=lambda: self._may_send(progress, chosen),
             on_close=self._ways.to(replica.record.zone),
-            on_head=lambda head: self._take_notice(
+            on_head=lambda head: self._handle_notice(
                 progress, replica, attempt, self._dialect.notice(head)
             ),
         )
 
-    def _take_notice(
+    def _handle_notice(
         self, progress: RequestProgress, replica: Replica, attempt: Attempt, notice: ReplicaNotice
     ) -> None:
         """Note what an answer tells of its replica, from its head: a stream may last for long."""
         attempt.notice = notice
         sent_at = progress.request.received_at + attempt.began_s
-        self._notices.take_answer(replica, notice, sent_at=sent_at)
+        self._notices.handle_answer(replica, notice, sent_at=sent_at)
 
-    def note_answer(
+    def record_answer(
         self, progress: RequestProgress, replica: Replica, attempt: Attempt, status: int
     ) -> None:
         """Learn from an answer's status."""
         sent_at = progress.request.received_at + attempt.began_s
-        self._warmup.note_answered(replica.record, sent_at=sent_at)
-        self._crash_detector.note_answered(replica.instance, sent_at=sent_at)
+        self._warmup.record_answered(replica.record, sent_at=sent_at)
+        self._crash_detector.record_answered(replica.instance, sent_at=sent_at)
         if status >= 500:
             attempt.outcome = AttemptOutcome.FAILED
-            replica.health.note_failure()
+            replica.health.record_failure()
         else:
             attempt.outcome = AttemptOutcome.ANSWERED
-            replica.health.note_success()
+            replica.health.record_success()
 
-    def note_whole(self, progress: RequestProgress) -> None:
+    def record_full_table(self, progress: RequestProgress) -> None:
         """Learn that a replica ran the request to a good end, and lives."""
-        self._crash_detector.note_ran_well(progress.fingerprint)
+        self._crash_detector.record_completion(progress.fingerprint)
 
-    def note_failure(
+    def record_failure(
         self, progress: RequestProgress, replica: Replica, attempt: Attempt, error: ExchangeError
     ) -> None:
         """Learn from an exchange without an answer."""
@@ -202,29 +202,29 @@
         """Tell what an attempt without an answer shows of crashes."""
         match error:
             case AnswerBroken():
-                self._crash_detector.note_broken(progress.fingerprint, replica.record)
+                self._crash_detector.record_break(progress.fingerprint, replica.record)
             case ReplicaFull():
                 sent_at = progress.request.received_at + attempt.began_s
-                self._crash_detector.note_answered(replica.instance, sent_at=sent_at)
+                self._crash_detector.record_answered(replica.instance, sent_at=sent_at)
             case ReplicaUnreachable() if not isinstance(error, ConnectionRefused):
-                self._crash_detector.note_out_of_reach(replica.instance)
+                self._crash_detector.record_unreachable(replica.instance)
 
     def _blame(self, progress: RequestProgress, replica: Replica, error: ExchangeError) -> None:
         key = progress.request.adapter_key
         if isinstance(error, ReplicaUnreachable):
             refused = isinstance(error, ConnectionRefused)
-            self._warmup.note_failed(replica.record, refused=refused)
-            replica.health.note_unreachable()
+            self._warmup.record_failed(replica.record, refused=refused)
+            replica.health.record_unreachable()
         elif isinstance(error, AnswerSilent) and progress.age_s < _SHORTEST_SILENCE_S:
             return
         elif isinstance(error, OutcomeUnknown):
-            self._warmup.note_failed(replica.record, refused=False)
-            replica.health.note_failure()
+            self._warmup.record_failed(replica.record, refused=False)
+            replica.health.record_failure()
         elif isinstance(error, ReplicaFull):
-            replica.health.note_full()
+            replica.health.record_full()
         elif not isinstance(error, ReplicaChanged):
             return
         elif key is not None:
             self._adapters.deny(replica.instance, key)
         else:
-            replica.health.note_failure()
+            replica.health.record_failure()
--- a/springrock/forwarding/streaming.py
+++ b/springrock/forwarding/streaming.py
@@ -51,13 +51,13 @@
             answer = self._send()
             self._first = self._read(answer, within_s=self._first_event_within_s())
         except ExchangeError as error:
-            self._sender.note_failure(self._progress, self._replica, self._attempt, error)
+            self._sender.record_failure(self._progress, self._replica, self._attempt, error)
             self.close()
             raise
         except BaseException:
             self.close()
             raise
-        self._sender.note_answer(self._progress, self._replica, self._attempt, answer.head.status)
+        self._sender.record_answer(self._progress, self._replica, self._attempt, answer.head.status)
         if self._chosen.use is not None and answer.head.succeeded:
             self._chosen.use.began()
         return answer.head
@@ -68,7 +68,7 @@
         while data:
             yield data
             data = self._read_next(self._answer)
-        self._sender.note_whole(self._progress)
+        self._sender.record_full_table(self._progress)
 
     def close(self) -> None:
         """Give the connection back or close it; safe to call again."""
@@ -96,11 +96,11 @@
 
     def _read_next(self, answer: Answer) -> bytes:
         progress = self._progress
-        pause_s = _SILENCE_TO_RESUME_S if progress.may_run_again else progress.patience_s
+        pause_s = _SILENCE_TO_RESUME_S if progress.may_run_again else progress.first_event_timeout_s
         try:
             return self._read(answer, within_s=min(pause_s, progress.left_s))
         except OutcomeUnknown as error:
-            self._sender.note_failure(progress, self._replica, self._attempt, error)
+            self._sender.record_failure(progress, self._replica, self._attempt, error)
             raise
 
     def _read(self, answer: Answer, *, within_s: float) -> bytes:
@@ -109,11 +109,11 @@
         while True:
             data = answer.read(within_s=deadline.left_s)
             if not data:
-                return self._splitter.take_rest()
+                return self._splitter.drain_rest()
             events = self._splitter.feed(data)
             for event in events:
                 if event.event_id:
-                    self._progress.note_event(event.event_id)
+                    self._progress.record_event(event.event_id)
             if events:
                 return b"".join(event.raw for event in events)
 
--- a/springrock/metrics.py
+++ b/springrock/metrics.py
@@ -212,7 +212,7 @@
             ["answer"],
             registry=registry,
         )
-        self.permits_unheard = Counter(
+        self.permits_unanswered = Counter(
             "springrock_slow_start_permits_unheard",
             "Asks for permits that no placer answered.",
             registry=registry,
--- a/springrock/permits/named_limits.py
+++ b/springrock/permits/named_limits.py
@@ -98,7 +98,7 @@
 
     # What answers tell.
 
-    def note_named(self, instance: str, per_s: float, *, sent_at: float) -> None:
+    def record_limit_named(self, instance: str, per_s: float, *, sent_at: float) -> None:
         """Learn that an answer to a request that was sent at a time names a limit."""
         now = monotonic()
         known = self._words.get(instance)
@@ -114,7 +114,7 @@
         self._repeated_at.note(instance, now)
         self._notify(LimitReport(instance, per_s))
 
-    def note_silent(self, instance: str, *, sent_at: float) -> None:
+    def record_silent(self, instance: str, *, sent_at: float) -> None:
         """Learn that an answer to a request that was sent at a time names no limit."""
         before = self.per_s(instance)
         if before is None or sent_at <= self._known_at(instance):
--- a/springrock/permits/permit_book.py
+++ b/springrock/permits/permit_book.py
@@ -36,7 +36,7 @@
         self._new: list[PermitAsk] = []
         self._seen: list[ReplicaObservation] = []
 
-    def ask(self, adapter_request: PermitAsk) -> tuple[PermitVerdict, float]:
+    def ask(self, permit_ask: PermitAsk) -> tuple[PermitVerdict, float]:
         """Ask for a permit; return the answer and until when it is good, on the local clock.
 
         It is good for its life from before the ask, so that no delay on the way lengthens it.
@@ -45,7 +45,7 @@
             PermitsUnheard: If no answer comes. What the placer may have taken out is lost.
         """
         good_until = monotonic() + PERMIT_LIFE_S
-        ask = msgspec.structs.replace(adapter_request, number=next(self._numbers))
+        ask = msgspec.structs.replace(permit_ask, number=next(self._numbers))
         answer = self._asked[ask.number] = AsyncResult()
         self._new.append(ask)
         self._on_update(True)
@@ -66,7 +66,7 @@
             self._seen.append(observation)
         self._on_update(False)
 
-    def note_permitted(self, permitted: Permitted) -> None:
+    def record_permitted(self, permitted: Permitted) -> None:
         """Learn the placer's answer; who has left does without."""
         answer = self._asked.get(permitted.number)
         if answer is not None:
--- a/springrock/permits/permits.py
+++ b/springrock/permits/permits.py
@@ -17,18 +17,18 @@
 """How long a zone whose placer did not answer an ask is not asked again: each ask in vain holds a
 request up."""
 
-UNHEARD_RETRY_S = 0.5
+UNANSWERED_RETRY_S = 0.5
 """When to come back if nobody counts: a placer that was killed is followed within a lease."""
 
 
 class Permitting(Protocol):
     """Counts out the permits of one zone."""
 
-    def permit(self, adapter_request: PermitAsk) -> tuple[PermitVerdict, float]:
+    def permit(self, permit_ask: PermitAsk) -> tuple[PermitVerdict, float]:
         """Ask for a permit; return the answer and until when it is good.
 
         Args:
-            adapter_request: What is asked, with no number yet.
+            permit_ask: What is asked, with no number yet.
 
         Raises:
             PermitsUnheard: If no answer comes.
@@ -45,7 +45,7 @@
     """
 
     good_until: float | None
-    back_in_s: float = UNHEARD_RETRY_S
+    back_in_s: float = UNANSWERED_RETRY_S
 
 
 class Permits:
@@ -63,13 +63,13 @@
         self,
         *,
         counter: Callable[[str], Permitting],
-        on_unheard: Callable[[], None],
+        on_unanswered: Callable[[], None],
         is_cold: Callable[[ReplicaRecord], bool],
         limits: NamedLimits,
         shares: OwnShares,
     ) -> None:
         self._counter = counter
-        self._on_unheard = on_unheard
+        self._on_unanswered = on_unanswered
         self._is_cold = is_cold
         self._limits = limits
         self._shares = shares
@@ -95,7 +95,7 @@
         no_room_until = self._no_room_until.get(record.instance, 0.0)
         if not returns and not grant and now < no_room_until:
             return Permit(None, no_room_until - now)
-        adapter_request = PermitAsk(
+        permit_ask = PermitAsk(
             0,
             request,
             record.service,
@@ -106,13 +106,13 @@
             limit_per_s=limit_per_s,
         )
         try:
-            verdict, good_until = self._counter(record.zone).permit(adapter_request)
+            verdict, good_until = self._counter(record.zone).permit(permit_ask)
         except PermitsUnheard:
-            self._on_unheard()
+            self._on_unanswered()
             self._left_alone_until[record.zone] = monotonic() + _LEFT_ALONE_S
             return self._uncounted(record, cold=cold, limit_per_s=limit_per_s)
         if not verdict.granted:
-            self._note_no_room(record.instance, verdict.room_in_s)
+            self._record_no_room(record.instance, verdict.room_in_s)
             return Permit(None, verdict.back_in_s)
         if limit_per_s is not None and not verdict.limited:
             # A placer of an earlier build has counted the cold start alone.
@@ -130,7 +130,7 @@
             return Permit(None, room_in_s)
         return Permit(monotonic() + PERMIT_LIFE_S)
 
-    def _note_no_room(self, instance: str, room_in_s: float) -> None:
+    def _record_no_room(self, instance: str, room_in_s: float) -> None:
         now = monotonic()
         self._no_room_until = {
             name: until for name, until in self._no_room_until.items() if until > now
--- a/springrock/permits/warmup.py
+++ b/springrock/permits/warmup.py
@@ -138,7 +138,7 @@
 
     # What rows say.
 
-    def take_record(self, record: ReplicaRecord | None, instance: str) -> None:
+    def apply_record(self, record: ReplicaRecord | None, instance: str) -> None:
         """Learn what a replica says of itself; None if it is gone."""
         if record is None:
             self._records.pop(instance, None)
@@ -158,7 +158,7 @@
 
     # What requests see.
 
-    def note_failed(self, record: ReplicaRecord, *, refused: bool) -> None:
+    def record_failed(self, record: ReplicaRecord, *, refused: bool) -> None:
         """Learn that a replica could not be reached, or broke off before an answer.
 
         Args:
@@ -172,7 +172,7 @@
         if refused:
             self._notify(record, answered=False)
 
-    def note_answered(self, record: ReplicaRecord, *, sent_at: float) -> None:
+    def record_answered(self, record: ReplicaRecord, *, sent_at: float) -> None:
         """Learn that a replica answered a request that was sent at a time."""
         reported_since = self._reported_since(record, monotonic()) if self._reported else None
         if reported_since is not None and sent_at >= reported_since:
--- a/springrock/placement/backoffs.py
+++ b/springrock/placement/backoffs.py
@@ -13,9 +13,9 @@
 
     def note(self, box: str, instance: str, *, seconds: float) -> None:
         """Note that an engine wants nothing from a box for so long."""
-        standing = {name: self._by_box[box][name] for name in self.of(box)}
-        standing.setdefault(instance, Backoff()).extend(seconds)
-        self._by_box[box] = standing
+        existing = {name: self._by_box[box][name] for name in self.of(box)}
+        existing.setdefault(instance, Backoff()).extend(seconds)
+        self._by_box[box] = existing
 
     def of(self, box: str) -> frozenset[str]:
         """Return the engines that want nothing from a box now."""
--- a/springrock/placement/demand.py
+++ b/springrock/placement/demand.py
@@ -105,11 +105,11 @@
 
     def began(self) -> None:
         """Note that the first event of the answer came."""
-        self._book.note_began(self.number, monotonic() - self._sent_at)
+        self._book.record_start(self.number, monotonic() - self._sent_at)
 
     def end(self, outcome: UseOutcome, *, backoff_s: float = 0.0) -> None:
         """Note the end; safe to call again."""
-        self._book.note_end(self.number, outcome, backoff_s=backoff_s)
+        self._book.record_end(self.number, outcome, backoff_s=backoff_s)
 
 
 class DemandBook:
@@ -168,7 +168,7 @@
         try:
             while requester.granted is None:
                 self._check(requester)
-                requester.updates.wait(timeout=max(0.01, self._next_look_s(requester)))
+                requester.updates.wait(timeout=max(0.01, self._next_check_s(requester)))
                 requester.updates.clear()
             self._uses[requester.number] = _Standing(requester.granted, adapter_request.key)
             return EngineUse(self, requester.number, requester.granted, requester.permit_until)
@@ -185,13 +185,13 @@
         self._notify()
         return EngineUse(self, number, instance)
 
-    def note_began(self, number: int, after_s: float) -> None:
+    def record_start(self, number: int, after_s: float) -> None:
         """Note that the first event of a use came, so long after it was sent."""
         if number in self._uses and number not in self._updates.uses and self._has_placer():
             self._updates.began.append(Began(number, round(after_s * 1000)))
             self._notify()
 
-    def note_end(self, number: int, outcome: UseOutcome, *, backoff_s: float = 0.0) -> None:
+    def record_end(self, number: int, outcome: UseOutcome, *, backoff_s: float = 0.0) -> None:
         """Note the end of a use; what has ended is passed over."""
         if self._uses.pop(number, None) is None:
             return
@@ -249,19 +249,19 @@
         self._notify()
         raise NoReplica("load_promised", back_in_s)
 
-    def _next_look_s(self, requester: _Requester) -> float:
+    def _next_check_s(self, requester: _Requester) -> float:
         now = monotonic()
-        looks = [
+        check_times = [
             requester.adapter_request.terms.until,
             requester.adapter_request.terms.until - _START_S,
         ]
         if requester.adapter_request.key not in self._forecasts:
-            looks.append(requester.began_at + _SILENCE_S)
-        return min((at - now for at in looks if at > now), default=0.02)
+            check_times.append(requester.began_at + _SILENCE_S)
+        return min((at - now for at in check_times if at > now), default=0.02)
 
     # What the placer tells.
 
-    def note_grant(
+    def record_grant(
         self, number: int, instance: str, *, permitted: bool = False
     ) -> AdapterKey | None:
         """Learn where a request is to be sent; one that left has been withdrawn.
@@ -277,7 +277,9 @@
         requester.updates.set()
         return requester.adapter_request.key
 
-    def note_forecast(self, key: AdapterKey, ready_in_s: float, *, elsewhere: bool = False) -> None:
+    def record_forecast(
+        self, key: AdapterKey, ready_in_s: float, *, elsewhere: bool = False
+    ) -> None:
         """Learn when an adapter will be there, or that who waits is to ask another zone."""
         self._forecasts[key] = monotonic() + ready_in_s
         for requester in self._requesters.values():
@@ -302,7 +304,7 @@
             self._updates.copies[key] = saves
             self._notify()
 
-    def note_leaving(self, instance: str) -> None:
+    def record_leaving(self, instance: str) -> None:
         """Tell that a replica leaves, as its answer said so."""
         if self._has_placer():
             self._updates.leaving.add(instance)
@@ -322,7 +324,7 @@
         for requester in self._requesters.values():
             requester.updates.set()
 
-    def note_written(self, written: Written) -> None:
+    def record_written(self, written: Written) -> None:
         """Tell the placer what came of a row that it had asked to be written."""
         self._written.append(written)
         self._notify(urgent=True)
@@ -365,8 +367,8 @@
                 if number in self._requesters
             ],
             uses=[
-                UseMessage(number, standing.instance, *standing.key)
-                for number, standing in ((number, self._uses[number]) for number in updates.uses)
+                UseMessage(number, existing.instance, *existing.key)
+                for number, existing in ((number, self._uses[number]) for number in updates.uses)
             ],
             began=updates.began,
             over=updates.over,
--- a/springrock/placement/dispatcher.py
+++ b/springrock/placement/dispatcher.py
@@ -122,7 +122,7 @@
 
     # What becomes of requests.
 
-    def note_granted(
+    def record_granted(
         self, box: str, number: int, choice: Choice, key: AdapterKey, prompt: list[tuple[str, int]]
     ) -> None:
         """Note that a request was sent to its engine."""
@@ -131,13 +131,13 @@
         work.kept.note(key, prompt)
         self._add((box, number), _Run(choice.instance, key, choice.unread, work.unread))
 
-    def note_use(self, box: str, use: Use) -> None:
+    def record_use(self, box: str, use: Use) -> None:
         """Note a use that no ask preceded, or that an earlier placer granted."""
         key = AdapterKey(use.model, use.adapter)
         self._begun.add((box, use.number))
         self._add((box, use.number), _Run(use.instance, key))
 
-    def note_began(self, box: str, began: Began) -> None:
+    def record_start(self, box: str, began: Began) -> None:
         """Note the first event of a request."""
         name = (box, began.number)
         run = self._runs.get(name)
@@ -147,9 +147,9 @@
         work = self._work.get(run.instance)
         if work is not None:
             work.unread -= run.unread
-            work.note_read(run.ahead, after_s=began.after_ms / 1000)
+            work.record_read(run.ahead, after_s=began.after_ms / 1000)
 
-    def note_over(self, box: str, over: Over) -> _Run | None:
+    def record_finished(self, box: str, over: Over) -> _Run | None:
         """Note the end of a request; return what ended, if it was known."""
         name = (box, over.number)
         run = self._runs.pop(name, None)
@@ -165,7 +165,7 @@
         if work is not None:
             work.runs -= 1
             work.unread -= 0 if begun else run.unread
-            self._learn(work, run, over.outcome)
+            self._record_outcome(work, run, over.outcome)
             if over.backoff_ms:
                 work.backoff.extend(over.backoff_ms / 1000)
         return run
@@ -173,11 +173,11 @@
     def forget_box(self, box: str) -> None:
         """Take all requests of a box for ended."""
         for name in [name for name in self._runs if name[0] == box]:
-            self.note_over(box, Over(name[1]))
+            self.record_finished(box, Over(name[1]))
 
     def crowded_since(self, at: float) -> list[AdapterKey]:
         """Return the adapters whose holders let a request wait for long since then."""
-        self.crowded = {key: noted for key, noted in self.crowded.items() if noted >= at}
+        self.crowded = {key: recorded for key, recorded in self.crowded.items() if recorded >= at}
         return list(self.crowded)
 
     def backing_off(self) -> frozenset[str]:
@@ -199,12 +199,12 @@
         self.work(run.instance).runs += 1
         self.used[(run.instance, run.key)] += 1
 
-    def _learn(self, work: EngineWork, run: _Run, outcome: Outcome) -> None:
+    def _record_outcome(self, work: EngineWork, run: _Run, outcome: Outcome) -> None:
         if outcome is Outcome.LACKING:
-            work.note_lacking(run.key)
+            work.record_missing(run.key)
         elif outcome is Outcome.FULL:
-            work.note_full()
+            work.record_full()
         elif outcome is Outcome.UNREACHABLE:
-            work.health.note_unreachable()
+            work.health.record_unreachable()
         elif outcome is Outcome.FAILED:
-            work.health.note_failure()
+            work.health.record_failure()
--- a/springrock/placement/election.py
+++ b/springrock/placement/election.py
@@ -18,21 +18,21 @@
 from springrock.placement.succession import HandoverTarget, Successor
 
 _HEARTBEAT_S = 0.4
-_FIRST_LOOK_S = 0.1
+_FIRST_POLL_SPREAD_S = 0.1
 """Over this time after they know the rows the boxes spread their first look: the first to take a
 free lease is known to the others a few ms later. Without it 195 boxes wrote 150 to 260 times."""
 
 _LOOK_S = 0.6
-_LOOK_GROWTH = 1.4
-_LONGEST_LOOK_S = 0.9
+_POLL_INTERVAL_GROWTH = 1.4
+_MAX_POLL_INTERVAL_S = 0.9
 """A placer that could not be linked to is dialed again this often, without news of its row: it has
 most likely just left, and news of its successor are on their way."""
 
 _RENEWALS_PER_LEASE = 3
-_COURTESY_S = 1.5
+_OTHER_ZONE_DELAY_S = 1.5
 """How much longer a lapsed lease is left to the boxes of the zone itself."""
 
-_HAND_BACK_AFTER_S = 2.0
+_HAND_BACK_DELAY_S = 2.0
 """How long a box of the zone itself must have been linked before it is trusted with the lease."""
 
 _MUCH_STRONGER = 1.5
@@ -98,21 +98,21 @@
         self._links = links
         self._incarnation = incarnation
         self._holder = holder
-        self._look_s = _LOOK_S
+        self._poll_interval_s = _LOOK_S
         self._stopping = False
         self._wake = Event()
 
     def run(self) -> None:
         """Take part until the task is killed; a box that stops takes no lease any more."""
         self._board.wait_known()
-        gevent.sleep(random.uniform(0.0, _FIRST_LOOK_S))
+        gevent.sleep(random.uniform(0.0, _FIRST_POLL_SPREAD_S))
         while True:
             if self._lease.held:
                 self._hold()
-                self._look_s = _LOOK_S
+                self._poll_interval_s = _LOOK_S
             elif self._client.linked:
                 self._client.lost.wait()
-                self._look_s = _LOOK_S
+                self._poll_interval_s = _LOOK_S
             else:
                 self._find_placer()
 
@@ -138,18 +138,18 @@
         much weaker."""
         settings = self._settings
         if settings.zone != self._zone:
-            return self._links.hold(self._zone, for_s=_HAND_BACK_AFTER_S)
+            return self._links.hold(self._zone, for_s=_HAND_BACK_DELAY_S)
         if settings.strength >= _AMPLE_STRENGTH:
             return False
         needed = settings.strength * _MUCH_STRONGER
-        return self._links.hold(self._zone, for_s=_HAND_BACK_AFTER_S, strength=needed)
+        return self._links.hold(self._zone, for_s=_HAND_BACK_DELAY_S, strength=needed)
 
-    def courtesy_s(self) -> float:
+    def takeover_delay_s(self) -> float:
         """Return how much longer a free lease is left to boxes that do better as the placer."""
         settings = self._settings
         weakness = max(0.0, 1.0 - settings.strength / _AMPLE_STRENGTH)
-        courtesy_s = 0.0 if settings.zone == self._zone else _COURTESY_S
-        return courtesy_s + weakness * _WEAKNESS_S
+        takeover_delay_s = 0.0 if settings.zone == self._zone else _OTHER_ZONE_DELAY_S
+        return takeover_delay_s + weakness * _WEAKNESS_S
 
     def _leave_if_followed(self) -> None:
         """Leave the role as this box stops, unless nobody could take it."""
@@ -192,21 +192,25 @@
         self._holder.end_placing()
 
     def _find_placer(self) -> None:
-        standing = self._lease.look()
+        existing = self._lease.look()
         holder = self._board.holder(key_of(self._zone))
         if holder is not None and self._is_other(holder) and self._link_to(holder):
             return
-        courtesy_s = self.courtesy_s()
-        if not self._stopping and self._lease.challenge(standing, courtesy_s=courtesy_s):
+        takeover_delay_s = self.takeover_delay_s()
+        if not self._stopping and self._lease.challenge(
+            existing, takeover_delay_s=takeover_delay_s
+        ):
             return
-        self._pause_before_look(standing)
+        self._pause_before_poll(existing)
 
-    def _pause_before_look(self, standing: PlacerRow | None) -> None:
+    def _pause_before_poll(self, existing: PlacerRow | None) -> None:
         """Wait for news of the row, but not beyond the time at which the lease lapses."""
-        free_in_s = self._lease.free_in_s(standing)
-        pause_s = random.uniform(self._look_s / 2, self._look_s)
-        self._look_s = min(_LONGEST_LOOK_S, self._look_s * _LOOK_GROWTH)
-        timeout_s = min(pause_s, max(_FIRST_LOOK_S, free_in_s))
+        free_in_s = self._lease.free_in_s(existing)
+        pause_s = random.uniform(self._poll_interval_s / 2, self._poll_interval_s)
+        self._poll_interval_s = min(
+            _MAX_POLL_INTERVAL_S, self._poll_interval_s * _POLL_INTERVAL_GROWTH
+        )
+        timeout_s = min(pause_s, max(_FIRST_POLL_SPREAD_S, free_in_s))
         self._board.wait(key_of(self._zone), timeout_s=timeout_s)
 
     def _link_to(self, holder: PlacerRow | Successor) -> bool:
--- a/springrock/placement/engine_book.py
+++ b/springrock/placement/engine_book.py
@@ -147,7 +147,7 @@
         """Return the adapters that the engine may load again without the weight store."""
         return self._lately.keys()
 
-    def load_taken(
+    def load_executed(
         self,
         key: AdapterKey,
         *,
@@ -206,7 +206,7 @@
             place.state = PlaceState.READY
             place.unanswered = False
 
-    def unload_taken(self, key: AdapterKey) -> None:
+    def unload_executed(self, key: AdapterKey) -> None:
         """Note that the engine took an order to unload."""
         place = self.places.get(key)
         if place is not None:
@@ -233,7 +233,7 @@
         if place is not None:
             self._remember(key, place.version)
 
-    def take_report(self, state: EngineState) -> bool:
+    def apply_report(self, state: EngineState) -> bool:
         """Take what the engine reports; return whether the report is new enough to count."""
         settled = monotonic() - self.ordered_at > _REPORTS_LAG_S
         if self.sequence is not None and state.sequence < self.sequence and not settled:
@@ -241,14 +241,14 @@
         self.sequence = state.sequence
         self.models = state.models
         self.busy = state.busy
-        self._take_listed(state.adapters, PlaceState.READY)
-        self._take_listed(state.coming, PlaceState.COMING)
+        self._apply_listed(state.adapters, PlaceState.READY)
+        self._apply_listed(state.coming, PlaceState.COMING)
         listed = {held.key for held in (*state.adapters, *state.coming)}
         for key in [key for key in self.places if key not in listed]:
             self.unloaded(key)
         return True
 
-    def _take_listed(self, listed: Iterable[HeldAdapter], state: PlaceState) -> None:
+    def _apply_listed(self, listed: Iterable[HeldAdapter], state: PlaceState) -> None:
         for held in listed:
             place = self.places.get(held.key)
             if place is None:
--- a/springrock/placement/engine_work.py
+++ b/springrock/placement/engine_work.py
@@ -89,11 +89,11 @@
         """Seconds for reading one token, about; what was seen long ago counts little."""
         return self._usual.token_s * self._slowness_now()
 
-    def note_full(self) -> None:
+    def record_full(self) -> None:
         """Learn that the engine has no room."""
         self._full_until = monotonic() + _FULL_S
 
-    def note_lacking(self, key: AdapterKey) -> None:
+    def record_missing(self, key: AdapterKey) -> None:
         """Learn from the engine itself that it does not hold an adapter."""
         self._denied[key] = monotonic() + _DENIED_S
 
@@ -107,9 +107,9 @@
         del self._denied[key]
         return False
 
-    def note_read(self, tokens: int, *, after_s: float) -> None:
+    def record_read(self, tokens: int, *, after_s: float) -> None:
         """Learn how long the engine took for a prompt and for those before it."""
-        self.health.note_success()
+        self.health.record_success()
         if tokens < _SHORTEST_SAMPLE_TOKENS:
             return
         usual_s = self._usual.token_s
--- a/springrock/placement/handover.py
+++ b/springrock/placement/handover.py
@@ -59,7 +59,7 @@
     brought: set[AdapterKey]
 
 
-class AheadWants:
+class PrefetchWants:
     """The adapters that one zone's placer brings although nobody asked for them here.
 
     Args:
@@ -138,7 +138,7 @@
         ranked = sorted(asked, key=lambda key: -asked[key])[:_WANTED_AT_MOST]
         return [unasked(key, now) for key in ranked]
 
-    def note_cut(self, from_zone: str) -> None:
+    def handle_cut(self, from_zone: str) -> None:
         """Learn that an evacuated zone gets nothing any more."""
         taken = self._taken.get(from_zone)
         if taken is None:
@@ -181,7 +181,7 @@
         demand: What this box wants and uses of the zone's engines.
     """
 
-    ahead: AheadWants
+    ahead: PrefetchWants
     demand: DemandBook
 
     @property
@@ -220,23 +220,23 @@
         self._residency = residency
         self._world = world
         self._log = log
-        self._heard_at: dict[str, float] = {}
+        self._reported_at: dict[str, float] = {}
 
-    def note_change(self, zone: str, evacuated: bool) -> None:
+    def handle_change(self, zone: str, evacuated: bool) -> None:
         """Learn that a zone is evacuated, or was taken back."""
         if evacuated:
             self._move_requesters(zone, but_for=lambda key: self._stands_in(key, zone))
             gevent.spawn(self._send_while_announced, zone)
-            gevent.spawn_later(_PLACER_HEARD_S, self._take_unheard, zone)
+            gevent.spawn_later(_PLACER_HEARD_S, self._hand_over_unreported, zone)
             return
         for other in self._zones().values():
             other.ahead.drop(zone)
 
-    def note_cut(self, zone: str) -> None:
+    def handle_cut(self, zone: str) -> None:
         """Learn that a zone gets nothing any more."""
         self._move_requesters(zone, but_for=lambda key: False)
         for other in self._zones().values():
-            other.ahead.note_cut(zone)
+            other.ahead.handle_cut(zone)
 
     def take(self, zone: str, handover: Handover) -> None:
         """Learn what was asked for in a zone; each zone that this box places takes its part.
@@ -245,7 +245,7 @@
         """
         known = self._world()
         world = known._replace(announced=known.announced | {zone})
-        self._heard_at[zone] = monotonic()
+        self._reported_at[zone] = monotonic()
         views = self._remaining(zone, world)
         missing = [item for item in handover.adapters if not self._stands(item.key, world)]
         for name, other in self._zones().items():
@@ -263,10 +263,10 @@
             if zone not in world.announced or zone in world.evacuated:
                 return
 
-    def _take_unheard(self, zone: str) -> None:
+    def _hand_over_unreported(self, zone: str) -> None:
         """Go by what the engines of a zone were said to hold, if its placer told nothing."""
         # Its placer may have told a little before this box learnt of the evacuation.
-        heard_s = monotonic() - self._heard_at.get(zone, float("-inf"))
+        heard_s = monotonic() - self._reported_at.get(zone, float("-inf"))
         if heard_s < 2 * _PLACER_HEARD_S or zone not in self._world().announced:
             return
         keys = self._residency.held_in(zone)
--- a/springrock/placement/keeper.py
+++ b/springrock/placement/keeper.py
@@ -136,7 +136,7 @@
         self._stale = True
         self._work.set()
 
-    def take_record(self, record: ReplicaRecord) -> None:
+    def apply_record(self, record: ReplicaRecord) -> None:
         """Learn what the engine newly says of itself."""
         self.book.record = record
 
@@ -174,7 +174,7 @@
         book.reachable = True
         self._reported_at = monotonic()
         self._reported_runs = state.running + state.queued
-        if book.take_report(state):
+        if book.apply_report(state):
             self._stale = False
         else:
             gevent.sleep(_LOOK_S)
@@ -229,7 +229,7 @@
         for leaving in book.unanswered_unloads:
             if (book.instance, leaving) not in used:
                 return self._order(OrderKind.UNLOAD, leaving)
-        may_unload = not self._awaits_word()
+        may_unload = not self._awaits_reports()
         outdated = self._first_assigned(
             lambda key: (
                 may_unload
@@ -249,7 +249,7 @@
             return False
         return self._order(OrderKind.UNLOAD, victim)
 
-    def _awaits_word(self) -> bool:
+    def _awaits_reports(self) -> bool:
         """Whether requests may run here that no box has told this placer of yet."""
         is_new = monotonic() - self._began_at < _WORD_WITHIN_S
         return is_new and self._reported_runs > self._known_runs()
@@ -309,25 +309,25 @@
             gevent.sleep(_LOOK_S)
             return True
         self._say(order, answer.value)
-        self._take_answer(order, answer, sent_at)
+        self._handle_answer(order, answer, sent_at)
         self._settle()
         return True
 
     def _give(self, order: Order) -> OrderAnswer:
         """Give an order; without an answer it stays noted as one that may be carried out yet."""
         record = self.book.record
-        self.book.late_orders.note_sent(record, order)
+        self.book.late_orders.record_sent(record, order)
         answer = self._control.order(record.address, instance=record.replica_id, order=order)
-        self.book.late_orders.note_answered(record, order)
+        self.book.late_orders.record_answered(record, order)
         return answer
 
-    def _take_answer(self, order: Order, answer: OrderAnswer, sent_at: float) -> None:
+    def _handle_answer(self, order: Order, answer: OrderAnswer, sent_at: float) -> None:
         book = self.book
         if answer is OrderAnswer.DONE and order.kind is OrderKind.LOAD:
             book.loaded(order.key, version=order.version)
             return
         if answer in (OrderAnswer.TAKEN, OrderAnswer.DONE):
-            self._note_taken(order, answer, sent_at)
+            self._record_executed(order, answer, sent_at)
             return
         place = book.places.get(order.key)
         if answer is not OrderAnswer.CONFLICT or place is None or not place.unanswered:
@@ -340,7 +340,7 @@
             book.assigned.pop(order.key, None)
         gevent.sleep(_CONFLICT_PAUSE_S)
 
-    def _note_taken(self, order: Order, answer: OrderAnswer, sent_at: float) -> None:
+    def _record_executed(self, order: Order, answer: OrderAnswer, sent_at: float) -> None:
         book = self.book
         place = book.places.get(order.key)
         if order.kind is OrderKind.LOAD and place is not None:
@@ -353,13 +353,13 @@
             self._stale = True
             return
         if order.kind is OrderKind.UNLOAD:
-            book.unload_taken(order.key)
+            book.unload_executed(order.key)
             if answer is OrderAnswer.DONE:
                 book.unloaded(order.key)
             return
         warm = book.at_hand(order.key, version=order.version)
         expected_s = _WARM_S if warm else _COLD_S
-        book.load_taken(
+        book.load_executed(
             order.key,
             version=order.version,
             sent_at=sent_at,
--- a/springrock/placement/late_orders.py
+++ b/springrock/placement/late_orders.py
@@ -29,7 +29,7 @@
     def __init__(self) -> None:
         self._sent: dict[str, list[_Sent]] = {}
 
-    def note_sent(self, record: ReplicaRecord, order: Order) -> None:
+    def record_sent(self, record: ReplicaRecord, order: Order) -> None:
         """Note an order that is about to be sent."""
         if order.kind is not OrderKind.LOAD:
             return
@@ -39,7 +39,7 @@
         sent = self._sent.setdefault(record.replica_id, [])
         sent.append(_Sent(record.instance, order, now + _LATE_S))
 
-    def note_answered(self, record: ReplicaRecord, order: Order) -> None:
+    def record_answered(self, record: ReplicaRecord, order: Order) -> None:
         """Note that an order was answered, and so will not be carried out any more."""
         sent = self._sent.get(record.replica_id, [])
         self._keep(record.replica_id, [item for item in sent if item.order is not order])
--- a/springrock/placement/lease.py
+++ b/springrock/placement/lease.py
@@ -30,7 +30,7 @@
 )
 
 _MARGIN_S = 0.3
-_ORDER_TAKES_S = 0.65
+_ORDER_TIMEOUT_S = 0.65
 """So long an order may be under way: the time for a connection and for an answer. Where engines do
 not look at fences, none may arrive after the lease."""
 
@@ -58,7 +58,7 @@
     def era(self) -> int:
         """The store's era of the rows."""
 
-    def standing(self, key: str) -> Row | None:
+    def existing(self, key: str) -> Row | None:
         """Return a row; None if there is none.
 
         Raises:
@@ -143,7 +143,7 @@
         if self._own is None:
             return False
         now = monotonic()
-        if now < self._held_until - (0.0 if self._checks_fence else _ORDER_TAKES_S):
+        if now < self._held_until - (0.0 if self._checks_fence else _ORDER_TIMEOUT_S):
             return True
         # A pause of this process is no outage: an attempt must have failed since.
         return self._checks_fence and now - self._unanswered_at < self._lease_s / 2
@@ -178,7 +178,7 @@
         silent_s = monotonic() - self._unanswered_at
         return self._unanswered_at > renewed_at and silent_s < self._lease_s / 2
 
-    def note_heartbeat(self, version: int, left_s: float) -> None:
+    def record_heartbeat(self, version: int, left_s: float) -> None:
         """Learn from the holder how long its lease stands; what was sent earlier lapses earlier."""
         self._seen_version = version
         self._seen_at = monotonic() + left_s - self._lease_s
@@ -191,7 +191,7 @@
             try:
                 self._write_renewal()
             except WrittenInAnotherEra as written:
-                return self._settle_written(written.version)
+                return self._resolve_written(written.version)
             except RowStoreUnavailable as error:
                 self._say_not_renewed(error)
                 return True
@@ -219,7 +219,8 @@
         Args:
             reason: Why, for the log.
             successor: Whether a box of the zone itself can take it, so that others leave it to it.
-            handover_target: Who is to go on if the store does not answer, as nobody can take it then.
+            handover_target: Who is to go on if the store does not answer, as nobody can take it
+                then.
 
         Returns:
             The handover, which the linked boxes are to be told; None if there is none.
@@ -233,7 +234,7 @@
         if handover is None or not is_silent:
             if not self._checks_fence:
                 # What was ordered just before must not arrive after a successor's orders.
-                gevent.sleep(_ORDER_TAKES_S)
+                gevent.sleep(_ORDER_TIMEOUT_S)
             if self._free_row(own, successor=successor):
                 return None
         if handover is not None:
@@ -270,19 +271,19 @@
         What is known may be older than the row; a challenge then fails by its condition.
         """
         try:
-            row = self._rows.standing(self._key)
+            row = self._rows.existing(self._key)
         except RowStoreUnavailable:
             self._looked_version = -1
             return None
-        self._note_era(self._rows.era)
+        self._record_era(self._rows.era)
         absent = version_in(self._rows.era, ABSENT_VERSION)
         self._looked_version = absent if row is None else row.version
         if row is None or row.version > self._seen_version:
             # A heartbeat may have told of a newer one.
-            self._note_seen(self._looked_version)
+            self._record_seen(self._looked_version)
         return None if row is None else placer_row_from(row)
 
-    def challenge(self, standing: PlacerRow | None, *, courtesy_s: float = 0.0) -> bool:
+    def challenge(self, existing: PlacerRow | None, *, takeover_delay_s: float = 0.0) -> bool:
         """Take the lease if it is free or lapsed; return whether this box has it now.
 
         Args:
@@ -292,9 +293,9 @@
         The write's condition is the row as it was read, so that its fence is above that of the
         newest row even where a heartbeat told of a version that was never read.
         """
-        if not self._free(standing, courtesy_s):
+        if not self._free(existing, takeover_delay_s):
             return False
-        fence = self._next_fence(standing)
+        fence = self._next_fence(existing)
         sent_at = monotonic()
         own = PlacerRow(
             box=self._box,
@@ -317,45 +318,45 @@
         self._log.say("Took the placer's lease.", row=self._key, fence=fence)
         return True
 
-    def free_in_s(self, standing: PlacerRow | None) -> float:
+    def free_in_s(self, existing: PlacerRow | None) -> float:
         """Return the seconds until a lease that is not renewed may be taken, at the earliest."""
-        if standing is None or not standing.incarnation:
+        if existing is None or not existing.incarnation:
             return 0.0
         return max(0.0, self._seen_at + self._lease_s + _MARGIN_S - monotonic())
 
-    def _next_fence(self, standing: PlacerRow | None) -> int:
+    def _next_fence(self, existing: PlacerRow | None) -> int:
         """Return a fence above all that were ever given, those of rows that were lost too."""
-        known, given_in = (0, 0) if standing is None else (standing.fence, standing.era)
+        known, given_in = (0, 0) if existing is None else (existing.fence, existing.era)
         eras = max(0, era_of(self._looked_version) - given_in)
         return known + 1 + eras * _FENCES_OF_AN_ERA
 
-    def _note_era(self, era: int) -> None:
+    def _record_era(self, era: int) -> None:
         """Learn when the store came back from a copy."""
         if self._looked_era is not None and era > self._looked_era:
             self._returned_at = monotonic()
         self._looked_era = era
 
-    def _free(self, standing: PlacerRow | None, courtesy_s: float) -> bool:
+    def _free(self, existing: PlacerRow | None, takeover_delay_s: float) -> bool:
         if self._seen_version < 0 or self._looked_version < 0:
             return False
         if monotonic() - self._returned_at <= self._lease_s + _MARGIN_S:
             # Whoever held it may have been lost with the row, and writes it again.
             return False
         unchanged_s = monotonic() - self._seen_at
-        lapsed = unchanged_s > self._lease_s + _MARGIN_S + courtesy_s
+        lapsed = unchanged_s > self._lease_s + _MARGIN_S + takeover_delay_s
         if self._looked_version != self._seen_version:
             # Heard of from its holder, not read yet, or a version that the row does not have.
             return lapsed
-        if standing is None:
-            return unchanged_s >= courtesy_s
-        if not standing.incarnation:
-            return not standing.successor or unchanged_s >= courtesy_s
-        if standing.box == self._box and standing.incarnation != self._incarnation:
+        if existing is None:
+            return unchanged_s >= takeover_delay_s
+        if not existing.incarnation:
+            return not existing.successor or unchanged_s >= takeover_delay_s
+        if existing.box == self._box and existing.incarnation != self._incarnation:
             # An earlier process of this box: it is gone, or this one could not run.
             return True
         return lapsed
 
-    def _note_seen(self, version: int) -> None:
+    def _record_seen(self, version: int) -> None:
         if version != self._seen_version:
             self._seen_version = version
             self._seen_at = monotonic()
@@ -377,7 +378,7 @@
         self._own = settled
         return True
 
-    def _settle_written(self, version: int) -> bool:
+    def _resolve_written(self, version: int) -> bool:
         """Learn that a renewal met a row of a store that came back from a copy.
 
         While the lease stands that can only be its own row, as nobody takes it before it lapses.
@@ -394,8 +395,8 @@
 
     def _settled(self, own: Tenure, conflict: RowConflict) -> Tenure | None:
         row = conflict.row
-        standing = None if row is None else placer_row_from(row)
-        if row is not None and standing is None:
+        existing = None if row is None else placer_row_from(row)
+        if row is not None and existing is None:
             return None
         era = era_of(conflict.version)
         if era > era_of(own.version):
@@ -403,10 +404,10 @@
             if self._has_lapsed(own):
                 return None
             absent = version_in(era, ABSENT_VERSION)
-            return own.reclaimed(standing, absent if row is None else row.version)
-        if row is None or standing is None:
+            return own.reclaimed(existing, absent if row is None else row.version)
+        if row is None or existing is None:
             return None
-        return own.settled(standing, row.version)
+        return own.settled(existing, row.version)
 
     def _handover(self, own: Tenure, handover_target: HandoverTarget | None) -> Successor | None:
         """Return the handover to another box; None if none may go on."""
@@ -459,7 +460,7 @@
             except RowStoreUnavailable as error:
                 self._relay_failed = True
                 if not isinstance(error, HelpersSilent):
-                    self._note_unanswered(sent_at)
+                    self._record_unanswered(sent_at)
                 outcome = beside.get()
             else:
                 self._relayed.begin(row=self._key)
@@ -480,10 +481,10 @@
             return outcome
         except RowStoreUnavailable as error:
             self._store_failed_at = sent_at
-            self._note_unanswered(sent_at)
+            self._record_unanswered(sent_at)
             return error
 
-    def _note_unanswered(self, sent_at: float) -> None:
+    def _record_unanswered(self, sent_at: float) -> None:
         """Learn that the store did not answer a renewal, and so that it is out.
 
         One that was under way while the lease lapsed tells nothing: this process may have stood
--- a/springrock/placement/link_server.py
+++ b/springrock/placement/link_server.py
@@ -73,7 +73,7 @@
         self.filled.clear()
         return frames
 
-    def note_sent(self) -> None:
+    def record_sent(self) -> None:
         """Learn that all frames that were taken are sent."""
         if not self._frames:
             self.sent.set()
@@ -115,7 +115,7 @@
     def first_messages(self) -> list[Message]:
         """Return what a newly linked box is told; the first message accepts it."""
 
-    def take_demand(self, box: str, demand: Demand) -> None:
+    def apply_demand(self, box: str, demand: Demand) -> None:
         """Take all that a box now wants and uses."""
 
     def forget_box(self, box: str) -> None:
@@ -279,7 +279,7 @@
             if self._links.get(box) is not link:
                 return
             link.stopping = message.stopping
-            self._host.take_demand(box, message)
+            self._host.apply_demand(box, message)
 
 
 class LinkServer:
@@ -360,6 +360,6 @@
             for frame in link.outbox.take():
                 link.connection.send(frame)
                 link.count_sent(len(frame))
-            link.outbox.note_sent()
+            link.outbox.record_sent()
     except LINK_FAILURES:
         return
--- a/springrock/placement/near_copies.py
+++ b/springrock/placement/near_copies.py
@@ -11,11 +11,11 @@
 from springrock.placement.popularity import Popularity
 from springrock.topology import Distance, Topology
 
-_PAYS = 0.5
+_MIN_LOADS_SAVED = 0.5
 """A copy is worth a load if, within the time that popularity remembers (about 12 s), it saves
 half of one: copies that pay stand for several times as long."""
 
-_LOOKS_BETWEEN_CLEANING = 2_000
+_ASKS_BETWEEN_CLEANUPS = 2_000
 """After so many asks what is not asked for any more is forgotten."""
 
 
@@ -42,7 +42,7 @@
         self._topology = topology
         self._prices = prices
         self._carried: dict[str, Popularity] = {}
-        self._looks = 0
+        self._asks_counted = 0
 
     def note(self, key: AdapterKey, *, home_zone: str, carried_bytes: int) -> float:
         """Count an ask of a box.
@@ -66,15 +66,15 @@
         carried.note(key, carried_bytes)
         self._clean()
         saved = self._prices.in_loads(distance, carried.of(key))
-        return saved if saved >= _PAYS else 0.0
+        return saved if saved >= _MIN_LOADS_SAVED else 0.0
 
     def clear(self) -> None:
         """Begin anew, as with a lease just taken."""
         self._carried.clear()
 
     def _clean(self) -> None:
-        self._looks += 1
-        if self._looks % _LOOKS_BETWEEN_CLEANING == 0:
+        self._asks_counted += 1
+        if self._asks_counted % _ASKS_BETWEEN_CLEANUPS == 0:
             for carried in self._carried.values():
                 carried.forget_rare()
 
@@ -94,7 +94,7 @@
                 now,
             )
 
-    def standing(self) -> dict[AdapterKey, float]:
+    def existing(self) -> dict[AdapterKey, float]:
         """Return what each copy saves that is still wished for."""
         now = monotonic()
         self._wished = {
--- a/springrock/placement/placement.py
+++ b/springrock/placement/placement.py
@@ -42,7 +42,7 @@
 from springrock.rows import RowStore, TableReading
 from springrock.topology import Distance
 
-_LIKELY_HEARD_S = 1.0
+_RECONNECT_LIKELY_S = 1.0
 """So long after its start, or after it lost the last placer that it heard, a box is likely to hear
 one again: boxes that had all lost power were linked 0.2 s after their start."""
 
@@ -105,7 +105,7 @@
         self._configuration = configuration
         self._residency = Residency(directory, versions)
         self._heard = Event()
-        self._unheard_since = monotonic()
+        self._unreachable_since = monotonic()
         self._board = board
         self.on_reading: Callable[[TableReading, bool, str], None] = (
             lambda reading, relied_on, teller: None
@@ -126,9 +126,9 @@
             warmup=warmup,
             limits=limits,
             on_table_news=self._apply_updates,
-            on_placer_heard=self._heard.set,
+            on_placer_contact=self._heard.set,
             on_placer_lost=self._placer_lost,
-            on_copy_pays=self._request_copy,
+            on_copy_worthwhile=self._request_copy,
             log_of=log_of,
             metrics=metrics,
             on_handover=lambda zone, handover: self.handovers.take(zone, handover),
@@ -217,9 +217,9 @@
         self.on_reading(reading_from(updates), relied_on, zone)
 
     def _placer_lost(self, zone: str) -> None:
-        if not self._hears_any:
+        if not self._has_reachable_zone:
             self._heard.clear()
-            self._unheard_since = monotonic()
+            self._unreachable_since = monotonic()
         if zone == self._settings.zone:
             self.on_alone()
 
@@ -240,7 +240,7 @@
         Each places on in its zone, and the store may not tell of the replica for long.
         """
         for zone in self._zones.values():
-            zone.demand.note_leaving(instance)
+            zone.demand.record_leaving(instance)
 
     def counter(self, zone: str) -> ZonePlacement:
         """Return who counts a zone's part of the teams' quotas, and what its replicas get."""
@@ -286,15 +286,15 @@
 
     def await_placer(self, *, until: float) -> bool:
         """Wait for a placer while none is heard and one is likely to be soon."""
-        if self._hears_any:
+        if self._has_reachable_zone:
             return False
         # It may be set yet while a link that was lost is being given up.
         self._heard.clear()
-        likely_until = min(until, self._unheard_since + _LIKELY_HEARD_S)
+        likely_until = min(until, self._unreachable_since + _RECONNECT_LIKELY_S)
         return self._heard.wait(timeout=max(0.0, likely_until - monotonic()))
 
     @property
-    def _hears_any(self) -> bool:
+    def _has_reachable_zone(self) -> bool:
         return any(zone.reachable for zone in self._zones.values())
 
     # Zones.
--- a/springrock/placement/placer.py
+++ b/springrock/placement/placer.py
@@ -20,7 +20,7 @@
 from springrock.permits.counter import GrantsPermits
 from springrock.placement.control import EngineControl
 from springrock.placement.engine_book import EngineBook
-from springrock.placement.handover import AheadWants, handover_of
+from springrock.placement.handover import PrefetchWants, handover_of
 from springrock.placement.handover_messages import Handover
 from springrock.placement.keeper import Keeper
 from springrock.placement.late_orders import LateOrders
@@ -134,7 +134,7 @@
         self._keepers: dict[str, Keeper] = {}
         self._late_orders = LateOrders()
         self._work = Event()
-        self.ahead = AheadWants(
+        self.ahead = PrefetchWants(
             zone,
             popularity=self._popularity,
             log=log,
@@ -190,9 +190,9 @@
         self.ahead.clear()
         self._copy_wishes.clear()
 
-    def take_demand(self, box: str, demand: Demand) -> None:
+    def apply_demand(self, box: str, demand: Demand) -> None:
         """Take what is new at a box."""
-        self.requests.take_demand(box, demand)
+        self.requests.apply_demand(box, demand)
         if demand.copies:
             self._copy_wishes.note(demand.copies)
             self._work.set()
@@ -201,7 +201,7 @@
         """Drop what a box wanted and used; its requests are gone or will be told anew."""
         self.requests.forget_box(box)
 
-    def standing(self) -> Residents:
+    def existing(self) -> Residents:
         """Return what all engines hold that were heard."""
         return Residents(
             [
@@ -211,7 +211,7 @@
             ]
         )
 
-    def take_changed(self) -> Residents | None:
+    def drain_changed(self) -> Residents | None:
         """Return what engines hold that changed since this was asked last; None if none did."""
         changed, self._changed = self._changed, set()
         books = [self._keepers[instance].book for instance in changed if instance in self._keepers]
@@ -289,7 +289,7 @@
                 self.requests.dispatcher(keeper.book.record.service).forget(instance)
             return
         if instance in self._keepers:
-            self._keepers[instance].take_record(record)
+            self._keepers[instance].apply_record(record)
         elif record.service in self._configuration().engine_services:
             replica = self._directory.find(instance)
             if replica is not None:
@@ -310,7 +310,7 @@
             wanted_model=lambda: self._models.wanted(service, self._books()),
             takes_orders=lambda: not self._is_evacuated,
             holder=self._box,
-            on_change=self._take_engine,
+            on_change=self._handle_engine_change,
             log=self._log,
             metrics=self._metrics,
         )
@@ -324,7 +324,7 @@
     def _books(self) -> list[EngineBook]:
         return [keeper.book for keeper in self._keepers.values()]
 
-    def _take_engine(self, book: EngineBook) -> None:
+    def _handle_engine_change(self, book: EngineBook) -> None:
         """Learn that what an engine holds has changed."""
         kept = self.requests.dispatcher(book.record.service).work(book.instance).kept
         kept.keep_only(book.places)
@@ -341,12 +341,12 @@
             self._work.wait(timeout=_PLAN_EVERY_S if to_bring else None)
             self._work.clear()
             began_at = monotonic()
-            if self._lease.holds and self._heard_engines():
+            if self._lease.holds and self._has_engine_reports():
                 self._plan()
             took_s = monotonic() - began_at
             gevent.sleep(max(_PLAN_PAUSE_S, _PAUSES_OF_PLAN * took_s))
 
-    def _heard_engines(self) -> bool:
+    def _has_engine_reports(self) -> bool:
         """Whether the engines have told what they hold, or were given the time for it."""
         if monotonic() - self._started_at > _FIRST_REPORTS_S:
             return True
@@ -377,7 +377,7 @@
                 now=now,
                 waits=_with_limits(dispatcher.waits(), limited),
                 crowded=dispatcher.crowded_since(now - _CROWDED_S),
-                near=self._copy_wishes.standing(),
+                near=self._copy_wishes.existing(),
                 backing_off=dispatcher.backing_off() | without_room,
             )
             for assignment in plan.assignments:
--- a/springrock/placement/placer_board.py
+++ b/springrock/placement/placer_board.py
@@ -34,7 +34,7 @@
         self._updates: dict[str, Event] = {}
         self._known = Event()
 
-    def standing(self, key: str) -> Row | None:
+    def existing(self, key: str) -> Row | None:
         """Return a row; None if there is none.
 
         Raises:
@@ -57,13 +57,13 @@
         That may be long ago: whoever is asked for a link knows whether it still places.
         """
         row = self._rows.get(key)
-        standing = None if row is None else placer_row_from(row)
+        existing = None if row is None else placer_row_from(row)
         successor = self._successors.get(key)
-        if successor is not None and (standing is None or successor.follows(standing)):
+        if successor is not None and (existing is None or successor.follows(existing)):
             return successor
-        return standing if standing is not None and standing.incarnation else None
+        return existing if existing is not None and existing.incarnation else None
 
-    def note_successor(self, key: str, successor: Successor) -> None:
+    def record_successor(self, key: str, successor: Successor) -> None:
         """Learn that a placer has handed its role over; what is older is passed over."""
         known = self._successors.get(key)
         if known is None or successor.fence > known.fence:
--- a/springrock/placement/relayed_writes.py
+++ b/springrock/placement/relayed_writes.py
@@ -95,7 +95,7 @@
             raise WrittenInAnotherEra(version)
         return version
 
-    def note_written(self, written: Written) -> None:
+    def record_written(self, written: Written) -> None:
         """Learn what a box could do; what comes too late is passed over."""
         waiting = self._waiting.get(written.number)
         if waiting is not None:
--- a/springrock/placement/requests.py
+++ b/springrock/placement/requests.py
@@ -102,12 +102,12 @@
         self._backoffs = Backoffs()
         self._near.clear()
 
-    def take_demand(self, box: str, demand: Demand) -> None:
+    def apply_demand(self, box: str, demand: Demand) -> None:
         """Take what is new at a box."""
         now = monotonic()
         for use in demand.uses:
             instance = self._start_that_stands(use.instance)
-            self._dispatcher_of(instance).note_use(
+            self._dispatcher_of(instance).record_use(
                 box, Use(use.number, instance, use.model, use.adapter)
             )
         for over in demand.over:
@@ -115,11 +115,11 @@
             self._end_use(box, over)
         for began in demand.began:
             for dispatcher in self.dispatchers.values():
-                dispatcher.note_began(box, began)
+                dispatcher.record_start(box, began)
         for promise in demand.promises:
             self.asks.expect(promise, now=now)
         for ask in demand.asks:
-            self._take_ask(box, ask, now)
+            self._handle_ask(box, ask, now)
         if self.asks.wanted and (demand.promises or demand.over):
             # A place may have been given up by what ended.
             self._on_unserved()
@@ -131,7 +131,7 @@
         for dispatcher in self.dispatchers.values():
             dispatcher.forget_box(box)
 
-    def _take_ask(self, box: str, ask: Ask, now: float) -> None:
+    def _handle_ask(self, box: str, ask: Ask, now: float) -> None:
         waiting = self.asks.add(box, ask, now=now)
         self._popularity.note(waiting.key, 1)
         self.grant_waiting(waiting.key)
@@ -170,7 +170,7 @@
         if choice is None:
             return
         self.asks.remove(waiting.box, ask.number)
-        dispatcher.note_granted(waiting.box, ask.number, choice, key, ask.prompt)
+        dispatcher.record_granted(waiting.box, ask.number, choice, key, ask.prompt)
         permitted = self._permit(waiting, choice.instance)
         saves = self._saved_by_copy(waiting)
         grant = Grant(ask.number, choice.instance, permitted, round(100 * saves))
@@ -276,7 +276,7 @@
 
     def _end_use(self, box: str, over: Over) -> None:
         for dispatcher in self.dispatchers.values():
-            run = dispatcher.note_over(box, over)
+            run = dispatcher.record_finished(box, over)
             keeper = self._keepers.get(run.instance) if run is not None else None
             if keeper is not None and over.outcome in _DOUBTFUL:
                 keeper.doubt()
@@ -299,9 +299,9 @@
         if instance in self._keepers:
             return instance
         replica_id = instance.rpartition("@")[0]
-        for standing, keeper in self._keepers.items():
+        for existing, keeper in self._keepers.items():
             if replica_id and keeper.book.record.replica_id == replica_id:
-                return standing
+                return existing
         return instance
 
     def _dispatcher_of(self, instance: str) -> Dispatcher:
--- a/springrock/placement/residency.py
+++ b/springrock/placement/residency.py
@@ -135,11 +135,11 @@
         if now == before:
             return
         for held in before:
-            standing = self._versions_at[held.key]
-            del standing[instance]
-            if not standing:
+            existing = self._versions_at[held.key]
+            del existing[instance]
+            if not existing:
                 del self._versions_at[held.key]
-        self._note_given_up(instance, before, now)
+        self._record_unload(instance, before, now)
         for held in now:
             self._versions_at.setdefault(held.key, {})[instance] = held.version
         if now:
@@ -147,16 +147,16 @@
         else:
             self._held.pop(instance, None)
 
-    def _note_given_up(
+    def _record_unload(
         self, instance: str, before: Iterable[HeldAdapter], now: Iterable[HeldAdapter]
     ) -> None:
-        standing = {held.key for held in now}
+        existing = {held.key for held in now}
         lately = self._given_up.setdefault(instance, OrderedDict())
-        for key in standing & lately.keys():
+        for key in existing & lately.keys():
             del lately[key]
             self._forget_given_up(instance, key)
         for held in before:
-            if held.key not in standing:
+            if held.key not in existing:
                 lately[held.key] = held.version
                 self._given_up_by.setdefault(held.key, set()).add(instance)
         while len(lately) > LATELY_KEPT:
--- a/springrock/placement/state_fetcher.py
+++ b/springrock/placement/state_fetcher.py
@@ -153,8 +153,8 @@
                 continue
             # Counted from before the question, as the answer may have been long on its way.
             age_s = float("inf") if reported.age_ms is None else reported.age_ms / 1000
-            follower.take_copy(reading_from(reported.updates), newest_at=asked_at - age_s)
+            follower.apply_copy(reading_from(reported.updates), newest_at=asked_at - age_s)
         for key, successor in state.successors:
-            self._board.note_successor(key, successor)
+            self._board.record_successor(key, successor)
         for instance in state.leaving:
-            self._directory.note_leaving(instance, LeavingSign.BOX)
+            self._directory.record_leaving(instance, LeavingSign.BOX)
--- a/springrock/placement/succession.py
+++ b/springrock/placement/succession.py
@@ -106,8 +106,8 @@
         if self.handed is None or not self.handed.follows(row):
             return None
         # A late write of a box that held it before.
-        standing = msgspec.structs.replace(self.row, fence=row.fence)
-        return self._replace(row=standing, version=version)
+        existing = msgspec.structs.replace(self.row, fence=row.fence)
+        return self._replace(row=existing, version=version)
 
     def reclaimed(self, row: PlacerRow | None, version: int) -> Tenure | None:
         """Return the lease in a store that came back from a copy; None if another box holds it.
--- a/springrock/placement/turnover.py
+++ b/springrock/placement/turnover.py
@@ -18,7 +18,7 @@
     def __init__(self) -> None:
         self._short_s = _FIRST_PLACE_S * _FIRST_PLACES
         self._given = float(_FIRST_PLACES)
-        self._noted_at: float | None = None
+        self._recorded_at: float | None = None
         self._is_short = False
 
     @property
@@ -34,10 +34,10 @@
             is_short: Whether adapters are left without one.
             now: The time on the local monotonic clock.
         """
-        if self._is_short and self._noted_at is not None:
-            passed_s = now - self._noted_at
+        if self._is_short and self._recorded_at is not None:
+            passed_s = now - self._recorded_at
             kept = 0.5 ** (passed_s / _HALF_LIFE_S)
             self._short_s = self._short_s * kept + passed_s
             self._given = self._given * kept + given
         self._is_short = is_short
-        self._noted_at = now
+        self._recorded_at = now
--- a/springrock/placement/zone.py
+++ b/springrock/placement/zone.py
@@ -83,9 +83,9 @@
         self._limits = around.limits
         self._on_table_news = around.on_table_news
         self._on_handover = around.on_handover
-        self._on_placer_heard = around.on_placer_heard
+        self._on_placer_contact = around.on_placer_contact
         self._on_placer_lost = around.on_placer_lost
-        self._on_copy_pays = around.on_copy_pays
+        self._on_copy_worthwhile = around.on_copy_worthwhile
         self._board = around.board
         self.demand = DemandBook(
             has_placer=lambda: self.reachable,
@@ -230,9 +230,9 @@
 
     def first_messages(self) -> list[Message]:
         """Return what a newly linked box is told."""
-        return [self._heartbeat(), self._placer.standing()]
+        return [self._heartbeat(), self._placer.existing()]
 
-    def take_demand(self, box: str, demand: Demand) -> None:
+    def apply_demand(self, box: str, demand: Demand) -> None:
         """Take all that a box now wants and uses."""
         if demand.charges or demand.given_back:
             self._part.take(box, demand.charges, demand.given_back)
@@ -241,12 +241,12 @@
         for observation in demand.observations:
             self._warmup.apply_observation(observation.instance, answered=observation.answered)
         for instance in demand.leaving:
-            self._directory.note_leaving(instance, LeavingSign.BOX)
+            self._directory.record_leaving(instance, LeavingSign.BOX)
         for word in demand.limits:
             self._limits.apply_limit_report(word)
         for written in demand.written:
-            self._writes.note_written(written)
-        self._placer.take_demand(box, demand)
+            self._writes.record_written(written)
+        self._placer.apply_demand(box, demand)
 
     def forget_box(self, box: str) -> None:
         """Drop what a box wanted and used."""
@@ -328,56 +328,56 @@
         """Learn what the placer says."""
         match message:
             case Grant():
-                self._take_grant(message)
+                self._handle_grant(message)
             case Forecast(model=model, adapter=adapter):
                 key, ready_in_s = AdapterKey(model, adapter), message.ready_in_ms / 1000
-                self.demand.note_forecast(key, ready_in_s, elsewhere=message.elsewhere)
+                self.demand.record_forecast(key, ready_in_s, elsewhere=message.elsewhere)
             case Residents(engines=engines):
                 for engine in engines:
                     self._residency.record_reported(engine.instance, engine.adapters)
             case WriteFor():
                 gevent.spawn(self._write_for, message)
             case Charged():
-                self.demand.charges.note_charged(message)
+                self.demand.charges.record_charged(message)
             case Handover():
                 self._on_handover(self._zone, message)
             case Permitted():
-                self.demand.permits.note_permitted(message)
+                self.demand.permits.record_permitted(message)
             case TableNews():
                 self._on_table_news(self._zone, message)
             case Heartbeat():
                 if message.successor is not None:
-                    self._take_successor(message.successor)
-                self._lease.note_heartbeat(
+                    self._handle_successor(message.successor)
+                self._lease.record_heartbeat(
                     peer_version(message.row_era, message.row_version), message.lease_left_ms / 1000
                 )
-                self._note_heartbeat(message)
+                self._record_heartbeat(message)
 
-    def _take_successor(self, successor: Successor) -> None:
-        self._board.note_successor(key_of(self._zone), successor)
+    def _handle_successor(self, successor: Successor) -> None:
+        self._board.record_successor(key_of(self._zone), successor)
         if successor.incarnation == self._incarnation:
             self._election.adopt(successor)
 
-    def _take_grant(self, grant: Grant) -> None:
-        key = self.demand.note_grant(grant.number, grant.instance, permitted=grant.permitted)
+    def _handle_grant(self, grant: Grant) -> None:
+        key = self.demand.record_grant(grant.number, grant.instance, permitted=grant.permitted)
         if grant.saves and key is not None:
-            self._on_copy_pays(self._zone, key, grant.saves)
+            self._on_copy_worthwhile(self._zone, key, grant.saves)
 
     def _write_for(self, asked: WriteFor) -> None:
-        self.demand.note_written(write_for(self._store, asked))
+        self.demand.record_written(write_for(self._store, asked))
 
-    def _note_heartbeat(self, heartbeat: Heartbeat) -> None:
+    def _record_heartbeat(self, heartbeat: Heartbeat) -> None:
         self.room = heartbeat.room
         self.boxes = heartbeat.boxes
         self.spread = frozenset(heartbeat.spread)
         self.wait_estimate = WaitEstimate(heartbeat.pressure / 100, heartbeat.wait_ms / 1000)
         for instance in heartbeat.leaving:
-            self._directory.note_leaving(instance, LeavingSign.BOX)
+            self._directory.record_leaving(instance, LeavingSign.BOX)
         self._warmup.apply_suspected(self._zone, heartbeat.doubted)
         self._limits.apply_reported(self._zone, heartbeat.limits)
         # A placer of an earlier build tells only how many there are in all.
         self.home_boxes = heartbeat.home_boxes or heartbeat.boxes
-        self._on_placer_heard()
+        self._on_placer_contact()
 
     def _placer_lost(self) -> None:
         self.spread = frozenset()
@@ -389,7 +389,7 @@
         updates = ResidentsPublisher(self.links)
         while True:
             gevent.sleep(max(_RESIDENTS_EVERY_S, self.links.count / _RESIDENTS_FRAMES_PER_S))
-            changed = self._placer.take_changed()
+            changed = self._placer.drain_changed()
             updates.notify(changed)
             if changed is not None:
                 self.take(changed)
@@ -397,10 +397,10 @@
     def _feed_own_demand(self) -> None:
         """Tell this box's own placer what its link would tell another box's."""
         box = self._settings.box
-        self.take_demand(box, self.demand.whole())
+        self.apply_demand(box, self.demand.whole())
         while True:
             self.demand.wait_for_updates()
-            self.take_demand(box, self.demand.drain_updates())
+            self.apply_demand(box, self.demand.drain_updates())
 
     # While this box places.
 
@@ -427,12 +427,12 @@
     def send_heartbeat(self) -> None:
         """Tell all linked boxes, and this one, that the placer lives."""
         heartbeat = self._heartbeat()
-        self._note_heartbeat(heartbeat)
+        self._record_heartbeat(heartbeat)
         self.links.broadcast(heartbeat)
 
     def send_successor(self, successor: Successor) -> None:
         """Tell all linked boxes who goes on in this one's stead."""
-        self._board.note_successor(key_of(self._zone), successor)
+        self._board.record_successor(key_of(self._zone), successor)
         heartbeat = msgspec.structs.replace(
             self._heartbeat(),
             row_version=successor.version,
--- a/springrock/placement/zone_dependencies.py
+++ b/springrock/placement/zone_dependencies.py
@@ -64,9 +64,9 @@
     warmup: WarmupTracker
     limits: NamedLimits
     on_table_news: Callable[[str, TableNews], None]
-    on_placer_heard: Callable[[], None]
+    on_placer_contact: Callable[[], None]
     on_placer_lost: Callable[[str], None]
-    on_copy_pays: Callable[[str, AdapterKey, int], None]
+    on_copy_worthwhile: Callable[[str, AdapterKey, int], None]
     log_of: Callable[[str], Log]
     metrics: ForwardingMetrics
     on_handover: Callable[[str, Handover], None] = lambda zone, handover: None
--- a/springrock/platform/engine.py
+++ b/springrock/platform/engine.py
@@ -70,7 +70,7 @@
         *,
         notice_taker: Callable[[str], NoticeTaker] = lambda replica_id: pass_over,
     ) -> None:
-        self._notice_taker = notice_taker
+        self._notice_handler = notice_taker
         self._pool = urllib3.PoolManager(retries=False, num_pools=64, maxsize=2)
 
     def report(self, address: str, *, instance: str) -> EngineState:
@@ -131,7 +131,7 @@
         body: bytes | None = None,
     ) -> urllib3.BaseHTTPResponse:
         headers = {names.EXPECT_INSTANCE: instance}
-        take_notice = self._notice_taker(instance)
+        handle_notice = self._notice_handler(instance)
         if body is not None:
             headers["Content-Type"] = "application/json"
         try:
@@ -145,7 +145,7 @@
         except (urllib3.exceptions.HTTPError, OSError) as error:
             raise ControlUnanswered(f"{address}: {error}") from None
         answered = Headers.from_pairs(response.headers.items())
-        take_notice(notice_from(response.status, answered))
+        handle_notice(notice_from(response.status, answered))
         return response
 
 
--- a/springrock/platform/store.py
+++ b/springrock/platform/store.py
@@ -202,10 +202,10 @@
             )
         except (urllib3.exceptions.HTTPError, OSError) as error:
             raise RowStoreUnavailable(f"{path.partition('?')[0]}: {error}") from None
-        self._note_era(_reported_era(response))
+        self._record_era(_reported_era(response))
         return response
 
-    def _note_era(self, reported: int | None) -> None:
+    def _record_era(self, reported: int | None) -> None:
         era = era_from_reported(reported)
         if era < self._era:
             raise RowStoreUnavailable(f"a late answer of the store's era {reported}")
--- a/springrock/platform/tables.py
+++ b/springrock/platform/tables.py
@@ -121,7 +121,7 @@
         """Take a new or changed row."""
         record = self._record(row)
         if record is None:
-            self._directory.note_not_understood(row.key)
+            self._directory.record_not_understood(row.key)
         else:
             self._directory.update(record)
 
@@ -137,12 +137,12 @@
             if record.born_ms is None and self._directory.newest_start(row.key) is not None:
                 raise ReplicaRowMalformed(RowFault.START_MISSING, "born")
         except ReplicaRowMalformed as error:
-            self._note_fault(row.key, error)
+            self._record_fault(row.key, error)
             return None
         self._faults.pop(row.key, None)
         return record
 
-    def _note_fault(self, key: str, error: ReplicaRowMalformed) -> None:
+    def _record_fault(self, key: str, error: ReplicaRowMalformed) -> None:
         """Count a row that is not understood; say so once until another thing is wrong with it."""
         self._count_fault(error.fault)
         if self._faults.get(key) is error.fault:
--- a/springrock/quarantine/book.py
+++ b/springrock/quarantine/book.py
@@ -33,7 +33,7 @@
 
     report: CrashReport
     version: int
-    learnt_at: float
+    learned_at: float
 
 
 class StaleReport(NamedTuple):
@@ -78,7 +78,7 @@
         terms = self._terms()
         ends = sorted(at + terms.for_s for at in self._crashes_of(fingerprint).values())
         if len(ends) < terms.crashes:
-            self._note_released(fingerprint)
+            self._record_released(fingerprint)
             return None
         # It is over when so many have lapsed that the others no longer suffice.
         return ends[len(ends) - terms.crashes] - monotonic()
@@ -114,11 +114,11 @@
         del self._ran_well[fingerprint]
         return True
 
-    def note_ran_well(self, fingerprint: Fingerprint) -> None:
+    def record_completion(self, fingerprint: Fingerprint) -> None:
         """Learn that a request ran to a good end."""
         self._ran_well.note(fingerprint, None)
         if self._naming.pop(fingerprint, None) is not None:
-            self._note_released(fingerprint)
+            self._record_released(fingerprint)
 
     # What boxes have reported.
 
@@ -156,13 +156,13 @@
         """Return the rows that may go: those that are old, and the oldest of too many."""
         horizon = monotonic() - older_than_s
         read = sorted(
-            (held.version, key, held.learnt_at) for key, held in self._held.items() if held.version
+            (held.version, key, held.learned_at) for key, held in self._held.items() if held.version
         )
         too_many = len(read) - REPORTS_AT_MOST
         return [
             StaleReport(key, version)
-            for number, (version, key, learnt_at) in enumerate(read)
-            if number < too_many or learnt_at < horizon
+            for number, (version, key, learned_at) in enumerate(read)
+            if number < too_many or learned_at < horizon
         ]
 
     def _hold(self, key: str, report: CrashReport, *, version: int) -> None:
@@ -171,7 +171,7 @@
             self._drop(next(iter(self._held)))
         for fingerprint in report.fingerprints:
             self._naming.setdefault(fingerprint, set()).add(key)
-            self._note_accused(fingerprint)
+            self._record_accused(fingerprint)
 
     def _drop(self, key: str) -> None:
         held = self._held.pop(key, None)
@@ -183,7 +183,7 @@
             if not naming:
                 self._naming.pop(fingerprint, None)
             if fingerprint in self._quarantined and self.quarantined_for_s(fingerprint) is None:
-                self._note_released(fingerprint)
+                self._record_released(fingerprint)
 
     def _crashes_of(self, fingerprint: Fingerprint) -> dict[str, float]:
         """Return the incarnations that crashed under a request, and when that was learnt last."""
@@ -191,12 +191,12 @@
         found: dict[str, float] = {}
         for key in self._naming.get(fingerprint, ()):
             held = self._held[key]
-            if held.learnt_at > horizon:
+            if held.learned_at > horizon:
                 instance = held.report.instance
-                found[instance] = max(held.learnt_at, found.get(instance, 0.0))
+                found[instance] = max(held.learned_at, found.get(instance, 0.0))
         return found
 
-    def _note_accused(self, fingerprint: Fingerprint) -> None:
+    def _record_accused(self, fingerprint: Fingerprint) -> None:
         crashes = self._crashes_of(fingerprint)
         if fingerprint in self._quarantined or len(crashes) < self._terms().crashes:
             return
@@ -208,7 +208,7 @@
             for_s=round(self._terms().for_s),
         )
 
-    def _note_released(self, fingerprint: Fingerprint) -> None:
+    def _record_released(self, fingerprint: Fingerprint) -> None:
         if fingerprint in self._quarantined:
             self._quarantined.discard(fingerprint)
             self._log.say("A request is no longer quarantined.", fingerprint=fingerprint.shown)
--- a/springrock/quarantine/crash_detector.py
+++ b/springrock/quarantine/crash_detector.py
@@ -65,59 +65,59 @@
         self._log = log
         self._breaks: dict[str, _Break] = {}
 
-    def note_broken(self, fingerprint: Fingerprint, record: ReplicaRecord) -> None:
+    def record_break(self, fingerprint: Fingerprint, record: ReplicaRecord) -> None:
         """Learn that a request broke at a replica that had got it."""
         if record.leaving or self._book.forgive(fingerprint):
             return
-        standing = self._breaks.get(record.instance)
-        if standing is None:
-            standing = _Break(new_key(), monotonic(), record, [])
-            self._breaks[record.instance] = standing
-            gevent.spawn_later(_SIGNS_OF_LIFE_S, self._settle, standing)
-        if fingerprint not in standing.requests:
-            standing.requests.append(fingerprint)
-            self._book.take(standing.key, self._report(standing))
-
-    def note_answered(self, instance: str, *, sent_at: float) -> None:
+        existing = self._breaks.get(record.instance)
+        if existing is None:
+            existing = _Break(new_key(), monotonic(), record, [])
+            self._breaks[record.instance] = existing
+            gevent.spawn_later(_SIGNS_OF_LIFE_S, self._settle, existing)
+        if fingerprint not in existing.requests:
+            existing.requests.append(fingerprint)
+            self._book.take(existing.key, self._report(existing))
+
+    def record_answered(self, instance: str, *, sent_at: float) -> None:
         """Learn that a replica answered a request that was sent at a time."""
-        standing = self._breaks.get(instance)
-        if standing is not None and sent_at > standing.began_at:
-            self._withdraw(standing, "it answers")
+        existing = self._breaks.get(instance)
+        if existing is not None and sent_at > existing.began_at:
+            self._withdraw(existing, "it answers")
 
-    def note_out_of_reach(self, instance: str) -> None:
+    def record_unreachable(self, instance: str) -> None:
         """Learn that a replica does not even refuse connections: the way to it may be cut."""
-        standing = self._breaks.get(instance)
-        if standing is not None:
-            self._withdraw(standing, "it is out of reach")
+        existing = self._breaks.get(instance)
+        if existing is not None:
+            self._withdraw(existing, "it is out of reach")
 
-    def note_ran_well(self, fingerprint: Fingerprint) -> None:
+    def record_completion(self, fingerprint: Fingerprint) -> None:
         """Learn that a request ran to a good end."""
-        self._book.note_ran_well(fingerprint)
+        self._book.record_completion(fingerprint)
 
-    def _report(self, standing: _Break) -> CrashReport:
+    def _report(self, existing: _Break) -> CrashReport:
         # The codec of rows writes plain texts alone.
-        requests = [str(item) for item in standing.requests[-MOST_REQUESTS:]]
-        return CrashReport(self._box, standing.record.instance, requests)
+        requests = [str(item) for item in existing.requests[-MOST_REQUESTS:]]
+        return CrashReport(self._box, existing.record.instance, requests)
 
-    def _withdraw(self, standing: _Break, why: str) -> None:
-        del self._breaks[standing.record.instance]
-        self._book.withdraw(standing.key)
-        self._say("Requests broke at a replica that has not crashed.", standing, why=why)
+    def _withdraw(self, existing: _Break, why: str) -> None:
+        del self._breaks[existing.record.instance]
+        self._book.withdraw(existing.key)
+        self._say("Requests broke at a replica that has not crashed.", existing, why=why)
 
-    def _settle(self, standing: _Break) -> None:
-        instance = standing.record.instance
-        if self._breaks.get(instance) is not standing:
+    def _settle(self, existing: _Break) -> None:
+        instance = existing.record.instance
+        if self._breaks.get(instance) is not existing:
             return
         del self._breaks[instance]
-        self._reports.publish(standing.key, self._report(standing))
-        self._say("A replica crashed under requests.", standing)
+        self._reports.publish(existing.key, self._report(existing))
+        self._say("A replica crashed under requests.", existing)
 
-    def _say(self, sentence: str, standing: _Break, **more: object) -> None:
+    def _say(self, sentence: str, existing: _Break, **more: object) -> None:
         self._log.say(
             sentence,
-            instance=standing.record.instance,
-            service=standing.record.service,
-            count=len(standing.requests),
-            fingerprints=[item.shown for item in standing.requests[:_SHOWN_AT_MOST]],
+            instance=existing.record.instance,
+            service=existing.record.service,
+            count=len(existing.requests),
+            fingerprints=[item.shown for item in existing.requests[:_SHOWN_AT_MOST]],
             **more,
         )
--- a/springrock/quotas/bucket.py
+++ b/springrock/quotas/bucket.py
@@ -74,7 +74,7 @@
         """
         self._settle(now)
         if units <= self._level:
-            self._note_peak(now)
+            self._record_peak(now)
             self._level -= units
             return 0.0
         if units > self._limits.depth or not self._limits.rate:
@@ -107,7 +107,7 @@
         self._level = self.level(now)
         self._at = max(self._at, now)
 
-    def _note_peak(self, now: float) -> None:
+    def _record_peak(self, now: float) -> None:
         """Remember the highest levels since any time that may still be asked about."""
         if not self._remember_s:
             return
--- a/springrock/quotas/charge_book.py
+++ b/springrock/quotas/charge_book.py
@@ -66,7 +66,7 @@
         else:
             self.give_back(charge.number)
 
-    def note_charged(self, charged: Charged) -> None:
+    def record_charged(self, charged: Charged) -> None:
         """Learn the placer's answer; who has left has given the charge back."""
         answer = self._asked.get(charged.number)
         if answer is not None:
--- a/springrock/quotas/charging.py
+++ b/springrock/quotas/charging.py
@@ -14,7 +14,7 @@
 _LEFT_ALONE_S = 0.5
 """How long a zone whose placer did not answer a charge is asked last."""
 
-_UNHEARD_RETRY_S = 0.5
+_UNANSWERED_RETRY_S = 0.5
 """When to come back if no zone counts: boxes that had all lost power had placers again 0.2 s after
 their start, and a placer that was killed is followed within a lease."""
 
@@ -87,7 +87,7 @@
                 return Receipt(counter, number)
             returns_in_s.append(verdict.back_in_s)
         if not returns_in_s:
-            raise QuotaUnheard(_UNHEARD_RETRY_S)
+            raise QuotaUnheard(_UNANSWERED_RETRY_S)
         raise OverQuota(min((back for back in returns_in_s if back is not None), default=None))
 
     def _order(self) -> list[str]:
--- a/springrock/quotas/ledger.py
+++ b/springrock/quotas/ledger.py
@@ -50,7 +50,7 @@
         self._began_at = now
         self._ended_at: dict[str, float] = {}
         self._version = -1
-        self._standing_terms: QuotaTerms | None = None
+        self._current_terms: QuotaTerms | None = None
         self._teams: dict[str, Team] = {}
         self._buckets: dict[str, TokenBucket] = {}
         self._charges: dict[str, OrderedDict[int, _Charge]] = {}
@@ -119,11 +119,11 @@
     def _look(self, now: float) -> None:
         """Take a changed configuration."""
         configuration, terms = self._configuration(), self._terms()
-        if (configuration.version, terms) != (self._version, self._standing_terms):
-            self._version, self._standing_terms = configuration.version, terms
-            self._take_teams(configuration.teams or (), terms, now)
+        if (configuration.version, terms) != (self._version, self._current_terms):
+            self._version, self._current_terms = configuration.version, terms
+            self._apply_teams(configuration.teams or (), terms, now)
 
-    def _take_teams(self, teams: tuple[Team, ...], terms: QuotaTerms, now: float) -> None:
+    def _apply_teams(self, teams: tuple[Team, ...], terms: QuotaTerms, now: float) -> None:
         self._teams = {team.name: team for team in teams}
         for name in self._buckets.keys() - {team.name for team in teams if team.limited}:
             del self._buckets[name]
--- a/springrock/serving/answer.py
+++ b/springrock/serving/answer.py
@@ -28,7 +28,7 @@
 RESUME_PAUSE_S = 0.05
 _CANCEL_EVERY_S = 0.5
 BROKEN_RETRY_AFTER_S = 1.0
-_LOOK_EVERY_S = 5.0
+_CHECK_INTERVAL_S = 5.0
 _SILENCE_LIMIT_S = 15.0
 
 
@@ -69,7 +69,7 @@
         self._ends_at = permitted.held.ends_at
         self._seen_position = -1
         self._seen_at = monotonic()
-        self._watch = gevent.spawn_later(self._next_look_s, self._look)
+        self._watch = gevent.spawn_later(self._next_check_s, self._look)
         self.permitted = permitted
 
     @property
@@ -114,11 +114,13 @@
             self._give_back(self._stream.position)
         else:
             request_id = self._request.request_id
-            gevent.spawn(cancel_surely, self._driver, request_id, self._ends_at, self._give_back)
+            gevent.spawn(
+                cancel_until_confirmed, self._driver, request_id, self._ends_at, self._give_back
+            )
 
     @property
-    def _next_look_s(self) -> float:
-        return min(_LOOK_EVERY_S, max(0.0, self._ends_at - monotonic()))
+    def _next_check_s(self) -> float:
+        return min(_CHECK_INTERVAL_S, max(0.0, self._ends_at - monotonic()))
 
     def _look(self) -> None:
         """Break the stream at the permit's end, or when the engine has long been silent."""
@@ -134,7 +136,7 @@
                 # The reader may resume the stream, which is then watched anew.
                 self._seen_at = now
                 self._stream.abort()
-            gevent.sleep(self._next_look_s)
+            gevent.sleep(self._next_check_s)
 
     def _next(self) -> Event:
         while True:
@@ -175,7 +177,7 @@
         return Refusal(cause_of(error), str(error), RunState.CUT, BROKEN_RETRY_AFTER_S)
 
 
-def cancel_surely(
+def cancel_until_confirmed(
     driver: EngineDriver, request_id: str, ends_at: float, give_back: Callable[[int], None]
 ) -> None:
     """Return a permit only when the engine has confirmed that the request is over.
--- a/springrock/serving/engine_watch.py
+++ b/springrock/serving/engine_watch.py
@@ -31,7 +31,7 @@
         self._replica = replica
         self._boot_id = ""
         self._failures = 0
-        self._look_again = Event()
+        self._check_again = Event()
         self._task: gevent.Greenlet[..., Any] | None = None
         self.admitted = 0
 
@@ -44,9 +44,9 @@
         if self._task is not None:
             self._task.kill(block=False)
 
-    def look_soon(self) -> None:
+    def check_soon(self) -> None:
         """Look at once, as when the engine said something unexpected."""
-        self._look_again.set()
+        self._check_again.set()
 
     @property
     def healthy(self) -> bool:
@@ -56,8 +56,8 @@
     def _watch_loop(self) -> None:
         while True:
             self._watch()
-            self._look_again.wait(timeout=_WATCH_EVERY_S)
-            self._look_again.clear()
+            self._check_again.wait(timeout=_WATCH_EVERY_S)
+            self._check_again.clear()
 
     def _watch(self) -> None:
         replica = self._replica
@@ -69,13 +69,13 @@
             orders_before = replica.orders_given
             loaded = replica.driver.loaded()
         except (UpstreamUnreachable, UpstreamBroke, OrderFailed) as error:
-            self._note_failure(str(error))
+            self._record_failure(str(error))
             return
         if replica.orders_given == orders_before:
             # A list that an order has overtaken says nothing.
-            self._note_alive(loaded)
+            self._record_alive(loaded)
 
-    def _note_failure(self, detail: str) -> None:
+    def _record_failure(self, detail: str) -> None:
         self._failures += 1
         if self._failures != _EJECT_AFTER_FAILURES or not self._boot_id:
             return
@@ -83,20 +83,20 @@
         replica.log.say("Took an upstream out.", replica=replica.name, why=detail)
         self._boot_id = ""
         self.admitted = 0
-        replica.taken_out()
+        replica.removed()
 
-    def _note_alive(self, loaded: LoadedAdapters) -> None:
+    def _record_alive(self, loaded: LoadedAdapters) -> None:
         replica = self._replica
         self._failures = 0
         if not self._boot_id:
-            self._take_in(loaded)
+            self._apply_loaded(loaded)
             return
         if loaded.boot_id != self._boot_id:
             # A restarted engine knows no fence: the next round tells it before anything else.
             replica.log.say("An engine restarted.", replica=replica.name)
             self._boot_id = ""
             replica.residency.replace([])
-            self._look_again.set()
+            self._check_again.set()
             return
         if self.admitted < replica.pool.running_limit:
             self.admitted = min(replica.pool.running_limit, self.admitted * 2)
@@ -104,7 +104,7 @@
         if set(loaded.adapters) != set(replica.residency.ready_adapters):
             replica.holds(loaded.adapters)
 
-    def _take_in(self, loaded: LoadedAdapters) -> None:
+    def _apply_loaded(self, loaded: LoadedAdapters) -> None:
         replica = self._replica
         self._boot_id = loaded.boot_id
         self.admitted = max(1, replica.pool.running_limit // 4)
@@ -114,4 +114,4 @@
             boot=loaded.boot_id,
             holds=loaded.adapters,
         )
-        replica.taken_in(loaded.adapters)
+        replica.added(loaded.adapters)
--- a/springrock/serving/estimate.py
+++ b/springrock/serving/estimate.py
@@ -20,12 +20,12 @@
         self.service_s = self.token_s * 32
         self.load_s = load_s
 
-    def note_service(self, seconds: float, tokens: int) -> None:
+    def record_service_time(self, seconds: float, tokens: int) -> None:
         """Learn from a request that ended whole."""
         self.service_s += _WEIGHT * (seconds - self.service_s)
         if tokens > 0:
             self.token_s += _WEIGHT * (seconds / tokens - self.token_s)
 
-    def note_load(self, seconds: float) -> None:
+    def record_load(self, seconds: float) -> None:
         """Learn from a load that ended."""
         self.load_s += _LOAD_WEIGHT * (seconds - self.load_s)
--- a/springrock/serving/loader.py
+++ b/springrock/serving/loader.py
@@ -59,9 +59,9 @@
                     replica.place_freed.clear()
                     replica.place_freed.wait(timeout=_NO_VICTIM_WAIT_S)
                     continue
-                self._take_turn()
+                self._wait_for_turn()
 
-    def _take_turn(self) -> None:
+    def _wait_for_turn(self) -> None:
         want = self._choose()
         if want is None:
             return
@@ -158,14 +158,14 @@
         try:
             replica.order("load_adapter", want.adapter)
         except _FAILURES as error:
-            self._note_failed(want, str(error))
+            self._record_failed(want, str(error))
             return
         self._failed_tries.pop(want.adapter, None)
-        replica.estimate.note_load(monotonic() - began_at)
+        replica.estimate.record_load(monotonic() - began_at)
         replica.metrics.loads.labels("done").inc()
         replica.adapter_ready(want.adapter)
 
-    def _note_failed(self, want: Want, detail: str) -> None:
+    def _record_failed(self, want: Want, detail: str) -> None:
         replica = self._replica
         replica.residency.loading = ""
         replica.metrics.loads.labels("failed").inc()
--- a/springrock/serving/owned_replica.py
+++ b/springrock/serving/owned_replica.py
@@ -169,7 +169,7 @@
             return Error(refusal)
         ready = self.residency.ready(ask.adapter)
         if ask.adapter:
-            self.residency.note_want(ask.adapter)
+            self.residency.record_want(ask.adapter)
         waiter = Waiter(ask, holder, stalled=not ready)
         self.waiting.add(waiter)
         self.grant_ready()
@@ -191,11 +191,11 @@
         if permit is None:
             return
         if tokens > 0:
-            self.estimate.note_service(monotonic() - permit.granted_at, tokens)
+            self.estimate.record_service_time(monotonic() - permit.granted_at, tokens)
         if tokens == wire.NOT_LOADED:
             self.log.say("The engine lost an adapter.", replica=self.name, adapter=permit.adapter)
             self.residency.unloaded(permit.adapter)
-            self.watch.look_soon()
+            self.watch.check_soon()
         self._after_end(permit)
 
     def give_back_inherited(self, fence: int, number: int) -> None:
@@ -211,7 +211,7 @@
 
     def _after_end(self, permit: Outstanding) -> None:
         if permit.adapter:
-            self.residency.note_use(permit.adapter)
+            self.residency.record_use(permit.adapter)
         self.metrics.permits_outstanding.dec()
         self.place_freed.set()
         self.grant_ready()
@@ -254,7 +254,7 @@
         life_s = min(waiter.deadline.left_s, self.policy.longest_permit_s - _PERMIT_SLACK_S)
         permit = self.permits.grant(ask, holder=waiter.holder, life_s=life_s + _PERMIT_SLACK_S)
         if ask.adapter:
-            self.residency.note_use(ask.adapter)
+            self.residency.record_use(ask.adapter)
         waited_s = monotonic() - waiter.arrived_at
         stall_s = max(0.0, waiter.ready_at - waiter.arrived_at) if waiter.stalled else 0.0
         self.metrics.permits.labels("granted").inc()
@@ -280,13 +280,13 @@
             self.metrics.permits.labels("refused").inc()
             waiter.refuse(refusal)
 
-    def taken_out(self) -> None:
+    def removed(self) -> None:
         """Refuse everyone who waits: the engine does not answer."""
         for waiter in self.waiting:
             self._refuse(waiter, refusals.leaving(self.name))
         self._on_change(self)
 
-    def taken_in(self, adapters: list[str]) -> None:
+    def added(self, adapters: list[str]) -> None:
         """Begin with what an engine holds that is new or was out."""
         self.residency.loading = ""
         self.residency.unloading = ""
@@ -387,10 +387,10 @@
                 self._refuse(waiter, refusals.waited_in_vain(retry_after_s=retry_after_s))
         for permit in self.permits.overdue():
             self.log.say("A permit ran out.", replica=self.name, request=permit.request_id)
-            gevent.spawn(self._cancel_surely, permit)
+            gevent.spawn(self._cancel_until_confirmed, permit)
         self.grant_ready()
 
-    def _cancel_surely(self, permit: Outstanding) -> None:
+    def _cancel_until_confirmed(self, permit: Outstanding) -> None:
         """Have an overdue request cancelled; its adapter is in use until the engine confirms."""
         while not self._closing and not self.driver.cancel(permit.request_id):
             gevent.sleep(_CANCEL_EVERY_S)
--- a/springrock/serving/owner.py
+++ b/springrock/serving/owner.py
@@ -122,7 +122,7 @@
             load_order=load_orders.get(self._policy.load_order),
             log=self._log,
             metrics=self._metrics,
-            on_change=self._note_change,
+            on_change=self._handle_change,
             on_lost=self._lose_soon,
         )
         replica.pinned = lambda: [pin.adapter for pin in self._catalog().pins(settings.name)]
@@ -130,7 +130,7 @@
         self._replicas[settings.name] = replica
         self._loaders[settings.name] = Loader(replica, self._steward)
         self._metrics.owned_replicas.set(len(self._replicas))
-        gevent.spawn(self._learn_permits, replica)
+        gevent.spawn(self._recover_permits, replica)
         replica.start()
         self._loaders[settings.name].start()
 
@@ -151,7 +151,7 @@
     def _lose_soon(self, replica: OwnedReplica) -> None:
         gevent.spawn(self.lost, replica.name)
 
-    def note_leaving(self, leaving: set[str]) -> None:
+    def record_leaving(self, leaving: set[str]) -> None:
         """Take the platform's list of leaving upstreams."""
         self._leaving = leaving
         self.review_service()
@@ -164,7 +164,7 @@
     def _out_of_service(self, replica: str) -> bool:
         return replica in self._leaving or self._catalog().drained(replica)
 
-    def _learn_permits(self, replica: OwnedReplica) -> None:
+    def _recover_permits(self, replica: OwnedReplica) -> None:
         """Ask every box which permits it holds under older fences; unload nothing in use.
 
         Until every box that may hold one has answered, nothing at all is unloaded.
@@ -180,7 +180,7 @@
             self._log.say("All boxes told their permits.", replica=replica.name)
         else:
             self._log.say("Some boxes did not tell their permits.", replica=replica.name)
-        self._note_change(replica)
+        self._handle_change(replica)
 
     def _ask_held(self, replica: OwnedReplica, box: str) -> bool:
         notice = wire.FenceNotice(0, replica.name, replica.fence)
@@ -253,7 +253,7 @@
 
     # Reporting.
 
-    def _note_change(self, replica: OwnedReplica) -> None:
+    def _handle_change(self, replica: OwnedReplica) -> None:
         if self._replicas.get(replica.name) is not replica:
             return
         self._view.take(replica.report(self._box))
--- a/springrock/serving/relay.py
+++ b/springrock/serving/relay.py
@@ -29,7 +29,7 @@
     RESUME_PAUSE_S,
     RESUMES_WITHOUT_PROGRESS,
     Answer,
-    cancel_surely,
+    cancel_until_confirmed,
     cause_of,
 )
 from springrock.serving.request import ServingRequest
@@ -157,12 +157,18 @@
             found = _find_begun(driver, sent)
             if found is None:
                 gevent.spawn(
-                    cancel_surely, driver, sent.request_id, permitted.held.ends_at, give_back
+                    cancel_until_confirmed,
+                    driver,
+                    sent.request_id,
+                    permitted.held.ends_at,
+                    give_back,
                 )
                 return Error(_unknown(error))
             stream = found
         except BaseException:
-            gevent.spawn(cancel_surely, driver, sent.request_id, permitted.held.ends_at, give_back)
+            gevent.spawn(
+                cancel_until_confirmed, driver, sent.request_id, permitted.held.ends_at, give_back
+            )
             raise
         answer = Answer(
             sent,
--- a/springrock/serving/residency.py
+++ b/springrock/serving/residency.py
@@ -59,13 +59,13 @@
         """How many slots hold nothing."""
         return self.slots - len(self._ready) - (1 if self.loading else 0)
 
-    def note_want(self, adapter: str) -> None:
+    def record_want(self, adapter: str) -> None:
         """Count a request for an adapter, loaded or not."""
         if len(self._rates) >= _REMEMBERED_RATES:
             self._forget_rare()
         self._rates.setdefault(adapter, _Decayed()).add(monotonic())
 
-    def note_use(self, adapter: str) -> None:
+    def record_use(self, adapter: str) -> None:
         """Count that a request begins or ends on an adapter."""
         resident = self._ready.get(adapter)
         if resident is not None:
--- a/springrock/serving/router.py
+++ b/springrock/serving/router.py
@@ -148,7 +148,7 @@
     def _ask(self, request: ServingRequest, replica: str) -> Result[Permitted, Refusal]:
         report = self._view.report(replica)
         assert report is not None
-        self._view.note_sent(replica)
+        self._view.record_sent(replica)
         asked_at = monotonic()
         ask = wire.Ask(
             number=0,
--- a/springrock/serving/services.py
+++ b/springrock/serving/services.py
@@ -153,13 +153,13 @@
                 method, path, body=body, headers=headers, timeout_s=max(0.01, deadline.left_s)
             )
         except UpstreamUnreachable as error:
-            self._note_failure(upstream.name)
+            self._record_failure(upstream.name)
             return Error(_failed(Cause.NO_UPSTREAM, str(error), RunState.NOT_RUN))
         except UpstreamSaidNo as error:
-            self._note_refusal(upstream.name, error.retry_after_s)
+            self._record_refusal(upstream.name, error.retry_after_s)
             return Error(_failed(Cause.UPSTREAM_REFUSED, error.reason, RunState.NOT_RUN))
         except UpstreamBroke as error:
-            self._note_failure(upstream.name)
+            self._record_failure(upstream.name)
             return Error(_failed(Cause.UPSTREAM_FAILED, str(error), RunState.UNKNOWN))
         finally:
             self._running[upstream.name] -= 1
@@ -178,7 +178,7 @@
         healthy = [item for item in able if self._ejected_until.get(item.name, 0.0) <= now]
         return min(healthy or able, key=self._load, default=None)
 
-    def _note_refusal(self, name: str, rest_s: float) -> None:
+    def _record_refusal(self, name: str, rest_s: float) -> None:
         """Leave a replica alone that turned a call away, for as long as it asked."""
         backoff = self._backoffs[name]
         if rest_s <= backoff.left_s:
@@ -199,7 +199,7 @@
         far = upstream.availability_zone != self._zone
         return self._running[upstream.name] + (0.5 if far else 0.0), upstream.name
 
-    def _note_failure(self, name: str) -> None:
+    def _record_failure(self, name: str) -> None:
         self._failures[name] += 1
         if self._failures[name] < _FAILURES_TO_EJECT:
             return
--- a/springrock/serving/view.py
+++ b/springrock/serving/view.py
@@ -52,7 +52,7 @@
         """Return the newest report of a replica."""
         return self._reports.get(replica)
 
-    def note_sent(self, replica: str) -> None:
+    def record_sent(self, replica: str) -> None:
         """Count a request sent to a replica since its newest report."""
         self._sent[replica] += 1
 
--- a/springrock/statements/_change.py
+++ b/springrock/statements/_change.py
@@ -17,7 +17,7 @@
 
 IF_REVISION = '("if"i "revision"i SEEN)?'
 IF_REVISION_HELP = "[if revision N]"
-_LOOK_EVERY_S = 0.1
+_CHECK_INTERVAL_S = 0.1
 
 
 def blank(arguments: Arguments, requester: Requester) -> Change:
@@ -77,7 +77,7 @@
             return ", in force on every box"
         if deadline.passed:
             return f", not yet in force on: {', '.join(behind)}"
-        gevent.sleep(_LOOK_EVERY_S)
+        gevent.sleep(_CHECK_INTERVAL_S)
 
 
 def _runs(status: object, revision: int) -> bool:
--- a/springrock/store_clock.py
+++ b/springrock/store_clock.py
@@ -26,7 +26,7 @@
         self._era = UNTOLD_ERA
         self._least_ahead: float | None = None
         self._most_ahead = 0.0
-        self._noted_at = 0.0
+        self._recorded_at = 0.0
 
     def note(
         self, store_s: float, *, sent_at: float, received_at: float, era: int = UNTOLD_ERA
@@ -44,12 +44,12 @@
             self._least_ahead = None
         least, most = sent_at - store_s, received_at - store_s
         if self._least_ahead is not None:
-            wider_s = _DRIFT * max(0.0, received_at - self._noted_at)
+            wider_s = _DRIFT * max(0.0, received_at - self._recorded_at)
             known_least, known_most = self._least_ahead - wider_s, self._most_ahead + wider_s
             if known_least <= most + _JUMP_S and least <= known_most + _JUMP_S:
                 least, most = max(least, known_least), min(most, known_most)
         self._least_ahead, self._most_ahead = least, max(least, most)
-        self._noted_at = received_at
+        self._recorded_at = received_at
 
     def earliest_local(self, store_s: float, *, era: int = UNTOLD_ERA) -> float | None:
         """Return the local time before which the store's clock had not read so; None if unknown.
@@ -69,4 +69,4 @@
         return local - self._most_ahead - self._drift_s()
 
     def _drift_s(self) -> float:
-        return _DRIFT * max(0.0, monotonic() - self._noted_at)
+        return _DRIFT * max(0.0, monotonic() - self._recorded_at)
--- a/springrock/table_follower.py
+++ b/springrock/table_follower.py
@@ -35,12 +35,12 @@
 that it still reads."""
 
 _SHARED_PAUSE_AT_MOST_S = 0.4
-_REPORT_FRESH_S = 1.3
+_TOLD_FRESH_S = 1.3
 """How long what another box read counts as fresh: a little more than its longest time between two
 reads. With a read of the own after it, a change is known in under two seconds all the same, if the
 store answers at once."""
 
-_PATIENCE_S = 0.4
+_EXTRA_WAIT_S = 0.4
 """How much longer at most those wait who tell nobody, so that one who does reads first."""
 
 _COPY_KEPT_S = 5.0
@@ -166,7 +166,7 @@
             "table_stale_ms": round(1000 * stale_s) if math.isfinite(stale_s) else None,
         }
 
-    def take_reading(
+    def apply_reading(
         self, reading: TableReading, *, relied_on: bool = True, teller: str = ""
     ) -> None:
         """Learn what another box has read just now.
@@ -183,16 +183,16 @@
             if era_of(reading.after) > era_of(self._version):
                 self.read_alone()
             return
-        self._note_behind(reading, teller)
+        self._record_behind(reading, teller)
         if reading.version < self._version:
             return
         self._reported_by = teller
         self._apply(reading)
-        self._note_newest(reading)
+        self._record_newest(reading)
         self.read_at = monotonic()
         if relied_on or self._unread.holds:
-            patience_s = 0.0 if self.sharing() else random.uniform(0.5, 1.0) * _PATIENCE_S
-            self._reported_until = self.read_at + _REPORT_FRESH_S + patience_s
+            extra_wait_s = 0.0 if self.sharing() else random.uniform(0.5, 1.0) * _EXTRA_WAIT_S
+            self._reported_until = self.read_at + _TOLD_FRESH_S + extra_wait_s
         if self.sharing():
             self.shared_with(reading, False)
 
@@ -218,7 +218,7 @@
         era = era_of(self.version)
         return row if era_of(row.version) == era else row._replace(version=version_in(era, 0))
 
-    def take_copy(self, reading: TableReading, *, newest_at: float) -> None:
+    def apply_copy(self, reading: TableReading, *, newest_at: float) -> None:
         """Learn the whole table from another box, as old as it may be; never what is older.
 
         Args:
@@ -311,7 +311,7 @@
         self._whole_stands = True
         return True
 
-    def _note_behind(self, reading: TableReading, teller: str) -> None:
+    def _record_behind(self, reading: TableReading, teller: str) -> None:
         """Say when a box tells less than is known, and when it no longer does."""
         if reading.version < self.version:
             self._behind.begin(
@@ -320,7 +320,7 @@
         else:
             self._behind.end(teller=teller, told=shown(reading.version), known=shown(self.version))
 
-    def _note_newest(self, reading: TableReading) -> None:
+    def _record_newest(self, reading: TableReading) -> None:
         """Learn up to when what another box has read was the newest."""
         if reading.as_of_s is None:
             return
@@ -338,17 +338,17 @@
     def _apply(self, reading: TableReading) -> None:
         """Hand on what is newer than what is known."""
         if reading.whole:
-            self._take_whole(reading)
+            self._apply_full_table(reading)
         else:
-            self._take_changes(reading)
+            self._apply_changes(reading)
         for change in self._unconfirmed.settled():
             self._take(change)
 
-    def _take_whole(self, reading: TableReading) -> None:
+    def _apply_full_table(self, reading: TableReading) -> None:
         known = self._version
         rows = [row for row in reading.changes if isinstance(row, Row)]
         if known is not None and era_of(reading.version) > era_of(known):
-            self._take_return(rows, version=reading.version)
+            self._apply_restored_table(rows, version=reading.version)
         elif known is None or reading.version > known or self._whole_stands:
             self._replace(rows)
         else:
@@ -356,10 +356,10 @@
         self._version = reading.version
 
     def _replace(self, rows: Sequence[Row]) -> None:
-        self._rows = self._unconfirmed.note_whole(rows, known=self._rows)
+        self._rows = self._unconfirmed.record_full_table(rows, known=self._rows)
         self._listener.replace(list(self._rows.values()))
 
-    def _take_changes(self, reading: TableReading) -> None:
+    def _apply_changes(self, reading: TableReading) -> None:
         known = self.version
         for change in reading.changes:
             if not change.version or change.version > known:
@@ -367,7 +367,7 @@
         self._version = max(known, reading.version)
 
     def _take(self, change: Change) -> None:
-        self._unconfirmed.note_taken(change)
+        self._unconfirmed.record_applied(change)
         match change:
             case Row(key=key):
                 self._rows[key] = change
@@ -376,11 +376,11 @@
                 self._rows.pop(key, None)
                 self._listener.remove(key)
 
-    def _take_return(self, rows: Sequence[Row], *, version: int) -> None:
+    def _apply_restored_table(self, rows: Sequence[Row], *, version: int) -> None:
         """Take the whole table of a store that came back from a copy."""
         reported = {row.key for row in rows}
         lost = [row for key, row in self._rows.items() if key not in reported]
-        for row in self._unconfirmed.note_return(rows, lost=lost):
+        for row in self._unconfirmed.apply_restored_table(rows, lost=lost):
             self._take(row)
         self._log.say(
             "The store came back from a copy.",
--- a/springrock/unconfirmed_rows.py
+++ b/springrock/unconfirmed_rows.py
@@ -52,7 +52,7 @@
     def __len__(self) -> int:
         return len(self._unconfirmed)
 
-    def note_taken(self, change: Change) -> None:
+    def record_applied(self, change: Change) -> None:
         """Learn what counts for a row from now on."""
         self._unconfirmed.pop(change.key, None)
         if isinstance(change, Removed):
@@ -60,7 +60,7 @@
         else:
             self._removed.pop(change.key, None)
 
-    def note_return(self, rows: Sequence[Row], *, lost: Sequence[Row]) -> list[Row]:
+    def apply_restored_table(self, rows: Sequence[Row], *, lost: Sequence[Row]) -> list[Row]:
         """Learn the whole table of a store that came back from a copy.
 
         Args:
@@ -81,7 +81,7 @@
                 )
         return [row for row in rows if row.key not in self._removed]
 
-    def note_whole(self, rows: Sequence[Row], *, known: Mapping[str, Row]) -> dict[str, Row]:
+    def record_full_table(self, rows: Sequence[Row], *, known: Mapping[str, Row]) -> dict[str, Row]:
         """Learn the whole table once more; return it but for what stays as it is known."""
         present = {row.key: row for row in rows}
         self._unconfirmed = {
--- a/tests/forwarding/test_choosing.py
+++ b/tests/forwarding/test_choosing.py
@@ -85,12 +85,12 @@
     record = ReplicaRecord(instance="i-1", service="s", address="127.0.0.1:1", zone="zone-1")
     directory.update(record)
     if leaving:
-        directory.note_leaving("i-1", LeavingSign.ANSWER)
-    directory.note_backoff("i-1", backoff_s)
+        directory.record_leaving("i-1", LeavingSign.ANSWER)
+    directory.record_backoff("i-1", backoff_s)
     replica = directory.find("i-1")
     assert replica is not None
     for _ in range(failures):
-        replica.health.note_failure()
+        replica.health.record_failure()
     chooser = ReplicaChooser(
         configuration=lambda: configuration,
         directory=directory,
--- a/tests/forwarding/test_directory.py
+++ b/tests/forwarding/test_directory.py
@@ -34,7 +34,7 @@
     old = directory.find("i-1@5")
     assert old is not None
     old.running = 3
-    old.health.note_unreachable()
+    old.health.record_unreachable()
     directory.update(make_record(6, sequence=1))
     new = directory.find("i-1@6")
     assert new is not None
@@ -74,9 +74,9 @@
     assert directory.leaving() == ("i-1@5",)
     directory.update(make_record(6))
     assert directory.leaving() == ()
-    directory.note_leaving("i-1@5", LeavingSign.BOX)
+    directory.record_leaving("i-1@5", LeavingSign.BOX)
     assert directory.leaving() == ()
-    directory.note_leaving("i-1@6", LeavingSign.BOX)
+    directory.record_leaving("i-1@6", LeavingSign.BOX)
     assert directory.leaving() == ("i-1@6",)
 
 
@@ -85,7 +85,7 @@
     directory = make_directory()
     directory.update(make_record(5, leaving=True))
     for number in range(10):
-        directory.note_leaving(f"i-other-{number}", LeavingSign.BOX)
+        directory.record_leaving(f"i-other-{number}", LeavingSign.BOX)
     assert len(directory._left) == 3
     directory.update(make_record(5, sequence=8))
     assert directory.leaving() == ("i-1@5",)
@@ -143,7 +143,7 @@
     reusable = True
     closed = False
 
-    def note_kept(self) -> None:
+    def record_kept(self) -> None:
         """Rest."""
 
     def close(self) -> None:
--- a/tests/forwarding/test_distance.py
+++ b/tests/forwarding/test_distance.py
@@ -136,7 +136,7 @@
             number = int(replica.instance.removeprefix("i-"))
             if self.running[number] >= PLACES:
                 self.full += 1
-                replica.health.note_full()
+                replica.health.record_full()
                 continue
             self.running[number] += 1
             replica.running += 1
@@ -144,10 +144,10 @@
             replica.running -= 1
             self.running[number] -= 1
             if self.chance.random() < self.traffic.failing[number]:
-                replica.health.note_failure()
+                replica.health.record_failure()
                 self.failed += 1
             else:
-                replica.health.note_success()
+                replica.health.record_success()
             self.late += self.environment.now - began > TARGET_S
             return
         self.late += 1
@@ -231,7 +231,7 @@
     environment: simpy.Environment,
 ) -> None:
     box = make_box()
-    box.replicas[0].health.note_full()
+    box.replicas[0].health.record_full()
     assert box.choose(set()) is not box.replicas[0]
     environment.run(until=0.5)
     assert box.choose(set()) is box.replicas[0]
@@ -242,9 +242,9 @@
 ) -> None:
     box = make_box()
     nearest = box.replicas[0]
-    nearest.health.note_failure()
+    nearest.health.record_failure()
     assert box.choose(set()) is nearest
-    nearest.health.note_failure()
+    nearest.health.record_failure()
     assert box.choose(set()) is not nearest
     environment.run(until=60.0)
     assert box.choose(set()) is nearest
--- a/tests/forwarding/test_evacuation_model.py
+++ b/tests/forwarding/test_evacuation_model.py
@@ -123,9 +123,9 @@
             is_announced = zone in self.evacuations.announced
             cut_in_s = self.evacuations.cut_in_s(zone)
             if evacuated_at is not None and is_announced:
-                learnt_at = self.evacuations.learnt_at(zone)
-                assert cut_in_s is not None and learnt_at is not None
-                latest = max(learnt_at, evacuated_at + CUT_PART * WITHIN_S)
+                learned_at = self.evacuations.learned_at(zone)
+                assert cut_in_s is not None and learned_at is not None
+                latest = max(learned_at, evacuated_at + CUT_PART * WITHIN_S)
                 assert not cut_in_s or now + cut_in_s <= latest + GRAIN_S
                 assert now < latest + GRAIN_S or zone in self.evacuations.zones
             if evacuated_at is not None and evacuated_at < known_at - GRAIN_S:
@@ -169,7 +169,7 @@
                 reported = self.boxes[1 - number].shared
                 if back < len(reported):
                     reading = reported[len(reported) - 1 - back]
-                    self.boxes[number].follower.take_reading(reading, relied_on=relied_on)
+                    self.boxes[number].follower.apply_reading(reading, relied_on=relied_on)
             case ("restart", number):
                 self._end(self.boxes[number])
                 self.boxes[number].start()
--- a/tests/forwarding/test_evacuations.py
+++ b/tests/forwarding/test_evacuations.py
@@ -196,7 +196,7 @@
 def test_a_box_that_has_read_nothing_takes_no_word_of_another_one_for_the_whole_table() -> None:
     evacuations = make_evacuations()
     follower = make_follower(evacuations)
-    follower.take_reading(TableReading("op", 4, 5, [Row("config", b"{}", 5)]))
+    follower.apply_reading(TableReading("op", 4, 5, [Row("config", b"{}", 5)]))
     assert follower.age_s == float("inf")
 
 
@@ -237,7 +237,7 @@
     ]
     seen = []
     for reading in readings:
-        follower.take_reading(reading)
+        follower.apply_reading(reading)
         seen.append(bool(evacuations.announced))
     assert seen == [True, False, False, True, True, False, False]
 
@@ -245,10 +245,10 @@
 def test_what_is_missing_between_two_readings_is_never_passed_over() -> None:
     evacuations = make_evacuations()
     follower = read_whole(evacuations)
-    follower.take_reading(TableReading("op", 1, 2, [evacuate("z-2", 2)]))
-    follower.take_reading(TableReading("op", 3, 4, [Row("version/m.a", b"{}", 4)]))
+    follower.apply_reading(TableReading("op", 1, 2, [evacuate("z-2", 2)]))
+    follower.apply_reading(TableReading("op", 3, 4, [Row("version/m.a", b"{}", 4)]))
     assert evacuations.announced == {"z-2"}
-    follower.take_reading(TableReading("op", 2, 4, [Removed("evacuate/z-2", 3)]))
+    follower.apply_reading(TableReading("op", 2, 4, [Removed("evacuate/z-2", 3)]))
     assert evacuations.announced == frozenset()
 
 
@@ -265,6 +265,6 @@
     follower = read_whole(evacuations, clock=clock)
     gevent.sleep(0.25)
     as_of_s = clock.earliest_store(monotonic())
-    follower.take_reading(TableReading("op", 1, 2, [evacuate("z-2", 2)], as_of_s=as_of_s))
+    follower.apply_reading(TableReading("op", 1, 2, [evacuate("z-2", 2)], as_of_s=as_of_s))
     assert follower.staleness_s < 0.1, "from now on it is known to be fresh"
     assert evacuations.zones == {"z-2"}
--- a/tests/forwarding/test_notices.py
+++ b/tests/forwarding/test_notices.py
@@ -69,7 +69,7 @@
 def test_a_late_answer_of_an_earlier_start_says_nothing_of_the_new_one(box: Box) -> None:
     replica = box.directory.find("i-1@5")
     assert replica is not None
-    take = box.notices.taker("i-1")
+    take = box.notices.notice_handler("i-1")
     box.start(6)
     box.notices.take(replica, LEAVES, sent_at=monotonic())
     take(LEAVES)
@@ -77,9 +77,9 @@
 
 
 def test_an_answer_to_an_order_tells_as_much_as_one_to_a_request(box: Box) -> None:
-    box.notices.taker("i-1")(LEAVES)
+    box.notices.notice_handler("i-1")(LEAVES)
     assert box.directory.leaving() == ("i-1@5",)
-    box.notices.taker("i-unknown")(LEAVES)
+    box.notices.notice_handler("i-unknown")(LEAVES)
 
 
 @given(
--- a/tests/forwarding/test_notices_model.py
+++ b/tests/forwarding/test_notices_model.py
@@ -100,7 +100,7 @@
             case ToldByBox(replica_id, born_ms):
                 instance = incarnation_of(replica_id, born_ms)
                 self._left.add(instance)
-                self._directory.note_leaving(instance, LeavingSign.BOX)
+                self._directory.record_leaving(instance, LeavingSign.BOX)
             case Waited(seconds):
                 self.now += seconds
             case Answered() if self._sent:
--- a/tests/forwarding/test_regions.py
+++ b/tests/forwarding/test_regions.py
@@ -173,7 +173,7 @@
     progress = make_progress("b", adapter=True)
     first = box.choose(progress)
     progress.begin(f"i-{first}", record_age_s=0.0).outcome = AttemptOutcome.BROKEN
-    progress.note_event("1")
+    progress.record_event("1")
     assert {first, box.choose(progress)} == {"b-1", "b-2"}
     progress.begin("i-b-1", record_age_s=0.0).outcome = AttemptOutcome.BROKEN
     progress.begin("i-b-2", record_age_s=0.0).outcome = AttemptOutcome.BROKEN
--- a/tests/forwarding/test_sending.py
+++ b/tests/forwarding/test_sending.py
@@ -44,7 +44,7 @@
         attempt = sender.begin(progress, replica)
         with pytest.raises(SendingForbidden) as forbidden:
             sender.send(progress, Chosen(replica, None), attempt, head_within_s=1.0)
-        sender.note_failure(progress, replica, attempt, forbidden.value)
+        sender.record_failure(progress, replica, attempt, forbidden.value)
     assert attempt.outcome is AttemptOutcome.WITHHELD
     assert (progress.arrivals, progress.runs) == (0, 0)
     assert progress.tried == {"i"}, "another replica is next"
--- a/tests/forwarding/test_values.py
+++ b/tests/forwarding/test_values.py
@@ -103,8 +103,8 @@
         event for at in range(0, len(data), size) for event in splitter.feed(data[at : at + size])
     ]
     assert [event.event_id for event in events] == ["1", "2"]
-    assert b"".join(event.raw for event in events) + splitter.take_rest() == data
-    assert splitter.take_rest() == b""
+    assert b"".join(event.raw for event in events) + splitter.drain_rest() == data
+    assert splitter.drain_rest() == b""
 
 
 # Replicas.
@@ -115,8 +115,8 @@
     record = ReplicaRecord(instance="i-1", service="s", address="127.0.0.1:1", zone="z")
     directory.update(record)
     assert directory.leaving() == ()
-    directory.note_leaving("i-1", LeavingSign.BOX)
-    directory.note_leaving("i-2", LeavingSign.BOX)
+    directory.record_leaving("i-1", LeavingSign.BOX)
+    directory.record_leaving("i-2", LeavingSign.BOX)
     assert directory.leaving() == ("i-1",)
     directory.update(record)
     directory.update(msgspec.structs.replace(record, instance="i-2"))
@@ -132,7 +132,7 @@
     budget = RetryBudget(lambda: RetryLimits(ratio=0.2, allowance=2.5, window_s=10.0))
     assert [budget.spend() for _ in range(4)] == [True, True, False, False]
     for _ in range(20):
-        budget.note_request()
+        budget.record_request()
     assert [budget.spend() for _ in range(5)].count(True) == 3
     now += 11.0
     assert [budget.spend() for _ in range(4)] == [True, True, False, False]
@@ -189,21 +189,21 @@
     now = 100.0
     monkeypatch.setattr(health_module, "monotonic", lambda: now)
     health = Health()
-    health.note_failure()
+    health.record_failure()
     assert not health.resting
-    health.note_failure()
+    health.record_failure()
     rests = []
     for _ in range(5):
         assert health.resting
         rests.append(health.rest_left_s)
         now += health.rest_left_s
         assert not health.resting
-        health.note_unreachable()
+        health.record_unreachable()
     assert rests == sorted(rests)
     assert rests[-1] <= 4.0
     now += 5.0
-    health.note_success()
-    health.note_unreachable()
+    health.record_success()
+    health.record_unreachable()
     assert health.rest_left_s == pytest.approx(0.3)
 
 
@@ -252,7 +252,7 @@
     near.running = 2
     assert balancer.choose([near, far]) is far
     near.running = 0
-    near.health.note_unreachable()
+    near.health.record_unreachable()
     assert balancer.choose([near, far]) is far
     assert balancer.choose([near, far], tried={"far"}) is None
     assert balancer.choose([near, far], tried={"far"}, even_resting=True) is near
--- a/tests/permits/limit_world.py
+++ b/tests/permits/limit_world.py
@@ -64,7 +64,7 @@
         self.limits.on_limit_report.append(self._notify)
         self.permits = Permits(
             counter=lambda zone: self,
-            on_unheard=lambda: None,
+            on_unanswered=lambda: None,
             is_cold=lambda record: False,
             limits=self.limits,
             shares=OwnShares(home_zone=ZONE, boxes=lambda: world.home_boxes),
@@ -169,9 +169,9 @@
     def _take(self, answer: Answer) -> None:
         box = self.boxes[answer.box]
         if answer.per_s is None:
-            box.limits.note_silent(RECORD.instance, sent_at=answer.sent_at)
+            box.limits.record_silent(RECORD.instance, sent_at=answer.sent_at)
             return
-        box.limits.note_named(RECORD.instance, answer.per_s, sent_at=answer.sent_at)
+        box.limits.record_limit_named(RECORD.instance, answer.per_s, sent_at=answer.sent_at)
         self.first_named_at = self.now if self.first_named_at is None else self.first_named_at
         box.reported_at = self.now if box.reported_at is None else box.reported_at
 
--- a/tests/permits/test_named_limits.py
+++ b/tests/permits/test_named_limits.py
@@ -21,10 +21,10 @@
         self.limits.on_limit_report.append(self.reported.append)
 
     def named(self, per_s: float, *, sent_ago_s: float = 0.1) -> None:
-        self.limits.note_named("i-1", per_s, sent_at=self.now - sent_ago_s)
+        self.limits.record_limit_named("i-1", per_s, sent_at=self.now - sent_ago_s)
 
     def silent(self, *, sent_ago_s: float = 0.1) -> None:
-        self.limits.note_silent("i-1", sent_at=self.now - sent_ago_s)
+        self.limits.record_silent("i-1", sent_at=self.now - sent_ago_s)
 
     @property
     def per_s(self) -> float | None:
--- a/tests/permits/test_permits.py
+++ b/tests/permits/test_permits.py
@@ -38,7 +38,7 @@
     asking = gevent.spawn(book.ask, PermitAsk(0, "r", "s", "i-1", True))
     gevent.sleep(0.02)
     assert (book.drain_updates(), urgent) == (([PermitAsk(1, "r", "s", "i-1", True)], []), [True])
-    book.note_permitted(Permitted(1, counts=True, granted=True))
+    book.record_permitted(Permitted(1, counts=True, granted=True))
     verdict, good_until = asking.get(timeout=5)
     assert verdict == PermitVerdict(True)
     assert asked_at + PERMIT_LIFE_S <= good_until < asked_at + 0.02 + PERMIT_LIFE_S
@@ -50,11 +50,11 @@
     asking = gevent.spawn(book.ask, PermitAsk(0, "r", "s", "i-1", False))
     gevent.sleep(0)
     if permitted is not None:
-        book.note_permitted(permitted)
+        book.record_permitted(permitted)
     with pytest.raises(PermitsUnheard):
         asking.get(timeout=5)
     assert book.drain_updates() == ([], [])
-    book.note_permitted(Permitted(1, counts=True, granted=True))
+    book.record_permitted(Permitted(1, counts=True, granted=True))
 
 
 def test_a_placer_that_is_lost_ends_all_asks_at_once() -> None:
@@ -97,16 +97,16 @@
 
 def make_permits(
     counter: ScriptedCounter,
-    unheard: list[int] | None = None,
+    unanswered_permits: list[int] | None = None,
     *,
     cold: bool = True,
     limits: NamedLimits | None = None,
     boxes: int = 1,
 ) -> Permits:
-    heard_of = [] if unheard is None else unheard
+    heard_of = [] if unanswered_permits is None else unanswered_permits
     return Permits(
         counter=lambda zone: counter,
-        on_unheard=lambda: heard_of.append(1),
+        on_unanswered=lambda: heard_of.append(1),
         is_cold=lambda record: cold,
         limits=limits or make_limits(),
         shares=OwnShares(home_zone="zone-1", boxes=lambda: boxes),
@@ -128,11 +128,11 @@
 
 
 def test_a_zone_that_does_not_answer_is_left_alone() -> None:
-    counter, unheard = ScriptedCounter(), list[int]()
-    permits = make_permits(counter, unheard)
+    counter, unanswered_permits = ScriptedCounter(), list[int]()
+    permits = make_permits(counter, unanswered_permits)
     for _ in range(3):
         assert permits.ask(COLD.record, request="r", returns=True).good_until is None
-    assert (counter.asked, len(unheard)) == (1, 1)
+    assert (counter.asked, len(unanswered_permits)) == (1, 1)
 
 
 # Limits that replicas name.
@@ -140,7 +140,7 @@
 
 def limited_to(per_s: float) -> NamedLimits:
     limits = make_limits()
-    limits.note_named("cold", per_s, sent_at=monotonic())
+    limits.record_limit_named("cold", per_s, sent_at=monotonic())
     return limits
 
 
--- a/tests/permits/test_returns.py
+++ b/tests/permits/test_returns.py
@@ -109,7 +109,7 @@
             ended_at=lambda zone: self.ended_at[number],
             log=Log("slow_start", f"box-{number}"),
         )
-        warmup.take_record(RECORD, "i-1")
+        warmup.apply_record(RECORD, "i-1")
         warmup.on_observation.append(
             lambda record, answered: self._tell_placer(number, answered=answered)
         )
@@ -159,7 +159,7 @@
         )
         if record != self._read[number]:
             self._read[number] = record
-            self.boxes[number].take_record(record, "i-1")
+            self.boxes[number].apply_record(record, "i-1")
         self.rows_as_of[number] = self.now
 
     def _send(self, number: int) -> None:
@@ -167,9 +167,9 @@
         if warmup.is_cold(RECORD) and not self._permit(number):
             return
         if not self.day.evacuated and self.day.gone_at <= self.now < self.back_at:
-            warmup.note_failed(RECORD, refused=True)
+            warmup.record_failed(RECORD, refused=True)
             return
-        warmup.note_answered(RECORD, sent_at=self.now)
+        warmup.record_answered(RECORD, sent_at=self.now)
         self.served += 1
         if self.cold_from <= self.now < self.cold_from + COLD_S:
             self.arrivals.append(self.now)
--- a/tests/permits/test_sightings.py
+++ b/tests/permits/test_sightings.py
@@ -40,7 +40,7 @@
         slow = Service(name="s", slow_start=SlowStart(lasts_s=5.0, per_s=4.0))
         configuration = Configuration(version=1, services={"s": slow})
         self.warmup: WarmupTracker = make_warmup(lambda: configuration)
-        self.warmup.take_record(RECORD, "i-1")
+        self.warmup.apply_record(RECORD, "i-1")
         self.reported: list[bool] = []
         self.warmup.on_observation.append(lambda record, answered: self.reported.append(answered))
         self.replica = Replica(RECORD)
@@ -60,9 +60,9 @@
         progress = RequestProgress(request, make_route(), "s")
         attempt = self.sender.begin(progress, self.replica)
         if isinstance(outcome, int):
-            self.sender.note_answer(progress, self.replica, attempt, outcome)
+            self.sender.record_answer(progress, self.replica, attempt, outcome)
         else:
-            self.sender.note_failure(progress, self.replica, attempt, outcome)
+            self.sender.record_failure(progress, self.replica, attempt, outcome)
         self.sender.end(Chosen(self.replica, None), attempt)
         return attempt.outcome
 
--- a/tests/permits/test_warmup.py
+++ b/tests/permits/test_warmup.py
@@ -39,18 +39,18 @@
 
     def read(self, **more: object) -> None:
         self.record = msgspec.structs.replace(RECORD, **more)
-        self.warmup.take_record(self.record, "i-1")
+        self.warmup.apply_record(self.record, "i-1")
 
     @property
     def cold(self) -> bool:
         return self.warmup.is_cold(self.record)
 
     def fail(self, *, refused: bool = True) -> None:
-        self.warmup.note_failed(self.record, refused=refused)
+        self.warmup.record_failed(self.record, refused=refused)
 
     def succeed(self, *, sent_at: float | None = None) -> None:
         sent_at = self.now if sent_at is None else sent_at
-        self.warmup.note_answered(self.record, sent_at=sent_at)
+        self.warmup.record_answered(self.record, sent_at=sent_at)
 
 
 @pytest.fixture
@@ -202,6 +202,6 @@
 
 def test_a_replica_that_is_gone_is_forgotten(knowing: Knowing) -> None:
     knowing.fail()
-    knowing.warmup.take_record(None, "i-1")
+    knowing.warmup.apply_record(None, "i-1")
     assert knowing.warmup.doubted("zone-1") == ()
     assert knowing.warmup.cold_count == 0
--- a/tests/placement/test_demand.py
+++ b/tests/placement/test_demand.py
@@ -44,7 +44,7 @@
     assert (ask.model, ask.adapter, ask.worth) == ("m", "a", 2.0)
     assert (ask.prompt, ask.tried) == ([("p", 10)], ["i-9"])
     assert book.drain_updates() == Demand()
-    book.note_grant(ask.number, "i-1")
+    book.record_grant(ask.number, "i-1")
     use = task.get(timeout=10)
     assert use.instance == "i-1"
     use.began()
@@ -58,7 +58,7 @@
 def test_all_that_stands_is_told_to_a_new_placer() -> None:
     book = make_book()
     task = find(book, adapter_request())
-    book.note_grant(book.drain_updates().asks[0].number, "i-1")
+    book.record_grant(book.drain_updates().asks[0].number, "i-1")
     task.get(timeout=10)
     alone = book.use("i-2", KEY)
     waiting = find(book, adapter_request())
@@ -83,7 +83,7 @@
     task = find(book, adapter_request())
     number = book.drain_updates().asks[0].number
     task.kill()
-    book.note_grant(number, "i-1")
+    book.record_grant(number, "i-1")
     assert book.drain_updates().over == [Over(number)]
     assert book.whole().uses == []
 
@@ -99,7 +99,7 @@
     book = make_book()
     task = find(book, adapter_request(target_s=0.5, until_s=0.9, returns_s=2.0))
     book.drain_updates()
-    book.note_forecast(KEY, 1.0)
+    book.record_forecast(KEY, 1.0)
     with pytest.raises(NoReplica) as refusal:
         task.get(timeout=10)
     assert refusal.value.reason == "load_promised"
@@ -114,20 +114,20 @@
     book = make_book()
     task = find(book, adapter_request(target_s=0.1, until_s=9.0, returns_s=3.0))
     number = book.drain_updates().asks[0].number
-    book.note_forecast(KEY, 2.0)
+    book.record_forecast(KEY, 2.0)
     gevent.sleep(0.3)
     assert not task.ready()
-    book.note_grant(number, "i-1")
+    book.record_grant(number, "i-1")
     assert task.get(timeout=10).instance == "i-1"
 
 
 def test_a_request_is_rejected_the_moment_when_its_load_turns_out_too_late() -> None:
     book = make_book()
     task = find(book, adapter_request(target_s=0.1, until_s=5.0, returns_s=0.0))
-    book.note_forecast(KEY, 2.0)
+    book.record_forecast(KEY, 2.0)
     gevent.sleep(0.05)
     assert not task.ready()
-    book.note_forecast(KEY, 5.5)
+    book.record_forecast(KEY, 5.5)
     with pytest.raises(NoReplica) as refusal:
         task.get(timeout=1)
     assert refusal.value.retry_after_s > 5.0
@@ -136,7 +136,7 @@
 def test_a_client_that_cannot_wait_so_long_is_told_the_truth() -> None:
     book = make_book()
     task = find(book, adapter_request(target_s=0.5, until_s=0.9, returns_s=0.3))
-    book.note_forecast(KEY, 1.0)
+    book.record_forecast(KEY, 1.0)
     with pytest.raises(NoReplica) as refusal:
         task.get(timeout=10)
     assert refusal.value.reason == "load_not_in_time"
@@ -147,7 +147,7 @@
     reachable = [True]
     book = DemandBook(has_placer=lambda: reachable[0])
     task = find(book, adapter_request())
-    book.note_forecast(KEY, 0.5)
+    book.record_forecast(KEY, 0.5)
     gevent.sleep(0)
     reachable[0] = False
     book.forget_placer()
@@ -167,7 +167,7 @@
 def test_who_waits_where_nothing_is_brought_any_more_asks_elsewhere() -> None:
     book = make_book()
     task = find(book, adapter_request())
-    book.note_forecast(KEY, 0.5)
+    book.record_forecast(KEY, 0.5)
     book.ask_elsewhere(but_for=lambda key: key == KEY)
     gevent.sleep(0.05)
     assert not task.ready(), "it is served here yet"
@@ -194,7 +194,7 @@
 
 def test_that_a_replica_leaves_is_told_and_told_anew_to_a_new_placer() -> None:
     book = DemandBook(has_placer=lambda: True, leaving=lambda: ("i-1", "i-2"))
-    book.note_leaving("i-1")
+    book.record_leaving("i-1")
     assert decode(encode(book.drain_updates())) == Demand(leaving=["i-1"])
     assert book.drain_updates() == Demand()
     assert book.whole().leaving == ["i-1", "i-2"]
@@ -203,7 +203,7 @@
 def test_how_long_an_engine_wants_rest_is_told_with_the_end_of_its_use() -> None:
     book = make_book()
     task = find(book, adapter_request())
-    book.note_grant(book.drain_updates().asks[0].number, "i-1")
+    book.record_grant(book.drain_updates().asks[0].number, "i-1")
     task.get(timeout=10).end(UseOutcome.FULL, backoff_s=2.0005)
     [over] = decode(encode(book.drain_updates())).over
     assert (over.outcome, over.backoff_ms) == (Outcome.FULL, 2001)
--- a/tests/placement/test_dispatcher.py
+++ b/tests/placement/test_dispatcher.py
@@ -52,11 +52,11 @@
         choice = self.dispatcher.choose(key, prompt, holders, target_in_s=target_in_s)
         if choice is None:
             return None
-        self.dispatcher.note_granted("box", self.sent, choice, key, prompt)
+        self.dispatcher.record_granted("box", self.sent, choice, key, prompt)
         return choice.instance
 
     def over(self, number: int, outcome: Outcome = Outcome.ENDED) -> None:
-        self.dispatcher.note_over("box", Over(number, outcome))
+        self.dispatcher.record_finished("box", Over(number, outcome))
 
 
 @pytest.fixture
@@ -73,9 +73,9 @@
 
 def test_a_prompt_that_an_engine_keeps_is_read_there(requests: Requests) -> None:
     first = requests.send("i-1", "i-2", shared=SHARED)
-    requests.dispatcher.note_began("box", Began(1, 400))
+    requests.dispatcher.record_start("box", Began(1, 400))
     assert requests.send("i-1", "i-2", shared=SHARED) == first
-    requests.dispatcher.note_began("box", Began(2, 100))
+    requests.dispatcher.record_start("box", Began(2, 100))
     assert requests.send("i-1", "i-2", shared=SHARED) == first
 
 
@@ -105,7 +105,7 @@
 ) -> None:
     for number in range(1, 9):
         instance = requests.send("i-1" if number % 2 else "i-2")
-        requests.dispatcher.note_began("box", Began(number, 800 if instance == "i-1" else 100))
+        requests.dispatcher.record_start("box", Began(number, 800 if instance == "i-1" else 100))
         requests.over(number)
     assert [requests.send("i-1", "i-2") for _ in range(3)] == ["i-2"] * 3
     pass_time(60.0)
@@ -148,7 +148,7 @@
 def test_what_ended_or_whose_box_is_gone_counts_no_more(requests: Requests) -> None:
     requests.send("i-1")
     requests.send("i-1", key=OTHER)
-    requests.dispatcher.note_use("other box", Use(1, "i-1", *KEY))
+    requests.dispatcher.record_use("other box", Use(1, "i-1", *KEY))
     requests.over(1)
     requests.over(1)
     dispatcher = requests.dispatcher
@@ -183,7 +183,7 @@
 ) -> None:
     requests = Requests()
     assert requests.send("i-1") == "i-1"
-    requests.dispatcher.note_over("box", Over(requests.sent, Outcome.FULL, 2000))
+    requests.dispatcher.record_finished("box", Over(requests.sent, Outcome.FULL, 2000))
     for _ in range(3):
         assert requests.send("i-1", "i-2") == "i-2"
     assert requests.dispatcher.waits()["i-1"] > requests.dispatcher.waits()["i-2"] + 1.0
--- a/tests/placement/test_engine_book.py
+++ b/tests/placement/test_engine_book.py
@@ -17,7 +17,7 @@
 def make_book(slots: int = 2) -> EngineBook:
     record = ReplicaRecord(instance="i-1", service="s", address="127.0.0.1:1", zone="z")
     book = EngineBook(record, slots=slots)
-    book.take_report(EngineState(sequence=0, models=frozenset({"m"})))
+    book.apply_report(EngineState(sequence=0, models=frozenset({"m"})))
     return book
 
 
@@ -34,18 +34,18 @@
     assert book.sequence is not None
     book.sequence += 1
     book.ordered_at = monotonic()
-    book.load_taken(key, version=1)
+    book.load_executed(key, version=1)
 
 
 def test_an_ordered_load_takes_a_place_before_the_engine_shows_it() -> None:
     book = make_book()
     order_load(book, A)
     assert book.free == 1
-    assert not book.take_report(state(0)), "an older report must not count"
+    assert not book.apply_report(state(0)), "an older report must not count"
     assert book.places[A].state is PlaceState.COMING
-    book.take_report(state(1, coming=(A,)))
+    book.apply_report(state(1, coming=(A,)))
     assert book.free == 1
-    book.take_report(state(1, A))
+    book.apply_report(state(1, A))
     assert book.is_ready(A, version=1)
     assert book.free == 1
 
@@ -53,15 +53,15 @@
 def test_an_unload_that_waits_keeps_its_place() -> None:
     book = make_book()
     order_load(book, A)
-    book.take_report(state(1, A))
+    book.apply_report(state(1, A))
     assert book.sequence is not None
     book.sequence += 1
-    book.unload_taken(A)
+    book.unload_executed(A)
     assert book.free == 1
-    book.take_report(state(2, A))
+    book.apply_report(state(2, A))
     assert book.places[A].state is PlaceState.LEAVING
     assert book.free == 1
-    book.take_report(state(2))
+    book.apply_report(state(2))
     assert book.free == 2
     assert book.at_hand(A, version=1)
     assert not book.at_hand(A, version=2)
@@ -69,7 +69,7 @@
 
 def test_what_another_holder_ordered_takes_its_place_too() -> None:
     book = make_book()
-    book.take_report(state(3, A, coming=(B,)))
+    book.apply_report(state(3, A, coming=(B,)))
     assert book.free == 0
     assert book.sequence == 3
     assert [held.key for held in book.ready()] == [A]
@@ -77,7 +77,7 @@
 
 def test_an_older_version_is_not_ready() -> None:
     book = make_book()
-    book.take_report(state(1, A))
+    book.apply_report(state(1, A))
     assert book.is_ready(A, version=1)
     assert not book.is_ready(A, version=2)
 
@@ -88,17 +88,17 @@
     book = make_book()
     order_load(book, A)
     book.sequence = 7
-    assert not book.take_report(state(1, A))
+    assert not book.apply_report(state(1, A))
     later = monotonic() + 2.0
     monkeypatch.setattr(engine_book_module, "monotonic", lambda: later)
-    assert book.take_report(state(1, A))
+    assert book.apply_report(state(1, A))
     assert book.sequence == 1
     assert book.is_ready(A, version=1)
 
 
 def test_a_load_whose_answer_came_late_does_not_look_fast() -> None:
     book = make_book()
-    book.load_taken(A, version=1, sent_at=monotonic() - 0.3, cold=True)
+    book.load_executed(A, version=1, sent_at=monotonic() - 0.3, cold=True)
     book.loaded(A)
     [arrival] = book.arrivals
     assert arrival.seconds >= 0.3
