--- a/tests/placement/test_handover.py
+++ b/tests/placement/test_handover.py
@@ -15,7 +15,7 @@
 from springrock.metrics import ForwardingMetrics
 from springrock.placement import handover as handover_module
 from springrock.placement.demand import DemandBook
-from springrock.placement.handover import AheadWants, HandoverCoordinator, handover_of
+from springrock.placement.handover import HandoverCoordinator, PrefetchWants, handover_of
 from springrock.placement.handover_messages import AskedFor, Handover
 from springrock.placement.messages import decode, encode
 from springrock.placement.popularity import Popularity
@@ -42,8 +42,8 @@
     return [AskedFor("m", name, float(len(names) - at)) for at, name in enumerate(names)]
 
 
-def make_wants(popularity: Popularity, *, zone: str = "zone-2") -> AheadWants:
-    return AheadWants(
+def make_wants(popularity: Popularity, *, zone: str = "zone-2") -> PrefetchWants:
+    return PrefetchWants(
         zone,
         popularity=popularity,
         log=LOG,
@@ -273,7 +273,7 @@
 def test_the_placer_of_the_zone_tells_until_the_cut(placing_box: Box) -> None:
     zone = placing_box.zones["zone-1"]
     placing_box.announced.add("zone-1")
-    placing_box.coordinator.note_change("zone-1", True)
+    placing_box.coordinator.handle_change("zone-1", True)
     wait_for(lambda: len(zone.reported) >= 3)
     assert zone.reported[0] == {"box-1", "box-2"}
     placing_box.evacuated.add("zone-1")
@@ -288,7 +288,7 @@
 ) -> None:
     placing_box.announced.add("zone-1")
     placing_box.evacuated.add("zone-1")
-    placing_box.coordinator.note_change("zone-1", True)
+    placing_box.coordinator.handle_change("zone-1", True)
     wait_for(lambda: placing_box.zones["zone-1"].reported)
 
 
@@ -296,11 +296,11 @@
     box = make_box("zone-2", "zone-3")
     hold(box.directory, "zone-1", "a0", "a1")
     box.announced.add("zone-1")
-    box.coordinator.note_change("zone-1", True)
+    box.coordinator.handle_change("zone-1", True)
     wait_for(lambda: box.zones["zone-2"].ahead.pending or box.zones["zone-3"].ahead.pending)
     assert box.zones["zone-2"].brings | box.zones["zone-3"].brings == {"a0", "a1"}
     box.announced.clear()
-    box.coordinator.note_change("zone-1", False)
+    box.coordinator.handle_change("zone-1", False)
     assert not box.zones["zone-2"].ahead.pending and not box.zones["zone-3"].ahead.pending
 
 
@@ -311,6 +311,6 @@
     hold(box.directory, "zone-1", "held", "asked")
     box.coordinator.take("zone-1", Handover(asked("asked")))
     box.announced.add("zone-1")
-    box.coordinator.note_change("zone-1", True)
+    box.coordinator.handle_change("zone-1", True)
     gevent.sleep(0.15)
     assert box.zones["zone-2"].brings | box.zones["zone-3"].brings == {"asked"}
--- a/tests/placement/test_keeper.py
+++ b/tests/placement/test_keeper.py
@@ -367,13 +367,13 @@
 def test_an_engine_that_is_not_understood_is_ordered_nothing() -> None:
     engine = Engine()
     keeper = make_keeper(engine, Lease(), [])
-    keeper.take_record(msgspec.structs.replace(keeper.book.record, understood=False))
+    keeper.apply_record(msgspec.structs.replace(keeper.book.record, understood=False))
     keeper.start()
     wait_for(lambda: keeper.book.reachable, "the engine is known")
     assign(keeper, "a")
     gevent.sleep(0.2)
     assert engine.orders == []
-    keeper.take_record(msgspec.structs.replace(keeper.book.record, understood=True))
+    keeper.apply_record(msgspec.structs.replace(keeper.book.record, understood=True))
     keeper.wake()
     wait_for(lambda: "a" in engine.adapters, "the adapter is there")
     keeper.stop()
@@ -454,7 +454,7 @@
     assert not book.is_ready(key("x"), version=0)
     assert book.unanswered_unloads == [key("x")]
     report = EngineState(sequence=1, models=frozenset("m"), adapters=(HeldAdapter("m", "x", 1),))
-    book.take_report(report)
+    book.apply_report(report)
     assert not book.is_ready(key("x"), version=0), "the order may be carried out yet"
-    book.unload_taken(key("x"))
+    book.unload_executed(key("x"))
     assert book.unanswered_unloads == []
--- a/tests/placement/test_known_state.py
+++ b/tests/placement/test_known_state.py
@@ -55,7 +55,7 @@
     def learn(self, version: int, *, age_s: float = 0.0, value: bytes = b"1") -> None:
         for follower in self.followers:
             reported = reading(follower.table, version, value)
-            follower.take_copy(reported, newest_at=monotonic() - age_s)
+            follower.apply_copy(reported, newest_at=monotonic() - age_s)
 
     def ask(self, *others: Box | Exception) -> None:
         """Ask other boxes, by frames as they go over a link, until all is known."""
@@ -102,7 +102,7 @@
 
 def test_a_box_learns_all_tables_and_how_old_they_are(knowing: Box) -> None:
     knowing.learn(7, age_s=2.0)
-    knowing.board.note_successor("placer/zone-1", SUCCESSOR)
+    knowing.board.record_successor("placer/zone-1", SUCCESSOR)
     fresh = Box()
     fresh.ask(knowing)
     assert fresh.values() == [{"a": b"1"}, {"a": b"1"}]
@@ -141,7 +141,7 @@
 
 def test_who_does_not_know_all_tables_tells_none(knowing: Box) -> None:
     follower = knowing.followers[0]
-    follower.take_copy(reading(follower.table, 7), newest_at=monotonic())
+    follower.apply_copy(reading(follower.table, 7), newest_at=monotonic())
     assert knowing.teller.answer(HELLO).tables == []
 
 
@@ -176,7 +176,7 @@
             Row(f"replica-{number}", b'{"service":"language","adapters":["a%d"]}' % number * 8, 1)
             for number in range(4000)
         ]
-        follower.take_copy(TableReading(follower.table, 0, 1, rows, whole=True), newest_at=0.0)
+        follower.apply_copy(TableReading(follower.table, 0, 1, rows, whole=True), newest_at=0.0)
     frame = encode(box.teller.answer(HELLO))
     assert len(frame) < 1_048_576
     assert isinstance(decode(frame), KnownState)
--- a/tests/placement/test_lease.py
+++ b/tests/placement/test_lease.py
@@ -55,7 +55,7 @@
     def era(self) -> int:
         return era_of(self._store.read_all(TABLE).version)
 
-    def standing(self, key: str) -> Row | None:
+    def existing(self, key: str) -> Row | None:
         rows = self._store.read_all(TABLE).rows
         return next((row for row in rows if row.key == key), None)
 
@@ -218,11 +218,11 @@
     one, two = make_lease(store, "one"), make_lease(store, "two")
     assert one.challenge(one.look())
     one.give_up(reason="a test", successor=True)
-    assert not two.challenge(two.look(), courtesy_s=1.5)
+    assert not two.challenge(two.look(), takeover_delay_s=1.5)
     clock.now += 1.6
-    assert two.challenge(two.look(), courtesy_s=1.5)
+    assert two.challenge(two.look(), takeover_delay_s=1.5)
     two.give_up(reason="a test", successor=False)
-    assert one.challenge(one.look(), courtesy_s=1.5)
+    assert one.challenge(one.look(), takeover_delay_s=1.5)
 
 
 def test_a_heartbeat_tells_how_long_the_lease_stands(clock: Clock) -> None:
@@ -231,7 +231,7 @@
     assert one.challenge(one.look())
     clock.now += 2.0
     version, left_s = one.version, one.left_s
-    two.note_heartbeat(version, left_s)
+    two.record_heartbeat(version, left_s)
     clock.now += 1.0
     assert not two.challenge(two.look())
     clock.now += 0.4
@@ -252,13 +252,13 @@
     store = Store()
     near, far = make_lease(store, "near"), make_lease(store, "far")
     far.look()
-    assert not far.challenge(far.look(), courtesy_s=1.5)
+    assert not far.challenge(far.look(), takeover_delay_s=1.5)
     assert near.challenge(near.look())
     far.look()
     clock.now += LEASE_S + 0.4
-    assert not far.challenge(far.look(), courtesy_s=1.5)
+    assert not far.challenge(far.look(), takeover_delay_s=1.5)
     clock.now += 1.5
-    assert far.challenge(far.look(), courtesy_s=1.5)
+    assert far.challenge(far.look(), takeover_delay_s=1.5)
 
 
 class OlderRows(ReadRows):
@@ -268,7 +268,7 @@
         super().__init__(store)
         self.kept = store.row
 
-    def standing(self, key: str) -> Row | None:
+    def existing(self, key: str) -> Row | None:
         return self.kept
 
     def note(self, row: Row) -> None:
@@ -298,7 +298,7 @@
     three.look()
     one.give_up(reason="a test", successor=True)
     assert two.challenge(two.look())
-    three.note_heartbeat(two.version, two.left_s)
+    three.record_heartbeat(two.version, two.left_s)
     clock.now += LEASE_S + 1.0
     assert not three.challenge(three.look()), "its fence would not be above that of the holder"
 
@@ -316,7 +316,7 @@
     store = NewestTellingStore()
     one, two = make_lease(store, "one"), make_lease(store, "two")
     assert one.challenge(one.look())
-    two.note_heartbeat(one.version, one.left_s)
+    two.record_heartbeat(one.version, one.left_s)
     assert not two.challenge(two.look()), "the lease stands"
     clock.now += LEASE_S + 0.5
     assert two.challenge(two.look())
--- a/tests/placement/test_lease_model.py
+++ b/tests/placement/test_lease_model.py
@@ -64,10 +64,10 @@
     def pass_time(self, seconds: float) -> None:
         self.now += seconds
 
-    @rule(order=st.permutations(BOXES), courtesy_s=st.sampled_from((0.0, 1.5)))
-    def all_look(self, order: list[str], courtesy_s: float) -> None:
+    @rule(order=st.permutations(BOXES), takeover_delay_s=st.sampled_from((0.0, 1.5)))
+    def all_look(self, order: list[str], takeover_delay_s: float) -> None:
         for lease in (self.leases[box] for box in order):
-            if not lease.held and lease.challenge(lease.look(), courtesy_s=courtesy_s):
+            if not lease.held and lease.challenge(lease.look(), takeover_delay_s=takeover_delay_s):
                 self.fences.append(lease.fence)
 
     @rule(box=boxes)
@@ -88,7 +88,7 @@
     def hear_heartbeat(self, holder: str, other: str) -> None:
         reported, heard = self.leases[holder], self.leases[other]
         if reported.holds and not heard.held:
-            heard.note_heartbeat(reported.version, reported.left_s)
+            heard.record_heartbeat(reported.version, reported.left_s)
 
     @rule(down=st.booleans())
     def store_fails_or_heals(self, down: bool) -> None:
--- a/tests/placement/test_lease_return.py
+++ b/tests/placement/test_lease_return.py
@@ -45,8 +45,8 @@
     @property
     def holder(self) -> str:
         row = Client(self.store).row
-        standing = None if row is None else placer_row_from(row)
-        return "" if standing is None else standing.box
+        existing = None if row is None else placer_row_from(row)
+        return "" if existing is None else existing.box
 
 
 @pytest.fixture
--- a/tests/placement/test_link_server.py
+++ b/tests/placement/test_link_server.py
@@ -55,7 +55,7 @@
     def first_messages(self) -> list[Message]:
         return []
 
-    def take_demand(self, box: str, demand: Demand) -> None:
+    def apply_demand(self, box: str, demand: Demand) -> None:
         self.reported.append((box, [ask.number for ask in demand.asks]))
 
     def forget_box(self, box: str) -> None:
--- a/tests/placement/test_near_copies.py
+++ b/tests/placement/test_near_copies.py
@@ -73,8 +73,8 @@
     wishes.note([CopyWish("m", "a", 120), CopyWish("m", "b", 60)])
     clock.now += 0.7
     wishes.note([CopyWish("m", "b", 90)])
-    assert wishes.standing() == {KEY: 1.2, OTHER: 0.9}
+    assert wishes.existing() == {KEY: 1.2, OTHER: 0.9}
     clock.now += 0.7
-    assert wishes.standing() == {OTHER: 0.9}
+    assert wishes.existing() == {OTHER: 0.9}
     wishes.clear()
-    assert wishes.standing() == {}
+    assert wishes.existing() == {}
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -170,7 +170,7 @@
 def test_a_copy_that_pays_is_wished_for_in_the_own_zone(
     deployment: Deployment, holder: str, wishers: set[str]
 ) -> None:
-    deployment.zones[holder].around.on_copy_pays(holder, KEY, 130)
+    deployment.zones[holder].around.on_copy_worthwhile(holder, KEY, 130)
     assert {name for name, zone in deployment.zones.items() if zone.wished} == wishers
 
 
@@ -184,7 +184,7 @@
         world = make_world(home, regions=regions)
         monkeypatch.setattr(deployment.placement, "_world", lambda world=world: world)
         for key in keys:
-            deployment.zones["zone-3"].around.on_copy_pays("zone-3", key, 130)
+            deployment.zones["zone-3"].around.on_copy_worthwhile("zone-3", key, 130)
         wished.append({name: list(deployment.zones[name].wished) for name in ZONES})
         for zone in deployment.zones.values():
             zone.wished.clear()
@@ -337,7 +337,7 @@
     gevent.sleep(0.05)
     assert not waiter.ready()
     deployment.zones["zone-2"].reachable = True
-    deployment.zones["zone-2"].around.on_placer_heard()
+    deployment.zones["zone-2"].around.on_placer_contact()
     assert waiter.get(timeout=10)
     assert not deployment.placement.await_placer(until=monotonic() + 60.0), "it is heard already"
 
@@ -346,7 +346,7 @@
     deployment: Deployment,
 ) -> None:
     """It would ask again at once for ever, and keep who gives up the link from going on."""
-    deployment.zones["zone-1"].around.on_placer_heard()
+    deployment.zones["zone-1"].around.on_placer_contact()
     for zone in deployment.zones.values():
         zone.reachable = False
     assert not deployment.placement.await_placer(until=monotonic() + 0.05)
@@ -357,7 +357,7 @@
 ) -> None:
     for zone in deployment.zones.values():
         zone.reachable = False
-    deployment.placement._unheard_since = monotonic() - 60.0
+    deployment.placement._unreachable_since = monotonic() - 60.0
     with gevent.Timeout(0.5):
         assert not deployment.placement.await_placer(until=monotonic() + 60.0)
     deployment.zones["zone-1"].around.on_placer_lost("zone-1")
--- a/tests/placement/test_placer.py
+++ b/tests/placement/test_placer.py
@@ -187,33 +187,33 @@
 def test_each_box_that_waits_is_told_when_the_adapter_will_be_there(
     placer: Placer, reported: list[Told]
 ) -> None:
-    placer.take_demand("box-1", asking("a"))
+    placer.apply_demand("box-1", asking("a"))
     assert [box for box, _ in wait_for(reported, Forecast, count=1)] == ["box-1"]
-    placer.take_demand("box-2", asking("a"))
+    placer.apply_demand("box-2", asking("a"))
     assert [box for box, _ in wait_for(reported, Forecast, count=2)] == ["box-1", "box-2"]
 
 
 def test_what_an_engine_newly_holds_is_told_once(holding: Placer) -> None:
-    [engine] = holding.standing().engines
-    changed = holding.take_changed()
+    [engine] = holding.existing().engines
+    changed = holding.drain_changed()
     assert changed is not None
     assert changed.engines == [engine]
     assert [held.adapter for held in engine.adapters] == ["x"]
-    assert holding.take_changed() is None
+    assert holding.drain_changed() is None
 
 
 def test_a_box_that_asks_again_is_told_again(placer: Placer, reported: list[Told]) -> None:
-    placer.take_demand("box-1", asking("a", number=1))
+    placer.apply_demand("box-1", asking("a", number=1))
     wait_for(reported, Forecast, count=1)
-    placer.take_demand("box-1", Demand(over=[Over(1)]))
-    placer.take_demand("box-1", asking("a", number=2))
+    placer.apply_demand("box-1", Demand(over=[Over(1)]))
+    placer.apply_demand("box-1", asking("a", number=2))
     wait_for(reported, Forecast, count=2)
 
 
 def test_a_request_for_what_an_engine_holds_is_granted_at_once(
     holding: Placer, reported: list[Told]
 ) -> None:
-    holding.take_demand("box-1", asking("x", number=7))
+    holding.apply_demand("box-1", asking("x", number=7))
     assert reported == [("box-1", Grant(7, "i-1"))]
 
 
@@ -221,7 +221,7 @@
     holding: Placer, reported: list[Told]
 ) -> None:
     again = Ask(8, "r", "m", "x", 1.0, 500, tried=["i-1"])
-    holding.take_demand("box-1", Demand(asks=[again]))
+    holding.apply_demand("box-1", Demand(asks=[again]))
     wait_for(reported, Forecast, count=1)
     assert not any(isinstance(message, Grant) for _, message in reported)
 
@@ -240,7 +240,7 @@
     ask = Ask(8, "r", "m", "x", 1.0, 500, tried=tried, failed_at=tried, regions=[region])
     sent = decode(encode(Demand(asks=[ask])))
     assert isinstance(sent, Demand)
-    placer.take_demand("box-2", sent)
+    placer.apply_demand("box-2", sent)
     placer.stop()
     assert any(isinstance(message, Grant) for _, message in reported) is granted
 
@@ -248,7 +248,7 @@
 def test_a_copy_that_boxes_of_this_zone_wish_for_is_brought_and_kept(
     placer: Placer, reported: list[Told]
 ) -> None:
-    placer.take_demand("box-1", Demand(copies=[CopyWish("m", "far", 300)]))
+    placer.apply_demand("box-1", Demand(copies=[CopyWish("m", "far", 300)]))
     with gevent.Timeout(10):
         while AdapterKey("m", "far") not in placer._keepers["i-1"].book.assigned:
             gevent.sleep(0.01)
@@ -265,9 +265,9 @@
     for number in range(4):
         for box in ("box-1", "box-2", "box-4"):
             ask = Ask(number, "r", "m", "x", 1.0, 500, long_prompt)
-            placer.take_demand(box, Demand(asks=[ask]))
+            placer.apply_demand(box, Demand(asks=[ask]))
     bound = Ask(9, "r", "m", "x", 1.0, 500, long_prompt, regions=["nowhere"])
-    placer.take_demand("box-3", Demand(asks=[bound]))
+    placer.apply_demand("box-3", Demand(asks=[bound]))
     placer.stop()
     grants = [(box, message.saves) for box, message in reported if isinstance(message, Grant)]
     saved = [saves for box, saves in grants if box == "box-2"]
@@ -279,8 +279,8 @@
 def fail_at_once(placer: Placer, reported: list[Told], *, times: int) -> None:
     """Let requests for the adapter x fail at its only engine, one after the other."""
     for number in range(100, 100 + times):
-        placer.take_demand("box-1", asking("x", number=number))
-        placer.take_demand("box-1", Demand(over=[Over(number, Outcome.FAILED)]))
+        placer.apply_demand("box-1", asking("x", number=number))
+        placer.apply_demand("box-1", Demand(over=[Over(number, Outcome.FAILED)]))
     reported.clear()
 
 
@@ -289,7 +289,7 @@
 ) -> None:
     fail_at_once(holding, reported, times=1)
     again = Ask(8, "r", "m", "x", 1.0, 500, tried=["i-1"], failed_at=["i-1"])
-    holding.take_demand("box-1", Demand(asks=[again]))
+    holding.apply_demand("box-1", Demand(asks=[again]))
     assert reported == [("box-1", Grant(8, "i-1"))]
 
 
@@ -298,7 +298,7 @@
 ) -> None:
     fail_at_once(holding, reported, times=10)
     again = Ask(8, "r", "m", "x", 4.0, 500, tried=["i-1"], failed_at=["i-1"])
-    holding.take_demand("box-1", Demand(asks=[again]))
+    holding.apply_demand("box-1", Demand(asks=[again]))
     wait_for(reported, Forecast, count=1)
     assert not any(isinstance(message, Grant) for _, message in reported)
 
@@ -320,12 +320,12 @@
     control = CrashingEngine("m", adapters=("x",))
     placer = start_holding(control, reported)
     with gevent.Timeout(10):
-        placer.take_demand("box-1", asking("x"))
+        placer.apply_demand("box-1", asking("x"))
         control.crashed = True
-        placer.take_demand("box-1", Demand(over=[Over(1, Outcome.UNREACHABLE)]))
+        placer.apply_demand("box-1", Demand(over=[Over(1, Outcome.UNREACHABLE)]))
         while placer.requests.holders(AdapterKey("m", "x")):
             gevent.sleep(0.01)
-    placer.take_demand("box-2", asking("x"))
+    placer.apply_demand("box-2", asking("x"))
     assert [box for box, message in reported if isinstance(message, Grant)] == ["box-1"]
     placer.stop()
 
@@ -336,10 +336,10 @@
     control = SlowEngine("m", adapters=("x",))
     placer = start_holding(control, reported)
     with gevent.Timeout(10):
-        placer.take_demand("box-1", asking("x"))
+        placer.apply_demand("box-1", asking("x"))
         heard = control.reports
-        placer.take_demand("box-1", Demand(over=[Over(1, Outcome.LACKING)]))
-        placer.take_demand("box-2", asking("x"))
+        placer.apply_demand("box-1", Demand(over=[Over(1, Outcome.LACKING)]))
+        placer.apply_demand("box-2", asking("x"))
         assert [box for box, message in reported if isinstance(message, Grant)] == ["box-1"]
         while control.reports == heard:
             gevent.sleep(0.01)
@@ -350,9 +350,9 @@
     with gevent.Timeout(10):
         while holding.room() != 1:
             gevent.sleep(0.01)
-    holding.take_demand("box-1", asking("x"))
-    holding.take_demand("box-1", asking("x", number=2))
-    holding.take_demand("box-1", Demand(over=[Over(1)]))
+    holding.apply_demand("box-1", asking("x"))
+    holding.apply_demand("box-1", asking("x", number=2))
+    holding.apply_demand("box-1", Demand(over=[Over(1)]))
     used = holding.requests.dispatcher("s").used
     assert used == {("i-1", AdapterKey("m", "x")): 1}
     holding.forget_box("box-1")
@@ -362,7 +362,7 @@
 def test_a_client_that_was_told_to_come_back_has_its_adapter_brought(
     placer: Placer, reported: list[Told]
 ) -> None:
-    placer.take_demand("box-1", Demand(promises=[Promise("m", "a", 1.0, 300)]))
+    placer.apply_demand("box-1", Demand(promises=[Promise("m", "a", 1.0, 300)]))
     with gevent.Timeout(10):
         while not any(keeper.book.places for keeper in placer._keepers.values()):
             gevent.sleep(0.01)
@@ -388,19 +388,19 @@
     monkeypatch.setattr(placer_module, "_PLAN_EVERY_S", 60.0)
     placer = start_holding(SlowEngine("m", adapters=("x", "y")), reported)
     for number, adapter in enumerate(("x", "y")):
-        placer.take_demand("box-1", asking(adapter, number=number))
+        placer.apply_demand("box-1", asking(adapter, number=number))
     updates = (
         asking("a", number=5)
         if wanted == "ask"
         else Demand(promises=[Promise("m", "a", 1.0, 60_000)])
     )
-    placer.take_demand("box-1", updates)
+    placer.apply_demand("box-1", updates)
     [keeper] = placer._keepers.values()
     gevent.sleep(0.1)
     assert not keeper.book.assigned, "both places are used"
     for place in keeper.book.places.values():
         place.since -= 10
-    placer.take_demand("box-1", Demand(over=[Over(0)]))
+    placer.apply_demand("box-1", Demand(over=[Over(0)]))
     with gevent.Timeout(10):
         while AdapterKey("m", "a") not in (*keeper.book.assigned, *keeper.book.places):
             gevent.sleep(0.01)
@@ -412,7 +412,7 @@
     [keeper] = placer._keepers.values()
     for place in keeper.book.places.values():
         place.since += 10
-    placer.take_demand("box-1", Demand(promises=[Promise("m", "a", 1.0, 60_000)]))
+    placer.apply_demand("box-1", Demand(promises=[Promise("m", "a", 1.0, 60_000)]))
     gevent.sleep(0.1)
     assert not keeper.book.assigned, "what has just come is kept for a while"
     for place in keeper.book.places.values():
@@ -429,12 +429,12 @@
     control = CrashingEngine("m", adapters=("x", "y"))
     placer = start_holding(control, reported)
     control.crashed = True
-    placer.take_demand("box-1", asking("x"))
-    placer.take_demand("box-1", Demand(over=[Over(1, Outcome.UNREACHABLE)]))
+    placer.apply_demand("box-1", asking("x"))
+    placer.apply_demand("box-1", Demand(over=[Over(1, Outcome.UNREACHABLE)]))
     with gevent.Timeout(10):
         while placer.requests.holders(AdapterKey("m", "x")):
             gevent.sleep(0.01)
-        placer.take_demand("box-2", asking("x", number=2))
+        placer.apply_demand("box-2", asking("x", number=2))
         control.crashed = False
         while ("box-2", Grant(2, "i-1")) not in reported:
             gevent.sleep(0.01)
@@ -460,16 +460,16 @@
     control = OrderedEngine("m", adapters=("x",))
     placer = start_holding(control, reported, world=lambda: worlds[-1])
     assert placer.room() == 0
-    placer.take_demand("box-1", asking("a", number=1))
-    placer.take_demand("box-1", asking("x", number=2))
+    placer.apply_demand("box-1", asking("a", number=1))
+    placer.apply_demand("box-1", asking("x", number=2))
     assert reported == [("box-1", Grant(2, "i-1"))]
     worlds.append(make_world(evacuated=("zone-1",)))
-    placer.take_demand("box-1", asking("x", number=3))
+    placer.apply_demand("box-1", asking("x", number=3))
     gevent.sleep(0.2)
     assert reported == [("box-1", Grant(2, "i-1"))], "neither granted nor told of a load"
     assert control.ordered == []
     worlds.append(make_world())
-    placer.take_demand("box-1", asking("b", number=4))
+    placer.apply_demand("box-1", asking("b", number=4))
     assert placer.room() > 0
     assert ("box-1", Grant(3, "i-1")) in wait_for(reported, Grant, count=2)
     placer.stop()
@@ -501,15 +501,15 @@
         permits=permits,
     )
     try:
-        placer.take_demand("box-2", asking("x", number=1))
+        placer.apply_demand("box-2", asking("x", number=1))
         cold.append("i-1")
-        placer.take_demand("box-2", asking("x", number=2))
+        placer.apply_demand("box-2", asking("x", number=2))
         assert [message for _, message in reported if isinstance(message, Grant)] == [
             Grant(1, "i-1")
         ]
         permits.left = 1
         placer.requests.grant_all()
-        placer.take_demand("box-2", asking("x", number=3))
+        placer.apply_demand("box-2", asking("x", number=3))
         grants = [message for _, message in reported if isinstance(message, Grant)]
         assert grants == [Grant(1, "i-1"), Grant(2, "i-1", permitted=True)]
     finally:
@@ -522,7 +522,7 @@
     )
     placer.start()
     try:
-        placer.take_demand("box-1", asking("a"))
+        placer.apply_demand("box-1", asking("a"))
         wait_for(reported, Forecast, count=1)
     finally:
         placer.stop()
@@ -541,11 +541,11 @@
     )
     try:
         limited.append("i-1")
-        placer.take_demand("box-2", asking("x", number=1))
+        placer.apply_demand("box-2", asking("x", number=1))
         [(_, forecast), *_] = wait_for(reported, Forecast, count=1)
         assert isinstance(forecast, Forecast) and forecast.elsewhere
         permits.left = 1
-        placer.take_demand("box-3", asking("x", number=2))
+        placer.apply_demand("box-3", asking("x", number=2))
         grants = [(box, m) for box, m in reported if isinstance(m, Grant)]
         assert len(grants) == 1 and grants[0][1].permitted
     finally:
--- a/tests/placement/test_placer_reborn.py
+++ b/tests/placement/test_placer_reborn.py
@@ -25,7 +25,7 @@
         super().__init__("m", adapters=("x",))
         self.born_ms = 1
 
-    def start_anew(self) -> None:
+    def restart(self) -> None:
         self.born_ms += 1
         self.adapters = ()
 
@@ -75,15 +75,15 @@
 def test_nothing_of_the_earlier_start_is_granted(
     placer: Placer, engine: RebornEngine, reported: list[Told]
 ) -> None:
-    placer.take_demand("box-1", asking("x", number=1))
+    placer.apply_demand("box-1", asking("x", number=1))
     assert reported == [("box-1", Grant(1, "i-1@1"))]
-    engine.start_anew()
+    engine.restart()
     placer._directory.update(record_of(2))
     assert list(placer._keepers) == ["i-1@2"]
     assert placer.requests.holders(KEY) == []
     dispatcher = placer.requests.dispatcher("s")
     assert "i-1@1" not in dispatcher.waits()
-    placer.take_demand("box-1", asking("x", number=2))
+    placer.apply_demand("box-1", asking("x", number=2))
     assert not any(message == Grant(2, "i-1@2") for _, message in reported)
     engine.adapters = ("x",)
     wait_for_holders(placer, ["i-1@2"])
@@ -93,7 +93,7 @@
 def test_a_new_start_that_only_the_engine_tells_is_granted_nothing(
     placer: Placer, engine: RebornEngine
 ) -> None:
-    engine.start_anew()
+    engine.restart()
     placer._keepers["i-1@1"].doubt()
     wait_for_holders(placer, [])
     assert placer.room() == 0
@@ -102,7 +102,7 @@
 def test_an_engine_that_is_not_understood_is_neither_granted_nor_given_adapters(
     placer: Placer,
 ) -> None:
-    placer._directory.note_not_understood("i-1")
+    placer._directory.record_not_understood("i-1")
     assert placer.requests.holders(KEY) == []
     assert placer.room() == 0
     placer._directory.update(record_of(1))
@@ -117,15 +117,15 @@
     The placer took the adapter for unused and ordered it away under that run: seen once, where a
     box was granted the new start 40 ms before it read of it.
     """
-    engine.start_anew()
+    engine.restart()
     placer._directory.update(record_of(2))
     dispatcher = placer.requests.dispatcher("s")
-    placer.take_demand("box-2", Demand(uses=[Use(7, "i-1@1", *KEY)]))
+    placer.apply_demand("box-2", Demand(uses=[Use(7, "i-1@1", *KEY)]))
     assert dispatcher.used == {("i-1@2", KEY): 1}
-    placer.take_demand("box-2", Demand(over=[Over(7)]))
+    placer.apply_demand("box-2", Demand(over=[Over(7)]))
     assert not dispatcher.used
 
 
 def test_what_runs_at_an_engine_that_nobody_knows_counts_for_no_other(placer: Placer) -> None:
-    placer.take_demand("box-2", Demand(uses=[Use(7, "i-9@1", *KEY), Use(8, "i-8", *KEY)]))
+    placer.apply_demand("box-2", Demand(uses=[Use(7, "i-9@1", *KEY), Use(8, "i-8", *KEY)]))
     assert not placer.requests.dispatcher("s").used
--- a/tests/placement/test_planner.py
+++ b/tests/placement/test_planner.py
@@ -21,7 +21,7 @@
     record = ReplicaRecord(instance=instance, service="s", address="127.0.0.1:1", zone="z")
     book = EngineBook(record, slots=slots)
     held = tuple(HeldAdapter("m", name, 1) for name in adapters)
-    book.take_report(EngineState(sequence=0, models=frozenset({"m"}), adapters=held))
+    book.apply_report(EngineState(sequence=0, models=frozenset({"m"}), adapters=held))
     for place in book.places.values():
         place.since = monotonic() - 10
     return book
@@ -119,7 +119,7 @@
     assert plan.ready_in_s[key("b")] > plan.ready_in_s[key("a")]
     again = planner.plan(wants, [engine], used=used, now=monotonic())
     assert again.assignments == [], "the one place is spoken for"
-    engine.unload_taken(key("z"))
+    engine.unload_executed(key("z"))
     assert engine.opening == 0
     engine.unloaded(key("z"))
     assert engine.opening == 0
@@ -164,7 +164,7 @@
 
 def test_an_engine_that_had_the_adapter_lately_is_preferred() -> None:
     before, other = make_engine("i-1", "a"), make_engine("i-2", slots=3)
-    before.unload_taken(key("a"))
+    before.unload_executed(key("a"))
     before.unloaded(key("a"))
     plan = make_planner().plan([want("a")], [other, before], used={}, now=monotonic())
     assert [item.engine.instance for item in plan.assignments] == ["i-1"]
@@ -198,7 +198,7 @@
 
 def test_what_is_at_hand_takes_no_place_before_somebody_waits() -> None:
     engine = make_engine("i-1", "a", "x")
-    engine.unload_taken(key("a"))
+    engine.unload_executed(key("a"))
     engine.unloaded(key("a"))
     planner = make_planner()
     expected_back = want("a", waiting=0)
--- a/tests/placement/test_reborn_model.py
+++ b/tests/placement/test_reborn_model.py
@@ -24,7 +24,7 @@
         self.born_ms = 1
         self.down_until = 0.0
 
-    def start_anew(self) -> None:
+    def restart(self) -> None:
         """Forget all but the orders that are on their way, and serve nobody for a moment."""
         self.settle()
         self.born_ms += 1
@@ -76,8 +76,8 @@
         self.keeper = self.make_keeper(self.book)
 
     @rule()
-    def start_anew(self) -> None:
-        self.engine.start_anew()
+    def restart(self) -> None:
+        self.engine.restart()
 
     @rule()
     def doubt(self) -> None:
@@ -94,7 +94,7 @@
         world.orders_will_meet(["answered", "late"])
         world.keep(3)
         assert [late.order.expected_sequence for late in world.engine._late] == [3]
-        world.start_anew()
+        world.restart()
         world.learn_of_the_start()
         world.wait(0.3)
         _fill(world, "a", "b")
--- a/tests/placement/test_relayed_writes.py
+++ b/tests/placement/test_relayed_writes.py
@@ -25,7 +25,7 @@
         assert isinstance(asked, WriteFor)
         written = boxes[box](asked)
         if written is not None:
-            gevent.spawn(writes.note_written, written)
+            gevent.spawn(writes.record_written, written)
 
     writes = RelayedWrites(helpers=lambda most: list(boxes)[:most], send=_send)
     return writes
@@ -75,4 +75,4 @@
 
 def test_an_answer_that_comes_too_late_is_passed_over() -> None:
     writes = make()
-    writes.note_written(Written(7, answered=True, version=3))
+    writes.record_written(Written(7, answered=True, version=3))
--- a/tests/placement/test_strength.py
+++ b/tests/placement/test_strength.py
@@ -56,7 +56,7 @@
 
 def test_weak_boxes_leave_a_free_lease_longer_and_boxes_of_the_zone_come_first() -> None:
     waits = [
-        zone_of(home=home, strength=strength)._election.courtesy_s()
+        zone_of(home=home, strength=strength)._election.takeover_delay_s()
         for home, strength in (("zone-2", 2.0), ("zone-2", 0.5), ("zone-1", 2.0), ("zone-1", 0.5))
     ]
     assert waits == sorted(waits)
@@ -67,4 +67,4 @@
 def test_a_box_of_half_a_core_waits_for_strong_ones_that_start_with_it() -> None:
     weak = zone_of(home="zone-2", strength=0.5)
     starts_apart_s = 0.3
-    assert weak._election.courtesy_s() > starts_apart_s + election_module._FIRST_LOOK_S
+    assert weak._election.takeover_delay_s() > starts_apart_s + election_module._FIRST_POLL_SPREAD_S
--- a/tests/placement/test_succession_model.py
+++ b/tests/placement/test_succession_model.py
@@ -162,8 +162,8 @@
         late = data.draw(st.sampled_from(self.store.late))
         self.store.late.remove(late)
         table, key, value, expected = late
-        standing = self.store.row.version if self.store.row else 0
-        if standing == expected:
+        existing = self.store.row.version if self.store.row else 0
+        if existing == expected:
             down, self.store.down = self.store.down, False
             does_late, self.store.does_late = self.store.does_late, False
             lose, self.store.lose_answer = self.store.lose_answer, False
--- a/tests/placement/test_turnover.py
+++ b/tests/placement/test_turnover.py
@@ -7,7 +7,9 @@
 from springrock.placement.turnover import Turnover
 
 
-def note_for(turnover: Turnover, *, seconds: float, place_every_s: float, begins_at: float) -> None:
+def record_for(
+    turnover: Turnover, *, seconds: float, place_every_s: float, begins_at: float
+) -> None:
     """Have adapters wait all the time, while a place is given at an even pace."""
     step_s = 0.05
     next_at = begins_at + place_every_s
@@ -24,9 +26,9 @@
 
 def test_the_pace_is_measured_while_places_are_short() -> None:
     turnover = Turnover()
-    note_for(turnover, seconds=10.0, place_every_s=0.5, begins_at=100.0)
+    record_for(turnover, seconds=10.0, place_every_s=0.5, begins_at=100.0)
     assert turnover.place_s == pytest.approx(0.5, rel=0.2)
-    note_for(turnover, seconds=10.0, place_every_s=0.2, begins_at=110.0)
+    record_for(turnover, seconds=10.0, place_every_s=0.2, begins_at=110.0)
     assert turnover.place_s == pytest.approx(0.2, rel=0.2)
 
 
@@ -39,5 +41,5 @@
 
 def test_places_that_never_come_are_reckoned_with_a_bound() -> None:
     turnover = Turnover()
-    note_for(turnover, seconds=60.0, place_every_s=600.0, begins_at=100.0)
+    record_for(turnover, seconds=60.0, place_every_s=600.0, begins_at=100.0)
     assert turnover.place_s == pytest.approx(1.5)
--- a/tests/placement/test_zone.py
+++ b/tests/placement/test_zone.py
@@ -41,9 +41,9 @@
         warmup=make_warmup(),
         limits=make_limits(),
         on_table_news=lambda zone, reported: None if updates is None else updates.append(reported),
-        on_placer_heard=lambda: None,
+        on_placer_contact=lambda: None,
         on_placer_lost=lambda zone: None,
-        on_copy_pays=lambda zone, key, saves: None,
+        on_copy_worthwhile=lambda zone, key, saves: None,
         log_of=lambda part: Log(part, "box-1"),
         metrics=ForwardingMetrics(),
     )
@@ -86,7 +86,7 @@
     directory = Directory(Log("directory", "box-1"))
     directory.update(RECORD)
     zone = make_zone(directory)
-    zone.take_demand("box-2", Demand(leaving=["i-1", "i-unknown"]))
+    zone.apply_demand("box-2", Demand(leaving=["i-1", "i-unknown"]))
     assert directory.leaving() == ("i-1",)
     assert [item.leaving for item in zone.first_messages() if isinstance(item, Heartbeat)] == [
         ("i-1",)
--- a/tests/platform/test_store_return.py
+++ b/tests/platform/test_store_return.py
@@ -113,7 +113,7 @@
     def _notify(reading: TableReading, is_own: bool) -> None:
         updates = decode(encode(table_news_from(reading)))
         assert isinstance(updates, TableNews)
-        reported.take_reading(reading_from(updates))
+        reported.apply_reading(reading_from(updates))
 
     return _notify
 
--- a/tests/quarantine/test_book.py
+++ b/tests/quarantine/test_book.py
@@ -107,7 +107,7 @@
 def test_a_run_to_a_good_end_takes_back_what_was_held_against_it(book: CrashBook) -> None:
     rows = [row(number, OTHER) for number in range(2)]
     book.replace(rows)
-    book.note_ran_well(OTHER)
+    book.record_completion(OTHER)
     rows.append(row(2, OTHER))
     book.replace(rows)
     assert book.quarantined_for_s(OTHER) is None, "reading the table again brings nothing back"
@@ -119,10 +119,10 @@
 def test_what_comes_often_and_runs_well_is_accused_only_by_two_crashes_in_a_row(
     book: CrashBook,
 ) -> None:
-    book.note_ran_well(OTHER)
+    book.record_completion(OTHER)
     assert [book.forgive(OTHER), book.forgive(GUILTY)] == [True, False]
     assert [book.forgive(OTHER), book.forgive(GUILTY)] == [False, False]
-    book.note_ran_well(OTHER)
+    book.record_completion(OTHER)
     assert book.forgive(OTHER)
 
 
--- a/tests/quarantine/test_crash_detector.py
+++ b/tests/quarantine/test_crash_detector.py
@@ -50,7 +50,7 @@
 
 def test_all_that_broke_at_a_replica_is_held_at_once_and_reported_together(scene: Scene) -> None:
     for fingerprint in (GUILTY, OTHER, GUILTY):
-        scene.crash_detector.note_broken(fingerprint, RECORD)
+        scene.crash_detector.record_break(fingerprint, RECORD)
     assert scene.is_held(GUILTY) and scene.is_held(OTHER)
     assert scene.settle() == [[GUILTY, OTHER]]
     assert scene.reports.published[0].instance == "i-1"
@@ -58,43 +58,43 @@
 
 
 def test_a_replica_that_answers_a_later_request_has_not_crashed(scene: Scene) -> None:
-    scene.crash_detector.note_broken(GUILTY, RECORD)
-    scene.crash_detector.note_answered("i-1", sent_at=monotonic())
+    scene.crash_detector.record_break(GUILTY, RECORD)
+    scene.crash_detector.record_answered("i-1", sent_at=monotonic())
     assert not scene.is_held(GUILTY)
     assert scene.settle() == []
 
 
 def test_an_answer_to_an_earlier_request_shows_nothing(scene: Scene) -> None:
     sent_at = monotonic()
-    scene.crash_detector.note_broken(GUILTY, RECORD)
-    scene.crash_detector.note_answered("i-1", sent_at=sent_at)
-    scene.crash_detector.note_answered("i-2", sent_at=monotonic() + 1.0)
+    scene.crash_detector.record_break(GUILTY, RECORD)
+    scene.crash_detector.record_answered("i-1", sent_at=sent_at)
+    scene.crash_detector.record_answered("i-2", sent_at=monotonic() + 1.0)
     assert scene.settle() == [[GUILTY]]
 
 
 def test_a_replica_that_is_out_of_reach_may_live(scene: Scene) -> None:
-    scene.crash_detector.note_broken(GUILTY, RECORD)
-    scene.crash_detector.note_out_of_reach("i-1")
+    scene.crash_detector.record_break(GUILTY, RECORD)
+    scene.crash_detector.record_unreachable("i-1")
     assert not scene.is_held(GUILTY)
     assert scene.settle() == []
 
 
 def test_the_end_of_a_leaving_replica_accuses_nobody(scene: Scene) -> None:
-    scene.crash_detector.note_broken(GUILTY, msgspec.structs.replace(RECORD, leaving=True))
+    scene.crash_detector.record_break(GUILTY, msgspec.structs.replace(RECORD, leaving=True))
     assert not scene.is_held(GUILTY)
     assert scene.settle() == []
 
 
 def test_what_breaks_later_at_the_same_incarnation_makes_another_report(scene: Scene) -> None:
-    scene.crash_detector.note_broken(GUILTY, RECORD)
+    scene.crash_detector.record_break(GUILTY, RECORD)
     scene.settle()
-    scene.crash_detector.note_broken(OTHER, RECORD)
+    scene.crash_detector.record_break(OTHER, RECORD)
     assert scene.settle() == [[GUILTY], [OTHER]]
 
 
 def test_a_report_holds_no_more_than_the_last_so_many(scene: Scene) -> None:
     for number in range(MOST_REQUESTS + 5):
-        scene.crash_detector.note_broken(Fingerprint(f"{number:032x}"), RECORD)
+        scene.crash_detector.record_break(Fingerprint(f"{number:032x}"), RECORD)
     [requests] = scene.settle()
     assert len(requests) == MOST_REQUESTS
     assert requests[-1] == f"{MOST_REQUESTS + 4:032x}"
--- a/tests/quarantine/test_quarantine_model.py
+++ b/tests/quarantine/test_quarantine_model.py
@@ -87,7 +87,7 @@
     def start(self) -> None:
         """Start anew, knowing nothing; what was not written is lost."""
         self.unwritten: dict[str, CrashReport] = {}
-        self.learnt_at: dict[str, float] = {}
+        self.learned_at: dict[str, float] = {}
         self.book = CrashBook(terms=lambda: TERMS, log=Log("test", "box"))
         store: Any = self.world
         self.follower = TableFollower(
@@ -118,7 +118,7 @@
         key = new_key()
         self.unwritten[key] = CrashReport("box", instance, accused)
         self.book.take(key, self.unwritten[key])
-        self.learnt_at[key] = self.world.now
+        self.learned_at[key] = self.world.now
 
     def write(self) -> None:
         for key, report in self.unwritten.items():
@@ -133,7 +133,7 @@
             self.follower._version = None
             return
         for key in self.world.rows:
-            self.learnt_at.setdefault(key, self.world.now)
+            self.learned_at.setdefault(key, self.world.now)
 
     def knows(self) -> int:
         """How many crashes of the guilty request it has surely read or seen, and not forgotten.
@@ -142,12 +142,12 @@
         another box has reported it as well.
         """
         horizon = self.world.now - TERMS.for_s
-        standing = {**self.world.reports(), **self.unwritten}
+        existing = {**self.world.reports(), **self.unwritten}
         return len(
             {
-                standing[key].instance
-                for key, at in self.learnt_at.items()
-                if at > horizon and key in standing and GUILTY in standing[key].requests
+                existing[key].instance
+                for key, at in self.learned_at.items()
+                if at > horizon and key in existing and GUILTY in existing[key].requests
             }
         )
 
@@ -196,9 +196,9 @@
         case ("tell", number, teller, back):
             reported = of_world[teller].shared
             if back < len(reported) and number != teller:
-                of_world[number].follower.take_reading(reported[len(reported) - 1 - back])
+                of_world[number].follower.apply_reading(reported[len(reported) - 1 - back])
         case ("ran_well", number, beside):
-            of_world[number].book.note_ran_well(BESIDE[beside])
+            of_world[number].book.record_completion(BESIDE[beside])
         case ("restart", number):
             of_world[number].start()
         case ("drop_history",):
--- a/tests/quarantine/test_reporter.py
+++ b/tests/quarantine/test_reporter.py
@@ -46,9 +46,9 @@
         if self.fails:
             self.fails -= 1
             raise RowStoreUnavailable("scripted")
-        standing = self.rows.get(key)
-        if (standing.version if standing else ABSENT_VERSION) != expected:
-            raise RowConflict(standing)
+        existing = self.rows.get(key)
+        if (existing.version if existing else ABSENT_VERSION) != expected:
+            raise RowConflict(existing)
 
     def _lose_answer(self) -> None:
         if self.loses_answers:
--- a/tests/quarantine/test_ways.py
+++ b/tests/quarantine/test_ways.py
@@ -130,7 +130,7 @@
         for _ in range(TRIES):
             book = self.chance.choice(self.books)
             if (yield self.environment.process(self._try(fingerprint, adapter, book))):
-                book.note_ran_well(fingerprint)
+                book.record_completion(fingerprint)
                 return
             yield self.environment.timeout(RETURNS_S)
         if fingerprint != GUILTY:
--- a/tests/quotas/test_charging.py
+++ b/tests/quotas/test_charging.py
@@ -96,7 +96,7 @@
     book = ChargeBook(on_update=urgent.append)
     task = asking(book)
     assert book.drain_updates() == ([Charge(1, "r", "one", 7)], [])
-    book.note_charged(Charged(1, counts=True, taken=False, back_in_ms=250))
+    book.record_charged(Charged(1, counts=True, taken=False, back_in_ms=250))
     assert task.get(timeout=10) == (Verdict(False, 0.25), 1)
     book.give_back(1)
     assert book.drain_updates() == ([], [GiveBack(1)])
@@ -110,7 +110,7 @@
     with pytest.raises(CounterSilent):
         task.get(timeout=10)
     assert book.drain_updates() == ([], [GiveBack(1)])
-    book.note_charged(Charged(1, counts=True, taken=True))
+    book.record_charged(Charged(1, counts=True, taken=True))
 
 
 def test_a_charge_that_was_never_told_is_withdrawn() -> None:
@@ -131,7 +131,7 @@
 def test_a_placer_that_is_lost_or_may_not_count_ends_the_wait_at_once() -> None:
     for end in (
         lambda book: book.forget_placer(),
-        lambda book: book.note_charged(Charged(1, counts=False)),
+        lambda book: book.record_charged(Charged(1, counts=False)),
     ):
         book = ChargeBook(on_update=lambda urgent: None)
         task = asking(book)
--- a/tests/test_freshness_model.py
+++ b/tests/test_freshness_model.py
@@ -63,9 +63,9 @@
 
 
 @cache
-def clock_from(noted: tuple[int, int, int]) -> StoreClock:
+def clock_from(recorded: tuple[int, int, int]) -> StoreClock:
     clock = StoreClock()
-    store, sent_at, received_at = noted
+    store, sent_at, received_at = recorded
     clock.note(store, sent_at=sent_at, received_at=received_at)
     return clock
 
@@ -105,8 +105,8 @@
     if asked.read_at is None:
         yield state._replace(relay_asks=_read(state, asked))
         return
-    noted = (asked.read_at, asked.sent_at, now)
-    as_of = clock_from(noted).earliest_store(asked.sent_at)
+    recorded = (asked.read_at, asked.sent_at, now)
+    as_of = clock_from(recorded).earliest_store(asked.sent_at)
     assert as_of is not None
     updates = News(asked.valid, round(as_of))
     if len(state.updates) < 2:
--- a/tests/test_kept_rows.py
+++ b/tests/test_kept_rows.py
@@ -34,15 +34,15 @@
         store: RowStore = None  # type: ignore[assignment]
         self.follower = TableFollower(store, "table", listener, pause_s=0.0, kept_s=kept_s, log=LOG)
         whole = TableReading("table", 0, version_in(1, 0), [], whole=True)
-        self.follower.take_copy(whole, newest_at=monotonic())
+        self.follower.apply_copy(whole, newest_at=monotonic())
 
     def notify(self, version: int, *changes: Change) -> None:
         after = self.follower.version
-        self.follower.take_reading(TableReading("table", after, version, changes))
+        self.follower.apply_reading(TableReading("table", after, version, changes))
 
     def return_with(self, *rows: Row) -> None:
         whole = TableReading("table", 0, version_in(2, 1), rows, whole=True)
-        self.follower.take_reading(whole)
+        self.follower.apply_reading(whole)
 
 
 @pytest.fixture
@@ -143,7 +143,7 @@
     assert book.quarantined_count == 1
     pass_s(3600.0)
     again = report_row("lost", "a")._replace(version=version_in(2, 2))
-    table.follower.take_reading(TableReading("table", version_in(2, 1), version_in(2, 2), [again]))
+    table.follower.apply_reading(TableReading("table", version_in(2, 1), version_in(2, 2), [again]))
     assert book.version("crash/lost") == version_in(2, 2)
     assert book.version("crash/swept") == 0
 
--- a/tests/test_table_follower.py
+++ b/tests/test_table_follower.py
@@ -99,11 +99,11 @@
 def test_what_another_box_has_read_is_taken_where_it_joins_what_is_known() -> None:
     follower, listener = follow(ScriptedStore())
     assert reported(listener, count=1) == ["all"]
-    follower.take_reading(TableReading(TABLE, 5, 6, [Row("a", b"6", 6)]))
+    follower.apply_reading(TableReading(TABLE, 5, 6, [Row("a", b"6", 6)]))
     assert listener.reported == ["all"], "changes between 1 and 5 are missing"
-    follower.take_reading(TableReading(TABLE, 0, 3, [Row("b", b"0", 1), Row("a", b"3", 3)]))
+    follower.apply_reading(TableReading(TABLE, 0, 3, [Row("b", b"0", 1), Row("a", b"3", 3)]))
     assert listener.reported == ["all", "+a"], "what was known already is passed over"
-    follower.take_reading(TableReading(TABLE, 3, 4, [Removed("a", 4)]))
+    follower.apply_reading(TableReading(TABLE, 3, 4, [Removed("a", 4)]))
     assert listener.rows == {"b": b"1"}
     follower.stop()
 
@@ -112,9 +112,9 @@
     journal = Journal()
     log = Log("test", "box", journal=journal)
     follower = TableFollower(ScriptedStore(), TABLE, Listener(), pause_s=0.0, log=log)
-    follower.take_copy(TableReading(TABLE, 0, 9, [], whole=True), newest_at=monotonic())
+    follower.apply_copy(TableReading(TABLE, 0, 9, [], whole=True), newest_at=monotonic())
     for version in (5, 6, 9):
-        follower.take_reading(TableReading(TABLE, 4, version, []), teller="zone-2")
+        follower.apply_reading(TableReading(TABLE, 4, version, []), teller="zone-2")
     reported = [
         (line.fields["told"], line.fields["known"]) for line in journal.about("teller", "zone-2")
     ]
@@ -143,7 +143,7 @@
     store = CountingStore()
     follower, listener = follow(store)
     reported(listener, count=1)
-    follower.take_reading(TableReading(TABLE, 1, 1, []))
+    follower.apply_reading(TableReading(TABLE, 1, 1, []))
     gevent.sleep(0.05)
     asked = store.asked
     gevent.sleep(0.1)
@@ -178,7 +178,7 @@
     follower.sharing = lambda: True
     follower.shared_with = lambda reading, is_own: passed_on.append((reading, is_own))
     reading = TableReading(TABLE, 1, 2, [Row("a", b"2", 2)])
-    follower.take_reading(reading)
+    follower.apply_reading(reading)
     assert passed_on == [(reading, False)]
     follower.stop()
 
@@ -186,11 +186,11 @@
 def test_a_whole_table_replaces_what_is_known_unless_it_is_older() -> None:
     follower, listener = follow(ScriptedStore())
     assert reported(listener, count=1) == ["all"]
-    follower.take_reading(TableReading(TABLE, 0, 9, [Row("c", b"9", 9)], whole=True))
+    follower.apply_reading(TableReading(TABLE, 0, 9, [Row("c", b"9", 9)], whole=True))
     assert listener.rows == {"c": b"9"}
-    follower.take_reading(TableReading(TABLE, 0, 8, [Row("d", b"8", 8)], whole=True))
+    follower.apply_reading(TableReading(TABLE, 0, 8, [Row("d", b"8", 8)], whole=True))
     assert listener.rows == {"c": b"9"}
-    follower.take_reading(TableReading(TABLE, 9, 10, [Row("d", b"10", 10)]))
+    follower.apply_reading(TableReading(TABLE, 9, 10, [Row("d", b"10", 10)]))
     assert listener.rows == {"c": b"9", "d": b"10"}
     follower.stop()
 
@@ -199,7 +199,7 @@
     store = CountingStore()
     follower, listener = follow(store)
     reported(listener, count=1)
-    follower.take_reading(TableReading(TABLE, 1, 2, [Row("a", b"2", 2)]), relied_on=False)
+    follower.apply_reading(TableReading(TABLE, 1, 2, [Row("a", b"2", 2)]), relied_on=False)
     assert listener.rows["a"] == b"2"
     asked = store.asked
     with gevent.Timeout(10):
@@ -226,7 +226,7 @@
     with gevent.Timeout(10):
         while not store.asked:
             gevent.sleep(0.01)
-    follower.take_reading(TableReading(TABLE, 1, 2, [Row("a", b"2", 2)]), relied_on=False)
+    follower.apply_reading(TableReading(TABLE, 1, 2, [Row("a", b"2", 2)]), relied_on=False)
     assert listener.rows["a"] == b"2"
     assert follower.age_s < 1.0
     gevent.sleep(0.3)
@@ -241,7 +241,7 @@
     follower, listener = follow(store)
     reported(listener, count=1)
     gevent.sleep(0.02)
-    follower.take_reading(TableReading(TABLE, 1, 1, []))
+    follower.apply_reading(TableReading(TABLE, 1, 1, []))
     gevent.sleep(0.05)
     asked = store.asked
     follower.read_alone()
@@ -283,14 +283,14 @@
     gevent.sleep(0.2)
     now = monotonic()
     clock.note(500.0, sent_at=now, received_at=now)
-    follower.take_reading(TableReading(TABLE, 1, 1, [], as_of_s=499.9))
+    follower.apply_reading(TableReading(TABLE, 1, 1, [], as_of_s=499.9))
     assert 0.1 <= follower.staleness_s < 0.2
-    follower.take_reading(TableReading(TABLE, 1, 1, [], as_of_s=400.0))
-    follower.take_reading(TableReading(TABLE, 1, 1, []))
+    follower.apply_reading(TableReading(TABLE, 1, 1, [], as_of_s=400.0))
+    follower.apply_reading(TableReading(TABLE, 1, 1, []))
     assert follower.staleness_s >= 0.1, "an older word makes nothing newer"
-    follower.take_reading(TableReading(TABLE, 1, 1, [], as_of_s=900.0))
+    follower.apply_reading(TableReading(TABLE, 1, 1, [], as_of_s=900.0))
     assert follower.staleness_s >= 0.1, "nor does one from the future"
-    follower.take_reading(TableReading(TABLE, 5, 6, [], as_of_s=500.0))
+    follower.apply_reading(TableReading(TABLE, 5, 6, [], as_of_s=500.0))
     assert follower.staleness_s >= 0.1, "nor does one that does not join what is known"
     follower.stop()
 
@@ -311,7 +311,7 @@
     listener = Listener()
     follower = TableFollower(store, TABLE, listener, pause_s=0.01, log=Log("rows", "test"))
     reported = TableReading(TABLE, 0, version, [Row("a", b"copy", version)], whole=True)
-    follower.take_copy(reported, newest_at=monotonic() - 2.0)
+    follower.apply_copy(reported, newest_at=monotonic() - 2.0)
     return follower, listener
 
 
@@ -364,7 +364,7 @@
     wait_for_value(listener, b"store")
     follower.stop()
     reported = TableReading(TABLE, 0, 7, [Row("a", b"copy", 7)], whole=True)
-    follower.take_copy(reported, newest_at=monotonic())
+    follower.apply_copy(reported, newest_at=monotonic())
     assert listener.rows == {"a": b"copy"}
     follower.start()
     wait_for_value(listener, b"store")
@@ -394,9 +394,9 @@
     before = version_in(ERA - 1, 100)
     rows = [Row("a", b"new", before), Row("b", b"new", before)]
     whole = TableReading(TABLE, 0, before, rows, whole=True)
-    follower.take_copy(whole, newest_at=monotonic())
+    follower.apply_copy(whole, newest_at=monotonic())
     reading = TableReading(TABLE, before, before + 9, changes)
-    follower.take_reading(reading, relied_on=False)
+    follower.apply_reading(reading, relied_on=False)
     return follower, listener
 
 
@@ -412,33 +412,33 @@
     follower, listener = known(ScriptedStore(), KeptS(missing=0.1))
     lost: list[str] = []
     follower.on_lost = lambda rows: lost.extend(row.key for row in rows)
-    follower.take_reading(returned(1, COPIED))
+    follower.apply_reading(returned(1, COPIED))
     assert listener.rows == {"a": b"old", "b": b"new"}
     assert lost == ["b"]
-    follower.take_reading(TableReading(TABLE, version_in(ERA, 1), version_in(ERA, 2), []))
+    follower.apply_reading(TableReading(TABLE, version_in(ERA, 1), version_in(ERA, 2), []))
     assert "b" in listener.rows
     gevent.sleep(0.15)
-    follower.take_reading(TableReading(TABLE, version_in(ERA, 2), version_in(ERA, 3), []))
+    follower.apply_reading(TableReading(TABLE, version_in(ERA, 2), version_in(ERA, 3), []))
     assert listener.rows == {"a": b"old"}
 
 
 def test_a_row_that_is_written_again_stays() -> None:
     follower, listener = known(ScriptedStore(), KeptS(missing=0.1))
-    follower.take_reading(returned(1, COPIED))
+    follower.apply_reading(returned(1, COPIED))
     again = Row("b", b"again", version_in(ERA, 2))
-    follower.take_reading(TableReading(TABLE, version_in(ERA, 1), version_in(ERA, 2), [again]))
+    follower.apply_reading(TableReading(TABLE, version_in(ERA, 1), version_in(ERA, 2), [again]))
     gevent.sleep(0.15)
-    follower.take_reading(TableReading(TABLE, version_in(ERA, 2), version_in(ERA, 3), []))
+    follower.apply_reading(TableReading(TABLE, version_in(ERA, 2), version_in(ERA, 3), []))
     assert listener.rows == {"a": b"old", "b": b"again"}
 
 
 def test_a_row_that_was_removed_does_not_come_back_with_the_copy_at_once() -> None:
     removed = Removed("a", version_in(ERA - 1, 105))
     follower, listener = known(ScriptedStore(), KeptS(missing=9.0, removed=0.1), removed)
-    follower.take_reading(returned(1, COPIED))
+    follower.apply_reading(returned(1, COPIED))
     assert listener.rows == {"b": b"new"}
     gevent.sleep(0.15)
-    follower.take_reading(TableReading(TABLE, version_in(ERA, 1), version_in(ERA, 3), []))
+    follower.apply_reading(TableReading(TABLE, version_in(ERA, 1), version_in(ERA, 3), []))
     assert listener.rows == {"a": b"old", "b": b"new"}
 
 
@@ -446,7 +446,7 @@
     removed = Removed("a", version_in(ERA - 1, 105))
     store = ReturnedStore(COPIED)
     follower, listener = known(store, KeptS(missing=9.0, removed=9.0), removed)
-    follower.take_reading(returned(1, COPIED), relied_on=False)
+    follower.apply_reading(returned(1, COPIED), relied_on=False)
     # The store itself has not told this box a whole table yet.
     follower.start()
     gevent.sleep(0.1)
@@ -459,17 +459,17 @@
 def test_where_nothing_is_kept_the_copy_counts_at_once() -> None:
     removed = Removed("a", version_in(ERA - 1, 105))
     follower, listener = known(ScriptedStore(), KeptS(), removed)
-    follower.take_reading(returned(1, COPIED))
+    follower.apply_reading(returned(1, COPIED))
     assert listener.rows == {"a": b"old"}
 
 
 def test_who_tells_of_an_earlier_era_is_not_relied_on() -> None:
     follower, listener = known(ScriptedStore(), KeptS())
-    follower.take_reading(returned(1, COPIED))
+    follower.apply_reading(returned(1, COPIED))
     read_at = follower.read_at
     for era in (0, ERA - 1):
         row = Row("a", b"stale", version_in(era, 500))
-        follower.take_reading(TableReading(TABLE, 0, version_in(era, 500), [row], whole=True))
+        follower.apply_reading(TableReading(TABLE, 0, version_in(era, 500), [row], whole=True))
     assert listener.rows == {"a": b"old"}
     assert follower.read_at == read_at, "the box reads for itself"
 
@@ -489,7 +489,7 @@
     follower, listener = known(store, KeptS())
     later = Row("a", b"later", version_in(ERA + 1, 1))
     whole = TableReading(TABLE, 0, version_in(ERA + 1, 1), [later], whole=True)
-    follower.take_reading(whole, relied_on=False)
+    follower.apply_reading(whole, relied_on=False)
     follower.start()
     gevent.sleep(0.1)
     assert listener.rows == {"a": b"later"}
