--- a/bench/settings_page.py
+++ b/bench/settings_page.py
@@ -44,8 +44,8 @@
     lines.append("| key | kind | default | meaning |\n|---|---|---|---|\n")
     below: list[str] = []
     for field in msgspec.structs.fields(kind):
-        note = " ".join(notes.get(field.name, "").split())
-        lines.append(f"| `{field.name}` | {_kind(field.type)} | {_default(field)} | {note} |\n")
+        record = " ".join(notes.get(field.name, "").split())
+        lines.append(f"| `{field.name}` | {_kind(field.type)} | {_default(field)} | {record} |\n")
         for inner in _sections_of(field.type):
             many = "[]" if get_args(field.type) else ""
             if inner not in seen:
--- a/bench/soak/interrupts.py
+++ b/bench/soak/interrupts.py
@@ -23,7 +23,7 @@
     def listen(self) -> None:
         """Take over the signals that end a program."""
         for number in (signal.SIGINT, signal.SIGTERM):
-            signal.signal(number, self._note)
+            signal.signal(number, self._record)
 
     @contextmanager
     def held(self) -> Iterator[None]:
@@ -36,7 +36,7 @@
         if self._pending:
             self._raise()
 
-    def _note(self, *_: Any) -> None:
+    def _record(self, *_: Any) -> None:
         self._pending = True
         if not self._held:
             self._raise()
--- a/springrock/coordination/link.py
+++ b/springrock/coordination/link.py
@@ -115,7 +115,7 @@
         self._metrics.peer_messages.labels("received").inc()
         return wire.decode(frame)
 
-    def settle(self, answer: wire.Answer) -> None:
+    def resolve(self, answer: wire.Answer) -> None:
         """Hand an answer to its question, if that still waits."""
         result = self._pending.pop(answer.number, None)
         if result is not None:
--- a/springrock/coordination/members.py
+++ b/springrock/coordination/members.py
@@ -102,7 +102,7 @@
         """
         due = self._whole_wanted or self._whole_due_in_s() <= 0.0
         prefix = SESSION_PREFIX if due else f"{SESSION_PREFIX}{self._zone}/"
-        self._take(self._platform.rows(prefix), whole=due)
+        self._apply_scan(self._platform.rows(prefix), whole=due)
 
     def record_outage(self) -> None:
         """Note that the table did not answer this box at some call."""
@@ -138,7 +138,7 @@
         unrenewed_s = seen_at - member.first_seen
         return unrenewed_s > self._lease.lapse_after_s + self._lease.margin_s
 
-    def _take(self, rows: list[Row], *, whole: bool) -> None:
+    def _apply_scan(self, rows: list[Row], *, whole: bool) -> None:
         now = monotonic()
         before = {(member.box, member.value.incarnation) for member in self.live()}
         members = {
--- a/springrock/coordination/ownership.py
+++ b/springrock/coordination/ownership.py
@@ -182,12 +182,12 @@
     def _reconcile_logging_errors(self) -> None:
         with self._looking:
             try:
-                self.look()
+                self.reconcile()
                 self._unread.end()
             except PlatformUnavailable as error:
                 self._unread.begin(error=str(error))
 
-    def look(self) -> None:
+    def reconcile(self) -> None:
         """Compare the rows with what should be, and act once on each difference.
 
         Raises:
@@ -250,7 +250,7 @@
         name = upstream.settings.name
         if row.version == ABSENT:
             if self._desired(name) == self._session.box:
-                self._take(upstream, row, None, previous="")
+                self._take_over(upstream, row, None, previous="")
             return
         value = msgspec.json.decode(row.value, type=ReplicaValue)
         if value.incarnation == self._session.incarnation:
@@ -287,7 +287,7 @@
         if holder is not None and self._answers(holder):
             self._log.say("A lapsed owner still answers.", replica=value.replica, owner=holder.box)
             return
-        self._take(upstream, row, holder, previous=value.owner)
+        self._take_over(upstream, row, holder, previous=value.owner)
 
     def _answers(self, holder: Member) -> bool:
         try:
@@ -299,7 +299,9 @@
 
     # Acting.
 
-    def _take(self, upstream: Upstream, row: Row, lapsed: Member | None, *, previous: str) -> None:
+    def _take_over(
+        self, upstream: Upstream, row: Row, lapsed: Member | None, *, previous: str
+    ) -> None:
         fence = 1
         if row.version != ABSENT:
             fence = msgspec.json.decode(row.value, type=ReplicaValue).fence + 1
--- a/springrock/coordination/peers.py
+++ b/springrock/coordination/peers.py
@@ -268,7 +268,7 @@
         )
         try:
             while True:
-                self._take(link, unknown.next_known(link.receive))
+                self._handle_message(link, unknown.next_known(link.receive))
         except SOCKET_FAILURES:
             pass
         except PeerRejected as error:
@@ -276,9 +276,9 @@
         finally:
             self._leave(link)
 
-    def _take(self, link: Link, message: wire.PeerMessage) -> None:
+    def _handle_message(self, link: Link, message: wire.PeerMessage) -> None:
         if isinstance(message, wire.Answer):
-            link.settle(message)
+            link.resolve(message)
             return
         handler = self._handlers.get(type(message))
         if handler is None:
--- a/springrock/coordination/permits.py
+++ b/springrock/coordination/permits.py
@@ -130,7 +130,7 @@
         self._fences: dict[str, int] = {}
         self._owners: dict[str, str] = {}
 
-    def take(self, grant: wire.Grant, *, ends_at: float) -> Held | None:
+    def enter(self, grant: wire.Grant, *, ends_at: float) -> Held | None:
         """Enter a grant; return None if a newer owner of the replica is known."""
         if grant.fence < self._fences.get(grant.replica, 0):
             return None
--- a/springrock/coordination/session.py
+++ b/springrock/coordination/session.py
@@ -157,7 +157,7 @@
                 )
             )
             if not answer.committed:
-                self._settle(answer.failed)
+                self._resolve_conflict(answer.failed)
                 raise TransactionConflict(tuple(row.key for row in answer.failed))
             self._confirm(value, answer.version, sent_at)
             return answer.version
@@ -168,7 +168,7 @@
         self._held_until = sent_at + self._lease.lapse_after_s
         self.renewed_at = sent_at
 
-    def _settle(self, failed: list[Row]) -> None:
+    def _resolve_conflict(self, failed: list[Row]) -> None:
         """Learn from a failed check whether an earlier write of ours took effect."""
         for row in failed:
             if row.key != self.key:
--- a/springrock/emulator/load.py
+++ b/springrock/emulator/load.py
@@ -326,7 +326,7 @@
         stall_s = float(response.headers.get(wire.LOAD_STALL_HEADER, 0)) / 1000
         reading = _Reading(began_at)
         for data in response.stream():
-            reading.take(data)
+            reading.feed(data)
         response.release_conn()
         if not reading.done:
             state = reading.error.get("run_state", "cut")
@@ -364,7 +364,7 @@
     def text(self) -> str:
         return "".join(self._pieces)
 
-    def take(self, data: bytes) -> None:
+    def feed(self, data: bytes) -> None:
         *events, self._buffer = (self._buffer + data).split(b"\n\n")
         for event in events:
             self._handle_event(event)
--- a/springrock/emulator/replica.py
+++ b/springrock/emulator/replica.py
@@ -102,7 +102,7 @@
 
     def start(self) -> None:
         """Begin serving and recording."""
-        self._note(ReplicaEventKind.STARTED)
+        self._write_event(ReplicaEventKind.STARTED)
         self.server.start()
         gevent.spawn(self._record_loop)
 
@@ -153,7 +153,7 @@
         )
         if leaving and answer.status == 200 and not self._leaving_acknowledged:
             self._leaving_acknowledged = True
-            self._note(ReplicaEventKind.LEAVING_ACKNOWLEDGED)
+            self._write_event(ReplicaEventKind.LEAVING_ACKNOWLEDGED)
 
     def _reported_start(self) -> dict[str, int]:
         return {"born": self._born_ms} if self._settings.tells_start else {}
@@ -239,7 +239,7 @@
         if self._running[adapter]:
             self.violations[_UNLOADED_IN_USE] += 1
         for run in self._running[adapter]:
-            self._note(
+            self._write_event(
                 ReplicaEventKind.VIOLATION,
                 detail=_UNLOADED_IN_USE,
                 request_id=run.request_id,
@@ -329,11 +329,11 @@
 
     def _violate(self, detail: str) -> None:
         self.violations[detail] += 1
-        self._note(ReplicaEventKind.VIOLATION, detail=detail)
+        self._write_event(ReplicaEventKind.VIOLATION, detail=detail)
 
     def _record_request(self, kind: ReplicaEventKind, adapter: str, **more: Any) -> None:
         request = bottle.request
-        self._note(
+        self._write_event(
             kind,
             request_id=request.get_header(names.REQUEST_ID, ""),
             path=request.path,
@@ -345,8 +345,8 @@
             **more,
         )
 
-    def _note(self, kind: ReplicaEventKind, **more: Any) -> None:
-        self._events_file.note(
+    def _write_event(self, kind: ReplicaEventKind, **more: Any) -> None:
+        self._events_file.record(
             ReplicaEvent(
                 kind=kind,
                 at=monotonic(),
--- a/springrock/emulator/replica_events.py
+++ b/springrock/emulator/replica_events.py
@@ -66,7 +66,7 @@
         flags = os.O_WRONLY | os.O_APPEND | os.O_CREAT
         self._file = os.open(path, flags, 0o644) if path else None
 
-    def note(self, event: ReplicaEvent) -> None:
+    def record(self, event: ReplicaEvent) -> None:
         """Append an event."""
         if self._file is not None:
             os.write(self._file, msgspec.json.encode(event) + b"\n")
--- a/springrock/entry.py
+++ b/springrock/entry.py
@@ -193,7 +193,7 @@
         operator = OperatorTable(
             on_configuration=self._apply_configuration,
             on_unreadable=self._record_unreadable,
-            on_version=self._versions.note,
+            on_version=self._versions.record,
             evacuations=self._evacuations,
             log=self._log_of("configuration"),
         )
@@ -399,12 +399,12 @@
             )
         by_table = {follower.table: follower for follower in self._followers}
 
-        def _take(reading: TableReading, relied_on: bool, teller: str) -> None:
+        def _apply_reading(reading: TableReading, relied_on: bool, teller: str) -> None:
             if reading.table in by_table:
                 follower = by_table[reading.table]
                 follower.apply_reading(reading, relied_on=relied_on, teller=teller)
 
-        self._placement.on_reading = _take
+        self._placement.on_reading = _apply_reading
         self._placement.on_alone = lambda: by_table[PLACERS_TABLE].read_alone()
 
     def _follow_evacuations(self) -> None:
--- a/springrock/forwarding/balancing.py
+++ b/springrock/forwarding/balancing.py
@@ -132,7 +132,7 @@
     def _cost(self, replica: Replica, world: World, carried: Carried) -> float:
         health = replica.health
         cost = replica.running / max(1, replica.record.running_limit) + health.fullness
-        cost += _FAILURE_WEIGHT * health.doubt**2
+        cost += _FAILURE_WEIGHT * health.recent_failure_rate**2
         cost += self._costs.of(world.topology.distance(replica.record.zone), carried)
         return cost + self._chance.random() * _CHANCE
 
--- a/springrock/forwarding/choosing.py
+++ b/springrock/forwarding/choosing.py
@@ -56,7 +56,7 @@
     def __init__(self) -> None:
         self._longest: dict[str, float] = {}
 
-    def note(self, progress: RequestProgress) -> None:
+    def record(self, progress: RequestProgress) -> None:
         """Learn from a request."""
         deadline_s = progress.request.deadline_s or 0.0
         name = progress.route.name
@@ -151,7 +151,7 @@
     def record_request(self, progress: RequestProgress) -> None:
         """Count a new request."""
         self._budget_of(progress.service).record_request()
-        self._deadlines.note(progress)
+        self._deadlines.record(progress)
 
     def is_returning(self, progress: RequestProgress) -> bool:
         """Whether a request's client has tried before, as its deadline tells."""
--- a/springrock/forwarding/directory.py
+++ b/springrock/forwarding/directory.py
@@ -184,9 +184,9 @@
         """
         known = self._replicas.get(instance)
         if known is None:
-            self._left.note(instance, None)
+            self._left.record(instance, None)
         elif not known.record.leaving:
-            self._take(msgspec.structs.replace(known.record, leaving=True), sign=sign)
+            self._apply(msgspec.structs.replace(known.record, leaving=True), sign=sign)
 
     def record_backoff(self, replica_id: str, seconds: float) -> None:
         """Learn that the replica of an id wants nothing from this box for so long.
@@ -198,7 +198,7 @@
         remembered = self._backoffs.get(replica_id) if known is None else known.backoff
         backoff = remembered or Backoff()
         backoff.extend(seconds)
-        self._backoffs.note(replica_id, backoff)
+        self._backoffs.record(replica_id, backoff)
 
     def record_not_understood(self, replica_id: str) -> None:
         """Learn that what stands under an id is not understood: it gets no new work.
@@ -235,7 +235,7 @@
         """Take a new or changed record; an incarnation that once was leaving stays so."""
         if not self._is_overtaken(record):
             self._held_back.pop(record.replica_id, None)
-            self._take(record)
+            self._apply(record)
         self._release()
 
     def remove(self, replica_id: str) -> None:
@@ -265,7 +265,7 @@
         """Say that a record is of an earlier start; once for each such start."""
         if self._passed_over.get(record.replica_id, -1) != record.born_ms:
             self._say(record, "Passed over an earlier start of a replica.")
-        self._passed_over.note(record.replica_id, record.born_ms)
+        self._passed_over.record(record.replica_id, record.born_ms)
 
     def _release(self) -> None:
         """Take what was held back and nothing newer has followed."""
@@ -273,15 +273,15 @@
             known = self._replicas.get(record.instance)
             if known is None or monotonic() - known.recorded_at > _LATE_ROW_S:
                 del self._held_back[replica_id]
-                self._take(record)
+                self._apply(record)
 
-    def _take(self, record: ReplicaRecord, *, sign: LeavingSign = LeavingSign.ROW) -> None:
+    def _apply(self, record: ReplicaRecord, *, sign: LeavingSign = LeavingSign.ROW) -> None:
         before = self._by_id.get(record.replica_id)
         if before is not None and before != record.instance:
             self._forget(before)
         record = self._with_leaving(record)
         if record.born_ms is not None:
-            self._starts.note(record.replica_id, record.born_ms)
+            self._starts.record(record.replica_id, record.born_ms)
         known = self._replicas.get(record.instance)
         if known is None:
             backoff = self._backoffs.get(record.replica_id)
@@ -297,7 +297,7 @@
         known = self._replicas.get(record.instance)
         was_leaving = known is not None and known.record.leaving
         if record.leaving or was_leaving:
-            self._left.note(record.instance, None)
+            self._left.record(record.instance, None)
         if record.leaving or record.instance not in self._left:
             return record
         return msgspec.structs.replace(record, leaving=True)
--- a/springrock/forwarding/evacuations.py
+++ b/springrock/forwarding/evacuations.py
@@ -30,7 +30,7 @@
     """An evacuation that was not taken back.
 
     Attributes:
-        learnt_at: When this box learnt of it, on the local monotonic clock.
+        learned_at: When this box learnt of it, on the local monotonic clock.
         cut_at: From when on nothing is sent to the zone.
     """
 
--- a/springrock/forwarding/health.py
+++ b/springrock/forwarding/health.py
@@ -49,7 +49,7 @@
         return max(0.0, self._rest_until - monotonic())
 
     @property
-    def doubt(self) -> float:
+    def recent_failure_rate(self) -> float:
         """The failure rate, the less so the longer ago this box saw the last outcome."""
         if not self.failure_rate:
             return 0.0
--- a/springrock/forwarding/notices.py
+++ b/springrock/forwarding/notices.py
@@ -60,9 +60,9 @@
         """
         if notice.of_replica and notice.limit_per_s is None and not notice.unreadable:
             self._limits.record_silent(replica.instance, sent_at=sent_at)
-        self.take(replica, notice, sent_at=sent_at)
+        self.apply(replica, notice, sent_at=sent_at)
 
-    def take(self, replica: Replica, notice: ReplicaNotice, *, sent_at: float) -> None:
+    def apply(self, replica: Replica, notice: ReplicaNotice, *, sent_at: float) -> None:
         """Take what an answer told of the replica that the call was sent to at a time."""
         if notice in _SAYS_NOTHING:
             return
@@ -100,7 +100,7 @@
         said = f"{replica.instance} {word}"
         if said in self._unknown:
             return
-        self._unknown.note(said, None)
+        self._unknown.record(said, None)
         self._count("unknown")
         self._log.say(
             "A replica says what this build does not know.",
@@ -117,7 +117,7 @@
         replica = self._directory.find_id(replica_id)
         if replica is None:
             return pass_over
-        return partial(self.take, replica, sent_at=monotonic())
+        return partial(self.apply, replica, sent_at=monotonic())
 
 
 def pass_over(notice: ReplicaNotice) -> None:
--- a/springrock/loop_watch.py
+++ b/springrock/loop_watch.py
@@ -51,9 +51,9 @@
         while True:
             due_at = monotonic() + _LOOK_S
             gevent.sleep(_LOOK_S)
-            self._note(monotonic() - due_at)
+            self._record(monotonic() - due_at)
 
-    def _note(self, late_s: float) -> None:
+    def _record(self, late_s: float) -> None:
         self._observe(max(0.0, late_s))
         if late_s < _LATE_S:
             return
--- a/springrock/permits/counter.py
+++ b/springrock/permits/counter.py
@@ -136,7 +136,7 @@
         self._accounts: dict[str, _Account] = {}
         self._taken: OrderedDict[tuple[str, int], _Taken] = OrderedDict()
 
-    def take(self, box: str, asks: Iterable[PermitAsk]) -> None:
+    def answer(self, box: str, asks: Iterable[PermitAsk]) -> None:
         """Answer a box's asks."""
         for ask in asks:
             if ask.grant:
@@ -145,7 +145,7 @@
             if verdict is None:
                 self._answer(box, Permitted(ask.number, counts=False))
                 continue
-            self._note(box, ask, verdict)
+            self._record(box, ask, verdict)
             self._answer(box, Permitted.from_verdict(ask.number, verdict))
 
     # What the placer asks for requests that it grants an engine.
@@ -169,7 +169,7 @@
         verdict = self._judge(ask)
         if verdict is None:
             return False
-        self._note(box, ask, verdict)
+        self._record(box, ask, verdict)
         if verdict.granted:
             self._taken[box, number] = _Taken(record.instance, monotonic())
         return verdict.granted
@@ -274,7 +274,7 @@
             if account.bucket.level(now) < account.bucket.limits.depth
         }
 
-    def _note(self, box: str, ask: PermitAsk, verdict: PermitVerdict) -> None:
+    def _record(self, box: str, ask: PermitAsk, verdict: PermitVerdict) -> None:
         self._on_counted(verdict.granted)
         account = self._accounts.get(ask.instance)
         if account is None:
--- a/springrock/permits/named_limits.py
+++ b/springrock/permits/named_limits.py
@@ -106,12 +106,12 @@
             # Which of two answers was given later cannot be told if they were under way at once.
             return
         before = self.per_s(instance)
-        self._words.note(instance, _StoredLimit(per_s, now))
+        self._words.record(instance, _StoredLimit(per_s, now))
         if per_s != before:
             self._say("A replica names its limit.", instance, per_s=per_s, before=before)
         if per_s == before and now < self._repeated_at.get(instance, 0.0) + _REPEAT_S:
             return
-        self._repeated_at.note(instance, now)
+        self._repeated_at.record(instance, now)
         self._notify(LimitReport(instance, per_s))
 
     def record_silent(self, instance: str, *, sent_at: float) -> None:
@@ -119,7 +119,7 @@
         before = self.per_s(instance)
         if before is None or sent_at <= self._known_at(instance):
             return
-        self._words.note(instance, _StoredLimit(None, sent_at))
+        self._words.record(instance, _StoredLimit(None, sent_at))
         self._say("A replica names its limit no more.", instance, per_s=None, before=before)
         self._notify(LimitReport(instance, None, round(1000 * (monotonic() - sent_at))))
 
@@ -153,7 +153,7 @@
             overtaken = at < known.at - _CROSSING_S
         if overtaken:
             return
-        self._words.note(said.instance, _StoredLimit(said.per_s, at))
+        self._words.record(said.instance, _StoredLimit(said.per_s, at))
         before = None if known is None else known.per_s
         if before != said.per_s:
             self._say(
--- a/springrock/permits/own_shares.py
+++ b/springrock/permits/own_shares.py
@@ -46,5 +46,5 @@
             bucket = TokenBucket(limits, now=now, level=limits.depth)
         elif bucket.limits != limits:
             bucket.change(limits, now=now)
-        self._buckets.note(record.instance, bucket)
+        self._buckets.record(record.instance, bucket)
         return bucket.take(1.0, now=now)
--- a/springrock/permits/permits.py
+++ b/springrock/permits/permits.py
@@ -53,7 +53,7 @@
 
     Args:
         counter: Returns who counts for a zone.
-        on_unheard: Called when nobody answered.
+        on_unanswered: Called when nobody answered.
         is_cold: Whether a replica is not known to be warm.
         limits: The limits that replicas have named.
         shares: What this box may send below them while nobody counts.
--- a/springrock/permits/warmup.py
+++ b/springrock/permits/warmup.py
@@ -118,8 +118,8 @@
         ended_at = self._ended_at(record.zone)
         if ended_at is not None and self._is_open(_Suspicion(ended_at, ended_at), slow_start, now):
             return True
-        doubt = self._suspicions.get(record.instance)
-        return doubt is not None and self._is_open(doubt, slow_start, now)
+        suspicion = self._suspicions.get(record.instance)
+        return suspicion is not None and self._is_open(suspicion, slow_start, now)
 
     def _reported_since(self, record: ReplicaRecord, now: float) -> float | None:
         """Return when the zone's placer first told the doubt that it tells; None if it does not."""
@@ -128,13 +128,13 @@
             return None
         return reported.since.get(record.instance)
 
-    def _is_open(self, doubt: _Suspicion, slow_start: SlowStart, now: float) -> bool:
+    def _is_open(self, suspicion: _Suspicion, slow_start: SlowStart, now: float) -> bool:
         """Whether a doubt stands; time alone ends none about a replica that may be down yet."""
-        if doubt.answered_at is None:
+        if suspicion.answered_at is None:
             return True
-        if now >= doubt.answered_at + slow_start.lasts_s + _CLOCK_MARGIN_S:
+        if now >= suspicion.answered_at + slow_start.lasts_s + _CLOCK_MARGIN_S:
             return False
-        return self._rows_as_of() < doubt.answered_at + ROW_DELAY_S
+        return self._rows_as_of() < suspicion.answered_at + ROW_DELAY_S
 
     # What rows say.
 
@@ -177,19 +177,19 @@
         reported_since = self._reported_since(record, monotonic()) if self._reported else None
         if reported_since is not None and sent_at >= reported_since:
             self._notify(record, answered=True)
-        doubt = self._suspicions.get(record.instance)
-        if doubt is None or doubt.answered_at is not None or sent_at < doubt.began_at:
+        suspicion = self._suspicions.get(record.instance)
+        if suspicion is None or suspicion.answered_at is not None or sent_at < suspicion.began_at:
             return
-        doubt.answered_at = monotonic()
+        suspicion.answered_at = monotonic()
         self._say("A doubted replica answers.", record)
-        if doubt.known_to_all:
+        if suspicion.known_to_all:
             self._notify(record, answered=True)
 
     def _suspect(self, record: ReplicaRecord, *, known_to_all: bool) -> None:
-        doubt = self._suspicions.get(record.instance)
-        shared = known_to_all or (doubt is not None and doubt.known_to_all)
+        suspicion = self._suspicions.get(record.instance)
+        shared = known_to_all or (suspicion is not None and suspicion.known_to_all)
         self._suspicions[record.instance] = _Suspicion(monotonic(), None, shared)
-        if doubt is None or doubt.answered_at is not None:
+        if suspicion is None or suspicion.answered_at is not None:
             self._say("A replica may come back cold.", record, known_to_all=known_to_all)
 
     def _notify(self, record: ReplicaRecord, *, answered: bool) -> None:
@@ -206,20 +206,24 @@
         if not answered:
             self._suspect(record, known_to_all=True)
             return
-        doubt = self._suspicions.get(instance)
-        if doubt is not None and doubt.answered_at is None:
-            doubt.answered_at = monotonic()
+        suspicion = self._suspicions.get(instance)
+        if suspicion is not None and suspicion.answered_at is None:
+            suspicion.answered_at = monotonic()
 
-    def doubted(self, zone: str) -> tuple[str, ...]:
+    def suspected(self, zone: str) -> tuple[str, ...]:
         """Return the replicas of a zone that all boxes are to doubt."""
         now = monotonic()
         found = []
-        for instance, doubt in list(self._suspicions.items()):
+        for instance, suspicion in list(self._suspicions.items()):
             record = self._records.get(instance)
             slow_start = None if record is None else self.slow_start(record.service)
-            if record is None or slow_start is None or not self._is_open(doubt, slow_start, now):
+            if (
+                record is None
+                or slow_start is None
+                or not self._is_open(suspicion, slow_start, now)
+            ):
                 del self._suspicions[instance]
-            elif doubt.known_to_all and record.zone == zone:
+            elif suspicion.known_to_all and record.zone == zone:
                 found.append(instance)
         return tuple(found)
 
--- a/springrock/placement/backoffs.py
+++ b/springrock/placement/backoffs.py
@@ -11,7 +11,7 @@
     def __init__(self) -> None:
         self._by_box: dict[str, dict[str, Backoff]] = {}
 
-    def note(self, box: str, instance: str, *, seconds: float) -> None:
+    def record(self, box: str, instance: str, *, seconds: float) -> None:
         """Note that an engine wants nothing from a box for so long."""
         existing = {name: self._by_box[box][name] for name in self.of(box)}
         existing.setdefault(instance, Backoff()).extend(seconds)
--- a/springrock/placement/dispatcher.py
+++ b/springrock/placement/dispatcher.py
@@ -128,7 +128,7 @@
         """Note that a request was sent to its engine."""
         work = self.work(choice.instance)
         work.unread += choice.unread
-        work.kept.note(key, prompt)
+        work.kept.record(key, prompt)
         self._add((box, number), _Run(choice.instance, key, choice.unread, work.unread))
 
     def record_use(self, box: str, use: Use) -> None:
--- a/springrock/placement/election.py
+++ b/springrock/placement/election.py
@@ -192,7 +192,7 @@
         self._holder.end_placing()
 
     def _find_placer(self) -> None:
-        existing = self._lease.look()
+        existing = self._lease.known_row()
         holder = self._board.holder(key_of(self._zone))
         if holder is not None and self._is_other(holder) and self._link_to(holder):
             return
--- a/springrock/placement/engine_book.py
+++ b/springrock/placement/engine_book.py
@@ -117,7 +117,7 @@
         return self.free + leaving - self.not_yet_placed
 
     @property
-    def settled(self) -> bool:
+    def all_ready(self) -> bool:
         """Whether nothing is on its way in or out."""
         return all(place.state is PlaceState.READY for place in self.places.values())
 
@@ -235,8 +235,8 @@
 
     def apply_report(self, state: EngineState) -> bool:
         """Take what the engine reports; return whether the report is new enough to count."""
-        settled = monotonic() - self.ordered_at > _REPORTS_LAG_S
-        if self.sequence is not None and state.sequence < self.sequence and not settled:
+        all_ready = monotonic() - self.ordered_at > _REPORTS_LAG_S
+        if self.sequence is not None and state.sequence < self.sequence and not all_ready:
             return False
         self.sequence = state.sequence
         self.models = state.models
--- a/springrock/placement/engine_work.py
+++ b/springrock/placement/engine_work.py
@@ -43,7 +43,7 @@
     def __init__(self) -> None:
         self.token_s = _FIRST_TOKEN_S
 
-    def note(self, token_s: float) -> None:
+    def record(self, token_s: float) -> None:
         """Learn from one prompt."""
         self.token_s += (token_s - self.token_s) * _SAMPLE_WEIGHT / 4
 
@@ -117,7 +117,7 @@
         slowness = self._slowness_now()
         self._slowness = slowness + (token_s / usual_s - slowness) * _SAMPLE_WEIGHT
         self._slowness_at = monotonic()
-        self._usual.note(token_s)
+        self._usual.record(token_s)
 
     def _slowness_now(self) -> float:
         kept = exp(-log(2) * (monotonic() - self._slowness_at) / _FORGET_SPEED_S)
@@ -145,7 +145,7 @@
             kept += tokens
         return kept
 
-    def note(self, key: AdapterKey, prompt: list[tuple[str, int]]) -> None:
+    def record(self, key: AdapterKey, prompt: list[tuple[str, int]]) -> None:
         """Note that a prompt is read; its last part is the request's own and is not shared."""
         for part_id, tokens in prompt[:-1]:
             part = (key, part_id)
--- a/springrock/placement/handover.py
+++ b/springrock/placement/handover.py
@@ -92,7 +92,7 @@
         """Whether there is something to bring."""
         return any(taken.left for taken in self._taken.values())
 
-    def take(self, from_zone: str, asked_for: Iterable[AskedFor]) -> None:
+    def add(self, from_zone: str, asked_for: Iterable[AskedFor]) -> None:
         """Take over what was asked for in an evacuated zone; what was taken before is passed over.
 
         Args:
@@ -238,7 +238,7 @@
         for other in self._zones().values():
             other.ahead.handle_cut(zone)
 
-    def take(self, zone: str, handover: Handover) -> None:
+    def apply(self, zone: str, handover: Handover) -> None:
         """Learn what was asked for in a zone; each zone that this box places takes its part.
 
         The zone's placer may know of the evacuation before this box does.
@@ -251,7 +251,7 @@
         for name, other in self._zones().items():
             if other.placing and name not in world.announced:
                 mine = [item for item in missing if choose_zone(item.key, views) == name]
-                other.ahead.take(zone, mine)
+                other.ahead.add(zone, mine)
 
     def _send_while_announced(self, zone: str) -> None:
         while True:
@@ -272,7 +272,7 @@
         keys = self._residency.held_in(zone)
         self._log.say("Heard no placer of an evacuated zone.", zone=zone, held=len(keys))
         held = [AskedFor(*key, 0.0) for key in keys[:_HANDED_AT_MOST]]
-        self.take(zone, Handover(held))
+        self.apply(zone, Handover(held))
 
     def _remaining(self, zone: str, world: World) -> list[ZoneView]:
         """Return the zones among which what was asked for in a zone is divided.
--- a/springrock/placement/keeper.py
+++ b/springrock/placement/keeper.py
@@ -131,7 +131,7 @@
         """Look at the assignments."""
         self._work.set()
 
-    def doubt(self) -> None:
+    def mark_stale(self) -> None:
         """Ask the engine what it holds, as a request found something else."""
         self._stale = True
         self._work.set()
@@ -145,14 +145,14 @@
             if not self._lease.holds:
                 gevent.sleep(_LOOK_S)
                 continue
-            if self._stale and not self._look():
+            if self._stale and not self._read_report():
                 gevent.sleep(_UNREACHABLE_PAUSE_S)
                 continue
             if self._order_next():
                 continue
             if self._confirm_next():
                 continue
-            if not self.book.settled or not self.book.models or self.book.assigned:
+            if not self.book.all_ready or not self.book.models or self.book.assigned:
                 self._work.wait(timeout=_LOOK_S)
                 self._work.clear()
                 self._stale = self._stale or self._report_due()
@@ -161,7 +161,7 @@
             self._stale = self._stale or not woken
             self._work.clear()
 
-    def _look(self) -> bool:
+    def _read_report(self) -> bool:
         """Read the engine's report; return whether it answered."""
         book = self.book
         try:
@@ -178,7 +178,7 @@
             self._stale = False
         else:
             gevent.sleep(_LOOK_S)
-        self._settle()
+        self._drop_finished()
         return True
 
     def _read_state(self) -> EngineState:
@@ -193,7 +193,7 @@
             raise AnotherStart(state.born_ms)
         return state
 
-    def _settle(self) -> None:
+    def _drop_finished(self) -> None:
         """Drop what is done from the assignments, and tell if what can be used has changed."""
         book = self.book
         now = monotonic()
@@ -210,7 +210,7 @@
                 at_once=round(self._planner.loads.at_once, 1),
             )
             if arrival.cold:
-                self._planner.loads.note(arrival.seconds)
+                self._planner.loads.record(arrival.seconds)
         book.arrivals.clear()
         ready = frozenset((held.key, held.version) for held in book.ready())
         if ready != self._reported:
@@ -310,7 +310,7 @@
             return True
         self._say(order, answer.value)
         self._handle_answer(order, answer, sent_at)
-        self._settle()
+        self._drop_finished()
         return True
 
     def _give(self, order: Order) -> OrderAnswer:
--- a/springrock/placement/lease.py
+++ b/springrock/placement/lease.py
@@ -58,14 +58,14 @@
     def era(self) -> int:
         """The store's era of the rows."""
 
-    def existing(self, key: str) -> Row | None:
+    def current_row(self, key: str) -> Row | None:
         """Return a row; None if there is none.
 
         Raises:
             RowStoreUnavailable: If nothing current is known.
         """
 
-    def note(self, row: Row) -> None:
+    def record(self, row: Row) -> None:
         """Learn of a row that is perhaps newer than what was read."""
 
 
@@ -196,7 +196,7 @@
                 self._say_not_renewed(error)
                 return True
             except RowConflict as conflict:
-                if not self._settle(conflict):
+                if not self._resolve_conflict(conflict):
                     return False
             else:
                 return True
@@ -265,13 +265,13 @@
         )
         return True
 
-    def look(self) -> PlacerRow | None:
+    def known_row(self) -> PlacerRow | None:
         """Return the row as far as it is known; None if there is none or nothing is known.
 
         What is known may be older than the row; a challenge then fails by its condition.
         """
         try:
-            row = self._rows.existing(self._key)
+            row = self._rows.current_row(self._key)
         except RowStoreUnavailable:
             self._looked_version = -1
             return None
@@ -287,8 +287,8 @@
         """Take the lease if it is free or lapsed; return whether this box has it now.
 
         Args:
-            standing: The row as `look` has just read it.
-            courtesy_s: How much longer it must have been free, so that others come first.
+            existing: The row as `known_row` has just read it.
+            takeover_delay_s: How much longer it must have been free, so that others come first.
 
         The write's condition is the row as it was read, so that its fence is above that of the
         newest row even where a heartbeat told of a version that was never read.
@@ -311,7 +311,7 @@
                 "Did not get the placer's lease.", row=self._key, fence=fence, error=str(error)
             )
             if isinstance(error, RowConflict) and error.row is not None:
-                self._rows.note(error.row)
+                self._rows.record(error.row)
             return False
         self._own = Tenure.from_row(own, version)
         self._held_until = sent_at + self._lease_s
@@ -361,21 +361,21 @@
             self._seen_version = version
             self._seen_at = monotonic()
 
-    def _settle(self, conflict: RowConflict) -> bool:
+    def _resolve_conflict(self, conflict: RowConflict) -> bool:
         """Learn from a failed renewal whether an earlier one took effect unanswered."""
         own = self._own
-        settled = None if own is None else self._settled(own, conflict)
-        if own is None or settled is None:
+        resolved = None if own is None else self._resolved(own, conflict)
+        if own is None or resolved is None:
             self.lose(reason="another box holds it")
             return False
         self._log.say(
             "Found the lease at another version.",
             row=self._key,
-            fence=settled.fence,
-            version=shown(settled.version),
+            fence=resolved.fence,
+            version=shown(resolved.version),
             expected=shown(own.version),
         )
-        self._own = settled
+        self._own = resolved
         return True
 
     def _resolve_written(self, version: int) -> bool:
@@ -393,7 +393,7 @@
     def _has_lapsed(self, own: Tenure) -> bool:
         return own.handed is None and monotonic() >= self._held_until
 
-    def _settled(self, own: Tenure, conflict: RowConflict) -> Tenure | None:
+    def _resolved(self, own: Tenure, conflict: RowConflict) -> Tenure | None:
         row = conflict.row
         existing = None if row is None else placer_row_from(row)
         if row is not None and existing is None:
@@ -407,7 +407,7 @@
             return own.reclaimed(existing, absent if row is None else row.version)
         if row is None or existing is None:
             return None
-        return own.settled(existing, row.version)
+        return own.resolved(existing, row.version)
 
     def _handover(self, own: Tenure, handover_target: HandoverTarget | None) -> Successor | None:
         """Return the handover to another box; None if none may go on."""
--- a/springrock/placement/link_server.py
+++ b/springrock/placement/link_server.py
@@ -66,7 +66,7 @@
         self.sent.clear()
         self.filled.set()
 
-    def take(self) -> list[bytes]:
+    def drain(self) -> list[bytes]:
         """Return all frames and be empty."""
         frames = list(self._frames.values())
         self._frames.clear()
@@ -357,7 +357,7 @@
     try:
         while True:
             link.outbox.filled.wait()
-            for frame in link.outbox.take():
+            for frame in link.outbox.drain():
                 link.connection.send(frame)
                 link.count_sent(len(frame))
             link.outbox.record_sent()
--- a/springrock/placement/load_pace.py
+++ b/springrock/placement/load_pace.py
@@ -42,7 +42,7 @@
         self.at_once = _FIRST
         self._full_speed_s: float | None = None
 
-    def note(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """Learn from a load from the weight store that took so long."""
         full_speed_s = seconds if self._full_speed_s is None else self._full_speed_s
         full_speed_s *= _FORGET_FASTER
--- a/springrock/placement/messages.py
+++ b/springrock/placement/messages.py
@@ -252,7 +252,7 @@
         spread: Adapters, as MODEL/NAME, that several engines of the zone hold because they are
             asked for so much: each zone does better to serve them itself.
         leaving: All replicas that leave, for boxes that cannot read it in the store.
-        doubted: Replicas that may have come back cold.
+        suspected: Replicas that may have come back cold.
         pressure: How often what would next give up its place is asked for, in hundredths.
         wait_ms: How long a first event would wait at a usual engine.
         limits: The limits that replicas of the zone have named and that stand.
@@ -267,7 +267,7 @@
     boxes: int = 1
     spread: tuple[str, ...] = ()
     leaving: tuple[str, ...] = ()
-    doubted: tuple[str, ...] = ()
+    suspected: tuple[str, ...] = ()
     pressure: int = 0
     wait_ms: int = 0
     limits: tuple[NamedLimit, ...] = ()
--- a/springrock/placement/near_copies.py
+++ b/springrock/placement/near_copies.py
@@ -44,7 +44,7 @@
         self._carried: dict[str, Popularity] = {}
         self._asks_counted = 0
 
-    def note(self, key: AdapterKey, *, home_zone: str, carried_bytes: int) -> float:
+    def record(self, key: AdapterKey, *, home_zone: str, carried_bytes: int) -> float:
         """Count an ask of a box.
 
         Args:
@@ -63,7 +63,7 @@
         region = topology.region_of(home_zone)
         place = region if region and distance is Distance.OTHER_REGION else home_zone
         carried = self._carried.setdefault(place, Popularity())
-        carried.note(key, carried_bytes)
+        carried.record(key, carried_bytes)
         self._clean()
         saved = self._prices.in_loads(distance, carried.of(key))
         return saved if saved >= _MIN_LOADS_SAVED else 0.0
@@ -85,7 +85,7 @@
     def __init__(self) -> None:
         self._wished: dict[AdapterKey, tuple[float, float]] = {}
 
-    def note(self, wishes: Iterable[CopyWish]) -> None:
+    def record(self, wishes: Iterable[CopyWish]) -> None:
         """Take what a box wishes for."""
         now = monotonic()
         for wish in wishes:
@@ -94,7 +94,7 @@
                 now,
             )
 
-    def existing(self) -> dict[AdapterKey, float]:
+    def current(self) -> dict[AdapterKey, float]:
         """Return what each copy saves that is still wished for."""
         now = monotonic()
         self._wished = {
--- a/springrock/placement/placement.py
+++ b/springrock/placement/placement.py
@@ -104,7 +104,7 @@
         self._world = world
         self._configuration = configuration
         self._residency = Residency(directory, versions)
-        self._heard = Event()
+        self._placer_contact = Event()
         self._unreachable_since = monotonic()
         self._board = board
         self.on_reading: Callable[[TableReading, bool, str], None] = (
@@ -126,12 +126,12 @@
             warmup=warmup,
             limits=limits,
             on_table_news=self._apply_updates,
-            on_placer_contact=self._heard.set,
+            on_placer_contact=self._placer_contact.set,
             on_placer_lost=self._placer_lost,
             on_copy_worthwhile=self._request_copy,
             log_of=log_of,
             metrics=metrics,
-            on_handover=lambda zone, handover: self.handovers.take(zone, handover),
+            on_handover=lambda zone, handover: self.handovers.apply(zone, handover),
         )
         self.handovers = HandoverCoordinator(
             zones=lambda: self._zones,
@@ -218,7 +218,7 @@
 
     def _placer_lost(self, zone: str) -> None:
         if not self._has_reachable_zone:
-            self._heard.clear()
+            self._placer_contact.clear()
             self._unreachable_since = monotonic()
         if zone == self._settings.zone:
             self.on_alone()
@@ -289,9 +289,9 @@
         if self._has_reachable_zone:
             return False
         # It may be set yet while a link that was lost is being given up.
-        self._heard.clear()
+        self._placer_contact.clear()
         likely_until = min(until, self._unreachable_since + _RECONNECT_LIKELY_S)
-        return self._heard.wait(timeout=max(0.0, likely_until - monotonic()))
+        return self._placer_contact.wait(timeout=max(0.0, likely_until - monotonic()))
 
     @property
     def _has_reachable_zone(self) -> bool:
--- a/springrock/placement/placer.py
+++ b/springrock/placement/placer.py
@@ -194,14 +194,14 @@
         """Take what is new at a box."""
         self.requests.apply_demand(box, demand)
         if demand.copies:
-            self._copy_wishes.note(demand.copies)
+            self._copy_wishes.record(demand.copies)
             self._work.set()
 
     def forget_box(self, box: str) -> None:
         """Drop what a box wanted and used; its requests are gone or will be told anew."""
         self.requests.forget_box(box)
 
-    def existing(self) -> Residents:
+    def residents_snapshot(self) -> Residents:
         """Return what all engines hold that were heard."""
         return Residents(
             [
@@ -224,7 +224,7 @@
         copies = Counter(
             held.key for keeper in self._keepers.values() for held in keeper.book.ready()
         )
-        return self._spread.look(copies, zones=self._zones_with_engines())
+        return self._spread.evaluate(copies, zones=self._zones_with_engines())
 
     def handover(self) -> Handover:
         """Return what was asked for here, for the zones that remain when this one is evacuated."""
@@ -377,13 +377,13 @@
                 now=now,
                 waits=_with_limits(dispatcher.waits(), limited),
                 crowded=dispatcher.crowded_since(now - _CROWDED_S),
-                near=self._copy_wishes.existing(),
+                near=self._copy_wishes.current(),
                 backing_off=dispatcher.backing_off() | without_room,
             )
             for assignment in plan.assignments:
                 if assignment.want.saves:
                     # Else it would be the next to give up its place: nobody here has asked for it.
-                    self._popularity.note(assignment.key, assignment.want.saves)
+                    self._popularity.record(assignment.key, assignment.want.saves)
                 self._keepers[assignment.engine.instance].wake()
                 self._say_assigned(assignment, now)
             for key, ready_in_s in plan.ready_in_s.items():
--- a/springrock/placement/placer_board.py
+++ b/springrock/placement/placer_board.py
@@ -34,7 +34,7 @@
         self._updates: dict[str, Event] = {}
         self._known = Event()
 
-    def existing(self, key: str) -> Row | None:
+    def current_row(self, key: str) -> Row | None:
         """Return a row; None if there is none.
 
         Raises:
@@ -75,7 +75,7 @@
         return list(self._successors.items())
 
     def wait(self, key: str, *, timeout_s: float) -> None:
-        """Wait until a row changes that `standing` has returned, or the time is over."""
+        """Wait until a row changes that `current_row` has returned, or the time is over."""
         self._event(key).wait(timeout=timeout_s)
 
     @property
@@ -92,7 +92,7 @@
         decoded = (placer_row_from(row) for row in self._rows.values())
         return {row.box for row in decoded if row is not None and row.incarnation}
 
-    def note(self, row: Row) -> None:
+    def record(self, row: Row) -> None:
         """Learn of a row that is perhaps newer than what was read, as from a failed write."""
         known = self._rows.get(row.key)
         if known is None or row.version > known.version:
@@ -110,7 +110,7 @@
 
     def change(self, row: Row) -> None:
         """Take a new or changed row."""
-        self.note(row)
+        self.record(row)
 
     def remove(self, key: str) -> None:
         """Learn that a row is gone."""
--- a/springrock/placement/planner.py
+++ b/springrock/placement/planner.py
@@ -196,7 +196,7 @@
             self._victims_of.pop(engine.instance, None)
             plan.assignments.append(Assignment(want.key, engine, want))
             plan.ready_in_s[want.key] = expected_s
-        self._turnover.note(given=len(plan.assignments), is_short=short_of_places > 0, now=now)
+        self._turnover.record(given=len(plan.assignments), is_short=short_of_places > 0, now=now)
         return plan
 
     def room(
--- a/springrock/placement/popularity.py
+++ b/springrock/placement/popularity.py
@@ -18,7 +18,7 @@
     def __init__(self) -> None:
         self._counts: dict[AdapterKey, tuple[float, float]] = {}
 
-    def note(self, key: AdapterKey, count: float) -> None:
+    def record(self, key: AdapterKey, count: float) -> None:
         """Count requests, or what counts as much."""
         self._counts[key] = (self.of(key) + count, monotonic())
 
--- a/springrock/placement/relayed_writes.py
+++ b/springrock/placement/relayed_writes.py
@@ -78,7 +78,7 @@
         finally:
             del self._waiting[number]
         written = waiting.best
-        if not waiting.heard:
+        if not waiting.answered:
             raise HelpersSilent("no linked box answered")
         if written is None:
             raise RowStoreUnavailable("no linked box could write")
@@ -99,7 +99,7 @@
         """Learn what a box could do; what comes too late is passed over."""
         waiting = self._waiting.get(written.number)
         if waiting is not None:
-            waiting.take(written)
+            waiting.handle_answer(written)
 
 
 class _Round:
@@ -110,14 +110,14 @@
 
     def __init__(self, asked: int) -> None:
         self._left = asked
-        self.heard = False
+        self.answered = False
         self.best: Written | None = None
         self.over = Event()
 
-    def take(self, written: Written) -> None:
+    def handle_answer(self, written: Written) -> None:
         """Take an answer; that of the box that wrote is the one."""
         self._left -= 1
-        self.heard = True
+        self.answered = True
         if written.answered and (self.best is None or self.best.conflict):
             self.best = written
         if not self._left or (written.answered and not written.conflict):
--- a/springrock/placement/requests.py
+++ b/springrock/placement/requests.py
@@ -133,7 +133,7 @@
 
     def _handle_ask(self, box: str, ask: Ask, now: float) -> None:
         waiting = self.asks.add(box, ask, now=now)
-        self._popularity.note(waiting.key, 1)
+        self._popularity.record(waiting.key, 1)
         self.grant_waiting(waiting.key)
         if waiting.key in self.asks.keys:
             self.forecasts.send_known(waiting.key, box)
@@ -201,7 +201,7 @@
         if zone_obstacle_of(home, bounds=ask.bounds, world=self._world()) is not None:
             return 0.0
         carried = bytes_of_prompt(sum(tokens for _, tokens in ask.prompt))
-        return self._near.note(waiting.key, home_zone=home, carried_bytes=carried)
+        return self._near.record(waiting.key, home_zone=home, carried_bytes=carried)
 
     def holders(
         self, key: AdapterKey, *, avoid: Collection[str] = (), bounds: Bounds = ANYWHERE
@@ -279,9 +279,9 @@
             run = dispatcher.record_finished(box, over)
             keeper = self._keepers.get(run.instance) if run is not None else None
             if keeper is not None and over.outcome in _DOUBTFUL:
-                keeper.doubt()
+                keeper.mark_stale()
             if run is not None and over.backoff_ms:
-                self._backoffs.note(box, run.instance, seconds=over.backoff_ms / 1000)
+                self._backoffs.record(box, run.instance, seconds=over.backoff_ms / 1000)
 
     def _service_of(self, key: AdapterKey) -> str | None:
         """Return the service whose engines hold the base model of an adapter."""
--- a/springrock/placement/residency.py
+++ b/springrock/placement/residency.py
@@ -31,7 +31,7 @@
         """Return the newest named version; 0 if none was named."""
         return self._newest.get(key, 0)
 
-    def note(self, key: AdapterKey, version: int) -> None:
+    def record(self, key: AdapterKey, version: int) -> None:
         """Learn of a version."""
         self._newest[key] = max(version, self.newest(key))
 
--- a/springrock/placement/spread.py
+++ b/springrock/placement/spread.py
@@ -27,7 +27,7 @@
         self._popularity = popularity
         self._since: dict[AdapterKey, float] = {}
 
-    def look(self, copies: Mapping[AdapterKey, int], *, zones: int) -> tuple[str, ...]:
+    def evaluate(self, copies: Mapping[AdapterKey, int], *, zones: int) -> tuple[str, ...]:
         """Return the adapters as MODEL/NAME.
 
         Args:
--- a/springrock/placement/state_fetcher.py
+++ b/springrock/placement/state_fetcher.py
@@ -127,7 +127,7 @@
         except (*FETCH_FAILURES, StateUnknown) as error:
             self._unknown.begin(seed=seed, error=str(error))
             return
-        self._take(state, asked_at)
+        self._apply(state, asked_at)
         self._unknown.end(seed=seed)
         self._log.say(
             "Learnt from another box.",
@@ -145,7 +145,7 @@
         if not state.tables:
             raise StateUnknown(seed, "it does not know all tables itself")
 
-    def _take(self, state: KnownState, asked_at: float) -> None:
+    def _apply(self, state: KnownState, asked_at: float) -> None:
         by_table = {table.updates.table: table for table in state.tables}
         for follower in self._followers:
             reported = by_table.get(follower.table)
--- a/springrock/placement/succession.py
+++ b/springrock/placement/succession.py
@@ -99,7 +99,7 @@
         row = self.row
         return msgspec.structs.replace(row, renewal=row.renewal + 1, fence=row.fence + reserved)
 
-    def settled(self, row: PlacerRow, version: int) -> Tenure | None:
+    def resolved(self, row: PlacerRow, version: int) -> Tenure | None:
         """Return the lease as the row is found instead; None if another box holds it."""
         if row.incarnation == self.row.incarnation:
             return Tenure.from_row(row, version)
--- a/springrock/placement/turnover.py
+++ b/springrock/placement/turnover.py
@@ -26,7 +26,7 @@
         """Seconds until one more place is given up, about."""
         return min(_LONGEST_PLACE_S, self._short_s / self._given)
 
-    def note(self, *, given: int, is_short: bool, now: float) -> None:
+    def record(self, *, given: int, is_short: bool, now: float) -> None:
         """Take what one plan did.
 
         Args:
--- a/springrock/placement/zone.py
+++ b/springrock/placement/zone.py
@@ -157,7 +157,7 @@
             address=settings.address if settings.checks_fence else "",
             process=around.incarnation if settings.checks_fence else "",
             demand=self.demand,
-            on_message=self.take,
+            on_message=self.handle,
             on_lost=self._placer_lost,
             log=around.log_of("link"),
             count_sent=self._counting_to(zone),
@@ -230,14 +230,14 @@
 
     def first_messages(self) -> list[Message]:
         """Return what a newly linked box is told."""
-        return [self._heartbeat(), self._placer.existing()]
+        return [self._heartbeat(), self._placer.residents_snapshot()]
 
     def apply_demand(self, box: str, demand: Demand) -> None:
         """Take all that a box now wants and uses."""
         if demand.charges or demand.given_back:
-            self._part.take(box, demand.charges, demand.given_back)
+            self._part.answer(box, demand.charges, demand.given_back)
         if demand.permits:
-            self._permits.take(box, demand.permits)
+            self._permits.answer(box, demand.permits)
         for observation in demand.observations:
             self._warmup.apply_observation(observation.instance, answered=observation.answered)
         for instance in demand.leaving:
@@ -299,7 +299,7 @@
             boxes=self.links.count + 1,
             spread=self._placer.spread(),
             leaving=self._directory.leaving(),
-            doubted=self._warmup.doubted(self._zone),
+            suspected=self._warmup.suspected(self._zone),
             pressure=round(100 * wait_estimate.pressure),
             wait_ms=round(1000 * wait_estimate.wait_s),
             limits=self._limits.named(self._instances()),
@@ -320,11 +320,11 @@
 
     def _send(self, box: str, message: Message) -> None:
         if box == self._settings.box:
-            self.take(message)
+            self.handle(message)
         else:
             self.links.notify(box, message)
 
-    def take(self, message: Message) -> None:
+    def handle(self, message: Message) -> None:
         """Learn what the placer says."""
         match message:
             case Grant():
@@ -373,7 +373,7 @@
         self.wait_estimate = WaitEstimate(heartbeat.pressure / 100, heartbeat.wait_ms / 1000)
         for instance in heartbeat.leaving:
             self._directory.record_leaving(instance, LeavingSign.BOX)
-        self._warmup.apply_suspected(self._zone, heartbeat.doubted)
+        self._warmup.apply_suspected(self._zone, heartbeat.suspected)
         self._limits.apply_reported(self._zone, heartbeat.limits)
         # A placer of an earlier build tells only how many there are in all.
         self.home_boxes = heartbeat.home_boxes or heartbeat.boxes
@@ -392,7 +392,7 @@
             changed = self._placer.drain_changed()
             updates.notify(changed)
             if changed is not None:
-                self.take(changed)
+                self.handle(changed)
 
     def _feed_own_demand(self) -> None:
         """Tell this box's own placer what its link would tell another box's."""
--- a/springrock/placement/zone_dependencies.py
+++ b/springrock/placement/zone_dependencies.py
@@ -41,10 +41,10 @@
         warmup: Which replicas are cold.
         limits: The limits that replicas have named.
         on_table_news: Called with a zone and what its placer has read of the store's tables.
-        on_placer_heard: Called whenever a zone's placer is heard.
+        on_placer_contact: Called whenever a zone's placer is heard.
         on_placer_lost: Called with a zone whose placer this box has lost.
-        on_copy_pays: Called with a zone, an adapter that it holds, and the hundredths of a load
-            that a copy near this box would save.
+        on_copy_worthwhile: Called with a zone, an adapter that it holds, and the hundredths of a
+            load that a copy near this box would save.
         log_of: Returns the log of a part.
         metrics: The metrics to count in.
         on_handover: Called with an evacuated zone and what its placer tells was asked for there.
--- a/springrock/platform/tables.py
+++ b/springrock/platform/tables.py
@@ -147,7 +147,7 @@
         self._count_fault(error.fault)
         if self._faults.get(key) is error.fault:
             return
-        self._faults.note(key, error.fault)
+        self._faults.record(key, error.fault)
         self._log.say(
             "Passed over a replica's row.", replica=key, fault=error.fault, field=error.field
         )
--- a/springrock/quarantine/book.py
+++ b/springrock/quarantine/book.py
@@ -28,7 +28,7 @@
 
     Attributes:
         version: Of its row; 0 as long as it was not read.
-        learnt_at: When this box learnt of it, on the local monotonic clock.
+        learned_at: When this box learnt of it, on the local monotonic clock.
     """
 
     report: CrashReport
@@ -95,7 +95,7 @@
 
     # What this box has seen itself.
 
-    def take(self, key: str, report: CrashReport) -> None:
+    def hold(self, key: str, report: CrashReport) -> None:
         """Hold a report of this box's own against its requests; it may grow until it is written."""
         self._hold(key, report, version=0)
 
@@ -116,7 +116,7 @@
 
     def record_completion(self, fingerprint: Fingerprint) -> None:
         """Learn that a request ran to a good end."""
-        self._ran_well.note(fingerprint, None)
+        self._ran_well.record(fingerprint, None)
         if self._naming.pop(fingerprint, None) is not None:
             self._record_released(fingerprint)
 
--- a/springrock/quarantine/crash_detector.py
+++ b/springrock/quarantine/crash_detector.py
@@ -73,10 +73,10 @@
         if existing is None:
             existing = _Break(new_key(), monotonic(), record, [])
             self._breaks[record.instance] = existing
-            gevent.spawn_later(_SIGNS_OF_LIFE_S, self._settle, existing)
+            gevent.spawn_later(_SIGNS_OF_LIFE_S, self._publish_report, existing)
         if fingerprint not in existing.requests:
             existing.requests.append(fingerprint)
-            self._book.take(existing.key, self._report(existing))
+            self._book.hold(existing.key, self._report(existing))
 
     def record_answered(self, instance: str, *, sent_at: float) -> None:
         """Learn that a replica answered a request that was sent at a time."""
@@ -104,7 +104,7 @@
         self._book.withdraw(existing.key)
         self._say("Requests broke at a replica that has not crashed.", existing, why=why)
 
-    def _settle(self, existing: _Break) -> None:
+    def _publish_report(self, existing: _Break) -> None:
         instance = existing.record.instance
         if self._breaks.get(instance) is not existing:
             return
--- a/springrock/quarantine/reporter.py
+++ b/springrock/quarantine/reporter.py
@@ -151,7 +151,7 @@
                 retry_s = min(_LONGEST_RETRY_S, retry_s * 1.5)
 
     def _write(self, key: str, report: CrashReport) -> None:
-        self._unread.note(key, report)
+        self._unread.record(key, report)
         try:
             self._store.write(self._table, key, msgspec.json.encode(report), expected=0)
         except RowConflict:
--- a/springrock/quotas/bucket.py
+++ b/springrock/quotas/bucket.py
@@ -62,7 +62,7 @@
 
     def change(self, limits: BucketLimits, *, now: float) -> None:
         """Let more or less through from now on; it holds no more for it at once."""
-        self._settle(now)
+        self._refill(now)
         self._limits = limits
         self._level = min(self._level, limits.depth)
 
@@ -72,7 +72,7 @@
         Returns:
             0 if it was taken; infinite if the bucket never holds so much.
         """
-        self._settle(now)
+        self._refill(now)
         if units <= self._level:
             self._record_peak(now)
             self._level -= units
@@ -89,7 +89,7 @@
             taken_at: When.
             now: The time.
         """
-        self._settle(now)
+        self._refill(now)
         if now - taken_at > self._remember_s:
             return 0.0
         later = [peak.level for peak in self._peaks if peak.at > taken_at]
@@ -103,7 +103,7 @@
         ]
         return back
 
-    def _settle(self, now: float) -> None:
+    def _refill(self, now: float) -> None:
         self._level = self.level(now)
         self._at = max(self._at, now)
 
--- a/springrock/quotas/charging.py
+++ b/springrock/quotas/charging.py
@@ -94,5 +94,5 @@
         """Return the zones in the order in which they are asked."""
         now = monotonic()
         zones = self._zones()
-        heard = [zone for zone in zones if self._left_alone_until.get(zone, 0.0) <= now]
-        return heard or list(zones)
+        answering = [zone for zone in zones if self._left_alone_until.get(zone, 0.0) <= now]
+        return answering or list(zones)
--- a/springrock/quotas/ledger.py
+++ b/springrock/quotas/ledger.py
@@ -66,7 +66,7 @@
             units: The cost.
             now: The time.
         """
-        self._look(now)
+        self._refresh_configuration(now)
         bucket = self._buckets.get(team)
         if bucket is None:
             known = team in self._teams
@@ -116,7 +116,7 @@
         self._promised_until[team] = min(turn_at + units / rate, now + _LONGEST_RETURN_S)
         return max(_SHORTEST_RETURN_S, back_in_s)
 
-    def _look(self, now: float) -> None:
+    def _refresh_configuration(self, now: float) -> None:
         """Take a changed configuration."""
         configuration, terms = self._configuration(), self._terms()
         if (configuration.version, terms) != (self._version, self._current_terms):
--- a/springrock/quotas/part_counter.py
+++ b/springrock/quotas/part_counter.py
@@ -53,7 +53,7 @@
         """Take no charge of a box back any more."""
         self._ledger.forget_box(box)
 
-    def take(self, box: str, charges: Iterable[Charge], given_back: Iterable[GiveBack]) -> None:
+    def answer(self, box: str, charges: Iterable[Charge], given_back: Iterable[GiveBack]) -> None:
         """Answer a box's charges, and undo those whose requests did not run."""
         now = monotonic()
         counts = self._lease_left_s() > 0
@@ -63,13 +63,13 @@
                 verdict = self._ledger.charge(
                     box, charge.number, team=charge.team, units=charge.units, now=now
                 )
-                self._note(box, charge, verdict, now)
+                self._record(box, charge, verdict, now)
                 charged = Charged.from_verdict(charge.number, verdict)
             self._answer(box, charged)
         for charge_undone in given_back:
             self._ledger.give_back(box, charge_undone.number, now=now)
 
-    def _note(self, box: str, charge: Charge, verdict: Verdict, now: float) -> None:
+    def _record(self, box: str, charge: Charge, verdict: Verdict, now: float) -> None:
         self._on_counted(charge.team, verdict.charged)
         if verdict.charged:
             return
--- a/springrock/remembered.py
+++ b/springrock/remembered.py
@@ -19,7 +19,7 @@
         super().__init__()
         self._at_most = at_most
 
-    def note(self, name: str, value: V) -> None:
+    def record(self, name: str, value: V) -> None:
         """Remember a name as the one heard last."""
         self[name] = value
         self.move_to_end(name)
--- a/springrock/serving/answer.py
+++ b/springrock/serving/answer.py
@@ -69,7 +69,7 @@
         self._ends_at = permitted.held.ends_at
         self._seen_position = -1
         self._seen_at = monotonic()
-        self._watch = gevent.spawn_later(self._next_check_s, self._look)
+        self._watch = gevent.spawn_later(self._next_check_s, self._watch_loop)
         self.permitted = permitted
 
     @property
@@ -122,7 +122,7 @@
     def _next_check_s(self) -> float:
         return min(_CHECK_INTERVAL_S, max(0.0, self._ends_at - monotonic()))
 
-    def _look(self) -> None:
+    def _watch_loop(self) -> None:
         """Break the stream at the permit's end, or when the engine has long been silent."""
         while True:
             now = monotonic()
--- a/springrock/serving/limits.py
+++ b/springrock/serving/limits.py
@@ -51,7 +51,7 @@
         self._buckets: dict[str, TokenBucket] = {}
         self._counts: dict[str, int] = {}
         self._demand: dict[str, float] = {}
-        self._heard: dict[str, tuple[float, dict[str, float]]] = {}
+        self._received: dict[str, tuple[float, dict[str, float]]] = {}
         self._task: gevent.Greenlet[..., Any] | None = None
         peers.handle(wire.Demand, self._on_demand)
 
@@ -83,10 +83,10 @@
         """Return this box's part of a workload's limit."""
         boxes = max(1, len(self._members.live()))
         horizon = monotonic() - _DEMAND_LIFE_S
-        heard = [demand for at, demand in self._heard.values() if at > horizon]
+        received = [demand for at, demand in self._received.values() if at > horizon]
         mine = self._demand.get(workload.name, 0.0)
-        total = mine + sum(demand.get(workload.name, 0.0) for demand in heard)
-        if total <= 0 or not heard:
+        total = mine + sum(demand.get(workload.name, 0.0) for demand in received)
+        if total <= 0 or not received:
             return 1.0 / boxes
         return min(1.0, max(_LEAST_PART / boxes, mine / total))
 
@@ -112,4 +112,4 @@
 
     def _on_demand(self, link: Link, demand: wire.Demand) -> None:
         rates = dict(zip(demand.workloads, demand.requests_per_s, strict=False))
-        self._heard[link.box] = (monotonic(), rates)
+        self._received[link.box] = (monotonic(), rates)
--- a/springrock/serving/owner.py
+++ b/springrock/serving/owner.py
@@ -256,7 +256,7 @@
     def _handle_change(self, replica: OwnedReplica) -> None:
         if self._replicas.get(replica.name) is not replica:
             return
-        self._view.take(replica.report(self._box))
+        self._view.apply(replica.report(self._box))
         self._changed.add(replica.name)
         self._change.set()
 
@@ -282,7 +282,7 @@
             gevent.sleep(_FULL_REPORT_EVERY_S)
             for replica in self.replicas:
                 report = replica.report(self._box)
-                self._view.take(report)
+                self._view.apply(report)
                 self._peers.broadcast(report)
 
     def _greet(self, link: Link) -> None:
--- a/springrock/serving/relay.py
+++ b/springrock/serving/relay.py
@@ -118,7 +118,7 @@
         """Run a request once under a permit; the permit is given back unless an answer comes."""
         give_back = _once(lambda tokens: self._router.give_back(permitted, tokens))
         try:
-            claimed = claim.take()
+            claimed = claim.claim()
         except BaseException:
             give_back(0)
             raise
@@ -208,7 +208,7 @@
         self._taken = False
         self.sent = False
 
-    def take(self) -> Result[None, Refusal]:
+    def claim(self) -> Result[None, Refusal]:
         if not self._request_id or self._taken:
             return Ok(None)
         result = self._claims.claim(self._request_id)
--- a/springrock/serving/router.py
+++ b/springrock/serving/router.py
@@ -80,7 +80,7 @@
         self._held = held
         self._routing = routing
         self._log = log
-        peers.handle(wire.ReplicaReport, lambda _, report: view.take(report))
+        peers.handle(wire.ReplicaReport, lambda _, report: view.apply(report))
 
     def permit(
         self, request: ServingRequest, *, avoid: frozenset[str]
@@ -166,7 +166,7 @@
         )
         if answer.is_error():
             return Error(answer.error)
-        return self._take(answer.ok, report.owner, asked_at)
+        return self._accept_grant(answer.ok, report.owner, asked_at)
 
     def _ask_peer(self, ask: wire.Ask, owner: str) -> Result[wire.Grant, Refusal]:
         try:
@@ -194,10 +194,12 @@
         self._view.avoid(ask.replica)
         return Error(Refusal(Cause.OWNER_UNREACHABLE, detail, RunState.NOT_RUN, 1.0))
 
-    def _take(self, grant: wire.Grant, owner: str, asked_at: float) -> Result[Permitted, Refusal]:
+    def _accept_grant(
+        self, grant: wire.Grant, owner: str, asked_at: float
+    ) -> Result[Permitted, Refusal]:
         """Enter a grant, unless it came too late or under an old fence."""
         ends_at = asked_at + grant.waited_s + grant.end_within_s
-        held = self._held.take(grant, ends_at=ends_at)
+        held = self._held.enter(grant, ends_at=ends_at)
         if held is None:
             return Error(_expired("a newer owner of the replica is known"))
         permitted = Permitted(
--- a/springrock/serving/view.py
+++ b/springrock/serving/view.py
@@ -39,7 +39,7 @@
         }
         self.leaving: Callable[[str], bool] = lambda _: False
 
-    def take(self, report: wire.ReplicaReport) -> None:
+    def apply(self, report: wire.ReplicaReport) -> None:
         """Take a report, unless one of a newer owner is known."""
         known = self._reports.get(report.replica)
         if known is not None and known.fence > report.fence:
--- a/springrock/store_clock.py
+++ b/springrock/store_clock.py
@@ -28,7 +28,7 @@
         self._most_ahead = 0.0
         self._recorded_at = 0.0
 
-    def note(
+    def record(
         self, store_s: float, *, sent_at: float, received_at: float, era: int = UNTOLD_ERA
     ) -> None:
         """Learn from one call.
--- a/springrock/table_follower.py
+++ b/springrock/table_follower.py
@@ -270,7 +270,7 @@
         self._check_era(reading)
         if store_s is not None:
             era = era_of(reading.version)
-            self._clock.note(store_s, sent_at=asked_at, received_at=monotonic(), era=era)
+            self._clock.record(store_s, sent_at=asked_at, received_at=monotonic(), era=era)
         self._reported_by = ""
         self._apply(reading)
         self._whole_stands = False
@@ -341,8 +341,8 @@
             self._apply_full_table(reading)
         else:
             self._apply_changes(reading)
-        for change in self._unconfirmed.settled():
-            self._take(change)
+        for change in self._unconfirmed.expired():
+            self._apply_change(change)
 
     def _apply_full_table(self, reading: TableReading) -> None:
         known = self._version
@@ -363,10 +363,10 @@
         known = self.version
         for change in reading.changes:
             if not change.version or change.version > known:
-                self._take(change)
+                self._apply_change(change)
         self._version = max(known, reading.version)
 
-    def _take(self, change: Change) -> None:
+    def _apply_change(self, change: Change) -> None:
         self._unconfirmed.record_applied(change)
         match change:
             case Row(key=key):
@@ -381,7 +381,7 @@
         reported = {row.key for row in rows}
         lost = [row for key, row in self._rows.items() if key not in reported]
         for row in self._unconfirmed.apply_restored_table(rows, lost=lost):
-            self._take(row)
+            self._apply_change(row)
         self._log.say(
             "The store came back from a copy.",
             table=self.table,
--- a/springrock/unconfirmed_rows.py
+++ b/springrock/unconfirmed_rows.py
@@ -56,7 +56,7 @@
         """Learn what counts for a row from now on."""
         self._unconfirmed.pop(change.key, None)
         if isinstance(change, Removed):
-            self._removed.note(change.key, None)
+            self._removed.record(change.key, None)
         else:
             self._removed.pop(change.key, None)
 
@@ -85,26 +85,26 @@
         """Learn the whole table once more; return it but for what stays as it is known."""
         present = {row.key: row for row in rows}
         self._unconfirmed = {
-            key: doubted
-            for key, doubted in self._unconfirmed.items()
-            if present.get(key) == doubted.reported
+            key: unconfirmed
+            for key, unconfirmed in self._unconfirmed.items()
+            if present.get(key) == unconfirmed.reported
         }
-        for key, doubted in self._unconfirmed.items():
-            if doubted.reported is None:
+        for key, unconfirmed in self._unconfirmed.items():
+            if unconfirmed.reported is None:
                 present[key] = known[key]
             else:
                 del present[key]
         for key in known.keys() - present.keys():
-            self._removed.note(key, None)
+            self._removed.record(key, None)
         for key in present:
             self._removed.pop(key, None)
         return present
 
-    def settled(self) -> list[Change]:
+    def expired(self) -> list[Change]:
         """Return what the store tells of rows that nobody has written again in time."""
         now = monotonic()
         return [
-            Removed(key) if doubted.reported is None else doubted.reported
-            for key, doubted in self._unconfirmed.items()
-            if doubted.until <= now
+            Removed(key) if unconfirmed.reported is None else unconfirmed.reported
+            for key, unconfirmed in self._unconfirmed.items()
+            if unconfirmed.until <= now
         ]
--- a/springrock/unknown_messages.py
+++ b/springrock/unknown_messages.py
@@ -73,9 +73,9 @@
             try:
                 return receive()
             except UnknownKind as unknown:
-                self._note(unknown)
+                self._record(unknown)
 
-    def _note(self, unknown: UnknownKind) -> None:
+    def _record(self, unknown: UnknownKind) -> None:
         """Note one message; the first of its kind on the link is said."""
         self._count(unknown.kind)
         if unknown.kind not in self._said:
--- a/tests/forwarding/test_evacuations.py
+++ b/tests/forwarding/test_evacuations.py
@@ -261,7 +261,7 @@
         log=Log("test", "box-1"),
     )
     clock = StoreClock()
-    clock.note(monotonic(), sent_at=monotonic(), received_at=monotonic())
+    clock.record(monotonic(), sent_at=monotonic(), received_at=monotonic())
     follower = read_whole(evacuations, clock=clock)
     gevent.sleep(0.25)
     as_of_s = clock.earliest_store(monotonic())
--- a/tests/forwarding/test_notices.py
+++ b/tests/forwarding/test_notices.py
@@ -49,10 +49,10 @@
 def test_an_answer_makes_its_replica_leave_and_others_are_told_once(box: Box) -> None:
     replica = box.directory.find("i-1@5")
     assert replica is not None
-    box.notices.take(replica, NO_NOTICE, sent_at=monotonic())
+    box.notices.apply(replica, NO_NOTICE, sent_at=monotonic())
     assert box.directory.leaving() == ()
-    box.notices.take(replica, LEAVES, sent_at=monotonic())
-    box.notices.take(replica, LEAVES, sent_at=monotonic())
+    box.notices.apply(replica, LEAVES, sent_at=monotonic())
+    box.notices.apply(replica, LEAVES, sent_at=monotonic())
     assert box.directory.leaving() == ("i-1@5",)
     assert box.reported == ["i-1@5"]
 
@@ -61,7 +61,7 @@
     replica = box.directory.find("i-1@5")
     assert replica is not None
     box.directory.remove("i-1")
-    box.notices.take(replica, LEAVES, sent_at=monotonic())
+    box.notices.apply(replica, LEAVES, sent_at=monotonic())
     box.start(5)
     assert box.directory.leaving() == ("i-1@5",)
 
@@ -71,7 +71,7 @@
     assert replica is not None
     take = box.notices.notice_handler("i-1")
     box.start(6)
-    box.notices.take(replica, LEAVES, sent_at=monotonic())
+    box.notices.apply(replica, LEAVES, sent_at=monotonic())
     take(LEAVES)
     assert box.directory.leaving() == ()
 
@@ -117,8 +117,8 @@
 def test_a_rest_is_kept_by_whatever_start_stands_under_the_id(box: Box) -> None:
     replica = box.directory.find("i-1@5")
     assert replica is not None
-    box.notices.take(replica, ReplicaNotice(backoff_s=3.0), sent_at=monotonic())
-    box.notices.take(replica, ReplicaNotice(backoff_s=1.0), sent_at=monotonic())
+    box.notices.apply(replica, ReplicaNotice(backoff_s=3.0), sent_at=monotonic())
+    box.notices.apply(replica, ReplicaNotice(backoff_s=1.0), sent_at=monotonic())
     assert 2.0 < replica.backoff.left_s <= 3.0
     box.start(6)
     restarted = box.directory.find("i-1@6")
@@ -146,6 +146,6 @@
     assert replica is not None
     headers = Headers.from_pairs([("Server-Mood", "low"), ("Server", "x"), ("Server-Limit", "2")])
     for _ in range(3):
-        box.notices.take(replica, notice_from(200, headers), sent_at=monotonic())
+        box.notices.apply(replica, notice_from(200, headers), sent_at=monotonic())
     assert counted.count("unknown") == 1
     assert shown.count("server-mood") == 1
--- a/tests/forwarding/test_notices_model.py
+++ b/tests/forwarding/test_notices_model.py
@@ -109,7 +109,7 @@
 
     def _answer(self, step: Answered) -> None:
         replica = self._sent[step.sent % len(self._sent)]
-        self._notices.take(replica, ReplicaNotice(step.leaving, step.backoff_s), sent_at=self.now)
+        self._notices.apply(replica, ReplicaNotice(step.leaving, step.backoff_s), sent_at=self.now)
         if step.leaving:
             self._left.add(replica.instance)
         replica_id = replica.record.replica_id
--- a/tests/permits/limit_world.py
+++ b/tests/permits/limit_world.py
@@ -111,7 +111,7 @@
         )
 
     def ask(self, ask: PermitAsk) -> PermitVerdict | None:
-        self._counter.take("box", [ask])
+        self._counter.answer("box", [ask])
         return self._answers.pop().verdict
 
 
--- a/tests/permits/test_bound.py
+++ b/tests/permits/test_bound.py
@@ -74,7 +74,7 @@
             self.now = self._begins[number]
             self._counters[number].begin()
         self.now = at
-        self._counters[number].take("box", [PermitAsk(1, "r", "s", "i-1")])
+        self._counters[number].answer("box", [PermitAsk(1, "r", "s", "i-1")])
         return self._answers[-1].granted
 
 
--- a/tests/permits/test_counter.py
+++ b/tests/permits/test_counter.py
@@ -45,7 +45,7 @@
         )
 
     def ask(self, *, instance: str = "i-1", service: str = "s", returns: bool = False) -> Permitted:
-        self.counter.take("box-2", [PermitAsk(7, "r", service, instance, returns)])
+        self.counter.answer("box-2", [PermitAsk(7, "r", service, instance, returns)])
         return self.answers[-1]
 
 
@@ -105,7 +105,7 @@
     assert counting.counter.grant("box-2", 5, "r", RECORD, cold=True)
     counting.now += 0.05
     anew = PermitAsk(7, "r", "s", "i-1", grant=5)
-    counting.counter.take("box-2", [anew, anew])
+    counting.counter.answer("box-2", [anew, anew])
     assert [permitted.granted for permitted in counting.answers] == [True, False]
     counting.now += 0.2
     assert not counting.ask().granted
@@ -126,12 +126,12 @@
 def test_a_limit_is_counted_out_where_nothing_is_cold(counting: Counting) -> None:
     counting.limits.apply_limit_report(LimitReport("i-9", 2.0))
     ask = PermitAsk(7, "r", "plain", "i-9", cold=False, limit_per_s=2.0)
-    counting.counter.take("box-2", [ask])
+    counting.counter.answer("box-2", [ask])
     assert counting.answers[-1] == Permitted(
         7, counts=True, room_in_ms=500, back_in_ms=500, limited=True
     )
     counting.now += 9.0
-    counting.counter.take("box-2", [ask] * 4)
+    counting.counter.answer("box-2", [ask] * 4)
     assert [answer.granted for answer in counting.answers[1:]] == [True, True, False, False]
     assert counting.counter.room_in_s(PLAIN, cold=False) == pytest.approx(0.5)
 
@@ -161,10 +161,10 @@
 
 def test_a_limit_that_only_the_asker_knows_is_taken_from_the_ask(counting: Counting) -> None:
     ask = PermitAsk(7, "r", "plain", "i-9", cold=False, limit_per_s=2.0)
-    counting.counter.take("box-2", [ask])
+    counting.counter.answer("box-2", [ask])
     assert not counting.answers[-1].granted
     counting.limits.apply_limit_report(LimitReport("i-9", 2.0))
     counting.now += 1.0
     counting.limits.apply_limit_report(LimitReport("i-9", None))
-    counting.counter.take("box-2", [ask])
+    counting.counter.answer("box-2", [ask])
     assert counting.answers[-1] == Permitted(7, counts=True, granted=True, limited=True)
--- a/tests/permits/test_returns.py
+++ b/tests/permits/test_returns.py
@@ -1,7 +1,7 @@
 """A replica comes back cold, played in virtual time: rows are late, boxes and placers are cut off.
 
-Boxes press all the while, each with what it knows of its own: the real `Warmth`, and permits of the
-real counter. The replica counts what it gets while it is cold.
+Boxes press all the while, each with what it knows of its own: the real `WarmupTracker`, and permits
+of the real counter. The replica counts what it gets while it is cold.
 """
 
 from __future__ import annotations
@@ -127,7 +127,7 @@
         if tick % int(POLL_S / TICK_S) == number * 7 and self._reads(number):
             self._read_row(number)
         if tick % int(PLACER_HEARTBEAT_S / TICK_S) == 0 and self._is_linked(number):
-            self.boxes[number].apply_suspected("zone-1", self.boxes[0].doubted("zone-1"))
+            self.boxes[number].apply_suspected("zone-1", self.boxes[0].suspected("zone-1"))
         if self.day.evacuated and self.now >= self.day.gone_at and self.ended_at[number] is None:
             # Each box learns in its own time that the zone is taken back.
             if self.now >= self.back_at + 0.3 * number:
@@ -178,7 +178,7 @@
         if not self._is_linked(number):
             # Who hears no placer may not send; that the replica is down it then learns of none.
             return False
-        self._counter.take(f"box-{number}", [PermitAsk(1, "r", "s", "i-1")])
+        self._counter.answer(f"box-{number}", [PermitAsk(1, "r", "s", "i-1")])
         return self._answers[-1].granted
 
 
--- a/tests/permits/test_warmup.py
+++ b/tests/permits/test_warmup.py
@@ -166,19 +166,19 @@
 
 def test_a_refused_connection_is_told_and_so_is_the_answer_after_it(knowing: Knowing) -> None:
     knowing.fail()
-    assert knowing.warmup.doubted("zone-1") == ("i-1",)
-    assert knowing.warmup.doubted("zone-2") == ()
+    assert knowing.warmup.suspected("zone-1") == ("i-1",)
+    assert knowing.warmup.suspected("zone-2") == ()
     knowing.succeed()
     knowing.succeed()
     assert knowing.reported == [("i-1", False), ("i-1", True)]
     knowing.now += ROW_DELAY_S
-    assert knowing.warmup.doubted("zone-1") == ()
+    assert knowing.warmup.suspected("zone-1") == ()
 
 
 def test_a_placer_learns_of_another_box_s_failure_and_tells_all(knowing: Knowing) -> None:
     knowing.warmup.apply_observation("i-1", answered=False)
     assert knowing.cold
-    assert knowing.warmup.doubted("zone-1") == ("i-1",)
+    assert knowing.warmup.suspected("zone-1") == ("i-1",)
     knowing.warmup.apply_observation("i-1", answered=True)
     knowing.now += ROW_DELAY_S
     assert not knowing.cold
@@ -203,5 +203,5 @@
 def test_a_replica_that_is_gone_is_forgotten(knowing: Knowing) -> None:
     knowing.fail()
     knowing.warmup.apply_record(None, "i-1")
-    assert knowing.warmup.doubted("zone-1") == ()
+    assert knowing.warmup.suspected("zone-1") == ()
     assert knowing.warmup.cold_count == 0
--- a/tests/placement/test_backoffs.py
+++ b/tests/placement/test_backoffs.py
@@ -14,15 +14,15 @@
     now = 100.0
     monkeypatch.setattr(backoff_module, "monotonic", lambda: now)
     backoffs = Backoffs()
-    backoffs.note("box-1", "i-1", seconds=3.0)
-    backoffs.note("box-1", "i-1", seconds=1.0)
-    backoffs.note("box-1", "i-2", seconds=1.0)
+    backoffs.record("box-1", "i-1", seconds=3.0)
+    backoffs.record("box-1", "i-1", seconds=1.0)
+    backoffs.record("box-1", "i-2", seconds=1.0)
     assert backoffs.of("box-1") == {"i-1", "i-2"}
     assert backoffs.of("box-2") == frozenset()
     now += 2.0
     assert backoffs.of("box-1") == {"i-1"}
     now += 1.0
     assert backoffs.of("box-1") == frozenset()
-    backoffs.note("box-1", "i-1", seconds=1.0)
+    backoffs.record("box-1", "i-1", seconds=1.0)
     backoffs.forget_box("box-1")
     assert backoffs.of("box-1") == frozenset()
--- a/tests/placement/test_distance_ways.py
+++ b/tests/placement/test_distance_ways.py
@@ -246,14 +246,14 @@
             holding = holding or {home}
         name = self.way(key, views, holding)
         zone = self.zones[name]
-        zone.popularity.note(key, 1)
+        zone.popularity.record(key, 1)
         zone.served += 1
         distance = topology.distance(name)
         if distance is not Distance.OWN_ZONE:
             self.crossed[distance] += carried
         if not self.stands(zone, key):
             self.bring(zone, key)
-        saves = zone.near.note(key, home_zone=home, carried_bytes=carried)
+        saves = zone.near.record(key, home_zone=home, carried_bytes=carried)
         if self.copies and saves:
             self.bring_near(self.near_zone(home, distance, key), key, saves)
 
@@ -272,7 +272,7 @@
         if not zone.bring(key, self.chance, saves=saves):
             return
         if saves is not None:
-            zone.popularity.note(key, saves)
+            zone.popularity.record(key, saves)
         zone.coming[key] = self.clock.now
 
         def _stand() -> None:
--- a/tests/placement/test_election.py
+++ b/tests/placement/test_election.py
@@ -145,7 +145,7 @@
     for event in list(sleeps.pending):
         event.set()
         wait_until(lambda: bool(placing))
-        wait_until(lambda: all(board.existing(key_of(ZONE)) for board in store.boards))
+        wait_until(lambda: all(board.current_row(key_of(ZONE)) for board in store.boards))
     assert len(placing) == 1
     assert store.writes == 1
 
--- a/tests/placement/test_handover.py
+++ b/tests/placement/test_handover.py
@@ -64,8 +64,8 @@
 def test_a_placer_tells_what_was_asked_for_the_most_first_and_a_bounded_number() -> None:
     popularity = Popularity()
     for number in range(600):
-        popularity.note(key(f"n{number}"), 1 + number)
-    popularity.note(key("rare"), 0)
+        popularity.record(key(f"n{number}"), 1 + number)
+    popularity.record(key("rare"), 0)
     reported = handover_of(popularity)
     assert len(reported.adapters) == 400
     assert reported.adapters[0].key == key("n599")
@@ -80,7 +80,7 @@
 def test_adapters_are_brought_in_the_order_in_which_they_were_asked_for() -> None:
     popularity = Popularity()
     ahead = make_wants(popularity)
-    ahead.take("zone-1", asked("a", "b", "c", "d"))
+    ahead.add("zone-1", asked("a", "b", "c", "d"))
     now = monotonic()
     wants = ahead.wants(nothing_is_here, now)
     assert [want.key.adapter for want in wants] == ["a", "b", "c", "d"]
@@ -95,7 +95,7 @@
 def test_what_somebody_waits_for_goes_first() -> None:
     popularity = Popularity()
     ahead = make_wants(popularity)
-    ahead.take("zone-1", asked("a"))
+    ahead.add("zone-1", asked("a"))
     now = monotonic()
     planner = make_planner(popularity)
     planner.loads.at_once = 1.0
@@ -107,9 +107,9 @@
 def test_only_what_is_asked_for_far_less_gives_way() -> None:
     popularity = Popularity()
     for name, count in (("x", 4), ("y", 0)):
-        popularity.note(key(name), count)
+        popularity.record(key(name), count)
     ahead = make_wants(popularity)
-    ahead.take("zone-1", [AskedFor("m", "a", 5.0), AskedFor("m", "b", 1.0)])
+    ahead.add("zone-1", [AskedFor("m", "a", 5.0), AskedFor("m", "b", 1.0)])
     now = monotonic()
     engine = make_engine("i-1", "x", "y")
     plan = make_planner(popularity).plan(
@@ -120,9 +120,9 @@
 
 def test_what_stands_is_done_and_what_is_told_again_is_not_brought_again() -> None:
     ahead = make_wants(Popularity())
-    ahead.take("zone-1", asked("a", "b"))
+    ahead.add("zone-1", asked("a", "b"))
     assert [want.key.adapter for want in ahead.wants({key("a")}.__contains__, monotonic())] == ["b"]
-    ahead.take("zone-1", asked("a", "b", "c"))
+    ahead.add("zone-1", asked("a", "b", "c"))
     assert [want.key.adapter for want in ahead.wants(nothing_is_here, monotonic())] == ["b", "c"]
     assert ahead.wants({key("b"), key("c")}.__contains__, monotonic()) == []
     assert not ahead.pending
@@ -131,8 +131,8 @@
 def test_a_placer_that_tells_late_puts_in_order_what_its_engines_held() -> None:
     popularity = Popularity()
     ahead = make_wants(popularity)
-    ahead.take("zone-1", [AskedFor("m", name, 0.0) for name in ("a", "b", "c")])
-    ahead.take("zone-1", asked("c", "a"))
+    ahead.add("zone-1", [AskedFor("m", name, 0.0) for name in ("a", "b", "c")])
+    ahead.add("zone-1", asked("c", "a"))
     wants = ahead.wants(nothing_is_here, monotonic())
     assert [want.key.adapter for want in wants] == ["c", "a", "b"]
     assert popularity.of(key("c")) > popularity.of(key("a")) > 0
@@ -140,7 +140,7 @@
 
 def test_a_plan_is_given_no_more_than_can_be_under_way() -> None:
     ahead = make_wants(Popularity())
-    ahead.take("zone-1", asked(*(f"n{number}" for number in range(300))))
+    ahead.add("zone-1", asked(*(f"n{number}" for number in range(300))))
     wants = ahead.wants(nothing_is_here, monotonic())
     assert [want.key.adapter for want in wants] == [f"n{number}" for number in range(40)]
     here = {want.key for want in wants}
@@ -150,8 +150,8 @@
 
 def test_nothing_is_brought_for_a_zone_that_was_taken_back_or_told_long_ago() -> None:
     ahead = make_wants(Popularity())
-    ahead.take("zone-1", asked("a"))
-    ahead.take("zone-3", asked("b"))
+    ahead.add("zone-1", asked("a"))
+    ahead.add("zone-3", asked("b"))
     ahead.drop("zone-1")
     assert [want.key.adapter for want in ahead.wants(nothing_is_here, monotonic())] == ["b"]
     assert ahead.wants(nothing_is_here, monotonic() + 60) == []
@@ -223,7 +223,7 @@
     brings = {}
     for name, box in boxes.items():
         box.announced.add("zone-1")
-        box.coordinator.take("zone-1", Handover(asked(*ADAPTERS)))
+        box.coordinator.apply("zone-1", Handover(asked(*ADAPTERS)))
         brings[name] = box.zones[name].brings
         assert not any(other.brings for zone, other in box.zones.items() if zone != name)
     assert brings["zone-2"] | brings["zone-3"] == set(ADAPTERS)
@@ -235,14 +235,14 @@
     box = make_box("zone-2", "zone-3")
     hold(box.directory, "zone-1", *ADAPTERS)
     hold(box.directory, "zone-3", "a0", "a1")
-    box.coordinator.take("zone-1", Handover(asked(*ADAPTERS)))
+    box.coordinator.apply("zone-1", Handover(asked(*ADAPTERS)))
     assert box.zones["zone-2"].brings | box.zones["zone-3"].brings == set(ADAPTERS) - {"a0", "a1"}
 
 
 def test_nothing_is_brought_to_another_zone_that_is_evacuated() -> None:
     box = make_box("zone-2", "zone-3")
     box.announced.update(("zone-1", "zone-2"))
-    box.coordinator.take("zone-1", Handover(asked(*ADAPTERS)))
+    box.coordinator.apply("zone-1", Handover(asked(*ADAPTERS)))
     assert box.zones["zone-2"].brings == set()
     assert box.zones["zone-3"].brings == set(ADAPTERS)
 
@@ -250,10 +250,10 @@
 def test_what_was_asked_for_stays_in_its_region() -> None:
     regions = {"zone-1": "a", "zone-2": "b", "zone-3": "a"}
     box = make_box("zone-2", "zone-3", regions=regions)
-    box.coordinator.take("zone-1", Handover(asked(*ADAPTERS)))
+    box.coordinator.apply("zone-1", Handover(asked(*ADAPTERS)))
     assert box.zones["zone-3"].brings == set(ADAPTERS)
     box.announced.add("zone-3")
-    box.coordinator.take("zone-1", Handover(asked("more")))
+    box.coordinator.apply("zone-1", Handover(asked("more")))
     assert box.zones["zone-2"].brings == {"more"}, "none remains in the region"
 
 
@@ -309,7 +309,7 @@
 ) -> None:
     box = make_box("zone-2", "zone-3")
     hold(box.directory, "zone-1", "held", "asked")
-    box.coordinator.take("zone-1", Handover(asked("asked")))
+    box.coordinator.apply("zone-1", Handover(asked("asked")))
     box.announced.add("zone-1")
     box.coordinator.handle_change("zone-1", True)
     gevent.sleep(0.15)
--- a/tests/placement/test_keeper.py
+++ b/tests/placement/test_keeper.py
@@ -342,7 +342,7 @@
     keeper.start()
     wait_for(lambda: keeper.book.reachable, "the engine is known")
     engine.born_ms, engine.adapters = born_ms, {"b"}
-    keeper.doubt()
+    keeper.mark_stale()
     wait_for(lambda: not keeper.book.reachable, "the engine counts as out of reach")
     assert [held.adapter for held in keeper.book.ready()] == ["a"]
     assign(keeper, "c")
--- a/tests/placement/test_lease.py
+++ b/tests/placement/test_lease.py
@@ -55,11 +55,11 @@
     def era(self) -> int:
         return era_of(self._store.read_all(TABLE).version)
 
-    def existing(self, key: str) -> Row | None:
+    def current_row(self, key: str) -> Row | None:
         rows = self._store.read_all(TABLE).rows
         return next((row for row in rows if row.key == key), None)
 
-    def note(self, row: Row) -> None:
+    def record(self, row: Row) -> None:
         """Read anew each time: nothing to keep."""
 
 
@@ -89,24 +89,24 @@
 def test_the_first_to_write_holds_and_the_other_waits(clock: Clock) -> None:
     store = Store()
     one, two = make_lease(store, "one"), make_lease(store, "two")
-    nothing = one.look()
-    assert two.look() is None
+    nothing = one.known_row()
+    assert two.known_row() is None
     assert one.challenge(nothing)
     assert not two.challenge(None)
     assert one.holds
-    assert not two.challenge(two.look())
+    assert not two.challenge(two.known_row())
 
 
 def test_a_lapsed_lease_is_taken_under_a_higher_fence(clock: Clock) -> None:
     store = Store()
     one, two = make_lease(store, "one"), make_lease(store, "two")
-    assert one.challenge(one.look())
-    two.look()
+    assert one.challenge(one.known_row())
+    two.known_row()
     clock.now += LEASE_S
-    assert not two.challenge(two.look()), "the margin is not over"
+    assert not two.challenge(two.known_row()), "the margin is not over"
     clock.now += 0.5
     assert not one.holds
-    assert two.challenge(two.look())
+    assert two.challenge(two.known_row())
     assert two.fence == one.last_fence + 1
     assert not one.renew()
     assert not one.held
@@ -115,18 +115,18 @@
 def test_a_renewed_lease_is_not_taken(clock: Clock) -> None:
     store = Store()
     one, two = make_lease(store, "one"), make_lease(store, "two")
-    assert one.challenge(one.look())
+    assert one.challenge(one.known_row())
     for _ in range(5):
-        two.look()
+        two.known_row()
         clock.now += LEASE_S - 0.5
         assert one.renew()
-        assert not two.challenge(two.look())
+        assert not two.challenge(two.known_row())
 
 
 def test_a_renewal_whose_answer_was_lost_is_found_by_the_next(clock: Clock) -> None:
     store = Store()
     one = make_lease(store, "one")
-    assert one.challenge(one.look())
+    assert one.challenge(one.known_row())
     store.lose_answer = True
     assert one.renew()
     store.lose_answer = False
@@ -139,7 +139,7 @@
 def test_a_holder_cut_from_the_store_goes_on_where_fences_are_checked(clock: Clock) -> None:
     store = Store()
     one = make_lease(store, "one")
-    assert one.challenge(one.look())
+    assert one.challenge(one.known_row())
     store.down = True
     clock.now += LEASE_S + 1
     assert not one.holds, "nothing was tried yet: it may be this process that stood still"
@@ -150,7 +150,7 @@
 def test_a_holder_cut_from_the_store_stops_where_fences_are_not_checked(clock: Clock) -> None:
     store = Store()
     one = make_lease(store, "one", checks_fence=False)
-    assert one.challenge(one.look())
+    assert one.challenge(one.known_row())
     store.down = True
     clock.now += LEASE_S + 1
     one.renew()
@@ -163,7 +163,7 @@
     strict = make_lease(Store(), "one", checks_fence=False)
     checked = make_lease(Store(), "one")
     for lease in (strict, checked):
-        assert lease.challenge(lease.look())
+        assert lease.challenge(lease.known_row())
         assert lease.holds
     clock.now += LEASE_S - 0.5
     assert not strict.holds
@@ -175,28 +175,28 @@
 ) -> None:
     store = Store()
     one, two = make_lease(store, "one", checks_fence=False), make_lease(store, "two")
-    assert one.challenge(one.look())
+    assert one.challenge(one.known_row())
     waits: list[float] = []
 
     def _sleep(seconds: float) -> None:
         waits.append(seconds)
         assert not one.holds
-        assert not two.challenge(two.look()), "it is not free while an order may be under way"
+        assert not two.challenge(two.known_row()), "it is not free while an order may be under way"
 
     monkeypatch.setattr(lease_module.gevent, "sleep", _sleep)
     one.give_up(reason="a test", successor=True)
     assert waits
     assert min(waits) >= 0.5
-    assert two.challenge(two.look())
+    assert two.challenge(two.known_row())
 
 
 def test_a_holder_that_woke_up_orders_nothing_before_it_has_renewed(clock: Clock) -> None:
     store = Store()
     one, two = make_lease(store, "one"), make_lease(store, "two")
-    assert one.challenge(one.look())
-    two.look()
+    assert one.challenge(one.known_row())
+    two.known_row()
     clock.now += LEASE_S + 1
-    assert two.challenge(two.look())
+    assert two.challenge(two.known_row())
     assert not one.holds
     assert not one.renew()
     assert not one.holds
@@ -205,45 +205,45 @@
 def test_a_lease_given_up_is_free_at_once(clock: Clock) -> None:
     store = Store()
     one, two = make_lease(store, "one"), make_lease(store, "two")
-    assert one.challenge(one.look())
+    assert one.challenge(one.known_row())
     reserved = one.last_fence
     one.give_up(reason="a test", successor=True)
     assert not one.holds
-    assert two.challenge(two.look())
+    assert two.challenge(two.known_row())
     assert two.fence == reserved + 1
 
 
 def test_boxes_of_other_zones_leave_a_lease_given_up_to_a_successor(clock: Clock) -> None:
     store = Store()
     one, two = make_lease(store, "one"), make_lease(store, "two")
-    assert one.challenge(one.look())
+    assert one.challenge(one.known_row())
     one.give_up(reason="a test", successor=True)
-    assert not two.challenge(two.look(), takeover_delay_s=1.5)
+    assert not two.challenge(two.known_row(), takeover_delay_s=1.5)
     clock.now += 1.6
-    assert two.challenge(two.look(), takeover_delay_s=1.5)
+    assert two.challenge(two.known_row(), takeover_delay_s=1.5)
     two.give_up(reason="a test", successor=False)
-    assert one.challenge(one.look(), takeover_delay_s=1.5)
+    assert one.challenge(one.known_row(), takeover_delay_s=1.5)
 
 
 def test_a_heartbeat_tells_how_long_the_lease_stands(clock: Clock) -> None:
     store = Store()
     one, two = make_lease(store, "one"), make_lease(store, "two")
-    assert one.challenge(one.look())
+    assert one.challenge(one.known_row())
     clock.now += 2.0
     version, left_s = one.version, one.left_s
     two.record_heartbeat(version, left_s)
     clock.now += 1.0
-    assert not two.challenge(two.look())
+    assert not two.challenge(two.known_row())
     clock.now += 0.4
-    assert two.challenge(two.look())
+    assert two.challenge(two.known_row())
 
 
 def test_a_restarted_box_follows_itself_at_once(clock: Clock) -> None:
     store = Store()
     before = make_lease(store, "one")
-    assert before.challenge(before.look())
+    assert before.challenge(before.known_row())
     after = make_lease(store, "one", incarnation="one-2")
-    assert after.challenge(after.look())
+    assert after.challenge(after.known_row())
     assert after.fence == before.last_fence + 1
     assert not before.renew()
 
@@ -251,14 +251,14 @@
 def test_a_box_of_another_zone_leaves_a_lapsed_lease_to_the_zone_for_a_while(clock: Clock) -> None:
     store = Store()
     near, far = make_lease(store, "near"), make_lease(store, "far")
-    far.look()
-    assert not far.challenge(far.look(), takeover_delay_s=1.5)
-    assert near.challenge(near.look())
-    far.look()
+    far.known_row()
+    assert not far.challenge(far.known_row(), takeover_delay_s=1.5)
+    assert near.challenge(near.known_row())
+    far.known_row()
     clock.now += LEASE_S + 0.4
-    assert not far.challenge(far.look(), takeover_delay_s=1.5)
+    assert not far.challenge(far.known_row(), takeover_delay_s=1.5)
     clock.now += 1.5
-    assert far.challenge(far.look(), takeover_delay_s=1.5)
+    assert far.challenge(far.known_row(), takeover_delay_s=1.5)
 
 
 class OlderRows(ReadRows):
@@ -268,24 +268,24 @@
         super().__init__(store)
         self.kept = store.row
 
-    def existing(self, key: str) -> Row | None:
+    def current_row(self, key: str) -> Row | None:
         return self.kept
 
-    def note(self, row: Row) -> None:
+    def record(self, row: Row) -> None:
         self.kept = row
 
 
 def test_who_goes_by_rows_read_earlier_takes_no_lease_that_was_renewed_since(clock: Clock) -> None:
     store = Store()
     one = make_lease(store, "one")
-    assert one.challenge(one.look())
+    assert one.challenge(one.known_row())
     rows = OlderRows(store)
     two = make_lease(store, "two", rows=rows)
-    two.look()
+    two.known_row()
     clock.now += LEASE_S - 0.5
     assert one.renew()
     clock.now += LEASE_S - 0.5
-    assert not two.challenge(two.look())
+    assert not two.challenge(two.known_row())
     assert rows.kept == store.row, "the conflict has told of the newer row"
     assert one.holds
 
@@ -293,14 +293,14 @@
 def test_who_heard_of_a_newer_holder_does_not_follow_an_older_one(clock: Clock) -> None:
     store = Store()
     one, two = make_lease(store, "one"), make_lease(store, "two")
-    assert one.challenge(one.look())
+    assert one.challenge(one.known_row())
     three = make_lease(store, "three", rows=OlderRows(store))
-    three.look()
+    three.known_row()
     one.give_up(reason="a test", successor=True)
-    assert two.challenge(two.look())
+    assert two.challenge(two.known_row())
     three.record_heartbeat(two.version, two.left_s)
     clock.now += LEASE_S + 1.0
-    assert not three.challenge(three.look()), "its fence would not be above that of the holder"
+    assert not three.challenge(three.known_row()), "its fence would not be above that of the holder"
 
 
 class NewestTellingStore(Store):
@@ -315,11 +315,11 @@
 def test_a_dead_holder_that_told_a_version_above_its_row_is_followed(clock: Clock) -> None:
     store = NewestTellingStore()
     one, two = make_lease(store, "one"), make_lease(store, "two")
-    assert one.challenge(one.look())
+    assert one.challenge(one.known_row())
     two.record_heartbeat(one.version, one.left_s)
-    assert not two.challenge(two.look()), "the lease stands"
+    assert not two.challenge(two.known_row()), "the lease stands"
     clock.now += LEASE_S + 0.5
-    assert two.challenge(two.look())
+    assert two.challenge(two.known_row())
     assert two.fence == one.last_fence + 1
 
 
@@ -328,7 +328,7 @@
 ) -> None:
     store = NewestTellingStore()
     one = make_lease(store, "one")
-    assert one.challenge(one.look())
+    assert one.challenge(one.known_row())
     clock.now += LEASE_S - 0.5
     assert one.renew()
     assert one.left_s == LEASE_S
@@ -340,7 +340,7 @@
     """Two boxes ordered in one zone for 0.9 s, as an attempt that failed after a pause counted."""
     store = Store()
     one = make_lease(store, "one")
-    assert one.challenge(one.look())
+    assert one.challenge(one.known_row())
     clock.now += LEASE_S * 0.8
 
     def _stand_still(*_: object, **__: object) -> int:
@@ -357,7 +357,7 @@
 ) -> None:
     store = Store()
     one = make_lease(store, "one")
-    assert one.challenge(one.look())
+    assert one.challenge(one.known_row())
     clock.now += LEASE_S + 1
 
     def _stand_still(*_: object, **__: object) -> int:
--- a/tests/placement/test_lease_model.py
+++ b/tests/placement/test_lease_model.py
@@ -67,7 +67,9 @@
     @rule(order=st.permutations(BOXES), takeover_delay_s=st.sampled_from((0.0, 1.5)))
     def all_look(self, order: list[str], takeover_delay_s: float) -> None:
         for lease in (self.leases[box] for box in order):
-            if not lease.held and lease.challenge(lease.look(), takeover_delay_s=takeover_delay_s):
+            if not lease.held and lease.challenge(
+                lease.known_row(), takeover_delay_s=takeover_delay_s
+            ):
                 self.fences.append(lease.fence)
 
     @rule(box=boxes)
--- a/tests/placement/test_lease_relayed.py
+++ b/tests/placement/test_lease_relayed.py
@@ -18,7 +18,7 @@
 def test_a_placer_that_the_store_does_not_answer_is_renewed_by_a_linked_box(clock: Clock) -> None:
     store = Store()
     lease = make_lease(store, "one", relay=reached(store))
-    assert lease.challenge(lease.look())
+    assert lease.challenge(lease.known_row())
     store.down = True
     clock.now += LEASE_S / 3
     assert lease.renew()
@@ -35,7 +35,7 @@
     store, unreached = Store(), Store()
     unreached.down = True
     lease = make_lease(store, "one", relay=unreached)
-    assert lease.challenge(lease.look())
+    assert lease.challenge(lease.known_row())
     store.down = True
     for _ in range(2):
         clock.now += LEASE_S / 4
@@ -49,7 +49,7 @@
 def test_a_renewal_that_took_effect_unanswered_counts_from_when_it_was_sent(clock: Clock) -> None:
     store = Store()
     lease = make_lease(store, "one", relay=reached(store))
-    assert lease.challenge(lease.look())
+    assert lease.challenge(lease.known_row())
     store.lose_answer = True
     lease.renew()
     clock.now += LEASE_S / 2
@@ -71,13 +71,13 @@
 def test_that_no_linked_box_answers_is_no_outage_of_the_store(clock: Clock) -> None:
     store = Store()
     one, two = make_lease(store, "one", relay=Silent()), make_lease(store, "two")
-    assert one.challenge(one.look())
+    assert one.challenge(one.known_row())
     store.down = True
     assert one.renew()
     store.down = False
-    two.look()
+    two.known_row()
     clock.now += LEASE_S + 1
-    assert two.challenge(two.look())
+    assert two.challenge(two.known_row())
     one.renew()
     assert not one.holds, "linked boxes that are silent tell nothing of the store"
     assert not one.renew(), "the store is asked next"
@@ -123,7 +123,7 @@
     round_ = Round(clock)
     store = SlowToFail(round_)
     lease = make_lease(store, "one", relay=SlowSilent(round_))
-    assert lease.challenge(lease.look())
+    assert lease.challenge(lease.known_row())
     store.down = True
     # The lease lapses between two renewals: one that is under way then proves nothing.
     round_.began_at -= LEASE_S * 0.1
--- a/tests/placement/test_lease_return.py
+++ b/tests/placement/test_lease_return.py
@@ -22,7 +22,7 @@
         self.store = ReturningStore()
         self.one, self.two, self.three = (self._lease(box) for box in ("one", "two", "three"))
         for lease in (self.one, self.two, self.three):
-            lease.challenge(lease.look())
+            lease.challenge(lease.known_row())
         assert self.one.holds
 
     def _lease(self, box: str) -> PlacerLease:
@@ -67,12 +67,12 @@
     at: Boxes, clock: Clock
 ) -> None:
     at.store.return_from(EMPTY)
-    assert not at.two.challenge(at.two.look())
+    assert not at.two.challenge(at.two.known_row())
     clock.now += LEASE_S
-    assert not at.two.challenge(at.two.look())
+    assert not at.two.challenge(at.two.known_row())
     clock.now += 0.5
     at.store.pass_over()
-    assert at.two.challenge(at.two.look())
+    assert at.two.challenge(at.two.known_row())
     assert not at.one.holds
     assert at.two.fence > at.one.last_fence, "also above what the lost row had reserved"
     assert not at.one.renew()
@@ -82,9 +82,9 @@
     at: Boxes, clock: Clock
 ) -> None:
     at.store.return_from(EMPTY)
-    at.two.look()
+    at.two.known_row()
     clock.now += LEASE_S + 0.5
-    assert at.two.challenge(at.two.look())
+    assert at.two.challenge(at.two.known_row())
     at.one.renew()
     assert at.holder == "one", "its number was given out to the row of two"
     assert not at.one.holds
@@ -107,9 +107,9 @@
     at.hand_over_in_an_outage()
     at.store.return_from(EMPTY)
     at.store.pass_over()
-    at.three.look()
+    at.three.known_row()
     clock.now += LEASE_S + 0.5
-    assert at.three.challenge(at.three.look())
+    assert at.three.challenge(at.three.known_row())
     at.two.renew()
     assert not at.two.held
     assert at.holder == "three"
--- a/tests/placement/test_link_server.py
+++ b/tests/placement/test_link_server.py
@@ -177,8 +177,8 @@
     ]
     for message in messages:
         outbox.put(message, encode(message))
-    assert outbox.take() == [encode(messages[at]) for at in (2, 1, 3, 4)]
-    assert outbox.take() == []
+    assert outbox.drain() == [encode(messages[at]) for at in (2, 1, 3, 4)]
+    assert outbox.drain() == []
 
 
 def test_a_message_of_an_unknown_kind_is_counted_and_the_link_stays() -> None:
--- a/tests/placement/test_messages.py
+++ b/tests/placement/test_messages.py
@@ -113,7 +113,7 @@
         observations=[ReplicaObservation("i-2", True)],
     )
     refused = Permitted.from_verdict(4, PermitVerdict(False, 0.05, 0.25))
-    heartbeat = Heartbeat(row_version=1, lease_left_ms=900, room=0, doubted=("i-2",))
+    heartbeat = Heartbeat(row_version=1, lease_left_ms=900, room=0, suspected=("i-2",))
     for message in (demand, refused, heartbeat, Grant(5, "i-1", True)):
         assert decode(encode(message)) == message
     assert refused.verdict == PermitVerdict(False, 0.05, 0.25)
--- a/tests/placement/test_near_copies.py
+++ b/tests/placement/test_near_copies.py
@@ -38,43 +38,43 @@
 
 def test_a_copy_pays_once_the_ways_of_one_zone_cost_half_a_load(clock: Clock) -> None:
     near = make_near()
-    assert near.note(KEY, home_zone="a-2", carried_bytes=5_000) == 0.0
-    assert near.note(KEY, home_zone="a-3", carried_bytes=5_000) == 0.0, "each zone for itself"
-    assert near.note(OTHER, home_zone="a-2", carried_bytes=5_000) == 0.0
-    assert near.note(KEY, home_zone="a-2", carried_bytes=5_000) == pytest.approx(0.5)
+    assert near.record(KEY, home_zone="a-2", carried_bytes=5_000) == 0.0
+    assert near.record(KEY, home_zone="a-3", carried_bytes=5_000) == 0.0, "each zone for itself"
+    assert near.record(OTHER, home_zone="a-2", carried_bytes=5_000) == 0.0
+    assert near.record(KEY, home_zone="a-2", carried_bytes=5_000) == pytest.approx(0.5)
     clock.now += 8.0
-    assert near.note(KEY, home_zone="a-2", carried_bytes=7_000) == pytest.approx(0.6)
+    assert near.record(KEY, home_zone="a-2", carried_bytes=7_000) == pytest.approx(0.6)
 
 
 def test_the_zones_of_another_region_count_together_and_by_the_price_between_regions(
     clock: Clock,
 ) -> None:
     near = make_near()
-    assert near.note(KEY, home_zone="b-1", carried_bytes=2_000) == 0.0
-    assert near.note(KEY, home_zone="b-2", carried_bytes=2_000) == pytest.approx(0.8)
+    assert near.record(KEY, home_zone="b-1", carried_bytes=2_000) == 0.0
+    assert near.record(KEY, home_zone="b-2", carried_bytes=2_000) == pytest.approx(0.8)
 
 
 def test_the_own_zone_needs_no_copy(clock: Clock) -> None:
-    assert make_near().note(KEY, home_zone="a-1", carried_bytes=9_000_000) == 0.0
+    assert make_near().record(KEY, home_zone="a-1", carried_bytes=9_000_000) == 0.0
 
 
 def test_loads_that_cost_nothing_make_every_copy_pay(clock: Clock) -> None:
     near = make_near(prices=DistancePrices(adapter_load=0.0))
-    assert near.note(KEY, home_zone="a-2", carried_bytes=1) > 1.0
+    assert near.record(KEY, home_zone="a-2", carried_bytes=1) > 1.0
 
 
 def test_an_operator_who_pays_nothing_for_ways_gets_no_copies(clock: Clock) -> None:
     near = make_near(prices=DistancePrices(zone_mb=0.0, region_mb=0.0))
-    assert near.note(KEY, home_zone="a-2", carried_bytes=9_000_000) == 0.0
+    assert near.record(KEY, home_zone="a-2", carried_bytes=9_000_000) == 0.0
 
 
 def test_a_wish_stands_for_a_second_after_it_was_last_told(clock: Clock) -> None:
     wishes = CopyWishes()
-    wishes.note([CopyWish("m", "a", 120), CopyWish("m", "b", 60)])
+    wishes.record([CopyWish("m", "a", 120), CopyWish("m", "b", 60)])
     clock.now += 0.7
-    wishes.note([CopyWish("m", "b", 90)])
-    assert wishes.existing() == {KEY: 1.2, OTHER: 0.9}
+    wishes.record([CopyWish("m", "b", 90)])
+    assert wishes.current() == {KEY: 1.2, OTHER: 0.9}
     clock.now += 0.7
-    assert wishes.existing() == {OTHER: 0.9}
+    assert wishes.current() == {OTHER: 0.9}
     wishes.clear()
-    assert wishes.existing() == {}
+    assert wishes.current() == {}
--- a/tests/placement/test_placer.py
+++ b/tests/placement/test_placer.py
@@ -136,7 +136,7 @@
         rows=ReadRows(store),
         log=LOG,
     )
-    assert lease.challenge(lease.look())
+    assert lease.challenge(lease.known_row())
     return Placer(
         "zone-1",
         configuration=lambda: configuration,
@@ -194,7 +194,7 @@
 
 
 def test_what_an_engine_newly_holds_is_told_once(holding: Placer) -> None:
-    [engine] = holding.existing().engines
+    [engine] = holding.residents_snapshot().engines
     changed = holding.drain_changed()
     assert changed is not None
     assert changed.engines == [engine]
@@ -481,7 +481,7 @@
     control = OrderedEngine("m")
     placer = make_placer(control, reported)
     placer.start()
-    placer.ahead.take("zone-2", [AskedFor("m", "a", 3.0), AskedFor("m", "b", 1.0)])
+    placer.ahead.add("zone-2", [AskedFor("m", "a", 3.0), AskedFor("m", "b", 1.0)])
     with gevent.Timeout(10):
         while set(control.ordered) != {"a", "b"}:
             gevent.sleep(0.01)
--- a/tests/placement/test_placer_board.py
+++ b/tests/placement/test_placer_board.py
@@ -22,26 +22,26 @@
 def test_rows_are_known_as_long_as_they_are_current() -> None:
     age_s = 0.0
     board = PlacerBoard(age_s=lambda: age_s)
-    assert board.existing(KEY) is None
+    assert board.current_row(KEY) is None
     board.replace([row(4)])
-    assert board.existing(KEY) == row(4)
+    assert board.current_row(KEY) == row(4)
     age_s = 60.0
     with pytest.raises(RowStoreUnavailable):
-        board.existing(KEY)
+        board.current_row(KEY)
 
 
 def test_an_older_row_changes_nothing() -> None:
     board = PlacerBoard(age_s=lambda: 0.0)
-    board.note(row(5))
+    board.record(row(5))
     board.change(row(4))
-    assert board.existing(KEY) == row(5)
+    assert board.current_row(KEY) == row(5)
     board.remove(KEY)
-    assert board.existing(KEY) is None
+    assert board.current_row(KEY) is None
 
 
 def test_who_waits_for_a_row_is_woken_by_its_change_and_not_by_others() -> None:
     board = PlacerBoard(age_s=lambda: 0.0)
-    board.existing(KEY)
+    board.current_row(KEY)
     waiter = gevent.spawn(board.wait, KEY, timeout_s=60.0)
     gevent.sleep(0)
     board.change(Row(key_of("zone-2"), b"{}", 1))
@@ -64,7 +64,7 @@
 
 def test_a_change_between_the_look_and_the_wait_is_not_missed() -> None:
     board = PlacerBoard(age_s=lambda: 0.0)
-    board.existing(KEY)
+    board.current_row(KEY)
     board.change(row(2))
     with gevent.Timeout(10):
         board.wait(KEY, timeout_s=60.0)
--- a/tests/placement/test_placer_reborn.py
+++ b/tests/placement/test_placer_reborn.py
@@ -94,7 +94,7 @@
     placer: Placer, engine: RebornEngine
 ) -> None:
     engine.restart()
-    placer._keepers["i-1@1"].doubt()
+    placer._keepers["i-1@1"].mark_stale()
     wait_for_holders(placer, [])
     assert placer.room() == 0
 
--- a/tests/placement/test_places_model.py
+++ b/tests/placement/test_places_model.py
@@ -82,7 +82,7 @@
         self._late = [late for late in self._late if late.at > self._world.now]
         for late in due:
             self._carry_out(late.order)
-        self._note()
+        self._record()
 
     def _carry_out(self, order: Order) -> OrderAnswer:
         known = self._ready_at.get(order.key)
@@ -94,14 +94,14 @@
         if order.kind is OrderKind.UNLOAD:
             self.unloaded_while_granted += self._world.book.is_ready(order.key, version=0)
             self._ready_at.pop(order.key, None)
-            self._note()
+            self._record()
             return OrderAnswer.DONE
         self.overbooked += len(self._ready_at) >= SLOTS
         self._ready_at[order.key] = self._world.now + LOAD_S
-        self._note()
+        self._record()
         return OrderAnswer.TAKEN
 
-    def _note(self) -> None:
+    def _record(self) -> None:
         self._history.append((self._world.now, self._state()))
 
     def _state(self) -> EngineState:
--- a/tests/placement/test_planner.py
+++ b/tests/placement/test_planner.py
@@ -88,7 +88,7 @@
 
 def test_an_older_version_gives_its_place_first() -> None:
     popularity = Popularity()
-    popularity.note(key("x"), 50)
+    popularity.record(key("x"), 50)
     planner = make_planner(popularity, x=2)
     engine = make_engine("i-1", "x", "y")
     assert planner.victim(engine, used={}, now=monotonic()) == key("x")
@@ -103,8 +103,8 @@
 
 def test_a_popular_adapter_is_brought_before_somebody_waits() -> None:
     popularity = Popularity()
-    popularity.note(key("often"), 10)
-    popularity.note(key("once"), 1)
+    popularity.record(key("often"), 10)
+    popularity.record(key("once"), 1)
     plan = make_planner(popularity).plan([], [make_engine("i-1")], used={}, now=monotonic())
     assert [item.key for item in plan.assignments] == [key("often")]
 
@@ -129,8 +129,8 @@
 def test_a_hot_adapter_on_a_crowded_engine_gets_a_second_copy() -> None:
     crowded, calm = make_engine("i-1", "hot", "cold"), make_engine("i-2", "x")
     popularity = Popularity()
-    popularity.note(key("hot"), 20)
-    popularity.note(key("cold"), 1)
+    popularity.record(key("hot"), 20)
+    popularity.record(key("cold"), 1)
     planner = make_planner(popularity)
     used = {("i-1", key("hot")): 20}
     waits = {"i-1": 0.6, "i-2": 0.0}
@@ -150,7 +150,7 @@
 def test_no_copy_is_made_where_a_first_event_would_wait_as_well() -> None:
     crowded, busy = make_engine("i-1", "hot"), make_engine("i-2", "x")
     popularity = Popularity()
-    popularity.note(key("hot"), 20)
+    popularity.record(key("hot"), 20)
     plan = make_planner(popularity).plan(
         [],
         [crowded, busy],
@@ -211,7 +211,7 @@
 
 def test_a_copy_that_spares_ways_takes_the_place_of_what_is_asked_for_less_than_it_saves() -> None:
     popularity = Popularity()
-    popularity.note(key("x"), 2.0)
+    popularity.record(key("x"), 2.0)
     engine = make_engine("i-1", "x", slots=1)
 
     def assigned(saves: float) -> list[AdapterKey]:
@@ -237,7 +237,7 @@
 
 def test_a_copy_that_finds_no_place_lets_nobody_wait_longer() -> None:
     popularity = Popularity()
-    popularity.note(key("x"), 50)
+    popularity.record(key("x"), 50)
     engine = make_engine("i-1", "x", slots=1)
     used = {("i-1", key("x")): 1}
     wants = [want("b")]
@@ -250,8 +250,8 @@
 
 def test_the_pressure_of_an_engine_is_how_often_its_next_victim_is_asked_for() -> None:
     popularity = Popularity()
-    popularity.note(key("x"), 2.0)
-    popularity.note(key("y"), 7.0)
+    popularity.record(key("x"), 2.0)
+    popularity.record(key("y"), 7.0)
     planner = make_planner(popularity)
     engine = make_engine("i-1", "x", "y")
     now = monotonic()
--- a/tests/placement/test_reborn_model.py
+++ b/tests/placement/test_reborn_model.py
@@ -80,9 +80,9 @@
         self.engine.restart()
 
     @rule()
-    def doubt(self) -> None:
+    def mark_stale(self) -> None:
         """Have the placer ask the engine, as after a request that met the new start."""
-        self.keeper.doubt()
+        self.keeper.mark_stale()
 
 
 def test_a_load_ordered_from_the_earlier_start_finds_its_place_free_when_it_comes() -> None:
--- a/tests/placement/test_residency.py
+++ b/tests/placement/test_residency.py
@@ -53,7 +53,7 @@
 def test_an_older_version_than_the_newest_named_does_not_count() -> None:
     world = World()
     world.record(HeldAdapter("m", "a", 1))
-    world.versions.note(KEY, 2)
+    world.versions.record(KEY, 2)
     assert world.holders == []
     world.residency.record_reported("i-1", [HeldAdapter("m", "a", 2)])
     assert world.holders == ["i-1"]
@@ -90,7 +90,7 @@
     world.residency.record_reported("i-1", [HeldAdapter("m", "a", 1)])
     assert _keepers() == [], "it stands there again"
     world.residency.record_reported("i-1", [])
-    world.versions.note(KEY, 2)
+    world.versions.record(KEY, 2)
     assert _keepers() == [], "what it keeps is an older version"
 
 
--- a/tests/placement/test_return_model.py
+++ b/tests/placement/test_return_model.py
@@ -137,7 +137,7 @@
     def look(self, box: str) -> None:
         lease = self.leases[box]
         if not lease.held:
-            lease.challenge(lease.look())
+            lease.challenge(lease.known_row())
 
     @rule(box=boxes)
     def renew(self, box: str) -> None:
--- a/tests/placement/test_spread.py
+++ b/tests/placement/test_spread.py
@@ -30,27 +30,27 @@
 @pytest.fixture
 def popularity(clock: Clock) -> Popularity:
     popularity = Popularity()
-    popularity.note(HOT, 40)
-    popularity.note(COLD, 3)
+    popularity.record(HOT, 40)
+    popularity.record(COLD, 3)
     return popularity
 
 
 def test_only_what_each_zone_would_ask_for_often_is_spread(popularity: Popularity) -> None:
     spread = Spread(popularity)
-    assert spread.look({HOT: 2, COLD: 2}, zones=3) == ("m/hot",)
-    assert Spread(popularity).look({HOT: 1}, zones=3) == (), "one engine is enough for it"
-    assert Spread(popularity).look({HOT: 2}, zones=12) == (), "a twelfth is not asked for often"
+    assert spread.evaluate({HOT: 2, COLD: 2}, zones=3) == ("m/hot",)
+    assert Spread(popularity).evaluate({HOT: 1}, zones=3) == (), "one engine is enough for it"
+    assert Spread(popularity).evaluate({HOT: 2}, zones=12) == (), "a twelfth is not asked for often"
 
 
 def test_what_is_spread_stays_so_with_a_zone_s_part_of_the_requests(
     popularity: Popularity, clock: Clock
 ) -> None:
     spread = Spread(popularity)
-    spread.look({HOT: 2}, zones=3)
+    spread.evaluate({HOT: 2}, zones=3)
     clock.now += 16.0
     assert 5 < popularity.of(HOT) < 15
-    assert spread.look({HOT: 2}, zones=3) == ("m/hot",)
+    assert spread.evaluate({HOT: 2}, zones=3) == ("m/hot",)
     clock.now += 9.0
-    assert spread.look({HOT: 1}, zones=3) == ("m/hot",), "it does not change from look to look"
+    assert spread.evaluate({HOT: 1}, zones=3) == ("m/hot",), "it does not change from look to look"
     clock.now += 2.0
-    assert spread.look({HOT: 1}, zones=3) == ()
+    assert spread.evaluate({HOT: 1}, zones=3) == ()
--- a/tests/placement/test_succession.py
+++ b/tests/placement/test_succession.py
@@ -13,7 +13,7 @@
 def held(store: Store, box: str) -> PlacerLease:
     """A lease that a box has just taken."""
     lease = make_lease(store, box)
-    assert lease.challenge(lease.look())
+    assert lease.challenge(lease.known_row())
     return lease
 
 
@@ -32,7 +32,7 @@
     store = Store()
     one, two = held(store, "one"), make_lease(store, "two")
     assert one.give_up(reason="a test", successor=True, handover_target=HANDOVER_TARGET) is None
-    assert two.challenge(two.look())
+    assert two.challenge(two.known_row())
 
 
 def test_who_takes_over_orders_once_the_store_has_not_answered_it(clock: Clock) -> None:
@@ -101,9 +101,9 @@
     one, two, three = held(store, "one"), make_lease(store, "two"), make_lease(store, "three")
     handover = handed_over(store, one)
     store.down = False
-    three.look()
+    three.known_row()
     clock.now += LEASE_S + 0.5
-    assert three.challenge(three.look())
+    assert three.challenge(three.known_row())
     assert two.adopt(handover)
     assert not two.renew()
     assert not two.held
@@ -113,7 +113,7 @@
 def test_where_engines_check_no_fence_nothing_is_handed_over(clock: Clock) -> None:
     store = Store()
     one = make_lease(store, "one", checks_fence=False)
-    assert one.challenge(one.look())
+    assert one.challenge(one.known_row())
     store.down = True
     one.renew()
     assert one.give_up(reason="a test", successor=True, handover_target=HANDOVER_TARGET) is None
--- a/tests/placement/test_succession_model.py
+++ b/tests/placement/test_succession_model.py
@@ -78,7 +78,7 @@
     def look(self, box: str) -> None:
         lease = self.leases[box]
         if not lease.held:
-            lease.challenge(lease.look())
+            lease.challenge(lease.known_row())
 
     @rule()
     def renew(self) -> None:
--- a/tests/placement/test_turnover.py
+++ b/tests/placement/test_turnover.py
@@ -17,7 +17,7 @@
         now = begins_at + step * step_s
         given = int(now >= next_at)
         next_at += place_every_s * given
-        turnover.note(given=given, is_short=True, now=now)
+        turnover.record(given=given, is_short=True, now=now)
 
 
 def test_before_anything_is_seen_a_place_is_reckoned_to_come_soon() -> None:
@@ -34,8 +34,8 @@
 
 def test_time_in_which_nobody_waited_does_not_count() -> None:
     turnover = Turnover()
-    turnover.note(given=0, is_short=False, now=100.0)
-    turnover.note(given=1, is_short=False, now=160.0)
+    turnover.record(given=0, is_short=False, now=100.0)
+    turnover.record(given=1, is_short=False, now=160.0)
     assert turnover.place_s == pytest.approx(0.15)
 
 
--- a/tests/placement/test_zone.py
+++ b/tests/placement/test_zone.py
@@ -65,7 +65,7 @@
         pressure=130,
         wait_ms=40,
     )
-    zone.take(decode(encode(heartbeat)))
+    zone.handle(decode(encode(heartbeat)))
     assert (zone.room, zone.boxes, zone.spread) == (4, 7, frozenset({"m/hot"}))
     assert zone.wait_estimate == WaitEstimate(pressure=1.3, wait_s=0.04)
     assert directory.leaving() == ("i-1",)
@@ -78,7 +78,7 @@
     zone = make_zone(Directory(Log("directory", "box-1")), updates)
     rows = [TableRow("config", b"\x00{}", 8), TableRow("i-1", b"", 9, gone=True)]
     reported = TableNews("op", 7, 9, rows)
-    zone.take(decode(encode(reported)))
+    zone.handle(decode(encode(reported)))
     assert updates == [reported]
 
 
--- a/tests/quarantine/test_book.py
+++ b/tests/quarantine/test_book.py
@@ -79,16 +79,16 @@
     book: CrashBook,
 ) -> None:
     for number in range(2):
-        book.take(f"crash/{number}", report(f"i-{number}", GUILTY))
+        book.hold(f"crash/{number}", report(f"i-{number}", GUILTY))
         book.change(row(number, GUILTY))
     assert book.quarantined_for_s(GUILTY) is None
-    book.take("crash/2", report("i-2", GUILTY))
+    book.hold("crash/2", report("i-2", GUILTY))
     assert book.quarantined_for_s(GUILTY) is not None
 
 
 def test_what_is_withdrawn_was_no_crash(book: CrashBook) -> None:
     for number in range(3):
-        book.take(f"crash/{number}", report(f"i-{number}", GUILTY))
+        book.hold(f"crash/{number}", report(f"i-{number}", GUILTY))
     book.withdraw("crash/1")
     assert book.quarantined_for_s(GUILTY) is None
 
@@ -139,7 +139,7 @@
 ) -> None:
     for number in range(2):
         book.change(row(number, GUILTY))
-    book.take("crash/9", report("i-9", GUILTY))
+    book.hold("crash/9", report("i-9", GUILTY))
     book.replace([row(1, GUILTY)])
     book.change(row(2, GUILTY))
     assert book.quarantined_for_s(GUILTY) is not None, "i-1, i-2 and i-9"
@@ -159,9 +159,9 @@
 ) -> None:
     monkeypatch.setattr(book_module, "_HELD_AT_MOST", 3)
     for number in range(3):
-        book.take(f"crash/{number}", report(f"i-{number}", GUILTY))
+        book.hold(f"crash/{number}", report(f"i-{number}", GUILTY))
     assert book.quarantined_for_s(GUILTY) is not None
-    book.take("crash/3", report("i-3", OTHER))
+    book.hold("crash/3", report("i-3", OTHER))
     assert book.quarantined_for_s(GUILTY) is None, "the oldest went"
 
 
@@ -170,7 +170,7 @@
     clock.now += 50.0
     for number in range(1, REPORTS_AT_MOST + 3):
         book.change(row(number, OTHER))
-    book.take("crash/unwritten", report("i", GUILTY))
+    book.hold("crash/unwritten", report("i", GUILTY))
     assert [item.key for item in book.stale(older_than_s=100.0)] == [
         f"crash/{number}" for number in range(3)
     ]
--- a/tests/quarantine/test_quarantine_model.py
+++ b/tests/quarantine/test_quarantine_model.py
@@ -117,7 +117,7 @@
         accused = [str(item) for item in requests if not self.book.forgive(item)]
         key = new_key()
         self.unwritten[key] = CrashReport("box", instance, accused)
-        self.book.take(key, self.unwritten[key])
+        self.book.hold(key, self.unwritten[key])
         self.learned_at[key] = self.world.now
 
     def write(self) -> None:
--- a/tests/quarantine/test_ways.py
+++ b/tests/quarantine/test_ways.py
@@ -195,14 +195,14 @@
         self.environment.process(self._come_back(engine))
 
     def _report(self, key: str, report: CrashReport, own: CrashBook) -> None:
-        own.take(key, report)
+        own.hold(key, report)
         others = [book for book in self.books if book is not own]
         self.environment.process(self._notify(key, report, others))
 
     def _notify(self, key: str, report: CrashReport, others: list[CrashBook]) -> Iterator[Any]:
         yield self.environment.timeout(TOLD_AFTER_S)
         for book in others:
-            book.take(key, report)
+            book.hold(key, report)
 
     def _come_back(self, engine: Engine) -> Iterator[Any]:
         yield self.environment.timeout(BACK_AFTER_S)
--- a/tests/quotas/test_part_counter.py
+++ b/tests/quotas/test_part_counter.py
@@ -36,7 +36,7 @@
 
     def charge(self, number: int, *, units: int = 1, given_back: tuple[int, ...] = ()) -> Charged:
         charges = [Charge(number, "r", "one", units)]
-        self.counter.take("box-2", charges, [GiveBack(undone) for undone in given_back])
+        self.counter.answer("box-2", charges, [GiveBack(undone) for undone in given_back])
         box, charged = self.answers[-1]
         assert box == "box-2"
         return charged
--- a/tests/test_freshness_model.py
+++ b/tests/test_freshness_model.py
@@ -66,7 +66,7 @@
 def clock_from(recorded: tuple[int, int, int]) -> StoreClock:
     clock = StoreClock()
     store, sent_at, received_at = recorded
-    clock.note(store, sent_at=sent_at, received_at=received_at)
+    clock.record(store, sent_at=sent_at, received_at=received_at)
     return clock
 
 
--- a/tests/test_table_follower.py
+++ b/tests/test_table_follower.py
@@ -282,7 +282,7 @@
             gevent.sleep(0.01)
     gevent.sleep(0.2)
     now = monotonic()
-    clock.note(500.0, sent_at=now, received_at=now)
+    clock.record(500.0, sent_at=now, received_at=now)
     follower.apply_reading(TableReading(TABLE, 1, 1, [], as_of_s=499.9))
     assert 0.1 <= follower.staleness_s < 0.2
     follower.apply_reading(TableReading(TABLE, 1, 1, [], as_of_s=400.0))
