--- a/tests/placement/test_keeper.py
+++ b/tests/placement/test_keeper.py
@@ -278,7 +278,7 @@
 def test_nothing_is_ordered_after_a_lease_that_ended_while_a_report_was_waited_for() -> None:
     engine, lease = Engine(), Lease()
     keeper = make_keeper(engine, lease, [])
-    keeper._look()
+    keeper._read_report()
     keeper.book.assigned[key("a")] = monotonic()
     lease.holds = False
     assert not keeper._order_next()
--- a/tests/placement/test_places_model.py
+++ b/tests/placement/test_places_model.py
@@ -174,7 +174,7 @@
     def keep(self, steps: int) -> None:
         """Do what the keeper's task does, some turns of it."""
         for _ in range(steps):
-            if self.keeper._stale and not self.keeper._look():
+            if self.keeper._stale and not self.keeper._read_report():
                 continue
             if not self.keeper._order_next() and not self.keeper._confirm_next():
                 self.now += 0.03
