--- a/bench/loads.py
+++ b/bench/loads.py
@@ -89,12 +89,12 @@
         existing = self._zones_of(self._stands[adapter])
         if existing:
             return Cause.STANDS_IN_ZONE if zone in existing else Cause.STANDS_ELSEWHERE
-        at_hand = self._zones_of(self._keepers(adapter))
+        at_hand = self._zones_of(self._reconcilers(adapter))
         if at_hand:
             return Cause.AT_HAND_IN_ZONE if zone in at_hand else Cause.AT_HAND_ELSEWHERE
         return Cause.GONE
 
-    def _keepers(self, adapter: str) -> Iterator[str]:
+    def _reconcilers(self, adapter: str) -> Iterator[str]:
         for instance, number in self._came_as[adapter].items():
             if self._arrivals[instance] - number < LATELY_KEPT:
                 yield instance
--- a/springrock/box.py
+++ b/springrock/box.py
@@ -238,7 +238,7 @@
         """Whether the zone's rows should be read fast: a box is not linked, or all is new."""
         linked = {link.box for link in self.peers.links(self.zone)} | {self.name}
         known = {member.box for member in self.members.all() if member.zone == self.zone}
-        return not known <= linked or not self.ownership.calm
+        return not known <= linked or not self.ownership.is_stable
 
     def _hello(self) -> wire.Hello:
         return wire.Hello(
--- a/springrock/coordination/ownership.py
+++ b/springrock/coordination/ownership.py
@@ -119,7 +119,7 @@
         return dict(self._owned)
 
     @property
-    def calm(self) -> bool:
+    def is_stable(self) -> bool:
         """Whether boxes and replicas have stood as they are for a while."""
         still_s = monotonic() - max(self._boxes_since, self._moved_at)
         return still_s > self._lease.settle_s + self._lease.lapse_after_s
@@ -270,8 +270,8 @@
         if handover_target in (None, self._session.box):
             return
         now = monotonic()
-        calm_since = max(self._boxes_since, self._moved_at)
-        if now - calm_since < self._lease.settle_s:
+        stable_since = max(self._boxes_since, self._moved_at)
+        if now - stable_since < self._lease.settle_s:
             return
         self._moved_at = now
         self._members.scan()
--- a/springrock/entry.py
+++ b/springrock/entry.py
@@ -393,16 +393,16 @@
     def _share_readings(self) -> None:
         """Let boxes go by what a placer's box reads of the store."""
         for follower in self._followers:
-            follower.sharing = lambda: self._placement.reads_for_others
+            follower.sharing = lambda: self._placement.publishes_readings
             follower.shared_with = lambda reading, is_own: self._placement.publish_reading(
                 reading, is_own=is_own
             )
         by_table = {follower.table: follower for follower in self._followers}
 
-        def _apply_reading(reading: TableReading, relied_on: bool, teller: str) -> None:
+        def _apply_reading(reading: TableReading, relied_on: bool, source_zone: str) -> None:
             if reading.table in by_table:
                 follower = by_table[reading.table]
-                follower.apply_reading(reading, relied_on=relied_on, teller=teller)
+                follower.apply_reading(reading, relied_on=relied_on, source_zone=source_zone)
 
         self._placement.on_reading = _apply_reading
         self._placement.on_alone = lambda: by_table[PLACERS_TABLE].read_alone()
--- a/springrock/eras.py
+++ b/springrock/eras.py
@@ -14,7 +14,7 @@
 _MOST_ERAS = 1 << 19
 """Both together fit into 63 bits, as messages carry them."""
 
-UNTOLD_ERA = 0
+UNKNOWN_ERA = 0
 """Of a store, or a box of an earlier build, that names no era."""
 
 
@@ -56,12 +56,12 @@
 def shown(version: int) -> str:
     """Return a version as logs show it: the era as the store names it, and the number."""
     era = era_of(version)
-    return str(number_of(version)) if era == UNTOLD_ERA else f"{era - 1}:{number_of(version)}"
+    return str(number_of(version)) if era == UNKNOWN_ERA else f"{era - 1}:{number_of(version)}"
 
 
 def era_from_reported(reported: int | None) -> int:
     """Return the era that a store names; it may begin with 0, and another may name none."""
-    return UNTOLD_ERA if reported is None else reported + 1
+    return UNKNOWN_ERA if reported is None else reported + 1
 
 
 def era_of(version: int) -> int:
--- a/springrock/forwarding/connection.py
+++ b/springrock/forwarding/connection.py
@@ -163,7 +163,7 @@
         self._kept_since = monotonic()
         self._response = None
 
-    def sound(self, *, careful: bool) -> bool:
+    def is_usable(self, *, careful: bool) -> bool:
         """Whether a resting connection can carry another request.
 
         Args:
@@ -236,7 +236,7 @@
         """
         while self._resting:
             connection = self._resting.pop()
-            if connection.sound(careful=careful):
+            if connection.is_usable(careful=careful):
                 return connection
             connection.close()
         self.opened += 1
--- a/springrock/permits/permits.py
+++ b/springrock/permits/permits.py
@@ -73,7 +73,7 @@
         self._is_cold = is_cold
         self._limits = limits
         self._shares = shares
-        self._left_alone_until: dict[str, float] = {}
+        self._skipped_until: dict[str, float] = {}
         self._no_room_until: dict[str, float] = {}
 
     def ask(self, record: ReplicaRecord, *, request: str, returns: bool, grant: int = 0) -> Permit:
@@ -90,7 +90,7 @@
         now = monotonic()
         cold = self._is_cold(record)
         limit_per_s = self._limits.per_s(record.instance)
-        if now < self._left_alone_until.get(record.zone, 0.0):
+        if now < self._skipped_until.get(record.zone, 0.0):
             return self._uncounted(record, cold=cold, limit_per_s=limit_per_s)
         no_room_until = self._no_room_until.get(record.instance, 0.0)
         if not returns and not grant and now < no_room_until:
@@ -109,7 +109,7 @@
             verdict, good_until = self._counter(record.zone).permit(permit_ask)
         except PermitsUnheard:
             self._on_unanswered()
-            self._left_alone_until[record.zone] = monotonic() + _LEFT_ALONE_S
+            self._skipped_until[record.zone] = monotonic() + _LEFT_ALONE_S
             return self._uncounted(record, cold=cold, limit_per_s=limit_per_s)
         if not verdict.granted:
             self._record_no_room(record.instance, verdict.room_in_s)
--- a/springrock/placement/election.py
+++ b/springrock/placement/election.py
@@ -138,11 +138,11 @@
         much weaker."""
         settings = self._settings
         if settings.zone != self._zone:
-            return self._links.hold(self._zone, for_s=_HAND_BACK_DELAY_S)
+            return self._links.has_linked_box(self._zone, for_s=_HAND_BACK_DELAY_S)
         if settings.strength >= _AMPLE_STRENGTH:
             return False
         needed = settings.strength * _MUCH_STRONGER
-        return self._links.hold(self._zone, for_s=_HAND_BACK_DELAY_S, strength=needed)
+        return self._links.has_linked_box(self._zone, for_s=_HAND_BACK_DELAY_S, strength=needed)
 
     def takeover_delay_s(self) -> float:
         """Return how much longer a free lease is left to boxes that do better as the placer."""
@@ -160,7 +160,7 @@
 
     def _leave(self, *, reason: str, handover_target: HandoverTarget | None) -> None:
         """Give the lease up, or hand it over while the store takes nothing back."""
-        successor = self._links.hold(self._zone, for_s=0.0)
+        successor = self._links.has_linked_box(self._zone, for_s=0.0)
         handover = self._lease.give_up(
             reason=reason, successor=successor, handover_target=handover_target
         )
--- a/springrock/placement/keeper.py
+++ b/springrock/placement/engine_reconciler.py
@@ -55,7 +55,7 @@
 """How long an assignment is tried before it is given back to the planner."""
 
 
-class Keeper:
+class EngineReconciler:
     """Keeps the places of one engine.
 
     Args:
--- a/springrock/placement/handover.py
+++ b/springrock/placement/handover.py
@@ -177,11 +177,11 @@
     """A zone as one box sees it, as far as adapters are handed over.
 
     Attributes:
-        ahead: What the zone brings of evacuated ones, while this box places it.
+        prefetch: What the zone brings of evacuated ones, while this box places it.
         demand: What this box wants and uses of the zone's engines.
     """
 
-    ahead: PrefetchWants
+    prefetch: PrefetchWants
     demand: DemandBook
 
     @property
@@ -230,13 +230,13 @@
             gevent.spawn_later(_PLACER_HEARD_S, self._hand_over_unreported, zone)
             return
         for other in self._zones().values():
-            other.ahead.drop(zone)
+            other.prefetch.drop(zone)
 
     def handle_cut(self, zone: str) -> None:
         """Learn that a zone gets nothing any more."""
         self._move_requesters(zone, but_for=lambda key: False)
         for other in self._zones().values():
-            other.ahead.handle_cut(zone)
+            other.prefetch.handle_cut(zone)
 
     def apply(self, zone: str, handover: Handover) -> None:
         """Learn what was asked for in a zone; each zone that this box places takes its part.
@@ -251,7 +251,7 @@
         for name, other in self._zones().items():
             if other.placing and name not in world.announced:
                 mine = [item for item in missing if choose_zone(item.key, views) == name]
-                other.ahead.add(zone, mine)
+                other.prefetch.add(zone, mine)
 
     def _send_while_announced(self, zone: str) -> None:
         while True:
--- a/springrock/placement/lease.py
+++ b/springrock/placement/lease.py
@@ -34,7 +34,7 @@
 """So long an order may be under way: the time for a connection and for an answer. Where engines do
 not look at fences, none may arrive after the lease."""
 
-_STORE_LEFT_ALONE_S = 5.0
+_STORE_RETRY_DELAY_S = 5.0
 """So long after the store did not answer a renewal linked boxes are asked to write the next."""
 
 _LONGEST_ATTEMPT_S = 1.5
@@ -101,7 +101,7 @@
         relay: RowWriter | None = None,
     ) -> None:
         self._relay = relay
-        self._store_failed_at = -_STORE_LEFT_ALONE_S
+        self._store_failed_at = -_STORE_RETRY_DELAY_S
         self._relay_failed = False
         self._relayed = Condition(
             log,
@@ -506,7 +506,7 @@
 
     def _next_relay(self) -> RowWriter | None:
         """Return the linked boxes if the store did not answer lately and they did; else None."""
-        store_fails = monotonic() - self._store_failed_at < _STORE_LEFT_ALONE_S
+        store_fails = monotonic() - self._store_failed_at < _STORE_RETRY_DELAY_S
         return None if self._relay_failed or not store_fails else self._relay
 
     def _write(self, value: PlacerRow, *, expected: int, writer: RowWriter) -> int:
--- a/springrock/placement/link_server.py
+++ b/springrock/placement/link_server.py
@@ -163,12 +163,12 @@
         link = self._links.get(box)
         return None if link is None else link.home_zone or None
 
-    def some(self, most: int) -> list[str]:
+    def sample_boxes(self, most: int) -> list[str]:
         """Return some linked boxes that are to stay, by chance."""
         staying = [box for box, link in self._links.items() if not link.stopping]
         return random.sample(staying, min(most, len(staying)))
 
-    def hold(self, home_zone: str, *, for_s: float, strength: float = 0.0) -> bool:
+    def has_linked_box(self, home_zone: str, *, for_s: float, strength: float = 0.0) -> bool:
         """Whether a box that stands in a zone, and is to stay, has been linked for so long.
 
         Args:
--- a/springrock/placement/placement.py
+++ b/springrock/placement/placement.py
@@ -108,7 +108,7 @@
         self._unreachable_since = monotonic()
         self._board = board
         self.on_reading: Callable[[TableReading, bool, str], None] = (
-            lambda reading, relied_on, teller: None
+            lambda reading, relied_on, source_zone: None
         )
         self.on_alone: Callable[[], None] = lambda: None
         self._around = ZoneDependencies(
@@ -186,7 +186,7 @@
     # What boxes of one zone share.
 
     @property
-    def reads_for_others(self) -> bool:
+    def publishes_readings(self) -> bool:
         """Whether other boxes go by what this one reads of the store."""
         zone = self._zones.get(self._settings.zone)
         return zone is not None and zone.notifies_home_zone
@@ -213,7 +213,7 @@
         rely on each other.
         """
         home = self._settings.zone
-        relied_on = zone == home or (self.reads_for_others and zone < home)
+        relied_on = zone == home or (self.publishes_readings and zone < home)
         self.on_reading(reading_from(updates), relied_on, zone)
 
     def _placer_lost(self, zone: str) -> None:
@@ -345,7 +345,7 @@
             holding = {home}
         at_hand = {
             replica.record.zone
-            for replica in self._residency.keepers(adapter_request.key)
+            for replica in self._residency.cache_holders(adapter_request.key)
             if _may_serve(replica, adapter_request.bounds, world)
         }
         return choose_zone(
--- a/springrock/placement/placer.py
+++ b/springrock/placement/placer.py
@@ -20,9 +20,9 @@
 from springrock.permits.counter import GrantsPermits
 from springrock.placement.control import EngineControl
 from springrock.placement.engine_book import EngineBook
+from springrock.placement.engine_reconciler import EngineReconciler
 from springrock.placement.handover import PrefetchWants, handover_of
 from springrock.placement.handover_messages import Handover
-from springrock.placement.keeper import Keeper
 from springrock.placement.late_orders import LateOrders
 from springrock.placement.lease import PlacerLease
 from springrock.placement.messages import (
@@ -86,7 +86,7 @@
 
     Attributes:
         requests: What boxes ask and use.
-        ahead: What is brought of evacuated zones although nobody asked for it here.
+        prefetch: What is brought of evacuated zones although nobody asked for it here.
     """
 
     def __init__(
@@ -131,10 +131,10 @@
             ceiling_burst=ceiling_burst,
         )
         self._started_at = 0.0
-        self._keepers: dict[str, Keeper] = {}
+        self._reconcilers: dict[str, EngineReconciler] = {}
         self._late_orders = LateOrders()
         self._work = Event()
-        self.ahead = PrefetchWants(
+        self.prefetch = PrefetchWants(
             zone,
             popularity=self._popularity,
             log=log,
@@ -142,7 +142,7 @@
             on_update=self._work.set,
         )
         self.requests = Requests(
-            self._keepers,
+            self._reconcilers,
             configuration=configuration,
             directory=directory,
             versions=versions,
@@ -179,15 +179,15 @@
         if self._task is not None:
             self._task.kill()
             self._task = None
-        for keeper in self._keepers.values():
-            keeper.stop()
-        self._keepers.clear()
+        for reconciler in self._reconcilers.values():
+            reconciler.stop()
+        self._reconcilers.clear()
         self._planners.clear()
         self._models.clear()
         self.requests.clear()
         self._changed.clear()
         self._spread.clear()
-        self.ahead.clear()
+        self.prefetch.clear()
         self._copy_wishes.clear()
 
     def apply_demand(self, box: str, demand: Demand) -> None:
@@ -205,16 +205,20 @@
         """Return what all engines hold that were heard."""
         return Residents(
             [
-                EngineHolds(keeper.book.instance, keeper.book.ready())
-                for keeper in self._keepers.values()
-                if keeper.book.sequence is not None
+                EngineHolds(reconciler.book.instance, reconciler.book.ready())
+                for reconciler in self._reconcilers.values()
+                if reconciler.book.sequence is not None
             ]
         )
 
     def drain_changed(self) -> Residents | None:
         """Return what engines hold that changed since this was asked last; None if none did."""
         changed, self._changed = self._changed, set()
-        books = [self._keepers[instance].book for instance in changed if instance in self._keepers]
+        books = [
+            self._reconcilers[instance].book
+            for instance in changed
+            if instance in self._reconcilers
+        ]
         if not books:
             return None
         return Residents([EngineHolds(book.instance, book.ready()) for book in books])
@@ -222,7 +226,9 @@
     def spread(self) -> tuple[str, ...]:
         """Return the adapters, as MODEL/NAME, that each zone does better to serve itself."""
         copies = Counter(
-            held.key for keeper in self._keepers.values() for held in keeper.book.ready()
+            held.key
+            for reconciler in self._reconcilers.values()
+            for held in reconciler.book.ready()
         )
         return self._spread.evaluate(copies, zones=self._zones_with_engines())
 
@@ -283,13 +289,13 @@
         if not self.active or (record is not None and record.zone != self._zone):
             return
         if record is None:
-            keeper = self._keepers.pop(instance, None)
-            if keeper is not None:
-                keeper.stop()
-                self.requests.dispatcher(keeper.book.record.service).forget(instance)
+            reconciler = self._reconcilers.pop(instance, None)
+            if reconciler is not None:
+                reconciler.stop()
+                self.requests.dispatcher(reconciler.book.record.service).forget(instance)
             return
-        if instance in self._keepers:
-            self._keepers[instance].apply_record(record)
+        if instance in self._reconcilers:
+            self._reconcilers[instance].apply_record(record)
         elif record.service in self._configuration().engine_services:
             replica = self._directory.find(instance)
             if replica is not None:
@@ -299,7 +305,7 @@
     def _keep(self, replica: Replica) -> None:
         service = replica.record.service
         engine = self._configuration().engine_services[service]
-        keeper = Keeper(
+        reconciler = EngineReconciler(
             EngineBook(replica.record, slots=engine.adapter_slots, late_orders=self._late_orders),
             control=self._control,
             lease=self._lease,
@@ -314,15 +320,15 @@
             log=self._log,
             metrics=self._metrics,
         )
-        self._keepers[replica.instance] = keeper
-        keeper.start()
+        self._reconcilers[replica.instance] = reconciler
+        reconciler.start()
 
     @property
     def _is_evacuated(self) -> bool:
         return self._zone in self._world().announced
 
     def _books(self) -> list[EngineBook]:
-        return [keeper.book for keeper in self._keepers.values()]
+        return [reconciler.book for reconciler in self._reconcilers.values()]
 
     def _handle_engine_change(self, book: EngineBook) -> None:
         """Learn that what an engine holds has changed."""
@@ -337,7 +343,7 @@
 
     def _plan_loop(self) -> None:
         while True:
-            to_bring = self.requests.asks.wanted or self.ahead.pending
+            to_bring = self.requests.asks.wanted or self.prefetch.pending
             self._work.wait(timeout=_PLAN_EVERY_S if to_bring else None)
             self._work.clear()
             began_at = monotonic()
@@ -350,7 +356,9 @@
         """Whether the engines have told what they hold, or were given the time for it."""
         if monotonic() - self._started_at > _FIRST_REPORTS_S:
             return True
-        return all(keeper.book.sequence is not None for keeper in self._keepers.values())
+        return all(
+            reconciler.book.sequence is not None for reconciler in self._reconcilers.values()
+        )
 
     def _plan(self) -> None:
         # An engine may answer again, or no longer count as full or lacking, without other news.
@@ -364,8 +372,8 @@
         loadable = self._loadable()
         limited = self.requests.limited()
         without_room = {name for name, room_in_s in limited.items() if room_in_s > _ROOM_SOON_S}
-        ahead = self.ahead.wants(self._is_here(loadable), now)
-        wants += [want for want in ahead if want.key not in wanted]
+        prefetch = self.prefetch.wants(self._is_here(loadable), now)
+        wants += [want for want in prefetch if want.key not in wanted]
         for service, engine in self._configuration().engine_services.items():
             models = {model.name for model in engine.models}
             dispatcher = self.requests.dispatcher(service)
@@ -384,7 +392,7 @@
                 if assignment.want.saves:
                     # Else it would be the next to give up its place: nobody here has asked for it.
                     self._popularity.record(assignment.key, assignment.want.saves)
-                self._keepers[assignment.engine.instance].wake()
+                self._reconcilers[assignment.engine.instance].wake()
                 self._say_assigned(assignment, now)
             for key, ready_in_s in plan.ready_in_s.items():
                 self.requests.forecasts.notify(
--- a/springrock/placement/relayed_writes.py
+++ b/springrock/placement/relayed_writes.py
@@ -13,7 +13,7 @@
 
 from gevent.event import Event
 
-from springrock.eras import UNTOLD_ERA, era_of, number_of, peer_version
+from springrock.eras import UNKNOWN_ERA, era_of, number_of, peer_version
 from springrock.errors import PeerRejected
 from springrock.placement.messages import Message, WriteFor, Written
 from springrock.placement.placer_row import TABLE
@@ -91,7 +91,7 @@
         if written.conflict:
             row = Row(key, written.value, version) if written.version else None
             raise RowConflict(row, version=version)
-        if era_of(expected) not in (UNTOLD_ERA, era):
+        if era_of(expected) not in (UNKNOWN_ERA, era):
             raise WrittenInAnotherEra(version)
         return version
 
--- a/springrock/placement/requests.py
+++ b/springrock/placement/requests.py
@@ -22,8 +22,8 @@
 from springrock.placement.ask_book import AskBook, WaitingAsk
 from springrock.placement.backoffs import Backoffs
 from springrock.placement.dispatcher import Dispatcher
+from springrock.placement.engine_reconciler import EngineReconciler
 from springrock.placement.forecasts import Forecasts
-from springrock.placement.keeper import Keeper
 from springrock.placement.messages import Ask, Demand, Grant, Message, Outcome, Over, Use
 from springrock.placement.near_copies import NearCopies
 from springrock.placement.planner import COLD_COST
@@ -39,7 +39,7 @@
     """Grants engines to requests, and keeps those for which none holds the adapter.
 
     Args:
-        keepers: The keepers of the zone's engines, by instance; the placer changes them.
+        reconcilers: The reconcilers of the zone's engines, by instance; the placer changes them.
         configuration: Returns the configuration in force.
         directory: The known replicas.
         versions: The newest versions of adapters.
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        keepers: Mapping[str, Keeper],
+        reconcilers: Mapping[str, EngineReconciler],
         *,
         configuration: Callable[[], Configuration],
         directory: Directory,
@@ -76,7 +76,7 @@
         near: NearCopies,
         home_zone_of: Callable[[str], str | None],
     ) -> None:
-        self._keepers = keepers
+        self._reconcilers = reconcilers
         self._configuration = configuration
         self._directory = directory
         self._versions = versions
@@ -211,11 +211,11 @@
         world = self._world()
         return [
             instance
-            for instance, keeper in self._keepers.items()
-            if keeper.book.reachable
+            for instance, reconciler in self._reconcilers.items()
+            if reconciler.book.reachable
             and instance not in avoid
-            and keeper.book.is_ready(key, version=newest)
-            and self._may_grant(keeper.book.record, bounds, world)
+            and reconciler.book.is_ready(key, version=newest)
+            and self._may_grant(reconciler.book.record, bounds, world)
         ]
 
     def _may_grant(self, record: ReplicaRecord, bounds: Bounds, world: World) -> bool:
@@ -227,7 +227,7 @@
 
     def _permit(self, waiting: WaitingAsk, instance: str) -> bool:
         """Take a permit with the grant of a metered engine."""
-        record = self._keepers[instance].book.record
+        record = self._reconcilers[instance].book.record
         world = self._world()
         if world.metered(record) is None:
             return False
@@ -242,7 +242,7 @@
     def limited(self) -> dict[str, float]:
         """Return the engines that have named a limit, and the seconds until each has room."""
         world = self._world()
-        records = [keeper.book.record for keeper in self._keepers.values()]
+        records = [reconciler.book.record for reconciler in self._reconcilers.values()]
         return {
             record.instance: self._permits.room_in_s(record, cold=world.is_cold(record))
             for record in records
@@ -260,7 +260,11 @@
         if not ask.failed_at:
             return []
         version = self._versions.newest(key)
-        books = [keeper.book for keeper in self._keepers.values() if keeper.book.reachable]
+        books = [
+            reconciler.book
+            for reconciler in self._reconcilers.values()
+            if reconciler.book.reachable
+        ]
         at_hand = any(
             book.at_hand(key, version=version)
             for book in books
@@ -277,9 +281,9 @@
     def _end_use(self, box: str, over: Over) -> None:
         for dispatcher in self.dispatchers.values():
             run = dispatcher.record_finished(box, over)
-            keeper = self._keepers.get(run.instance) if run is not None else None
-            if keeper is not None and over.outcome in _DOUBTFUL:
-                keeper.mark_stale()
+            reconciler = self._reconcilers.get(run.instance) if run is not None else None
+            if reconciler is not None and over.outcome in _DOUBTFUL:
+                reconciler.mark_stale()
             if run is not None and over.backoff_ms:
                 self._backoffs.record(box, run.instance, seconds=over.backoff_ms / 1000)
 
@@ -296,11 +300,11 @@
         A box that has not read of the new start yet names the one that it knows. Its request runs
         at the new one all the same, where its adapter must not be taken for unused.
         """
-        if instance in self._keepers:
+        if instance in self._reconcilers:
             return instance
         replica_id = instance.rpartition("@")[0]
-        for existing, keeper in self._keepers.items():
-            if replica_id and keeper.book.record.replica_id == replica_id:
+        for existing, reconciler in self._reconcilers.items():
+            if replica_id and reconciler.book.record.replica_id == replica_id:
                 return existing
         return instance
 
--- a/springrock/placement/residency.py
+++ b/springrock/placement/residency.py
@@ -76,7 +76,7 @@
         )
         return [key for key, _ in copies.most_common()]
 
-    def keepers(self, key: AdapterKey) -> list[Replica]:
+    def cache_holders(self, key: AdapterKey) -> list[Replica]:
         """Return the replicas that gave an adapter up lately, and so load it without the store."""
         newest = self._versions.newest(key)
         known = (
--- a/springrock/placement/zone.py
+++ b/springrock/placement/zone.py
@@ -59,11 +59,11 @@
     Args:
         zone: The availability zone.
         settings: What placement takes from the settings.
-        around: What the zones of this box share.
+        dependencies: What the zones of this box share.
 
     Attributes:
         demand: What this box wants and uses of the zone's engines.
-        ahead: What the zone brings of evacuated ones, while this box places it.
+        prefetch: What the zone brings of evacuated ones, while this box places it.
         links: The boxes linked to this one as the zone's placer.
         room: How many more adapters the engines could take when the placer last told.
         boxes: How many boxes the placer had linked when it last told, its own included.
@@ -72,115 +72,117 @@
         wait_estimate: What awaits one more adapter and request there, as last told.
     """
 
-    def __init__(self, zone: str, settings: PlacementSettings, around: ZoneDependencies) -> None:
+    def __init__(
+        self, zone: str, settings: PlacementSettings, dependencies: ZoneDependencies
+    ) -> None:
         self._zone = zone
         self._settings = settings
-        self._directory = around.directory
-        self._residency = around.residency
-        self._incarnation = around.incarnation
-        self._metrics = around.metrics
-        self._warmup = around.warmup
-        self._limits = around.limits
-        self._on_table_news = around.on_table_news
-        self._on_handover = around.on_handover
-        self._on_placer_contact = around.on_placer_contact
-        self._on_placer_lost = around.on_placer_lost
-        self._on_copy_worthwhile = around.on_copy_worthwhile
-        self._board = around.board
+        self._directory = dependencies.directory
+        self._residency = dependencies.residency
+        self._incarnation = dependencies.incarnation
+        self._metrics = dependencies.metrics
+        self._warmup = dependencies.warmup
+        self._limits = dependencies.limits
+        self._on_table_news = dependencies.on_table_news
+        self._on_handover = dependencies.on_handover
+        self._on_placer_contact = dependencies.on_placer_contact
+        self._on_placer_lost = dependencies.on_placer_lost
+        self._on_copy_worthwhile = dependencies.on_copy_worthwhile
+        self._board = dependencies.board
         self.demand = DemandBook(
             has_placer=lambda: self.reachable,
-            leaving=around.directory.leaving,
-            limits=lambda: around.limits.arguments(self._instances()),
+            leaving=dependencies.directory.leaving,
+            limits=lambda: dependencies.limits.arguments(self._instances()),
         )
         self.room = 0
         self.boxes = 1
         self.home_boxes = 0
         self.spread: frozenset[str] = frozenset()
         self.wait_estimate = WaitEstimate()
-        self._store = around.store
-        self._topology = around.world().topology
+        self._store = dependencies.store
+        self._topology = dependencies.world().topology
         self.links = BoxLinks(
             self,
-            log=around.log_of("link"),
+            log=dependencies.log_of("link"),
             count_sent_to=self._counting_to,
             is_far=lambda home_zone: is_far(self._topology, zone, home_zone),
-            count_unknown=around.metrics.count_unknown_message,
+            count_unknown=dependencies.metrics.count_unknown_message,
         )
-        self._writes = RelayedWrites(helpers=self.links.some, send=self._send)
+        self._writes = RelayedWrites(helpers=self.links.sample_boxes, send=self._send)
         self._lease = PlacerLease(
-            around.store,
+            dependencies.store,
             zone=zone,
             box=settings.box,
             address=settings.address,
-            incarnation=around.incarnation,
+            incarnation=dependencies.incarnation,
             lease_s=settings.lease_s,
             checks_fence=settings.checks_fence,
-            rows=around.board,
+            rows=dependencies.board,
             relay=self._writes,
-            log=around.log_of("lease"),
+            log=dependencies.log_of("lease"),
         )
         self._permits = PermitCounter(
             zone,
-            configuration=around.configuration,
-            terms=around.slow_start_terms,
-            limits=around.limits,
+            configuration=dependencies.configuration,
+            terms=dependencies.slow_start_terms,
+            limits=dependencies.limits,
             lease_left_s=lambda: self._lease.left_s,
             goes_on=lambda: self._lease.holds,
             answer=self._send,
-            on_counted=around.metrics.count_permit,
-            log=around.log_of("permits"),
+            on_counted=dependencies.metrics.count_permit,
+            log=dependencies.log_of("permits"),
         )
         self._placer = Placer(
             zone,
-            configuration=around.configuration,
-            directory=around.directory,
-            versions=around.versions,
-            world=around.world,
-            control=around.control,
+            configuration=dependencies.configuration,
+            directory=dependencies.directory,
+            versions=dependencies.versions,
+            world=dependencies.world,
+            control=dependencies.control,
             lease=self._lease,
             permits=self._permits,
             box=settings.box,
             ceiling_ratio=settings.ceiling_ratio,
             ceiling_burst=settings.ceiling_burst,
             send=self._send,
-            log=around.log_of("placer"),
-            metrics=around.metrics,
+            log=dependencies.log_of("placer"),
+            metrics=dependencies.metrics,
             prices=settings.prices,
             home_zone_of=self._home_zone_of,
         )
-        self.ahead = self._placer.ahead
+        self.prefetch = self._placer.prefetch
         self._client = PlacerClient(
             settings.box,
             home_zone=settings.zone,
             zone=zone,
             strength=settings.strength,
             address=settings.address if settings.checks_fence else "",
-            process=around.incarnation if settings.checks_fence else "",
+            process=dependencies.incarnation if settings.checks_fence else "",
             demand=self.demand,
             on_message=self.handle,
             on_lost=self._placer_lost,
-            log=around.log_of("link"),
+            log=dependencies.log_of("link"),
             count_sent=self._counting_to(zone),
-            count_unknown=around.metrics.count_unknown_message,
+            count_unknown=dependencies.metrics.count_unknown_message,
         )
         self._election = Election(
             zone,
             settings=settings,
             lease=self._lease,
-            board=around.board,
+            board=dependencies.board,
             client=self._client,
             links=self.links,
-            incarnation=around.incarnation,
+            incarnation=dependencies.incarnation,
             holder=self,
         )
         self._part = PartCounter(
             zone,
-            configuration=around.configuration,
-            terms=around.quota_terms,
+            configuration=dependencies.configuration,
+            terms=dependencies.quota_terms,
             lease_left_s=lambda: self._lease.left_s,
             answer=self._send,
-            on_counted=around.metrics.count_charge,
-            log=around.log_of("quotas"),
+            on_counted=dependencies.metrics.count_charge,
+            log=dependencies.log_of("quotas"),
         )
         self._tasks: list[gevent.Greenlet[..., Any]] = []
         self._under_lease: list[gevent.Greenlet[..., Any]] = []
@@ -316,7 +318,7 @@
     @property
     def notifies_home_zone(self) -> bool:
         """Whether boxes that stand in the zone go by what this one reads of the store."""
-        return self.placing and self.links.hold(self._zone, for_s=0.0)
+        return self.placing and self.links.has_linked_box(self._zone, for_s=0.0)
 
     def _send(self, box: str, message: Message) -> None:
         if box == self._settings.box:
--- a/springrock/platform/store.py
+++ b/springrock/platform/store.py
@@ -10,7 +10,7 @@
 from msgspec import Struct, field
 
 from springrock.eras import (
-    UNTOLD_ERA,
+    UNKNOWN_ERA,
     VersionOutOfRange,
     era_from_reported,
     era_of,
@@ -123,7 +123,7 @@
         self, address: str, *, on_era: Callable[[int | None], None] = lambda reported: None
     ) -> None:
         self._on_era = on_era
-        self._era = UNTOLD_ERA
+        self._era = UNKNOWN_ERA
         self._url = f"http://{address}"
         self._pool = urllib3.PoolManager(retries=False, maxsize=_CONNECTIONS)
 
@@ -167,13 +167,13 @@
 
         Numbers are given out again in a later era, so that there the condition says nothing.
         """
-        if UNTOLD_ERA < era < self._era:
+        if UNKNOWN_ERA < era < self._era:
             raise self._conflict(expected)
         response = self._call("POST", names.ROWS_TX_PATH, body=msgspec.json.encode(transaction))
         if response.status == _CONFLICT:
             raise _conflict_from(self._page(response), expected.key)
         page = self._page(_checked(response))
-        if era not in (UNTOLD_ERA, page.era):
+        if era not in (UNKNOWN_ERA, page.era):
             raise WrittenInAnotherEra(page.version)
         return page.version
 
--- a/springrock/quarantine/book.py
+++ b/springrock/quarantine/book.py
@@ -103,7 +103,7 @@
         """Take a report back, as the replica has not crashed."""
         self._drop(key)
 
-    def forgive(self, fingerprint: Fingerprint) -> bool:
+    def is_exempt(self, fingerprint: Fingerprint) -> bool:
         """Whether a crash is not held against a request, as it has run well here since the last.
 
         It comes often then, and was there by chance; so was it hardly twice without a good end
--- a/springrock/quarantine/crash_detector.py
+++ b/springrock/quarantine/crash_detector.py
@@ -67,7 +67,7 @@
 
     def record_break(self, fingerprint: Fingerprint, record: ReplicaRecord) -> None:
         """Learn that a request broke at a replica that had got it."""
-        if record.leaving or self._book.forgive(fingerprint):
+        if record.leaving or self._book.is_exempt(fingerprint):
             return
         existing = self._breaks.get(record.instance)
         if existing is None:
--- a/springrock/quotas/charging.py
+++ b/springrock/quotas/charging.py
@@ -58,7 +58,7 @@
     ) -> None:
         self._zones = zones
         self._counter = counter
-        self._left_alone_until: dict[str, float] = {}
+        self._skipped_until: dict[str, float] = {}
 
     def charge(self, team: Team | None, *, tokens: int | None, request: str) -> Receipt:
         """Charge a request once for all that is done for it.
@@ -81,7 +81,7 @@
             try:
                 verdict, number = counter.charge(team.name, units, request=request)
             except CounterSilent:
-                self._left_alone_until[zone] = monotonic() + _LEFT_ALONE_S
+                self._skipped_until[zone] = monotonic() + _LEFT_ALONE_S
                 continue
             if verdict.charged:
                 return Receipt(counter, number)
@@ -94,5 +94,5 @@
         """Return the zones in the order in which they are asked."""
         now = monotonic()
         zones = self._zones()
-        answering = [zone for zone in zones if self._left_alone_until.get(zone, 0.0) <= now]
+        answering = [zone for zone in zones if self._skipped_until.get(zone, 0.0) <= now]
         return answering or list(zones)
--- a/springrock/store_clock.py
+++ b/springrock/store_clock.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 from springrock.clock import monotonic
-from springrock.eras import UNTOLD_ERA
+from springrock.eras import UNKNOWN_ERA
 
 _DRIFT = 0.0005
 """How far two steady clocks may part, in seconds a second: ten times what crystals do."""
@@ -23,13 +23,13 @@
     """Bounds of the store's clock, learnt from this box's own calls."""
 
     def __init__(self) -> None:
-        self._era = UNTOLD_ERA
+        self._era = UNKNOWN_ERA
         self._least_ahead: float | None = None
         self._most_ahead = 0.0
         self._recorded_at = 0.0
 
     def record(
-        self, store_s: float, *, sent_at: float, received_at: float, era: int = UNTOLD_ERA
+        self, store_s: float, *, sent_at: float, received_at: float, era: int = UNKNOWN_ERA
     ) -> None:
         """Learn from one call.
 
@@ -51,7 +51,7 @@
         self._least_ahead, self._most_ahead = least, max(least, most)
         self._recorded_at = received_at
 
-    def earliest_local(self, store_s: float, *, era: int = UNTOLD_ERA) -> float | None:
+    def earliest_local(self, store_s: float, *, era: int = UNKNOWN_ERA) -> float | None:
         """Return the local time before which the store's clock had not read so; None if unknown.
 
         Args:
--- a/springrock/table_follower.py
+++ b/springrock/table_follower.py
@@ -24,7 +24,7 @@
     TableReading,
 )
 from springrock.store_clock import StoreClock
-from springrock.unconfirmed_rows import KeptS, UnconfirmedRows
+from springrock.unconfirmed_rows import RetentionPeriods, UnconfirmedRows
 
 POLL_WAIT_S = 1.8
 """With the time for an answer it is under three seconds: so soon after a cut has healed silently a
@@ -94,7 +94,7 @@
         poll_wait_s: Callable[[], float] = lambda: POLL_WAIT_S,
         clock: StoreClock | None = None,
         eager: bool = False,
-        kept_s: Callable[[str], KeptS] = lambda key: KeptS(),
+        kept_s: Callable[[str], RetentionPeriods] = lambda key: RetentionPeriods(),
     ) -> None:
         self._unconfirmed = UnconfirmedRows(kept_s)
         self._whole_stands = False
@@ -167,13 +167,13 @@
         }
 
     def apply_reading(
-        self, reading: TableReading, *, relied_on: bool = True, teller: str = ""
+        self, reading: TableReading, *, relied_on: bool = True, source_zone: str = ""
     ) -> None:
         """Learn what another box has read just now.
 
         Args:
             reading: What it read.
-            teller: The zone whose placer's box told it, for logs.
+            source_zone: The zone whose placer's box told it, for logs.
             relied_on: Whether it will tell what follows, so that this box need not read. A box
                 that the store does not answer relies on whoever tells.
         """
@@ -183,10 +183,10 @@
             if era_of(reading.after) > era_of(self._version):
                 self.read_alone()
             return
-        self._record_behind(reading, teller)
+        self._record_behind(reading, source_zone)
         if reading.version < self._version:
             return
-        self._reported_by = teller
+        self._reported_by = source_zone
         self._apply(reading)
         self._record_newest(reading)
         self.read_at = monotonic()
@@ -311,14 +311,16 @@
         self._whole_stands = True
         return True
 
-    def _record_behind(self, reading: TableReading, teller: str) -> None:
+    def _record_behind(self, reading: TableReading, source_zone: str) -> None:
         """Say when a box tells less than is known, and when it no longer does."""
         if reading.version < self.version:
             self._behind.begin(
-                teller=teller, told=shown(reading.version), known=shown(self.version)
+                teller=source_zone, told=shown(reading.version), known=shown(self.version)
             )
         else:
-            self._behind.end(teller=teller, told=shown(reading.version), known=shown(self.version))
+            self._behind.end(
+                teller=source_zone, told=shown(reading.version), known=shown(self.version)
+            )
 
     def _record_newest(self, reading: TableReading) -> None:
         """Learn up to when what another box has read was the newest."""
--- a/springrock/unconfirmed_rows.py
+++ b/springrock/unconfirmed_rows.py
@@ -13,7 +13,7 @@
 """So many removed rows of a table are remembered."""
 
 
-class KeptS(NamedTuple):
+class RetentionPeriods(NamedTuple):
     """How long what is known of a row outlasts a store that came back from a copy without it.
 
     Attributes:
@@ -44,7 +44,7 @@
         kept_s: Returns how long what is known of a row outlasts a copy.
     """
 
-    def __init__(self, kept_s: Callable[[str], KeptS]) -> None:
+    def __init__(self, kept_s: Callable[[str], RetentionPeriods]) -> None:
         self._kept_s = kept_s
         self._unconfirmed: dict[str, _UnconfirmedRow] = {}
         self._removed: Remembered[None] = Remembered(at_most=_REMOVED_KEPT)
--- a/tests/placement/test_election.py
+++ b/tests/placement/test_election.py
@@ -53,7 +53,7 @@
         self.linked = True
         return True
 
-    def hold(self, home_zone: str, *, for_s: float, strength: float = 0.0) -> bool:
+    def has_linked_box(self, home_zone: str, *, for_s: float, strength: float = 0.0) -> bool:
         return False
 
     def handover_target(self, home_zone: str) -> HandoverTarget | None:
--- a/tests/placement/test_keeper.py
+++ b/tests/placement/test_engine_reconciler.py
@@ -14,7 +14,7 @@
 from springrock.forwarding.message import AdapterKey
 from springrock.log import Log
 from springrock.metrics import ForwardingMetrics
-from springrock.placement import keeper as keeper_module
+from springrock.placement import engine_reconciler as reconciler_module
 from springrock.placement.control import (
     ControlUnanswered,
     EngineState,
@@ -23,7 +23,7 @@
     OrderKind,
 )
 from springrock.placement.engine_book import EngineBook
-from springrock.placement.keeper import Keeper
+from springrock.placement.engine_reconciler import EngineReconciler
 from springrock.placement.planner import Planner
 from springrock.placement.popularity import Popularity
 
@@ -113,7 +113,7 @@
     used: set[tuple[str, AdapterKey]] | None = None,
     takes_orders: Callable[[], bool] = lambda: True,
     known_runs: Callable[[], int] = lambda: 0,
-) -> Keeper:
+) -> EngineReconciler:
     record = ReplicaRecord(
         instance="i-1",
         service="s",
@@ -121,7 +121,7 @@
         zone="z",
         models=frozenset({"m"}),
     )
-    return Keeper(
+    return EngineReconciler(
         EngineBook(record, slots=SLOTS),
         control=engine,
         lease=lease,  # type: ignore[arg-type]
@@ -144,144 +144,144 @@
             gevent.sleep(0.01)
 
 
-def assign(keeper: Keeper, name: str) -> None:
-    keeper.book.assigned[key(name)] = monotonic()
-    keeper.wake()
+def assign(reconciler: EngineReconciler, name: str) -> None:
+    reconciler.book.assigned[key(name)] = monotonic()
+    reconciler.wake()
 
 
 def test_an_assigned_adapter_is_brought_and_told() -> None:
     engine, reported = Engine(), []
-    keeper = make_keeper(engine, Lease(), reported)
-    keeper.start()
-    assign(keeper, "a")
+    reconciler = make_keeper(engine, Lease(), reported)
+    reconciler.start()
+    assign(reconciler, "a")
     wait_for(lambda: bool(reported) and reported[-1] == {"a"}, "a is told to be there")
-    assert key("a") not in keeper.book.assigned
-    keeper.stop()
+    assert key("a") not in reconciler.book.assigned
+    reconciler.stop()
 
 
 @pytest.mark.parametrize("fault", ["lose_order", "lose_answer"])
 def test_an_order_without_answer_never_takes_two_places(fault: str) -> None:
     engine, reported = Engine(), []
-    keeper = make_keeper(engine, Lease(), reported)
-    keeper.start()
-    wait_for(lambda: keeper.book.sequence is not None, "the engine is known")
+    reconciler = make_keeper(engine, Lease(), reported)
+    reconciler.start()
+    wait_for(lambda: reconciler.book.sequence is not None, "the engine is known")
     setattr(engine, fault, True)
     for name in ("a", "b"):
-        assign(keeper, name)
+        assign(reconciler, name)
     wait_for(lambda: engine.adapters == {"a", "b"}, "both are there")
     assert engine.most_places <= SLOTS
-    keeper.stop()
+    reconciler.stop()
 
 
 def test_a_full_engine_gives_up_an_adapter_first() -> None:
     engine, reported = Engine(), []
     engine.adapters = {"x", "y"}
-    keeper = make_keeper(engine, Lease(), reported)
-    keeper.start()
-    assign(keeper, "a")
+    reconciler = make_keeper(engine, Lease(), reported)
+    reconciler.start()
+    assign(reconciler, "a")
     wait_for(lambda: "a" in engine.adapters, "a is there")
     assert engine.most_places <= SLOTS
     assert [order.kind for order in engine.orders][:2] == [OrderKind.UNLOAD, OrderKind.LOAD]
-    keeper.stop()
+    reconciler.stop()
 
 
 def test_a_new_placer_unloads_nothing_under_a_run_that_no_box_has_told_of_yet(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Boxes send without a placer's word too, and link to a new placer a little later."""
-    monkeypatch.setattr(keeper_module, "_WORD_WITHIN_S", 60.0)
+    monkeypatch.setattr(reconciler_module, "_WORD_WITHIN_S", 60.0)
     engine, reported, known = Engine(), [], [0]
     engine.adapters, engine.running = {"x", "y"}, 2
-    keeper = make_keeper(engine, Lease(), reported, known_runs=lambda: known[0])
-    keeper.start()
-    assign(keeper, "a")
+    reconciler = make_keeper(engine, Lease(), reported, known_runs=lambda: known[0])
+    reconciler.start()
+    assign(reconciler, "a")
     wait_for(lambda: bool(reported), "the engine's report is read")
     gevent.sleep(0.2)
     assert engine.orders == []
     known[0] = 2
     wait_for(lambda: "a" in engine.adapters, "a is there once all runs are known")
-    keeper.stop()
+    reconciler.stop()
 
 
 def test_a_new_placer_waits_for_word_of_runs_only_so_long(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(keeper_module, "_WORD_WITHIN_S", 0.1)
+    monkeypatch.setattr(reconciler_module, "_WORD_WITHIN_S", 0.1)
     engine, reported = Engine(), []
     engine.adapters, engine.running = {"x", "y"}, 2
-    keeper = make_keeper(engine, Lease(), reported)
-    keeper.start()
-    assign(keeper, "a")
+    reconciler = make_keeper(engine, Lease(), reported)
+    reconciler.start()
+    assign(reconciler, "a")
     wait_for(lambda: "a" in engine.adapters, "a is there, as nobody told of the runs")
-    keeper.stop()
+    reconciler.stop()
 
 
 def test_a_newer_fence_ends_the_orders() -> None:
     engine, lease, reported = Engine(), Lease(), []
-    keeper = make_keeper(engine, lease, reported)
-    keeper.start()
-    wait_for(lambda: keeper.book.sequence is not None, "the engine is known")
+    reconciler = make_keeper(engine, lease, reported)
+    reconciler.start()
+    wait_for(lambda: reconciler.book.sequence is not None, "the engine is known")
     engine.newest_fence = 6
-    assign(keeper, "a")
+    assign(reconciler, "a")
     wait_for(lambda: not lease.holds, "the lease is lost")
     given = len(engine.orders)
-    assign(keeper, "b")
+    assign(reconciler, "b")
     gevent.sleep(0.2)
     assert len(engine.orders) == given
-    keeper.stop()
+    reconciler.stop()
 
 
 def test_an_engine_that_came_back_empty_loads_its_model_first() -> None:
     engine, reported = Engine(), []
     engine.models = frozenset()
-    keeper = make_keeper(engine, Lease(), reported)
-    keeper.start()
-    assign(keeper, "a")
+    reconciler = make_keeper(engine, Lease(), reported)
+    reconciler.start()
+    assign(reconciler, "a")
     wait_for(lambda: bool(engine.orders), "an order is given")
     assert engine.orders[0].key == AdapterKey("m", "")
     engine.models = frozenset({"m"})
     wait_for(lambda: "a" in engine.adapters, "the adapter follows")
-    keeper.stop()
+    reconciler.stop()
 
 
 def test_an_older_version_gives_way_to_the_newer_one() -> None:
     engine, reported = Engine(), []
     engine.adapters = {"a", "b"}
-    keeper = make_keeper(engine, Lease(), reported, newest=2)
-    keeper.start()
-    assign(keeper, "a")
+    reconciler = make_keeper(engine, Lease(), reported, newest=2)
+    reconciler.start()
+    assign(reconciler, "a")
     wait_for(lambda: len(engine.orders) >= 2, "two orders are given")
     assert [(order.kind, order.key.adapter) for order in engine.orders[:2]] == [
         (OrderKind.UNLOAD, "a"),
         (OrderKind.LOAD, "a"),
     ]
     assert engine.orders[1].version == 2
-    keeper.stop()
+    reconciler.stop()
 
 
 def test_an_older_version_in_use_is_not_ordered_away() -> None:
     engine, reported = Engine(), []
     engine.adapters = {"a", "b"}
     used = {("i-1", key("a"))}
-    keeper = make_keeper(engine, Lease(), reported, newest=2, used=used)
-    keeper.start()
-    assign(keeper, "a")
+    reconciler = make_keeper(engine, Lease(), reported, newest=2, used=used)
+    reconciler.start()
+    assign(reconciler, "a")
     gevent.sleep(0.3)
     assert engine.orders == []
     used.clear()
-    keeper.wake()
+    reconciler.wake()
     wait_for(lambda: len(engine.orders) >= 2, "two orders are given")
     assert engine.orders[0].kind is OrderKind.UNLOAD
-    keeper.stop()
+    reconciler.stop()
 
 
 def test_nothing_is_ordered_after_a_lease_that_ended_while_a_report_was_waited_for() -> None:
     engine, lease = Engine(), Lease()
-    keeper = make_keeper(engine, lease, [])
-    keeper._read_report()
-    keeper.book.assigned[key("a")] = monotonic()
+    reconciler = make_keeper(engine, lease, [])
+    reconciler._read_report()
+    reconciler.book.assigned[key("a")] = monotonic()
     lease.holds = False
-    assert not keeper._order_next()
+    assert not reconciler._order_next()
     assert not engine.coming
     assert not engine.adapters
 
@@ -302,12 +302,12 @@
 def test_while_an_adapter_comes_the_order_is_repeated_and_few_reports_are_asked_for() -> None:
     """A report has the price of many orders: 10 for 40 orders before, 5 for 100 after."""
     engine = CountingEngine()
-    keeper = make_keeper(engine, Lease(), [])
-    keeper.start()
-    assign(keeper, "a")
+    reconciler = make_keeper(engine, Lease(), [])
+    reconciler.start()
+    assign(reconciler, "a")
     wait_for(lambda: len(engine.orders) >= 40, "the order was repeated often")
     assert engine.reports * 10 <= len(engine.orders)
-    keeper.stop()
+    reconciler.stop()
 
 
 class RebornEngine(Engine):
@@ -329,69 +329,71 @@
         return super().order(address, instance=instance, order=order)
 
 
-def told_start(keeper: Keeper) -> None:
-    keeper.book.record = msgspec.structs.replace(keeper.book.record, instance="i-1@1", born_ms=1)
+def told_start(reconciler: EngineReconciler) -> None:
+    reconciler.book.record = msgspec.structs.replace(
+        reconciler.book.record, instance="i-1@1", born_ms=1
+    )
 
 
 @pytest.mark.parametrize("born_ms", [2, None])
 def test_a_report_of_another_start_is_not_taken_for_the_engines(born_ms: int | None) -> None:
     engine, reported = RebornEngine(), []
     engine.adapters = {"a"}
-    keeper = make_keeper(engine, Lease(), reported)
-    told_start(keeper)
-    keeper.start()
-    wait_for(lambda: keeper.book.reachable, "the engine is known")
+    reconciler = make_keeper(engine, Lease(), reported)
+    told_start(reconciler)
+    reconciler.start()
+    wait_for(lambda: reconciler.book.reachable, "the engine is known")
     engine.born_ms, engine.adapters = born_ms, {"b"}
-    keeper.mark_stale()
-    wait_for(lambda: not keeper.book.reachable, "the engine counts as out of reach")
-    assert [held.adapter for held in keeper.book.ready()] == ["a"]
-    assign(keeper, "c")
+    reconciler.mark_stale()
+    wait_for(lambda: not reconciler.book.reachable, "the engine counts as out of reach")
+    assert [held.adapter for held in reconciler.book.ready()] == ["a"]
+    assign(reconciler, "c")
     gevent.sleep(0.2)
     assert engine.orders == []
     engine.born_ms = 1
-    wait_for(lambda: keeper.book.reachable and "c" in engine.adapters, "it is the engine again")
-    keeper.stop()
+    wait_for(lambda: reconciler.book.reachable and "c" in engine.adapters, "it is the engine again")
+    reconciler.stop()
 
 
 def test_an_engine_is_asked_by_its_id_whatever_its_start() -> None:
     engine = RebornEngine()
-    keeper = make_keeper(engine, Lease(), [])
-    told_start(keeper)
-    keeper.start()
-    assign(keeper, "a")
+    reconciler = make_keeper(engine, Lease(), [])
+    told_start(reconciler)
+    reconciler.start()
+    assign(reconciler, "a")
     wait_for(lambda: "a" in engine.adapters, "the adapter is there")
     assert engine.asked_for == {"i-1"}
-    keeper.stop()
+    reconciler.stop()
 
 
 def test_an_engine_that_is_not_understood_is_ordered_nothing() -> None:
     engine = Engine()
-    keeper = make_keeper(engine, Lease(), [])
-    keeper.apply_record(msgspec.structs.replace(keeper.book.record, understood=False))
-    keeper.start()
-    wait_for(lambda: keeper.book.reachable, "the engine is known")
-    assign(keeper, "a")
+    reconciler = make_keeper(engine, Lease(), [])
+    reconciler.apply_record(msgspec.structs.replace(reconciler.book.record, understood=False))
+    reconciler.start()
+    wait_for(lambda: reconciler.book.reachable, "the engine is known")
+    assign(reconciler, "a")
     gevent.sleep(0.2)
     assert engine.orders == []
-    keeper.apply_record(msgspec.structs.replace(keeper.book.record, understood=True))
-    keeper.wake()
+    reconciler.apply_record(msgspec.structs.replace(reconciler.book.record, understood=True))
+    reconciler.wake()
     wait_for(lambda: "a" in engine.adapters, "the adapter is there")
-    keeper.stop()
+    reconciler.stop()
 
 
 def test_an_engine_that_takes_no_orders_is_looked_at_and_given_none() -> None:
     engine, reported = Engine(), []
     orders_from: list[bool] = []
-    keeper = make_keeper(engine, Lease(), reported, takes_orders=lambda: bool(orders_from))
-    keeper.start()
-    assign(keeper, "a")
+    reconciler = make_keeper(engine, Lease(), reported, takes_orders=lambda: bool(orders_from))
+    reconciler.start()
+    assign(reconciler, "a")
     engine.adapters = {"x"}
     wait_for(lambda: bool(reported) and reported[-1] == {"x"}, "what it holds is seen")
     gevent.sleep(0.1)
     assert engine.orders == []
     orders_from.append(True)
     wait_for(lambda: bool(reported) and reported[-1] == {"x", "a"}, "a is there")
-    keeper.stop()
+    reconciler.stop()
 
 
 class SlowUnloads(Engine):
@@ -418,19 +420,19 @@
 ) -> None:
     engine = SlowUnloads(refused)
     engine.adapters = {"x", "y"}
-    keeper = make_keeper(engine, Lease(), [])
-    book = keeper.book
-    keeper.start()
+    reconciler = make_keeper(engine, Lease(), [])
+    book = reconciler.book
+    reconciler.start()
     wait_for(lambda: len(book.ready()) == SLOTS, "the engine is known")
     for place in book.places.values():
         place.since -= 10.0
-    assign(keeper, "a")
+    assign(reconciler, "a")
     wait_for(lambda: len(book.ready()) == SLOTS - 1, "one of them counts as leaving")
     assert not engine.let.is_set()
     engine.let.set()
     wait_for(lambda: "a" in engine.adapters, "the adapter is there")
     assert engine.most_places <= SLOTS
-    keeper.stop()
+    reconciler.stop()
 
 
 def test_an_adapter_whose_unload_was_refused_is_granted_again() -> None:
--- a/tests/placement/test_handover.py
+++ b/tests/placement/test_handover.py
@@ -79,10 +79,10 @@
 
 def test_adapters_are_brought_in_the_order_in_which_they_were_asked_for() -> None:
     popularity = Popularity()
-    ahead = make_wants(popularity)
-    ahead.add("zone-1", asked("a", "b", "c", "d"))
+    prefetch = make_wants(popularity)
+    prefetch.add("zone-1", asked("a", "b", "c", "d"))
     now = monotonic()
-    wants = ahead.wants(nothing_is_here, now)
+    wants = prefetch.wants(nothing_is_here, now)
     assert [want.key.adapter for want in wants] == ["a", "b", "c", "d"]
     assert not any(want.waiting or want.promised for want in wants)
     engines = [make_engine("i-1", slots=4)]
@@ -94,12 +94,12 @@
 
 def test_what_somebody_waits_for_goes_first() -> None:
     popularity = Popularity()
-    ahead = make_wants(popularity)
-    ahead.add("zone-1", asked("a"))
+    prefetch = make_wants(popularity)
+    prefetch.add("zone-1", asked("a"))
     now = monotonic()
     planner = make_planner(popularity)
     planner.loads.at_once = 1.0
-    wants = [*ahead.wants(nothing_is_here, now), want("waited", worth=3.0)]
+    wants = [*prefetch.wants(nothing_is_here, now), want("waited", worth=3.0)]
     plan = planner.plan(wants, [make_engine("i-1")], used={}, now=now)
     assert [item.key.adapter for item in plan.assignments] == ["waited"]
 
@@ -108,54 +108,56 @@
     popularity = Popularity()
     for name, count in (("x", 4), ("y", 0)):
         popularity.record(key(name), count)
-    ahead = make_wants(popularity)
-    ahead.add("zone-1", [AskedFor("m", "a", 5.0), AskedFor("m", "b", 1.0)])
+    prefetch = make_wants(popularity)
+    prefetch.add("zone-1", [AskedFor("m", "a", 5.0), AskedFor("m", "b", 1.0)])
     now = monotonic()
     engine = make_engine("i-1", "x", "y")
     plan = make_planner(popularity).plan(
-        ahead.wants(nothing_is_here, now), [engine], used={}, now=now
+        prefetch.wants(nothing_is_here, now), [engine], used={}, now=now
     )
     assert [item.key.adapter for item in plan.assignments] == ["a"]
 
 
 def test_what_stands_is_done_and_what_is_told_again_is_not_brought_again() -> None:
-    ahead = make_wants(Popularity())
-    ahead.add("zone-1", asked("a", "b"))
-    assert [want.key.adapter for want in ahead.wants({key("a")}.__contains__, monotonic())] == ["b"]
-    ahead.add("zone-1", asked("a", "b", "c"))
-    assert [want.key.adapter for want in ahead.wants(nothing_is_here, monotonic())] == ["b", "c"]
-    assert ahead.wants({key("b"), key("c")}.__contains__, monotonic()) == []
-    assert not ahead.pending
+    prefetch = make_wants(Popularity())
+    prefetch.add("zone-1", asked("a", "b"))
+    assert [want.key.adapter for want in prefetch.wants({key("a")}.__contains__, monotonic())] == [
+        "b"
+    ]
+    prefetch.add("zone-1", asked("a", "b", "c"))
+    assert [want.key.adapter for want in prefetch.wants(nothing_is_here, monotonic())] == ["b", "c"]
+    assert prefetch.wants({key("b"), key("c")}.__contains__, monotonic()) == []
+    assert not prefetch.pending
 
 
 def test_a_placer_that_tells_late_puts_in_order_what_its_engines_held() -> None:
     popularity = Popularity()
-    ahead = make_wants(popularity)
-    ahead.add("zone-1", [AskedFor("m", name, 0.0) for name in ("a", "b", "c")])
-    ahead.add("zone-1", asked("c", "a"))
-    wants = ahead.wants(nothing_is_here, monotonic())
+    prefetch = make_wants(popularity)
+    prefetch.add("zone-1", [AskedFor("m", name, 0.0) for name in ("a", "b", "c")])
+    prefetch.add("zone-1", asked("c", "a"))
+    wants = prefetch.wants(nothing_is_here, monotonic())
     assert [want.key.adapter for want in wants] == ["c", "a", "b"]
     assert popularity.of(key("c")) > popularity.of(key("a")) > 0
 
 
 def test_a_plan_is_given_no_more_than_can_be_under_way() -> None:
-    ahead = make_wants(Popularity())
-    ahead.add("zone-1", asked(*(f"n{number}" for number in range(300))))
-    wants = ahead.wants(nothing_is_here, monotonic())
+    prefetch = make_wants(Popularity())
+    prefetch.add("zone-1", asked(*(f"n{number}" for number in range(300))))
+    wants = prefetch.wants(nothing_is_here, monotonic())
     assert [want.key.adapter for want in wants] == [f"n{number}" for number in range(40)]
     here = {want.key for want in wants}
-    wants = ahead.wants(here.__contains__, monotonic())
+    wants = prefetch.wants(here.__contains__, monotonic())
     assert wants[0].key.adapter == "n40"
 
 
 def test_nothing_is_brought_for_a_zone_that_was_taken_back_or_told_long_ago() -> None:
-    ahead = make_wants(Popularity())
-    ahead.add("zone-1", asked("a"))
-    ahead.add("zone-3", asked("b"))
-    ahead.drop("zone-1")
-    assert [want.key.adapter for want in ahead.wants(nothing_is_here, monotonic())] == ["b"]
-    assert ahead.wants(nothing_is_here, monotonic() + 60) == []
-    assert not ahead.pending
+    prefetch = make_wants(Popularity())
+    prefetch.add("zone-1", asked("a"))
+    prefetch.add("zone-3", asked("b"))
+    prefetch.drop("zone-1")
+    assert [want.key.adapter for want in prefetch.wants(nothing_is_here, monotonic())] == ["b"]
+    assert prefetch.wants(nothing_is_here, monotonic() + 60) == []
+    assert not prefetch.pending
 
 
 # How it is divided among zones.
@@ -167,7 +169,7 @@
     def __init__(self, name: str, *, placing: bool) -> None:
         self.placing = placing
         self.demand = DemandBook(has_placer=lambda: True)
-        self.ahead = make_wants(Popularity(), zone=name)
+        self.prefetch = make_wants(Popularity(), zone=name)
         self.reported: list[Collection[str]] = []
 
     def send_handover(self, boxes: Collection[str]) -> None:
@@ -175,7 +177,7 @@
 
     @property
     def brings(self) -> set[str]:
-        return {want.key.adapter for want in self.ahead.wants(nothing_is_here, monotonic())}
+        return {want.key.adapter for want in self.prefetch.wants(nothing_is_here, monotonic())}
 
 
 class Box(NamedTuple):
@@ -208,7 +210,7 @@
     return Box(zones, directory, coordinator, announced, evacuated)
 
 
-def hold(directory: Directory, zone: str, *names: str) -> None:
+def has_linked_box(directory: Directory, zone: str, *names: str) -> None:
     """Let the engine of a zone say what it holds."""
     held = tuple(HeldAdapter("m", name, 1) for name in names)
     directory.update(
@@ -233,8 +235,8 @@
 
 def test_what_stands_in_a_zone_that_remains_is_not_brought() -> None:
     box = make_box("zone-2", "zone-3")
-    hold(box.directory, "zone-1", *ADAPTERS)
-    hold(box.directory, "zone-3", "a0", "a1")
+    has_linked_box(box.directory, "zone-1", *ADAPTERS)
+    has_linked_box(box.directory, "zone-3", "a0", "a1")
     box.coordinator.apply("zone-1", Handover(asked(*ADAPTERS)))
     assert box.zones["zone-2"].brings | box.zones["zone-3"].brings == set(ADAPTERS) - {"a0", "a1"}
 
@@ -294,21 +296,21 @@
 
 def test_where_no_placer_tells_what_the_engines_held_is_brought(quick: None) -> None:
     box = make_box("zone-2", "zone-3")
-    hold(box.directory, "zone-1", "a0", "a1")
+    has_linked_box(box.directory, "zone-1", "a0", "a1")
     box.announced.add("zone-1")
     box.coordinator.handle_change("zone-1", True)
-    wait_for(lambda: box.zones["zone-2"].ahead.pending or box.zones["zone-3"].ahead.pending)
+    wait_for(lambda: box.zones["zone-2"].prefetch.pending or box.zones["zone-3"].prefetch.pending)
     assert box.zones["zone-2"].brings | box.zones["zone-3"].brings == {"a0", "a1"}
     box.announced.clear()
     box.coordinator.handle_change("zone-1", False)
-    assert not box.zones["zone-2"].ahead.pending and not box.zones["zone-3"].ahead.pending
+    assert not box.zones["zone-2"].prefetch.pending and not box.zones["zone-3"].prefetch.pending
 
 
 def test_a_placer_that_tells_before_this_box_knows_of_the_evacuation_is_heard(
     quick: None,
 ) -> None:
     box = make_box("zone-2", "zone-3")
-    hold(box.directory, "zone-1", "held", "asked")
+    has_linked_box(box.directory, "zone-1", "held", "asked")
     box.coordinator.apply("zone-1", Handover(asked("asked")))
     box.announced.add("zone-1")
     box.coordinator.handle_change("zone-1", True)
--- a/tests/placement/test_known_state.py
+++ b/tests/placement/test_known_state.py
@@ -44,7 +44,7 @@
         self.board = PlacerBoard(age_s=lambda: 0.0)
         self.directory = Directory(log)
         self.zones = zones
-        self.teller = StateProvider(
+        self.source_zone = StateProvider(
             zones=zones,
             followers=self.followers,
             board=self.board,
@@ -65,7 +65,7 @@
             asked = seeds[seed]
             if isinstance(asked, Exception):
                 raise asked
-            state = decode(encode(asked.teller.answer(HELLO)))
+            state = decode(encode(asked.source_zone.answer(HELLO)))
             assert isinstance(state, KnownState)
             return state
 
@@ -142,7 +142,7 @@
 def test_who_does_not_know_all_tables_tells_none(knowing: Box) -> None:
     follower = knowing.followers[0]
     follower.apply_copy(reading(follower.table, 7), newest_at=monotonic())
-    assert knowing.teller.answer(HELLO).tables == []
+    assert knowing.source_zone.answer(HELLO).tables == []
 
 
 def test_a_box_of_other_zones_is_not_believed(knowing: Box, other: Box) -> None:
@@ -163,7 +163,7 @@
 
 def test_a_box_tells_only_so_many_a_second(knowing: Box) -> None:
     knowing.learn(7)
-    states = [knowing.teller.answer(HELLO) for _ in range(20)]
+    states = [knowing.source_zone.answer(HELLO) for _ in range(20)]
     refused = [state for state in states if state.retry_after_ms]
     assert 0 < len(states) - len(refused) <= 10
     assert all(not state.tables and 0 < state.retry_after_ms <= 1000 for state in refused)
@@ -177,6 +177,6 @@
             for number in range(4000)
         ]
         follower.apply_copy(TableReading(follower.table, 0, 1, rows, whole=True), newest_at=0.0)
-    frame = encode(box.teller.answer(HELLO))
+    frame = encode(box.source_zone.answer(HELLO))
     assert len(frame) < 1_048_576
     assert isinstance(decode(frame), KnownState)
--- a/tests/placement/test_placer.py
+++ b/tests/placement/test_placer.py
@@ -14,7 +14,7 @@
 from springrock.forwarding.message import AdapterKey
 from springrock.log import Log
 from springrock.metrics import ForwardingMetrics
-from springrock.placement import keeper as keeper_module
+from springrock.placement import engine_reconciler as reconciler_module
 from springrock.placement import placer as placer_module
 from springrock.placement.control import (
     ControlUnanswered,
@@ -70,7 +70,7 @@
 @pytest.fixture
 def reported(monkeypatch: pytest.MonkeyPatch) -> list[Told]:
     began_at = monotonic()
-    for module in (placer_module, keeper_module):
+    for module in (placer_module, reconciler_module):
         monkeypatch.setattr(module, "monotonic", lambda: began_at)
     return []
 
@@ -250,7 +250,7 @@
 ) -> None:
     placer.apply_demand("box-1", Demand(copies=[CopyWish("m", "far", 300)]))
     with gevent.Timeout(10):
-        while AdapterKey("m", "far") not in placer._keepers["i-1"].book.assigned:
+        while AdapterKey("m", "far") not in placer._reconcilers["i-1"].book.assigned:
             gevent.sleep(0.01)
     assert 2.0 < placer._popularity.of(AdapterKey("m", "far")) <= 3.0
     assert reported == [], "nobody waits for it"
@@ -364,7 +364,7 @@
 ) -> None:
     placer.apply_demand("box-1", Demand(promises=[Promise("m", "a", 1.0, 300)]))
     with gevent.Timeout(10):
-        while not any(keeper.book.places for keeper in placer._keepers.values()):
+        while not any(reconciler.book.places for reconciler in placer._reconcilers.values()):
             gevent.sleep(0.01)
 
 
@@ -375,7 +375,7 @@
     placer = make_placer(SlowEngine(*models), reported)
     placer.start()
     with gevent.Timeout(10):
-        while any(keeper.book.sequence is None for keeper in placer._keepers.values()):
+        while any(reconciler.book.sequence is None for reconciler in placer._reconcilers.values()):
             gevent.sleep(0.01)
     assert placer.room() == room
     placer.stop()
@@ -395,30 +395,30 @@
         else Demand(promises=[Promise("m", "a", 1.0, 60_000)])
     )
     placer.apply_demand("box-1", updates)
-    [keeper] = placer._keepers.values()
+    [reconciler] = placer._reconcilers.values()
     gevent.sleep(0.1)
-    assert not keeper.book.assigned, "both places are used"
-    for place in keeper.book.places.values():
+    assert not reconciler.book.assigned, "both places are used"
+    for place in reconciler.book.places.values():
         place.since -= 10
     placer.apply_demand("box-1", Demand(over=[Over(0)]))
     with gevent.Timeout(10):
-        while AdapterKey("m", "a") not in (*keeper.book.assigned, *keeper.book.places):
+        while AdapterKey("m", "a") not in (*reconciler.book.assigned, *reconciler.book.places):
             gevent.sleep(0.01)
     placer.stop()
 
 
 def test_a_promise_is_planned_for_again_until_there_is_a_place(reported: list[Told]) -> None:
     placer = start_holding(SlowEngine("m", adapters=("x", "y")), reported)
-    [keeper] = placer._keepers.values()
-    for place in keeper.book.places.values():
+    [reconciler] = placer._reconcilers.values()
+    for place in reconciler.book.places.values():
         place.since += 10
     placer.apply_demand("box-1", Demand(promises=[Promise("m", "a", 1.0, 60_000)]))
     gevent.sleep(0.1)
-    assert not keeper.book.assigned, "what has just come is kept for a while"
-    for place in keeper.book.places.values():
+    assert not reconciler.book.assigned, "what has just come is kept for a while"
+    for place in reconciler.book.places.values():
         place.since -= 20
     with gevent.Timeout(10):
-        while AdapterKey("m", "a") not in (*keeper.book.assigned, *keeper.book.places):
+        while AdapterKey("m", "a") not in (*reconciler.book.assigned, *reconciler.book.places):
             gevent.sleep(0.01)
     placer.stop()
 
@@ -481,14 +481,14 @@
     control = OrderedEngine("m")
     placer = make_placer(control, reported)
     placer.start()
-    placer.ahead.add("zone-2", [AskedFor("m", "a", 3.0), AskedFor("m", "b", 1.0)])
+    placer.prefetch.add("zone-2", [AskedFor("m", "a", 3.0), AskedFor("m", "b", 1.0)])
     with gevent.Timeout(10):
         while set(control.ordered) != {"a", "b"}:
             gevent.sleep(0.01)
     assert control.ordered[0] == "a"
     assert reported == []
     placer.stop()
-    assert not placer.ahead.pending
+    assert not placer.prefetch.pending
 
 
 def test_a_cold_engine_is_granted_as_far_as_there_are_permits(reported: list[Told]) -> None:
--- a/tests/placement/test_placer_reborn.py
+++ b/tests/placement/test_placer_reborn.py
@@ -79,7 +79,7 @@
     assert reported == [("box-1", Grant(1, "i-1@1"))]
     engine.restart()
     placer._directory.update(record_of(2))
-    assert list(placer._keepers) == ["i-1@2"]
+    assert list(placer._reconcilers) == ["i-1@2"]
     assert placer.requests.holders(KEY) == []
     dispatcher = placer.requests.dispatcher("s")
     assert "i-1@1" not in dispatcher.waits()
@@ -94,7 +94,7 @@
     placer: Placer, engine: RebornEngine
 ) -> None:
     engine.restart()
-    placer._keepers["i-1@1"].mark_stale()
+    placer._reconcilers["i-1@1"].mark_stale()
     wait_for_holders(placer, [])
     assert placer.room() == 0
 
--- a/tests/placement/test_places_model.py
+++ b/tests/placement/test_places_model.py
@@ -15,7 +15,7 @@
 from springrock.log import Log
 from springrock.metrics import ForwardingMetrics
 from springrock.placement import engine_book as engine_book_module
-from springrock.placement import keeper as keeper_module
+from springrock.placement import engine_reconciler as reconciler_module
 from springrock.placement import popularity as popularity_module
 from springrock.placement.control import (
     ControlUnanswered,
@@ -25,7 +25,7 @@
     OrderKind,
 )
 from springrock.placement.engine_book import EngineBook
-from springrock.placement.keeper import Keeper
+from springrock.placement.engine_reconciler import EngineReconciler
 from springrock.placement.planner import CombinedWant, Planner
 from springrock.placement.popularity import Popularity
 
@@ -123,18 +123,18 @@
         self.now = 1000.0
         self.fates: list[str] = []
         self.patch = pytest.MonkeyPatch()
-        for module in (keeper_module, engine_book_module, popularity_module):
+        for module in (reconciler_module, engine_book_module, popularity_module):
             self.patch.setattr(module, "monotonic", lambda: self.now)
-        self.patch.setattr(keeper_module, "gevent", SimpleNamespace(sleep=self.pass_time))
+        self.patch.setattr(reconciler_module, "gevent", SimpleNamespace(sleep=self.pass_time))
         self.engine = ModelEngine(self)
         record = ReplicaRecord(instance="i-1", service="s", address="127.0.0.1:1", zone="z")
         self.book = EngineBook(record, slots=SLOTS)
         self.planner = Planner(Popularity(), lambda key: 0)
-        self.keeper = self.make_keeper(self.book)
+        self.reconciler = self.make_keeper(self.book)
 
-    def make_keeper(self, book: EngineBook) -> Keeper:
+    def make_keeper(self, book: EngineBook) -> EngineReconciler:
         """Return the keeper of the engine, as far as a book tells of it."""
-        return Keeper(
+        return EngineReconciler(
             book,
             control=self.engine,
             lease=SimpleNamespace(holds=True, fence=1),  # type: ignore[arg-type]
@@ -174,11 +174,11 @@
     def keep(self, steps: int) -> None:
         """Do what the keeper's task does, some turns of it."""
         for _ in range(steps):
-            if self.keeper._stale and not self.keeper._read_report():
+            if self.reconciler._stale and not self.reconciler._read_report():
                 continue
-            if not self.keeper._order_next() and not self.keeper._confirm_next():
+            if not self.reconciler._order_next() and not self.reconciler._confirm_next():
                 self.now += 0.03
-                self.keeper._stale = self.keeper._stale or self.keeper._report_due()
+                self.reconciler._stale = self.reconciler._stale or self.reconciler._report_due()
 
     @rule(seconds=st.sampled_from((0.05, 0.3, 1.1, 2.5)))
     def wait(self, seconds: float) -> None:
--- a/tests/placement/test_planner.py
+++ b/tests/placement/test_planner.py
@@ -127,7 +127,7 @@
 
 
 def test_a_hot_adapter_on_a_crowded_engine_gets_a_second_copy() -> None:
-    crowded, calm = make_engine("i-1", "hot", "cold"), make_engine("i-2", "x")
+    crowded, is_stable = make_engine("i-1", "hot", "cold"), make_engine("i-2", "x")
     popularity = Popularity()
     popularity.record(key("hot"), 20)
     popularity.record(key("cold"), 1)
@@ -137,7 +137,7 @@
 
     def _plan(*keys: AdapterKey) -> list[tuple[AdapterKey, str]]:
         plan = planner.plan(
-            [], [crowded, calm], used=used, now=monotonic(), waits=waits, crowded=keys
+            [], [crowded, is_stable], used=used, now=monotonic(), waits=waits, crowded=keys
         )
         return [(item.key, item.engine.instance) for item in plan.assignments]
 
--- a/tests/placement/test_reborn_model.py
+++ b/tests/placement/test_reborn_model.py
@@ -73,7 +73,7 @@
             born_ms=self.engine.born_ms,
         )
         self.book = EngineBook(record, slots=SLOTS, late_orders=self.late_orders)
-        self.keeper = self.make_keeper(self.book)
+        self.reconciler = self.make_keeper(self.book)
 
     @rule()
     def restart(self) -> None:
@@ -82,7 +82,7 @@
     @rule()
     def mark_stale(self) -> None:
         """Have the placer ask the engine, as after a request that met the new start."""
-        self.keeper.mark_stale()
+        self.reconciler.mark_stale()
 
 
 def test_a_load_ordered_from_the_earlier_start_finds_its_place_free_when_it_comes() -> None:
--- a/tests/placement/test_residency.py
+++ b/tests/placement/test_residency.py
@@ -81,17 +81,17 @@
     world = World()
     world.record(HeldAdapter("m", "a", 1))
 
-    def _keepers() -> list[str]:
-        return [replica.instance for replica in world.residency.keepers(KEY)]
+    def _cache_holders() -> list[str]:
+        return [replica.instance for replica in world.residency.cache_holders(KEY)]
 
-    assert _keepers() == []
+    assert _cache_holders() == []
     world.residency.record_reported("i-1", [HeldAdapter("m", "b", 1)])
-    assert _keepers() == ["i-1"]
+    assert _cache_holders() == ["i-1"]
     world.residency.record_reported("i-1", [HeldAdapter("m", "a", 1)])
-    assert _keepers() == [], "it stands there again"
+    assert _cache_holders() == [], "it stands there again"
     world.residency.record_reported("i-1", [])
     world.versions.record(KEY, 2)
-    assert _keepers() == [], "what it keeps is an older version"
+    assert _cache_holders() == [], "what it keeps is an older version"
 
 
 def test_a_replica_keeps_only_so_much_at_hand_and_nothing_once_it_is_gone() -> None:
@@ -101,16 +101,16 @@
     for number in range(LATELY_KEPT - 1):
         world.residency.record_reported("i-1", [HeldAdapter("m", f"x{number}", 1)])
     world.residency.record_reported("i-1", [])
-    assert world.residency.keepers(KEY)
+    assert world.residency.cache_holders(KEY)
     world.residency.record_reported("i-1", [HeldAdapter("m", "last", 1)])
     world.residency.record_reported("i-1", [])
-    assert world.residency.keepers(KEY) == []
+    assert world.residency.cache_holders(KEY) == []
     last = AdapterKey("m", "last")
-    assert world.residency.keepers(last)
+    assert world.residency.cache_holders(last)
     world.directory.remove("i-1")
-    assert world.residency.keepers(last) == []
+    assert world.residency.cache_holders(last) == []
     world.record()
-    assert world.residency.keepers(last) == [], "another process has an empty memory"
+    assert world.residency.cache_holders(last) == [], "another process has an empty memory"
 
 
 def test_of_an_earlier_start_nothing_is_kept() -> None:
@@ -130,6 +130,6 @@
         world.residency.record_reported(f"i-1@{born_ms}", [HeldAdapter("m", "b", 1)])
         world.residency.deny("i-1@1", KEY)
     assert world.holders == []
-    assert world.residency.keepers(KEY) == []
+    assert world.residency.cache_holders(KEY) == []
     world.residency.record_reported("i-1@1", [HeldAdapter("m", "a", 1)])
     assert world.holders == [], "a placer that has not heard of the new start yet"
--- a/tests/platform/test_store_return.py
+++ b/tests/platform/test_store_return.py
@@ -168,20 +168,20 @@
 def test_a_box_that_is_told_by_one_that_read_the_returned_store_misses_no_change(
     store: ReturningStore,
 ) -> None:
-    teller, _ = follow(store, pause_s=0.0)
+    source_zone, _ = follow(store, pause_s=0.0)
     reported, listener = follow(store, pause_s=LATER_S)
     for number in range(5):
         store.put(f"before-{number}", "aaaa")
     reported.start()
     eventually(lambda: "before-4" in listener.rows, "the table is read")
-    teller.sharing = lambda: True
-    teller.shared_with = notify(reported)
-    teller.start()
+    source_zone.sharing = lambda: True
+    source_zone.shared_with = notify(reported)
+    source_zone.start()
     gevent.sleep(0.2)
     store.return_from_copy(copy_s=COPY_S + 5.0)
     store.put("after", "bbbb")
     eventually(lambda: "after" in listener.rows, "a change after the return is known")
-    teller.stop()
+    source_zone.stop()
     reported.stop()
 
 
--- a/tests/quarantine/test_book.py
+++ b/tests/quarantine/test_book.py
@@ -120,10 +120,10 @@
     book: CrashBook,
 ) -> None:
     book.record_completion(OTHER)
-    assert [book.forgive(OTHER), book.forgive(GUILTY)] == [True, False]
-    assert [book.forgive(OTHER), book.forgive(GUILTY)] == [False, False]
+    assert [book.is_exempt(OTHER), book.is_exempt(GUILTY)] == [True, False]
+    assert [book.is_exempt(OTHER), book.is_exempt(GUILTY)] == [False, False]
     book.record_completion(OTHER)
-    assert book.forgive(OTHER)
+    assert book.is_exempt(OTHER)
 
 
 def test_a_row_that_an_operator_removes_releases_its_requests(book: CrashBook) -> None:
--- a/tests/quarantine/test_quarantine_model.py
+++ b/tests/quarantine/test_quarantine_model.py
@@ -114,7 +114,7 @@
         """See a replica crash under some requests of this box."""
         for fingerprint in requests:
             self.world.crashes_of.setdefault(fingerprint, set()).add(instance)
-        accused = [str(item) for item in requests if not self.book.forgive(item)]
+        accused = [str(item) for item in requests if not self.book.is_exempt(item)]
         key = new_key()
         self.unwritten[key] = CrashReport("box", instance, accused)
         self.book.hold(key, self.unwritten[key])
@@ -193,9 +193,9 @@
             of_world[number].write()
         case ("read", number):
             of_world[number].read()
-        case ("tell", number, teller, back):
-            reported = of_world[teller].shared
-            if back < len(reported) and number != teller:
+        case ("tell", number, source_zone, back):
+            reported = of_world[source_zone].shared
+            if back < len(reported) and number != source_zone:
                 of_world[number].follower.apply_reading(reported[len(reported) - 1 - back])
         case ("ran_well", number, beside):
             of_world[number].book.record_completion(BESIDE[beside])
--- a/tests/test_entry_settings.py
+++ b/tests/test_entry_settings.py
@@ -26,8 +26,8 @@
 
 def test_seeds_are_addresses() -> None:
     assert from_text(settings(), EntrySettings).start.seeds == ()
-    some = from_text(settings(start={"seeds": ["10.0.0.1:80"]}), EntrySettings)
-    assert some.start.seeds == ("10.0.0.1:80",)
+    sample_boxes = from_text(settings(start={"seeds": ["10.0.0.1:80"]}), EntrySettings)
+    assert sample_boxes.start.seeds == ("10.0.0.1:80",)
 
 
 @pytest.mark.parametrize("seed", ["", "nowhere", "10.0.0.1:", ":80", "10.0.0.1:many"])
--- a/tests/test_kept_rows.py
+++ b/tests/test_kept_rows.py
@@ -22,7 +22,7 @@
 from springrock.rows import Change, Removed, Row, RowStore, TableListener, TableReading
 from springrock.table_follower import TableFollower
 from springrock.topology import Topology
-from springrock.unconfirmed_rows import KeptS
+from springrock.unconfirmed_rows import RetentionPeriods
 
 LOG = Log("test", "box")
 
@@ -30,7 +30,7 @@
 class Table:
     """A follower that is told readings of two eras."""
 
-    def __init__(self, listener: TableListener, kept_s: Callable[[str], KeptS]) -> None:
+    def __init__(self, listener: TableListener, kept_s: Callable[[str], RetentionPeriods]) -> None:
         store: RowStore = None  # type: ignore[assignment]
         self.follower = TableFollower(store, "table", listener, pause_s=0.0, kept_s=kept_s, log=LOG)
         whole = TableReading("table", 0, version_in(1, 0), [], whole=True)
--- a/tests/test_table_follower.py
+++ b/tests/test_table_follower.py
@@ -23,7 +23,7 @@
 )
 from springrock.store_clock import StoreClock
 from springrock.table_follower import TableFollower
-from springrock.unconfirmed_rows import KeptS
+from springrock.unconfirmed_rows import RetentionPeriods
 
 TABLE = "replicas"
 
@@ -114,7 +114,7 @@
     follower = TableFollower(ScriptedStore(), TABLE, Listener(), pause_s=0.0, log=log)
     follower.apply_copy(TableReading(TABLE, 0, 9, [], whole=True), newest_at=monotonic())
     for version in (5, 6, 9):
-        follower.apply_reading(TableReading(TABLE, 4, version, []), teller="zone-2")
+        follower.apply_reading(TableReading(TABLE, 4, version, []), source_zone="zone-2")
     reported = [
         (line.fields["told"], line.fields["known"]) for line in journal.about("teller", "zone-2")
     ]
@@ -385,7 +385,9 @@
         return Snapshot(self.rows, version_in(ERA, 1))
 
 
-def known(store: RowStore, kept: KeptS, *changes: Change) -> tuple[TableFollower, Listener]:
+def known(
+    store: RowStore, kept: RetentionPeriods, *changes: Change
+) -> tuple[TableFollower, Listener]:
     """Return a follower that knows two rows of the era before, and some changes of them."""
     listener = Listener()
     follower = TableFollower(
@@ -409,7 +411,7 @@
 
 
 def test_a_row_that_a_returned_store_lacks_stays_until_nobody_has_written_it_again() -> None:
-    follower, listener = known(ScriptedStore(), KeptS(missing=0.1))
+    follower, listener = known(ScriptedStore(), RetentionPeriods(missing=0.1))
     lost: list[str] = []
     follower.on_lost = lambda rows: lost.extend(row.key for row in rows)
     follower.apply_reading(returned(1, COPIED))
@@ -423,7 +425,7 @@
 
 
 def test_a_row_that_is_written_again_stays() -> None:
-    follower, listener = known(ScriptedStore(), KeptS(missing=0.1))
+    follower, listener = known(ScriptedStore(), RetentionPeriods(missing=0.1))
     follower.apply_reading(returned(1, COPIED))
     again = Row("b", b"again", version_in(ERA, 2))
     follower.apply_reading(TableReading(TABLE, version_in(ERA, 1), version_in(ERA, 2), [again]))
@@ -434,7 +436,7 @@
 
 def test_a_row_that_was_removed_does_not_come_back_with_the_copy_at_once() -> None:
     removed = Removed("a", version_in(ERA - 1, 105))
-    follower, listener = known(ScriptedStore(), KeptS(missing=9.0, removed=0.1), removed)
+    follower, listener = known(ScriptedStore(), RetentionPeriods(missing=9.0, removed=0.1), removed)
     follower.apply_reading(returned(1, COPIED))
     assert listener.rows == {"b": b"new"}
     gevent.sleep(0.15)
@@ -445,7 +447,7 @@
 def test_what_is_kept_outlasts_a_second_reading_of_the_same_copy() -> None:
     removed = Removed("a", version_in(ERA - 1, 105))
     store = ReturnedStore(COPIED)
-    follower, listener = known(store, KeptS(missing=9.0, removed=9.0), removed)
+    follower, listener = known(store, RetentionPeriods(missing=9.0, removed=9.0), removed)
     follower.apply_reading(returned(1, COPIED), relied_on=False)
     # The store itself has not told this box a whole table yet.
     follower.start()
@@ -458,13 +460,13 @@
 
 def test_where_nothing_is_kept_the_copy_counts_at_once() -> None:
     removed = Removed("a", version_in(ERA - 1, 105))
-    follower, listener = known(ScriptedStore(), KeptS(), removed)
+    follower, listener = known(ScriptedStore(), RetentionPeriods(), removed)
     follower.apply_reading(returned(1, COPIED))
     assert listener.rows == {"a": b"old"}
 
 
 def test_who_tells_of_an_earlier_era_is_not_relied_on() -> None:
-    follower, listener = known(ScriptedStore(), KeptS())
+    follower, listener = known(ScriptedStore(), RetentionPeriods())
     follower.apply_reading(returned(1, COPIED))
     read_at = follower.read_at
     for era in (0, ERA - 1):
@@ -476,7 +478,7 @@
 
 def test_a_starting_box_takes_the_returned_store_in_place_of_an_older_copy_at_once() -> None:
     store = ReturnedStore(COPIED)
-    follower, listener = known(store, KeptS())
+    follower, listener = known(store, RetentionPeriods())
     follower.start()
     with gevent.Timeout(1.0):
         while listener.rows != {"a": b"old"}:
@@ -486,7 +488,7 @@
 
 def test_a_store_of_an_earlier_era_than_another_box_told_is_not_taken() -> None:
     store = ReturnedStore(COPIED)
-    follower, listener = known(store, KeptS())
+    follower, listener = known(store, RetentionPeriods())
     later = Row("a", b"later", version_in(ERA + 1, 1))
     whole = TableReading(TABLE, 0, version_in(ERA + 1, 1), [later], whole=True)
     follower.apply_reading(whole, relied_on=False)
