--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -294,18 +294,16 @@
     ],
 )
 def test_a_box_relies_on_its_own_placer_and_a_placer_on_that_of_an_earlier_zone(
-    deployment: Deployment, home: str, source_zone: str, places: bool, relies: bool
+    deployment: Deployment, home: str, teller: str, places: bool, relies: bool
 ) -> None:
     placement = deployment.placement
     placement._settings = placement._settings._replace(zone=home)
     deployment.zones[home].notifies_home_zone = places
     taken: list[tuple[TableReading, bool]] = []
-    placement.on_reading = lambda reading, relied_on, source_zone: taken.append(
-        (reading, relied_on)
-    )
+    placement.on_reading = lambda reading, relied_on, teller: taken.append((reading, relied_on))
     deployment.placement.publish_reading(READING, is_own=True)
     ((updates, _),) = deployment.zones[home].reported
-    deployment.zones[source_zone].around.on_table_news(source_zone, updates)
+    deployment.zones[teller].around.on_table_news(teller, updates)
     assert taken == [(READING, relies)]
 
 
