--- a/springrock/coordination/feed.py
+++ b/springrock/coordination/feed.py
@@ -109,7 +109,7 @@
 
     def start(self) -> None:
         """Begin following in the background."""
-        self._loop = gevent.spawn(self._follow_forever)
+        self._loop = gevent.spawn(self._follow_loop)
 
     def stop(self) -> None:
         """Stop following."""
@@ -144,7 +144,7 @@
             if self.catalog.revision < self._head.revision:
                 self._load_changes()
             self.loaded = True
-            self._note_known(self._head.revision)
+            self._record_known(self._head.revision)
 
     def commit(self, build: Callable[[Catalog], Change], *, expects: dict[str, int]) -> int:
         """Commit a change, or find that it was committed before.
@@ -174,7 +174,7 @@
                 change = msgspec.structs.replace(change, revision=revision, at=time.time())
                 if self._try_commit(change):
                     self.sync()
-                    self._peers.tell_all(wire.Head(self.catalog.revision))
+                    self._peers.broadcast(wire.Head(self.catalog.revision))
                     return revision
             gevent.sleep(_BACKOFF_S)
         raise StatementError("too many other changes at this moment; repeat the statement")
@@ -264,7 +264,7 @@
         )
         self._on_change()
 
-    def _note_known(self, revision: int) -> None:
+    def _record_known(self, revision: int) -> None:
         self._known_revision = max(self._known_revision, revision)
         if self.catalog.revision >= self._known_revision:
             self._behind_since = None
@@ -273,7 +273,7 @@
 
     # Following.
 
-    def _follow_forever(self) -> None:
+    def _follow_loop(self) -> None:
         while True:
             before = self.catalog.revision
             try:
@@ -283,7 +283,7 @@
                 self._unread.begin(error=str(error))
                 self._fetch_from_peers()
             if self.catalog.revision > before:
-                self._peers.tell_all(wire.Head(self.catalog.revision))
+                self._peers.broadcast(wire.Head(self.catalog.revision))
             self._wake.clear()
             self._wake.wait(timeout=self._pause_s())
 
@@ -296,13 +296,13 @@
 
     def _greet(self, link: Link) -> None:
         try:
-            link.tell(wire.Head(self.catalog.revision))
+            link.notify(wire.Head(self.catalog.revision))
         except PeerUnreachable:
             return
 
     def _on_head(self, _: Link, head: wire.Head) -> None:
         if head.revision > self.catalog.revision:
-            self._note_known(head.revision)
+            self._record_known(head.revision)
             self._wake.set()
 
     def _on_fetch(self, _: Link, question: wire.FetchChanges) -> wire.Changes:
@@ -322,7 +322,7 @@
             with self._lock:
                 for encoded in answer.changes:
                     self._apply(msgspec.json.decode(encoded, type=Change))
-                self._note_known(self.catalog.revision)
+                self._record_known(self.catalog.revision)
 
 
 def _change_key(revision: int) -> str:
--- a/springrock/coordination/members.py
+++ b/springrock/coordination/members.py
@@ -87,7 +87,7 @@
 
     def start(self) -> None:
         """Begin scanning in the background."""
-        self._loop = gevent.spawn(self._scan_forever)
+        self._loop = gevent.spawn(self._scan_loop)
 
     def stop(self) -> None:
         """Stop scanning."""
@@ -102,9 +102,9 @@
         """
         due = self._whole_wanted or self._whole_due_in_s() <= 0.0
         prefix = SESSION_PREFIX if due else f"{SESSION_PREFIX}{self._zone}/"
-        self._take(self._platform.rows(prefix), whole=due)
+        self._apply_scan(self._platform.rows(prefix), whole=due)
 
-    def note_outage(self) -> None:
+    def record_outage(self) -> None:
         """Note that the table did not answer this box at some call."""
         self._outage = True
 
@@ -138,7 +138,7 @@
         unrenewed_s = seen_at - member.first_seen
         return unrenewed_s > self._lease.lapse_after_s + self._lease.margin_s
 
-    def _take(self, rows: list[Row], *, whole: bool) -> None:
+    def _apply_scan(self, rows: list[Row], *, whole: bool) -> None:
         now = monotonic()
         before = {(member.box, member.value.incarnation) for member in self.live()}
         members = {
@@ -169,7 +169,7 @@
         first_seen = now if self._outage else known.first_seen
         return Member(value, row.version, first_seen)
 
-    def _scan_forever(self) -> None:
+    def _scan_loop(self) -> None:
         while True:
             try:
                 self.scan()
@@ -196,7 +196,7 @@
         every_s = min(self._lease.all_zones_scan_every_s, age_s)
         return self._all_scanned_at + every_s - monotonic()
 
-    def look_soon(self, *, all_zones: bool = False) -> None:
+    def check_soon(self, *, all_zones: bool = False) -> None:
         """Scan at once, as when a link was lost or an unknown box has dialed."""
         self._whole_wanted = self._whole_wanted or all_zones
         self._wake.set()
--- a/springrock/coordination/ownership.py
+++ b/springrock/coordination/ownership.py
@@ -111,7 +111,7 @@
         self._boxes: tuple[str, ...] = ()
         self._moved_at = 0.0
         self.zone = session.value.zone
-        peers.handle(wire.HandOver, lambda _, __: self.look_soon())
+        peers.handle(wire.HandOver, lambda _, __: self.check_soon())
 
     @property
     def owned(self) -> dict[str, int]:
@@ -119,18 +119,18 @@
         return dict(self._owned)
 
     @property
-    def calm(self) -> bool:
+    def is_stable(self) -> bool:
         """Whether boxes and replicas have stood as they are for a while."""
         still_s = monotonic() - max(self._boxes_since, self._moved_at)
         return still_s > self._lease.settle_s + self._lease.lapse_after_s
 
     def start(self) -> None:
         """Begin looking in the background."""
-        self._task = gevent.spawn(self._look_forever)
+        self._task = gevent.spawn(self._check_loop)
 
-    def look_soon(self) -> None:
+    def check_soon(self) -> None:
         """Look at once, as after a hand-over to this box."""
-        gevent.spawn(self._look_afresh)
+        gevent.spawn(self._reconcile_after_refresh)
 
     def stop(self) -> None:
         """Stop looking."""
@@ -159,35 +159,35 @@
             self._log.say("The table is out; ownership is left to lapse.")
             return
         for replica in list(self._owned):
-            heir = self._desired(replica)
+            handover_target = self._desired(replica)
             row = rows.get(replica)
             if row is not None:
-                self._hand_over(row, heir)
+                self._hand_over(row, handover_target)
 
     # Looking.
 
-    def _look_forever(self) -> None:
+    def _check_loop(self) -> None:
         while True:
-            self._look_quietly()
+            self._reconcile_logging_errors()
             gevent.sleep(self._lease.scan_every_s)
 
-    def _look_afresh(self) -> None:
+    def _reconcile_after_refresh(self) -> None:
         """Look after reading the sessions again: the sender may have just begun to stop."""
         try:
             self._members.scan()
         except PlatformUnavailable:
             return
-        self._look_quietly()
+        self._reconcile_logging_errors()
 
-    def _look_quietly(self) -> None:
+    def _reconcile_logging_errors(self) -> None:
         with self._looking:
             try:
-                self.look()
+                self.reconcile()
                 self._unread.end()
             except PlatformUnavailable as error:
                 self._unread.begin(error=str(error))
 
-    def look(self) -> None:
+    def reconcile(self) -> None:
         """Compare the rows with what should be, and act once on each difference.
 
         Raises:
@@ -196,9 +196,11 @@
         if not self._session.held or self._stopping:
             return
         rows = self._read()
-        self._note_boxes()
+        self._record_boxes()
         for name, upstream in self._upstreams.items():
-            self._look_at(upstream, rows.get(name, Row(_key(self.zone, name), ABSENT, b"")))
+            self._reconcile_replica(
+                upstream, rows.get(name, Row(_key(self.zone, name), ABSENT, b""))
+            )
         self._sweep(rows)
 
     def _sweep(self, rows: dict[str, Row]) -> None:
@@ -225,7 +227,7 @@
         rows = self._platform.rows(f"{REPLICA_PREFIX}{self.zone}/")
         return {row.key.rpartition("/")[2]: row for row in rows}
 
-    def _note_boxes(self) -> None:
+    def _record_boxes(self) -> None:
         boxes = tuple(self._eligible())
         if boxes != self._boxes:
             self._boxes = boxes
@@ -244,38 +246,38 @@
     def _desired(self, replica: str) -> str | None:
         return next(iter(rendezvous_order(replica, self._eligible())), None)
 
-    def _look_at(self, upstream: Upstream, row: Row) -> None:
+    def _reconcile_replica(self, upstream: Upstream, row: Row) -> None:
         name = upstream.settings.name
         if row.version == ABSENT:
             if self._desired(name) == self._session.box:
-                self._take(upstream, row, None, previous="")
+                self._take_over(upstream, row, None, previous="")
             return
         value = msgspec.json.decode(row.value, type=ReplicaValue)
         if value.incarnation == self._session.incarnation:
-            self._look_at_own(upstream, row, value)
+            self._reconcile_own(upstream, row, value)
             return
         if name in self._owned:
             self._drop(name)
         if self._desired(name) == self._session.box:
             self._challenge(upstream, row, value)
 
-    def _look_at_own(self, upstream: Upstream, row: Row, value: ReplicaValue) -> None:
+    def _reconcile_own(self, upstream: Upstream, row: Row, value: ReplicaValue) -> None:
         name = upstream.settings.name
         if self._owned.get(name) != value.fence:
             self._gain(upstream, value.fence, previous="")
             return
-        heir = self._desired(name)
-        if heir in (None, self._session.box):
+        handover_target = self._desired(name)
+        if handover_target in (None, self._session.box):
             return
         now = monotonic()
-        calm_since = max(self._boxes_since, self._moved_at)
-        if now - calm_since < self._lease.settle_s:
+        stable_since = max(self._boxes_since, self._moved_at)
+        if now - stable_since < self._lease.settle_s:
             return
         self._moved_at = now
         self._members.scan()
-        heir = self._desired(name)
-        if heir not in (None, self._session.box):
-            self._hand_over(row, heir)
+        handover_target = self._desired(name)
+        if handover_target not in (None, self._session.box):
+            self._hand_over(row, handover_target)
 
     def _challenge(self, upstream: Upstream, row: Row, value: ReplicaValue) -> None:
         """Take a replica whose owner is gone."""
@@ -285,7 +287,7 @@
         if holder is not None and self._answers(holder):
             self._log.say("A lapsed owner still answers.", replica=value.replica, owner=holder.box)
             return
-        self._take(upstream, row, holder, previous=value.owner)
+        self._take_over(upstream, row, holder, previous=value.owner)
 
     def _answers(self, holder: Member) -> bool:
         try:
@@ -297,7 +299,9 @@
 
     # Acting.
 
-    def _take(self, upstream: Upstream, row: Row, lapsed: Member | None, *, previous: str) -> None:
+    def _take_over(
+        self, upstream: Upstream, row: Row, lapsed: Member | None, *, previous: str
+    ) -> None:
         fence = 1
         if row.version != ABSENT:
             fence = msgspec.json.decode(row.value, type=ReplicaValue).fence + 1
@@ -318,14 +322,20 @@
             return
         self._gain(upstream, fence, previous=previous)
 
-    def _hand_over(self, row: Row, heir: str | None) -> None:
+    def _hand_over(self, row: Row, handover_target: str | None) -> None:
         """Name the heir in the row; it finds itself there and begins."""
         value = msgspec.json.decode(row.value, type=ReplicaValue)
-        member = self._members.find(heir) if heir else None
-        if heir is None or member is None or self._owned.get(value.replica) != value.fence:
+        member = self._members.find(handover_target) if handover_target else None
+        if (
+            handover_target is None
+            or member is None
+            or self._owned.get(value.replica) != value.fence
+        ):
             return
         self._listener.closed(value.replica)
-        handed = ReplicaValue(value.replica, heir, member.value.incarnation, value.fence + 1)
+        handed = ReplicaValue(
+            value.replica, handover_target, member.value.incarnation, value.fence + 1
+        )
         checks = [Check(row.key, row.version)]
         puts = [Put(row.key, msgspec.json.encode(handed))]
         try:
@@ -333,13 +343,17 @@
         except (TransactionConflict, PlatformUnavailable) as error:
             self._log.say("A hand-over failed.", replica=value.replica, error=str(error))
             return
-        self._log.say(f"Handed {value.replica} to {heir}.", replica=value.replica, heir=heir)
+        self._log.say(
+            f"Handed {value.replica} to {handover_target}.",
+            replica=value.replica,
+            heir=handover_target,
+        )
         self._drop(value.replica)
-        self._tell_heir(value.replica, heir)
+        self._notify_handover_target(value.replica, handover_target)
 
-    def _tell_heir(self, replica: str, heir: str) -> None:
+    def _notify_handover_target(self, replica: str, handover_target: str) -> None:
         try:
-            self._peers.link_to(heir).tell(wire.HandOver(replica))
+            self._peers.link_to(handover_target).notify(wire.HandOver(replica))
         except PeerUnreachable:
             return
 
--- a/springrock/coordination/peers.py
+++ b/springrock/coordination/peers.py
@@ -94,7 +94,7 @@
             close_timeout=_CLOSE_TIMEOUT_S,
         )
         self._tasks.append(gevent.spawn(self._server.serve_forever))
-        self._tasks.append(gevent.spawn(self._dial_forever))
+        self._tasks.append(gevent.spawn(self._dial_loop))
 
     @property
     def address(self) -> str:
@@ -143,21 +143,21 @@
             raise PeerUnreachable(f"{member.box} was restarted")
         return link
 
-    def tell_all(self, message: wire.PeerMessage) -> None:
+    def broadcast(self, message: wire.PeerMessage) -> None:
         """Send a message on every open link; broken ones are passed over."""
         for link in self.links():
             try:
-                link.tell(message)
+                link.notify(message)
             except PeerUnreachable:
                 continue
 
     # Dialing.
 
-    def _dial_forever(self) -> None:
+    def _dial_loop(self) -> None:
         while True:
             for member in self._wanted():
                 if member.box not in self._links and member.box not in self._dialing:
-                    gevent.spawn(self._dial_quietly, member)
+                    gevent.spawn(self._dial_logging_errors, member)
             gevent.sleep(_DIAL_EVERY_S)
 
     def _wanted(self) -> list[Member]:
@@ -170,7 +170,7 @@
             wanted += [by_box[box] for box in order[: self._settings.remote_zone_links]]
         return wanted
 
-    def _dial_quietly(self, member: Member) -> None:
+    def _dial_logging_errors(self, member: Member) -> None:
         try:
             self._dial(member)
         except PeerUnreachable as error:
@@ -268,7 +268,7 @@
         )
         try:
             while True:
-                self._take(link, unknown.next_known(link.receive))
+                self._handle_message(link, unknown.next_known(link.receive))
         except SOCKET_FAILURES:
             pass
         except PeerRejected as error:
@@ -276,9 +276,9 @@
         finally:
             self._leave(link)
 
-    def _take(self, link: Link, message: wire.PeerMessage) -> None:
+    def _handle_message(self, link: Link, message: wire.PeerMessage) -> None:
         if isinstance(message, wire.Answer):
-            link.settle(message)
+            link.resolve(message)
             return
         handler = self._handlers.get(type(message))
         if handler is None:
@@ -293,6 +293,6 @@
         if answer is None:
             return
         try:
-            link.tell(answer)
+            link.notify(answer)
         except PeerUnreachable as error:
             self._log.say("Could not answer a peer.", peer=link.box, error=str(error))
--- a/springrock/coordination/session.py
+++ b/springrock/coordination/session.py
@@ -103,7 +103,7 @@
     def start(self, *, peer_address: str) -> None:
         """Begin renewing in the background."""
         self.value = msgspec.structs.replace(self.value, peer_address=peer_address)
-        self._loop = gevent.spawn(self._renew_forever)
+        self._loop = gevent.spawn(self._renew_loop)
 
     def stop(self) -> None:
         """Stop renewing and delete the row if the table can be reached."""
@@ -157,7 +157,7 @@
                 )
             )
             if not answer.committed:
-                self._settle(answer.failed)
+                self._resolve_conflict(answer.failed)
                 raise TransactionConflict(tuple(row.key for row in answer.failed))
             self._confirm(value, answer.version, sent_at)
             return answer.version
@@ -168,7 +168,7 @@
         self._held_until = sent_at + self._lease.lapse_after_s
         self.renewed_at = sent_at
 
-    def _settle(self, failed: list[Row]) -> None:
+    def _resolve_conflict(self, failed: list[Row]) -> None:
         """Learn from a failed check whether an earlier write of ours took effect."""
         for row in failed:
             if row.key != self.key:
@@ -176,9 +176,9 @@
             if row.version == ABSENT:
                 self._begin_again()
                 return
-            standing = msgspec.json.decode(row.value, type=SessionValue)
+            existing = msgspec.json.decode(row.value, type=SessionValue)
             self._version = row.version
-            self.value = msgspec.structs.replace(self.value, renewal=standing.renewal)
+            self.value = msgspec.structs.replace(self.value, renewal=existing.renewal)
 
     def _begin_again(self) -> None:
         self._version = ABSENT
@@ -187,7 +187,7 @@
         self._log.say("Lost the session; began a new one.")
         self._on_lost()
 
-    def _renew_forever(self) -> None:
+    def _renew_loop(self) -> None:
         while not self._stop_asked.is_set():
             renewed = self.renew()
             pause = self._lease.renew_every_s if renewed else self._lease.renew_every_s / 3
--- a/springrock/loop_watch.py
+++ b/springrock/loop_watch.py
@@ -40,20 +40,20 @@
 
     def start(self) -> None:
         """Begin to look."""
-        self._task = gevent.spawn(self._look_forever)
+        self._task = gevent.spawn(self._check_loop)
 
     def stop(self) -> None:
         """Look no more."""
         if self._task is not None:
             self._task.kill()
 
-    def _look_forever(self) -> None:
+    def _check_loop(self) -> None:
         while True:
             due_at = monotonic() + _LOOK_S
             gevent.sleep(_LOOK_S)
-            self._note(monotonic() - due_at)
+            self._record(monotonic() - due_at)
 
-    def _note(self, late_s: float) -> None:
+    def _record(self, late_s: float) -> None:
         self._observe(max(0.0, late_s))
         if late_s < _LATE_S:
             return
--- a/springrock/placement/election.py
+++ b/springrock/placement/election.py
@@ -15,24 +15,24 @@
 from springrock.placement.placer_board import PlacerBoard
 from springrock.placement.placer_row import PlacerRow, key_of
 from springrock.placement.settings import PlacementSettings
-from springrock.placement.succession import Heir, Successor
+from springrock.placement.succession import HandoverTarget, Successor
 
 _HEARTBEAT_S = 0.4
-_FIRST_LOOK_S = 0.1
+_FIRST_POLL_SPREAD_S = 0.1
 """Over this time after they know the rows the boxes spread their first look: the first to take a
 free lease is known to the others a few ms later. Without it 195 boxes wrote 150 to 260 times."""
 
 _LOOK_S = 0.6
-_LOOK_GROWTH = 1.4
-_LONGEST_LOOK_S = 0.9
+_POLL_INTERVAL_GROWTH = 1.4
+_MAX_POLL_INTERVAL_S = 0.9
 """A placer that could not be linked to is dialed again this often, without news of its row: it has
 most likely just left, and news of its successor are on their way."""
 
 _RENEWALS_PER_LEASE = 3
-_COURTESY_S = 1.5
+_OTHER_ZONE_DELAY_S = 1.5
 """How much longer a lapsed lease is left to the boxes of the zone itself."""
 
-_HAND_BACK_AFTER_S = 2.0
+_HAND_BACK_DELAY_S = 2.0
 """How long a box of the zone itself must have been linked before it is trusted with the lease."""
 
 _MUCH_STRONGER = 1.5
@@ -57,10 +57,10 @@
     def end_placing(self) -> None:
         """End, as the lease was lost."""
 
-    def tell_heartbeat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Tell all linked boxes that the placer lives."""
 
-    def tell_successor(self, successor: Successor) -> None:
+    def send_successor(self, successor: Successor) -> None:
         """Tell all linked boxes who goes on in this one's stead."""
 
 
@@ -98,21 +98,21 @@
         self._links = links
         self._incarnation = incarnation
         self._holder = holder
-        self._look_s = _LOOK_S
+        self._poll_interval_s = _LOOK_S
         self._stopping = False
         self._wake = Event()
 
     def run(self) -> None:
         """Take part until the task is killed; a box that stops takes no lease any more."""
         self._board.wait_known()
-        gevent.sleep(random.uniform(0.0, _FIRST_LOOK_S))
+        gevent.sleep(random.uniform(0.0, _FIRST_POLL_SPREAD_S))
         while True:
             if self._lease.held:
                 self._hold()
-                self._look_s = _LOOK_S
+                self._poll_interval_s = _LOOK_S
             elif self._client.linked:
                 self._client.lost.wait()
-                self._look_s = _LOOK_S
+                self._poll_interval_s = _LOOK_S
             else:
                 self._find_placer()
 
@@ -123,9 +123,9 @@
 
     def end(self) -> None:
         """Leave the role, if this box still has it, to whoever ends a little later."""
-        heir = self._links.heir(self._zone, staying=False)
-        if self._lease.held and heir is not None:
-            self._leave(reason="the end", heir=heir)
+        handover_target = self._links.handover_target(self._zone, staying=False)
+        if self._lease.held and handover_target is not None:
+            self._leave(reason="the end", handover_target=handover_target)
 
     def adopt(self, handover: Successor) -> None:
         """Go on in the stead of a placer that hands its role over to this box."""
@@ -138,32 +138,34 @@
         much weaker."""
         settings = self._settings
         if settings.zone != self._zone:
-            return self._links.hold(self._zone, for_s=_HAND_BACK_AFTER_S)
+            return self._links.has_linked_box(self._zone, for_s=_HAND_BACK_DELAY_S)
         if settings.strength >= _AMPLE_STRENGTH:
             return False
         needed = settings.strength * _MUCH_STRONGER
-        return self._links.hold(self._zone, for_s=_HAND_BACK_AFTER_S, strength=needed)
+        return self._links.has_linked_box(self._zone, for_s=_HAND_BACK_DELAY_S, strength=needed)
 
-    def courtesy_s(self) -> float:
+    def takeover_delay_s(self) -> float:
         """Return how much longer a free lease is left to boxes that do better as the placer."""
         settings = self._settings
         weakness = max(0.0, 1.0 - settings.strength / _AMPLE_STRENGTH)
-        courtesy_s = 0.0 if settings.zone == self._zone else _COURTESY_S
-        return courtesy_s + weakness * _WEAKNESS_S
+        takeover_delay_s = 0.0 if settings.zone == self._zone else _OTHER_ZONE_DELAY_S
+        return takeover_delay_s + weakness * _WEAKNESS_S
 
     def _leave_if_followed(self) -> None:
         """Leave the role as this box stops, unless nobody could take it."""
-        heir = self._links.heir(self._zone)
-        if heir is None and self._lease.store_is_silent:
+        handover_target = self._links.handover_target(self._zone)
+        if handover_target is None and self._lease.store_is_silent:
             return
-        self._leave(reason="a planned stop", heir=heir)
+        self._leave(reason="a planned stop", handover_target=handover_target)
 
-    def _leave(self, *, reason: str, heir: Heir | None) -> None:
+    def _leave(self, *, reason: str, handover_target: HandoverTarget | None) -> None:
         """Give the lease up, or hand it over while the store takes nothing back."""
-        successor = self._links.hold(self._zone, for_s=0.0)
-        handover = self._lease.give_up(reason=reason, successor=successor, heir=heir)
+        successor = self._links.has_linked_box(self._zone, for_s=0.0)
+        handover = self._lease.give_up(
+            reason=reason, successor=successor, handover_target=handover_target
+        )
         if handover is not None:
-            self._holder.tell_successor(handover)
+            self._holder.send_successor(handover)
 
     def _hold(self) -> None:
         """Place under the lease, and renew it, until it is lost."""
@@ -173,7 +175,7 @@
         renew_every_s = self._settings.lease_s / _RENEWALS_PER_LEASE
         renewed_at = monotonic()
         while self._lease.held:
-            self._holder.tell_heartbeat()
+            self._holder.send_heartbeat()
             self._wake.wait(timeout=_HEARTBEAT_S)
             self._wake.clear()
             if self._lease.held and monotonic() - renewed_at >= renew_every_s:
@@ -182,26 +184,33 @@
             if self._lease.held and self._stopping:
                 self._leave_if_followed()
             elif self._lease.held and self.has_better_box():
-                self._leave(reason="another box does better", heir=self._links.heir(self._zone))
+                self._leave(
+                    reason="another box does better",
+                    handover_target=self._links.handover_target(self._zone),
+                )
         # Only now: who loses the link finds the lease free, or knows who goes on.
         self._holder.end_placing()
 
     def _find_placer(self) -> None:
-        standing = self._lease.look()
+        existing = self._lease.known_row()
         holder = self._board.holder(key_of(self._zone))
         if holder is not None and self._is_other(holder) and self._link_to(holder):
             return
-        courtesy_s = self.courtesy_s()
-        if not self._stopping and self._lease.challenge(standing, courtesy_s=courtesy_s):
+        takeover_delay_s = self.takeover_delay_s()
+        if not self._stopping and self._lease.challenge(
+            existing, takeover_delay_s=takeover_delay_s
+        ):
             return
-        self._pause_before_look(standing)
+        self._pause_before_poll(existing)
 
-    def _pause_before_look(self, standing: PlacerRow | None) -> None:
+    def _pause_before_poll(self, existing: PlacerRow | None) -> None:
         """Wait for news of the row, but not beyond the time at which the lease lapses."""
-        free_in_s = self._lease.free_in_s(standing)
-        pause_s = random.uniform(self._look_s / 2, self._look_s)
-        self._look_s = min(_LONGEST_LOOK_S, self._look_s * _LOOK_GROWTH)
-        timeout_s = min(pause_s, max(_FIRST_LOOK_S, free_in_s))
+        free_in_s = self._lease.free_in_s(existing)
+        pause_s = random.uniform(self._poll_interval_s / 2, self._poll_interval_s)
+        self._poll_interval_s = min(
+            _MAX_POLL_INTERVAL_S, self._poll_interval_s * _POLL_INTERVAL_GROWTH
+        )
+        timeout_s = min(pause_s, max(_FIRST_POLL_SPREAD_S, free_in_s))
         self._board.wait(key_of(self._zone), timeout_s=timeout_s)
 
     def _link_to(self, holder: PlacerRow | Successor) -> bool:
--- a/springrock/placement/handover.py
+++ b/springrock/placement/handover.py
@@ -59,7 +59,7 @@
     brought: set[AdapterKey]
 
 
-class AheadWants:
+class PrefetchWants:
     """The adapters that one zone's placer brings although nobody asked for them here.
 
     Args:
@@ -67,7 +67,7 @@
         popularity: How often adapters are asked for in the zone; learns of what is taken over.
         log: The log to write to.
         metrics: The metrics to show what is left in.
-        on_news: Called when there is something new to bring.
+        on_update: Called when there is something new to bring.
     """
 
     def __init__(
@@ -77,9 +77,9 @@
         popularity: Popularity,
         log: Log,
         metrics: ForwardingMetrics,
-        on_news: Callable[[], None],
+        on_update: Callable[[], None],
     ) -> None:
-        self._on_news = on_news
+        self._on_update = on_update
         self._zone = zone
         self._popularity = popularity
         self._log = log
@@ -92,7 +92,7 @@
         """Whether there is something to bring."""
         return any(taken.left for taken in self._taken.values())
 
-    def take(self, from_zone: str, asked_for: Iterable[AskedFor]) -> None:
+    def add(self, from_zone: str, asked_for: Iterable[AskedFor]) -> None:
         """Take over what was asked for in an evacuated zone; what was taken before is passed over.
 
         Args:
@@ -117,7 +117,7 @@
             count=len(new),
             first=[str(item.key) for item in new[:3]],
         )
-        self._on_news()
+        self._on_update()
 
     def wants(self, is_there: Callable[[AdapterKey], bool], now: float) -> list[CombinedWant]:
         """Return what is to be brought next, the most asked for first.
@@ -138,7 +138,7 @@
         ranked = sorted(asked, key=lambda key: -asked[key])[:_WANTED_AT_MOST]
         return [unasked(key, now) for key in ranked]
 
-    def note_cut(self, from_zone: str) -> None:
+    def handle_cut(self, from_zone: str) -> None:
         """Learn that an evacuated zone gets nothing any more."""
         taken = self._taken.get(from_zone)
         if taken is None:
@@ -177,22 +177,22 @@
     """A zone as one box sees it, as far as adapters are handed over.
 
     Attributes:
-        ahead: What the zone brings of evacuated ones, while this box places it.
+        prefetch: What the zone brings of evacuated ones, while this box places it.
         demand: What this box wants and uses of the zone's engines.
     """
 
-    ahead: AheadWants
+    prefetch: PrefetchWants
     demand: DemandBook
 
     @property
     def placing(self) -> bool:
         """Whether this box is the zone's placer now."""
 
-    def tell_handover(self, boxes: Collection[str]) -> None:
+    def send_handover(self, boxes: Collection[str]) -> None:
         """Tell boxes what was asked for in the zone."""
 
 
-class HandoverDesk:
+class HandoverCoordinator:
     """Hands over what was asked for in evacuated zones, for all zones of one box.
 
     Args:
@@ -220,59 +220,59 @@
         self._residency = residency
         self._world = world
         self._log = log
-        self._heard_at: dict[str, float] = {}
+        self._reported_at: dict[str, float] = {}
 
-    def note_change(self, zone: str, evacuated: bool) -> None:
+    def handle_change(self, zone: str, evacuated: bool) -> None:
         """Learn that a zone is evacuated, or was taken back."""
         if evacuated:
-            self._move_askers(zone, but_for=lambda key: self._stands_in(key, zone))
-            gevent.spawn(self._tell_while_announced, zone)
-            gevent.spawn_later(_PLACER_HEARD_S, self._take_unheard, zone)
+            self._move_requesters(zone, but_for=lambda key: self._stands_in(key, zone))
+            gevent.spawn(self._send_while_announced, zone)
+            gevent.spawn_later(_PLACER_HEARD_S, self._hand_over_unreported, zone)
             return
         for other in self._zones().values():
-            other.ahead.drop(zone)
+            other.prefetch.drop(zone)
 
-    def note_cut(self, zone: str) -> None:
+    def handle_cut(self, zone: str) -> None:
         """Learn that a zone gets nothing any more."""
-        self._move_askers(zone, but_for=lambda key: False)
+        self._move_requesters(zone, but_for=lambda key: False)
         for other in self._zones().values():
-            other.ahead.note_cut(zone)
+            other.prefetch.handle_cut(zone)
 
-    def take(self, zone: str, handover: Handover) -> None:
+    def apply(self, zone: str, handover: Handover) -> None:
         """Learn what was asked for in a zone; each zone that this box places takes its part.
 
         The zone's placer may know of the evacuation before this box does.
         """
         known = self._world()
         world = known._replace(announced=known.announced | {zone})
-        self._heard_at[zone] = monotonic()
+        self._reported_at[zone] = monotonic()
         views = self._remaining(zone, world)
         missing = [item for item in handover.adapters if not self._stands(item.key, world)]
         for name, other in self._zones().items():
             if other.placing and name not in world.announced:
                 mine = [item for item in missing if choose_zone(item.key, views) == name]
-                other.ahead.take(zone, mine)
+                other.prefetch.add(zone, mine)
 
-    def _tell_while_announced(self, zone: str) -> None:
+    def _send_while_announced(self, zone: str) -> None:
         while True:
             placed = self._zones().get(zone)
             if placed is not None and placed.placing:
-                placed.tell_handover(self._placers())
+                placed.send_handover(self._placers())
             gevent.sleep(_TELL_EVERY_S)
             world = self._world()
             if zone not in world.announced or zone in world.evacuated:
                 return
 
-    def _take_unheard(self, zone: str) -> None:
+    def _hand_over_unreported(self, zone: str) -> None:
         """Go by what the engines of a zone were said to hold, if its placer told nothing."""
         # Its placer may have told a little before this box learnt of the evacuation.
-        heard_s = monotonic() - self._heard_at.get(zone, float("-inf"))
+        heard_s = monotonic() - self._reported_at.get(zone, float("-inf"))
         if heard_s < 2 * _PLACER_HEARD_S or zone not in self._world().announced:
             return
         keys = self._residency.held_in(zone)
         self._log.say("Heard no placer of an evacuated zone.", zone=zone, held=len(keys))
         held = [AskedFor(*key, 0.0) for key in keys[:_HANDED_AT_MOST]]
-        self.take(zone, Handover(held))
+        self.apply(zone, Handover(held))
 
     def _remaining(self, zone: str, world: World) -> list[ZoneView]:
         """Return the zones among which what was asked for in a zone is divided.
@@ -294,7 +294,7 @@
         holders = self._residency.holders(key)
         return any(replica.record.zone == zone for replica in holders)
 
-    def _move_askers(self, zone: str, *, but_for: Callable[[AdapterKey], bool]) -> None:
+    def _move_requesters(self, zone: str, *, but_for: Callable[[AdapterKey], bool]) -> None:
         placed = self._zones().get(zone)
         if placed is not None:
             placed.demand.ask_elsewhere(but_for=but_for)
--- a/springrock/placement/lease.py
+++ b/springrock/placement/lease.py
@@ -16,7 +16,7 @@
 from springrock.eras import era_of, shown, version_in
 from springrock.log import Condition, Log
 from springrock.placement.placer_row import TABLE, PlacerRow, key_of, placer_row_from
-from springrock.placement.succession import RESERVED_FENCES, Heir, Successor, Tenure
+from springrock.placement.succession import RESERVED_FENCES, HandoverTarget, Successor, Tenure
 from springrock.rows import (
     ABSENT_VERSION,
     HelpersSilent,
@@ -30,11 +30,11 @@
 )
 
 _MARGIN_S = 0.3
-_ORDER_TAKES_S = 0.65
+_ORDER_TIMEOUT_S = 0.65
 """So long an order may be under way: the time for a connection and for an answer. Where engines do
 not look at fences, none may arrive after the lease."""
 
-_STORE_LEFT_ALONE_S = 5.0
+_STORE_RETRY_DELAY_S = 5.0
 """So long after the store did not answer a renewal linked boxes are asked to write the next."""
 
 _LONGEST_ATTEMPT_S = 1.5
@@ -58,14 +58,14 @@
     def era(self) -> int:
         """The store's era of the rows."""
 
-    def standing(self, key: str) -> Row | None:
+    def current_row(self, key: str) -> Row | None:
         """Return a row; None if there is none.
 
         Raises:
             RowStoreUnavailable: If nothing current is known.
         """
 
-    def note(self, row: Row) -> None:
+    def record(self, row: Row) -> None:
         """Learn of a row that is perhaps newer than what was read."""
 
 
@@ -101,7 +101,7 @@
         relay: RowWriter | None = None,
     ) -> None:
         self._relay = relay
-        self._store_failed_at = -_STORE_LEFT_ALONE_S
+        self._store_failed_at = -_STORE_RETRY_DELAY_S
         self._relay_failed = False
         self._relayed = Condition(
             log,
@@ -143,7 +143,7 @@
         if self._own is None:
             return False
         now = monotonic()
-        if now < self._held_until - (0.0 if self._checks_fence else _ORDER_TAKES_S):
+        if now < self._held_until - (0.0 if self._checks_fence else _ORDER_TIMEOUT_S):
             return True
         # A pause of this process is no outage: an attempt must have failed since.
         return self._checks_fence and now - self._unanswered_at < self._lease_s / 2
@@ -178,7 +178,7 @@
         silent_s = monotonic() - self._unanswered_at
         return self._unanswered_at > renewed_at and silent_s < self._lease_s / 2
 
-    def note_heartbeat(self, version: int, left_s: float) -> None:
+    def record_heartbeat(self, version: int, left_s: float) -> None:
         """Learn from the holder how long its lease stands; what was sent earlier lapses earlier."""
         self._seen_version = version
         self._seen_at = monotonic() + left_s - self._lease_s
@@ -191,12 +191,12 @@
             try:
                 self._write_renewal()
             except WrittenInAnotherEra as written:
-                return self._settle_written(written.version)
+                return self._resolve_written(written.version)
             except RowStoreUnavailable as error:
                 self._say_not_renewed(error)
                 return True
             except RowConflict as conflict:
-                if not self._settle(conflict):
+                if not self._resolve_conflict(conflict):
                     return False
             else:
                 return True
@@ -212,14 +212,15 @@
         self._held_until = 0.0
 
     def give_up(
-        self, *, reason: str, successor: bool, heir: Heir | None = None
+        self, *, reason: str, successor: bool, handover_target: HandoverTarget | None = None
     ) -> Successor | None:
         """Let another box take the lease at once.
 
         Args:
             reason: Why, for the log.
             successor: Whether a box of the zone itself can take it, so that others leave it to it.
-            heir: Who is to go on if the store does not answer, as nobody can take it then.
+            handover_target: Who is to go on if the store does not answer, as nobody can take it
+                then.
 
         Returns:
             The handover, which the linked boxes are to be told; None if there is none.
@@ -227,13 +228,13 @@
         own = self._own
         if own is None:
             return None
-        handover = self._handover(own, heir)
+        handover = self._handover(own, handover_target)
         is_silent = self.store_is_silent
         self.lose(reason=reason)
         if handover is None or not is_silent:
             if not self._checks_fence:
                 # What was ordered just before must not arrive after a successor's orders.
-                gevent.sleep(_ORDER_TAKES_S)
+                gevent.sleep(_ORDER_TIMEOUT_S)
             if self._free_row(own, successor=successor):
                 return None
         if handover is not None:
@@ -264,37 +265,37 @@
         )
         return True
 
-    def look(self) -> PlacerRow | None:
+    def known_row(self) -> PlacerRow | None:
         """Return the row as far as it is known; None if there is none or nothing is known.
 
         What is known may be older than the row; a challenge then fails by its condition.
         """
         try:
-            row = self._rows.standing(self._key)
+            row = self._rows.current_row(self._key)
         except RowStoreUnavailable:
             self._looked_version = -1
             return None
-        self._note_era(self._rows.era)
+        self._record_era(self._rows.era)
         absent = version_in(self._rows.era, ABSENT_VERSION)
         self._looked_version = absent if row is None else row.version
         if row is None or row.version > self._seen_version:
             # A heartbeat may have told of a newer one.
-            self._note_seen(self._looked_version)
+            self._record_seen(self._looked_version)
         return None if row is None else placer_row_from(row)
 
-    def challenge(self, standing: PlacerRow | None, *, courtesy_s: float = 0.0) -> bool:
+    def challenge(self, existing: PlacerRow | None, *, takeover_delay_s: float = 0.0) -> bool:
         """Take the lease if it is free or lapsed; return whether this box has it now.
 
         Args:
-            standing: The row as `look` has just read it.
-            courtesy_s: How much longer it must have been free, so that others come first.
+            existing: The row as `known_row` has just read it.
+            takeover_delay_s: How much longer it must have been free, so that others come first.
 
         The write's condition is the row as it was read, so that its fence is above that of the
         newest row even where a heartbeat told of a version that was never read.
         """
-        if not self._free(standing, courtesy_s):
+        if not self._free(existing, takeover_delay_s):
             return False
-        fence = self._next_fence(standing)
+        fence = self._next_fence(existing)
         sent_at = monotonic()
         own = PlacerRow(
             box=self._box,
@@ -310,74 +311,74 @@
                 "Did not get the placer's lease.", row=self._key, fence=fence, error=str(error)
             )
             if isinstance(error, RowConflict) and error.row is not None:
-                self._rows.note(error.row)
+                self._rows.record(error.row)
             return False
         self._own = Tenure.from_row(own, version)
         self._held_until = sent_at + self._lease_s
         self._log.say("Took the placer's lease.", row=self._key, fence=fence)
         return True
 
-    def free_in_s(self, standing: PlacerRow | None) -> float:
+    def free_in_s(self, existing: PlacerRow | None) -> float:
         """Return the seconds until a lease that is not renewed may be taken, at the earliest."""
-        if standing is None or not standing.incarnation:
+        if existing is None or not existing.incarnation:
             return 0.0
         return max(0.0, self._seen_at + self._lease_s + _MARGIN_S - monotonic())
 
-    def _next_fence(self, standing: PlacerRow | None) -> int:
+    def _next_fence(self, existing: PlacerRow | None) -> int:
         """Return a fence above all that were ever given, those of rows that were lost too."""
-        known, given_in = (0, 0) if standing is None else (standing.fence, standing.era)
+        known, given_in = (0, 0) if existing is None else (existing.fence, existing.era)
         eras = max(0, era_of(self._looked_version) - given_in)
         return known + 1 + eras * _FENCES_OF_AN_ERA
 
-    def _note_era(self, era: int) -> None:
+    def _record_era(self, era: int) -> None:
         """Learn when the store came back from a copy."""
         if self._looked_era is not None and era > self._looked_era:
             self._returned_at = monotonic()
         self._looked_era = era
 
-    def _free(self, standing: PlacerRow | None, courtesy_s: float) -> bool:
+    def _free(self, existing: PlacerRow | None, takeover_delay_s: float) -> bool:
         if self._seen_version < 0 or self._looked_version < 0:
             return False
         if monotonic() - self._returned_at <= self._lease_s + _MARGIN_S:
             # Whoever held it may have been lost with the row, and writes it again.
             return False
         unchanged_s = monotonic() - self._seen_at
-        lapsed = unchanged_s > self._lease_s + _MARGIN_S + courtesy_s
+        lapsed = unchanged_s > self._lease_s + _MARGIN_S + takeover_delay_s
         if self._looked_version != self._seen_version:
             # Heard of from its holder, not read yet, or a version that the row does not have.
             return lapsed
-        if standing is None:
-            return unchanged_s >= courtesy_s
-        if not standing.incarnation:
-            return not standing.successor or unchanged_s >= courtesy_s
-        if standing.box == self._box and standing.incarnation != self._incarnation:
+        if existing is None:
+            return unchanged_s >= takeover_delay_s
+        if not existing.incarnation:
+            return not existing.successor or unchanged_s >= takeover_delay_s
+        if existing.box == self._box and existing.incarnation != self._incarnation:
             # An earlier process of this box: it is gone, or this one could not run.
             return True
         return lapsed
 
-    def _note_seen(self, version: int) -> None:
+    def _record_seen(self, version: int) -> None:
         if version != self._seen_version:
             self._seen_version = version
             self._seen_at = monotonic()
 
-    def _settle(self, conflict: RowConflict) -> bool:
+    def _resolve_conflict(self, conflict: RowConflict) -> bool:
         """Learn from a failed renewal whether an earlier one took effect unanswered."""
         own = self._own
-        settled = None if own is None else self._settled(own, conflict)
-        if own is None or settled is None:
+        resolved = None if own is None else self._resolved(own, conflict)
+        if own is None or resolved is None:
             self.lose(reason="another box holds it")
             return False
         self._log.say(
             "Found the lease at another version.",
             row=self._key,
-            fence=settled.fence,
-            version=shown(settled.version),
+            fence=resolved.fence,
+            version=shown(resolved.version),
             expected=shown(own.version),
         )
-        self._own = settled
+        self._own = resolved
         return True
 
-    def _settle_written(self, version: int) -> bool:
+    def _resolve_written(self, version: int) -> bool:
         """Learn that a renewal met a row of a store that came back from a copy.
 
         While the lease stands that can only be its own row, as nobody takes it before it lapses.
@@ -392,10 +393,10 @@
     def _has_lapsed(self, own: Tenure) -> bool:
         return own.handed is None and monotonic() >= self._held_until
 
-    def _settled(self, own: Tenure, conflict: RowConflict) -> Tenure | None:
+    def _resolved(self, own: Tenure, conflict: RowConflict) -> Tenure | None:
         row = conflict.row
-        standing = None if row is None else placer_row_from(row)
-        if row is not None and standing is None:
+        existing = None if row is None else placer_row_from(row)
+        if row is not None and existing is None:
             return None
         era = era_of(conflict.version)
         if era > era_of(own.version):
@@ -403,17 +404,17 @@
             if self._has_lapsed(own):
                 return None
             absent = version_in(era, ABSENT_VERSION)
-            return own.reclaimed(standing, absent if row is None else row.version)
-        if row is None or standing is None:
+            return own.reclaimed(existing, absent if row is None else row.version)
+        if row is None or existing is None:
             return None
-        return own.settled(standing, row.version)
+        return own.resolved(existing, row.version)
 
-    def _handover(self, own: Tenure, heir: Heir | None) -> Successor | None:
+    def _handover(self, own: Tenure, handover_target: HandoverTarget | None) -> Successor | None:
         """Return the handover to another box; None if none may go on."""
         stands = self.holds or own.handed is not None
-        if heir is None or not self._checks_fence or not stands:
+        if handover_target is None or not self._checks_fence or not stands:
             return None
-        handover = own.handover(heir)
+        handover = own.handover(handover_target)
         if handover is None:
             self._log.say("Cannot hand over, as no fence is left.", row=self._key, fence=own.fence)
         return handover
@@ -459,7 +460,7 @@
             except RowStoreUnavailable as error:
                 self._relay_failed = True
                 if not isinstance(error, HelpersSilent):
-                    self._note_unanswered(sent_at)
+                    self._record_unanswered(sent_at)
                 outcome = beside.get()
             else:
                 self._relayed.begin(row=self._key)
@@ -480,10 +481,10 @@
             return outcome
         except RowStoreUnavailable as error:
             self._store_failed_at = sent_at
-            self._note_unanswered(sent_at)
+            self._record_unanswered(sent_at)
             return error
 
-    def _note_unanswered(self, sent_at: float) -> None:
+    def _record_unanswered(self, sent_at: float) -> None:
         """Learn that the store did not answer a renewal, and so that it is out.
 
         One that was under way while the lease lapsed tells nothing: this process may have stood
@@ -505,7 +506,7 @@
 
     def _next_relay(self) -> RowWriter | None:
         """Return the linked boxes if the store did not answer lately and they did; else None."""
-        store_fails = monotonic() - self._store_failed_at < _STORE_LEFT_ALONE_S
+        store_fails = monotonic() - self._store_failed_at < _STORE_RETRY_DELAY_S
         return None if self._relay_failed or not store_fails else self._relay
 
     def _write(self, value: PlacerRow, *, expected: int, writer: RowWriter) -> int:
--- a/springrock/placement/near_copies.py
+++ b/springrock/placement/near_copies.py
@@ -11,11 +11,11 @@
 from springrock.placement.popularity import Popularity
 from springrock.topology import Distance, Topology
 
-_PAYS = 0.5
+_MIN_LOADS_SAVED = 0.5
 """A copy is worth a load if, within the time that popularity remembers (about 12 s), it saves
 half of one: copies that pay stand for several times as long."""
 
-_LOOKS_BETWEEN_CLEANING = 2_000
+_ASKS_BETWEEN_CLEANUPS = 2_000
 """After so many asks what is not asked for any more is forgotten."""
 
 
@@ -42,9 +42,9 @@
         self._topology = topology
         self._prices = prices
         self._carried: dict[str, Popularity] = {}
-        self._looks = 0
+        self._asks_counted = 0
 
-    def note(self, key: AdapterKey, *, home_zone: str, carried_bytes: int) -> float:
+    def record(self, key: AdapterKey, *, home_zone: str, carried_bytes: int) -> float:
         """Count an ask of a box.
 
         Args:
@@ -63,18 +63,18 @@
         region = topology.region_of(home_zone)
         place = region if region and distance is Distance.OTHER_REGION else home_zone
         carried = self._carried.setdefault(place, Popularity())
-        carried.note(key, carried_bytes)
+        carried.record(key, carried_bytes)
         self._clean()
         saved = self._prices.in_loads(distance, carried.of(key))
-        return saved if saved >= _PAYS else 0.0
+        return saved if saved >= _MIN_LOADS_SAVED else 0.0
 
     def clear(self) -> None:
         """Begin anew, as with a lease just taken."""
         self._carried.clear()
 
     def _clean(self) -> None:
-        self._looks += 1
-        if self._looks % _LOOKS_BETWEEN_CLEANING == 0:
+        self._asks_counted += 1
+        if self._asks_counted % _ASKS_BETWEEN_CLEANUPS == 0:
             for carried in self._carried.values():
                 carried.forget_rare()
 
@@ -85,13 +85,16 @@
     def __init__(self) -> None:
         self._wished: dict[AdapterKey, tuple[float, float]] = {}
 
-    def note(self, wishes: Iterable[CopyWish]) -> None:
+    def record(self, wishes: Iterable[CopyWish]) -> None:
         """Take what a box wishes for."""
         now = monotonic()
         for wish in wishes:
-            self._wished[AdapterKey(wish.model, wish.adapter)] = (wish.saves / 100, now)
+            self._wished[AdapterKey(wish.model, wish.adapter)] = (
+                wish.saves / 100,
+                now,
+            )
 
-    def standing(self) -> dict[AdapterKey, float]:
+    def current(self) -> dict[AdapterKey, float]:
         """Return what each copy saves that is still wished for."""
         now = monotonic()
         self._wished = {
--- a/springrock/placement/placer.py
+++ b/springrock/placement/placer.py
@@ -20,9 +20,9 @@
 from springrock.permits.counter import GrantsPermits
 from springrock.placement.control import EngineControl
 from springrock.placement.engine_book import EngineBook
-from springrock.placement.handover import AheadWants, handover_of
+from springrock.placement.engine_reconciler import EngineReconciler
+from springrock.placement.handover import PrefetchWants, handover_of
 from springrock.placement.handover_messages import Handover
-from springrock.placement.keeper import Keeper
 from springrock.placement.late_orders import LateOrders
 from springrock.placement.lease import PlacerLease
 from springrock.placement.messages import (
@@ -33,12 +33,12 @@
 )
 from springrock.placement.model_loads import ModelLoads
 from springrock.placement.near_copies import CopyWishes, NearCopies
-from springrock.placement.outlook import Outlook
 from springrock.placement.planner import Assignment, Planner
 from springrock.placement.popularity import Popularity
 from springrock.placement.requests import Requests
 from springrock.placement.residency import Versions
 from springrock.placement.spread import Spread
+from springrock.placement.wait_estimate import WaitEstimate
 
 _PLAN_EVERY_S = 0.05
 """How often is planned while somebody waits, beside each time that something changed."""
@@ -86,7 +86,7 @@
 
     Attributes:
         requests: What boxes ask and use.
-        ahead: What is brought of evacuated zones although nobody asked for it here.
+        prefetch: What is brought of evacuated zones although nobody asked for it here.
     """
 
     def __init__(
@@ -131,18 +131,18 @@
             ceiling_burst=ceiling_burst,
         )
         self._started_at = 0.0
-        self._keepers: dict[str, Keeper] = {}
+        self._reconcilers: dict[str, EngineReconciler] = {}
         self._late_orders = LateOrders()
         self._work = Event()
-        self.ahead = AheadWants(
+        self.prefetch = PrefetchWants(
             zone,
             popularity=self._popularity,
             log=log,
             metrics=metrics,
-            on_news=self._work.set,
+            on_update=self._work.set,
         )
         self.requests = Requests(
-            self._keepers,
+            self._reconcilers,
             configuration=configuration,
             directory=directory,
             versions=versions,
@@ -168,7 +168,7 @@
     def start(self) -> None:
         """Begin to place, under the lease just taken."""
         self._started_at = monotonic()
-        self._task = gevent.spawn(self._plan_forever)
+        self._task = gevent.spawn(self._plan_loop)
         for service in self._configuration().engine_services:
             for replica in self._directory.of_service(service):
                 if replica.record.zone == self._zone:
@@ -179,42 +179,46 @@
         if self._task is not None:
             self._task.kill()
             self._task = None
-        for keeper in self._keepers.values():
-            keeper.stop()
-        self._keepers.clear()
+        for reconciler in self._reconcilers.values():
+            reconciler.stop()
+        self._reconcilers.clear()
         self._planners.clear()
         self._models.clear()
         self.requests.clear()
         self._changed.clear()
         self._spread.clear()
-        self.ahead.clear()
+        self.prefetch.clear()
         self._copy_wishes.clear()
 
-    def take_demand(self, box: str, demand: Demand) -> None:
+    def apply_demand(self, box: str, demand: Demand) -> None:
         """Take what is new at a box."""
-        self.requests.take_demand(box, demand)
+        self.requests.apply_demand(box, demand)
         if demand.copies:
-            self._copy_wishes.note(demand.copies)
+            self._copy_wishes.record(demand.copies)
             self._work.set()
 
     def forget_box(self, box: str) -> None:
         """Drop what a box wanted and used; its requests are gone or will be told anew."""
         self.requests.forget_box(box)
 
-    def standing(self) -> Residents:
+    def residents_snapshot(self) -> Residents:
         """Return what all engines hold that were heard."""
         return Residents(
             [
-                EngineHolds(keeper.book.instance, keeper.book.ready())
-                for keeper in self._keepers.values()
-                if keeper.book.sequence is not None
+                EngineHolds(reconciler.book.instance, reconciler.book.ready())
+                for reconciler in self._reconcilers.values()
+                if reconciler.book.sequence is not None
             ]
         )
 
-    def take_changed(self) -> Residents | None:
+    def drain_changed(self) -> Residents | None:
         """Return what engines hold that changed since this was asked last; None if none did."""
         changed, self._changed = self._changed, set()
-        books = [self._keepers[instance].book for instance in changed if instance in self._keepers]
+        books = [
+            self._reconcilers[instance].book
+            for instance in changed
+            if instance in self._reconcilers
+        ]
         if not books:
             return None
         return Residents([EngineHolds(book.instance, book.ready()) for book in books])
@@ -222,9 +226,11 @@
     def spread(self) -> tuple[str, ...]:
         """Return the adapters, as MODEL/NAME, that each zone does better to serve itself."""
         copies = Counter(
-            held.key for keeper in self._keepers.values() for held in keeper.book.ready()
+            held.key
+            for reconciler in self._reconcilers.values()
+            for held in reconciler.book.ready()
         )
-        return self._spread.look(copies, zones=self._zones_with_engines())
+        return self._spread.evaluate(copies, zones=self._zones_with_engines())
 
     def handover(self) -> Handover:
         """Return what was asked for here, for the zones that remain when this one is evacuated."""
@@ -241,12 +247,12 @@
             if book.models
         )
 
-    def outlook(self) -> Outlook:
+    def wait_estimate(self) -> WaitEstimate:
         """Return what awaits one more adapter and one more request."""
         books = [book for book in self._loadable() if book.models]
         now = monotonic()
         dispatchers = [self.requests.dispatcher(book.record.service) for book in books]
-        return Outlook.from_engines(
+        return WaitEstimate.from_engines(
             pressures=[
                 self._planner(book.record.service).pressure(book, used=dispatcher.used, now=now)
                 for book, dispatcher in zip(books, dispatchers, strict=True)
@@ -283,13 +289,13 @@
         if not self.active or (record is not None and record.zone != self._zone):
             return
         if record is None:
-            keeper = self._keepers.pop(instance, None)
-            if keeper is not None:
-                keeper.stop()
-                self.requests.dispatcher(keeper.book.record.service).forget(instance)
+            reconciler = self._reconcilers.pop(instance, None)
+            if reconciler is not None:
+                reconciler.stop()
+                self.requests.dispatcher(reconciler.book.record.service).forget(instance)
             return
-        if instance in self._keepers:
-            self._keepers[instance].take_record(record)
+        if instance in self._reconcilers:
+            self._reconcilers[instance].apply_record(record)
         elif record.service in self._configuration().engine_services:
             replica = self._directory.find(instance)
             if replica is not None:
@@ -299,7 +305,7 @@
     def _keep(self, replica: Replica) -> None:
         service = replica.record.service
         engine = self._configuration().engine_services[service]
-        keeper = Keeper(
+        reconciler = EngineReconciler(
             EngineBook(replica.record, slots=engine.adapter_slots, late_orders=self._late_orders),
             control=self._control,
             lease=self._lease,
@@ -310,21 +316,21 @@
             wanted_model=lambda: self._models.wanted(service, self._books()),
             takes_orders=lambda: not self._is_evacuated,
             holder=self._box,
-            on_change=self._take_engine,
+            on_change=self._handle_engine_change,
             log=self._log,
             metrics=self._metrics,
         )
-        self._keepers[replica.instance] = keeper
-        keeper.start()
+        self._reconcilers[replica.instance] = reconciler
+        reconciler.start()
 
     @property
     def _is_evacuated(self) -> bool:
         return self._zone in self._world().announced
 
     def _books(self) -> list[EngineBook]:
-        return [keeper.book for keeper in self._keepers.values()]
+        return [reconciler.book for reconciler in self._reconcilers.values()]
 
-    def _take_engine(self, book: EngineBook) -> None:
+    def _handle_engine_change(self, book: EngineBook) -> None:
         """Learn that what an engine holds has changed."""
         kept = self.requests.dispatcher(book.record.service).work(book.instance).kept
         kept.keep_only(book.places)
@@ -335,22 +341,24 @@
 
     # Planning.
 
-    def _plan_forever(self) -> None:
+    def _plan_loop(self) -> None:
         while True:
-            to_bring = self.requests.asks.wanted or self.ahead.pending
+            to_bring = self.requests.asks.wanted or self.prefetch.pending
             self._work.wait(timeout=_PLAN_EVERY_S if to_bring else None)
             self._work.clear()
             began_at = monotonic()
-            if self._lease.holds and self._heard_engines():
+            if self._lease.holds and self._has_engine_reports():
                 self._plan()
             took_s = monotonic() - began_at
             gevent.sleep(max(_PLAN_PAUSE_S, _PAUSES_OF_PLAN * took_s))
 
-    def _heard_engines(self) -> bool:
+    def _has_engine_reports(self) -> bool:
         """Whether the engines have told what they hold, or were given the time for it."""
         if monotonic() - self._started_at > _FIRST_REPORTS_S:
             return True
-        return all(keeper.book.sequence is not None for keeper in self._keepers.values())
+        return all(
+            reconciler.book.sequence is not None for reconciler in self._reconcilers.values()
+        )
 
     def _plan(self) -> None:
         # An engine may answer again, or no longer count as full or lacking, without other news.
@@ -364,8 +372,8 @@
         loadable = self._loadable()
         limited = self.requests.limited()
         without_room = {name for name, room_in_s in limited.items() if room_in_s > _ROOM_SOON_S}
-        ahead = self.ahead.wants(self._is_here(loadable), now)
-        wants += [want for want in ahead if want.key not in wanted]
+        prefetch = self.prefetch.wants(self._is_here(loadable), now)
+        wants += [want for want in prefetch if want.key not in wanted]
         for service, engine in self._configuration().engine_services.items():
             models = {model.name for model in engine.models}
             dispatcher = self.requests.dispatcher(service)
@@ -377,17 +385,17 @@
                 now=now,
                 waits=_with_limits(dispatcher.waits(), limited),
                 crowded=dispatcher.crowded_since(now - _CROWDED_S),
-                near=self._copy_wishes.standing(),
+                near=self._copy_wishes.current(),
                 backing_off=dispatcher.backing_off() | without_room,
             )
             for assignment in plan.assignments:
                 if assignment.want.saves:
                     # Else it would be the next to give up its place: nobody here has asked for it.
-                    self._popularity.note(assignment.key, assignment.want.saves)
-                self._keepers[assignment.engine.instance].wake()
+                    self._popularity.record(assignment.key, assignment.want.saves)
+                self._reconcilers[assignment.engine.instance].wake()
                 self._say_assigned(assignment, now)
             for key, ready_in_s in plan.ready_in_s.items():
-                self.requests.forecasts.tell(
+                self.requests.forecasts.notify(
                     key,
                     ready_at=now + ready_in_s,
                     boxes=self.requests.asks.boxes(key),
--- a/springrock/placement/placer_board.py
+++ b/springrock/placement/placer_board.py
@@ -31,10 +31,10 @@
         self._version = version
         self._rows: dict[str, Row] = {}
         self._successors: dict[str, Successor] = {}
-        self._news: dict[str, Event] = {}
+        self._updates: dict[str, Event] = {}
         self._known = Event()
 
-    def standing(self, key: str) -> Row | None:
+    def current_row(self, key: str) -> Row | None:
         """Return a row; None if there is none.
 
         Raises:
@@ -57,13 +57,13 @@
         That may be long ago: whoever is asked for a link knows whether it still places.
         """
         row = self._rows.get(key)
-        standing = None if row is None else placer_row_from(row)
+        existing = None if row is None else placer_row_from(row)
         successor = self._successors.get(key)
-        if successor is not None and (standing is None or successor.follows(standing)):
+        if successor is not None and (existing is None or successor.follows(existing)):
             return successor
-        return standing if standing is not None and standing.incarnation else None
+        return existing if existing is not None and existing.incarnation else None
 
-    def note_successor(self, key: str, successor: Successor) -> None:
+    def record_successor(self, key: str, successor: Successor) -> None:
         """Learn that a placer has handed its role over; what is older is passed over."""
         known = self._successors.get(key)
         if known is None or successor.fence > known.fence:
@@ -75,7 +75,7 @@
         return list(self._successors.items())
 
     def wait(self, key: str, *, timeout_s: float) -> None:
-        """Wait until a row changes that `standing` has returned, or the time is over."""
+        """Wait until a row changes that `current_row` has returned, or the time is over."""
         self._event(key).wait(timeout=timeout_s)
 
     @property
@@ -92,7 +92,7 @@
         decoded = (placer_row_from(row) for row in self._rows.values())
         return {row.box for row in decoded if row is not None and row.incarnation}
 
-    def note(self, row: Row) -> None:
+    def record(self, row: Row) -> None:
         """Learn of a row that is perhaps newer than what was read, as from a failed write."""
         known = self._rows.get(row.key)
         if known is None or row.version > known.version:
@@ -105,12 +105,12 @@
         """Take the whole table."""
         self._rows = {row.key: row for row in rows}
         self._known.set()
-        for event in self._news.values():
+        for event in self._updates.values():
             event.set()
 
     def change(self, row: Row) -> None:
         """Take a new or changed row."""
-        self.note(row)
+        self.record(row)
 
     def remove(self, key: str) -> None:
         """Learn that a row is gone."""
@@ -118,4 +118,4 @@
         self._event(key).set()
 
     def _event(self, key: str) -> Event:
-        return self._news.setdefault(key, Event())
+        return self._updates.setdefault(key, Event())
--- a/springrock/placement/relayed_writes.py
+++ b/springrock/placement/relayed_writes.py
@@ -13,7 +13,7 @@
 
 from gevent.event import Event
 
-from springrock.eras import UNTOLD_ERA, era_of, number_of, told_version
+from springrock.eras import UNKNOWN_ERA, era_of, number_of, peer_version
 from springrock.errors import PeerRejected
 from springrock.placement.messages import Message, WriteFor, Written
 from springrock.placement.placer_row import TABLE
@@ -78,28 +78,28 @@
         finally:
             del self._waiting[number]
         written = waiting.best
-        if not waiting.heard:
+        if not waiting.answered:
             raise HelpersSilent("no linked box answered")
         if written is None:
             raise RowStoreUnavailable("no linked box could write")
         # A box of an earlier build does not tell the era.
         era = written.era or era_of(expected)
         try:
-            version = told_version(era, written.version)
+            version = peer_version(era, written.version)
         except PeerRejected as error:
             raise RowStoreUnavailable(str(error)) from None
         if written.conflict:
             row = Row(key, written.value, version) if written.version else None
             raise RowConflict(row, version=version)
-        if era_of(expected) not in (UNTOLD_ERA, era):
+        if era_of(expected) not in (UNKNOWN_ERA, era):
             raise WrittenInAnotherEra(version)
         return version
 
-    def note_written(self, written: Written) -> None:
+    def record_written(self, written: Written) -> None:
         """Learn what a box could do; what comes too late is passed over."""
         waiting = self._waiting.get(written.number)
         if waiting is not None:
-            waiting.take(written)
+            waiting.handle_answer(written)
 
 
 class _Round:
@@ -110,14 +110,14 @@
 
     def __init__(self, asked: int) -> None:
         self._left = asked
-        self.heard = False
+        self.answered = False
         self.best: Written | None = None
         self.over = Event()
 
-    def take(self, written: Written) -> None:
+    def handle_answer(self, written: Written) -> None:
         """Take an answer; that of the box that wrote is the one."""
         self._left -= 1
-        self.heard = True
+        self.answered = True
         if written.answered and (self.best is None or self.best.conflict):
             self.best = written
         if not self._left or (written.answered and not written.conflict):
@@ -127,7 +127,7 @@
 def write_for(store: RowStore, asked: WriteFor) -> Written:
     """Write for a placer; return what came of it."""
     try:
-        expected = told_version(asked.era, asked.expected)
+        expected = peer_version(asked.era, asked.expected)
         version = store.write(TABLE, asked.key, asked.value, expected=expected)
     except RowConflict as conflict:
         row = conflict.row or Row(asked.key, b"", 0)
--- a/springrock/placement/requests.py
+++ b/springrock/placement/requests.py
@@ -22,8 +22,8 @@
 from springrock.placement.ask_book import AskBook, WaitingAsk
 from springrock.placement.backoffs import Backoffs
 from springrock.placement.dispatcher import Dispatcher
+from springrock.placement.engine_reconciler import EngineReconciler
 from springrock.placement.forecasts import Forecasts
-from springrock.placement.keeper import Keeper
 from springrock.placement.messages import Ask, Demand, Grant, Message, Outcome, Over, Use
 from springrock.placement.near_copies import NearCopies
 from springrock.placement.planner import COLD_COST
@@ -39,7 +39,7 @@
     """Grants engines to requests, and keeps those for which none holds the adapter.
 
     Args:
-        keepers: The keepers of the zone's engines, by instance; the placer changes them.
+        reconcilers: The reconcilers of the zone's engines, by instance; the placer changes them.
         configuration: Returns the configuration in force.
         directory: The known replicas.
         versions: The newest versions of adapters.
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        keepers: Mapping[str, Keeper],
+        reconcilers: Mapping[str, EngineReconciler],
         *,
         configuration: Callable[[], Configuration],
         directory: Directory,
@@ -76,7 +76,7 @@
         near: NearCopies,
         home_zone_of: Callable[[str], str | None],
     ) -> None:
-        self._keepers = keepers
+        self._reconcilers = reconcilers
         self._configuration = configuration
         self._directory = directory
         self._versions = versions
@@ -102,12 +102,12 @@
         self._backoffs = Backoffs()
         self._near.clear()
 
-    def take_demand(self, box: str, demand: Demand) -> None:
+    def apply_demand(self, box: str, demand: Demand) -> None:
         """Take what is new at a box."""
         now = monotonic()
         for use in demand.uses:
             instance = self._start_that_stands(use.instance)
-            self._dispatcher_of(instance).note_use(
+            self._dispatcher_of(instance).record_use(
                 box, Use(use.number, instance, use.model, use.adapter)
             )
         for over in demand.over:
@@ -115,11 +115,11 @@
             self._end_use(box, over)
         for began in demand.began:
             for dispatcher in self.dispatchers.values():
-                dispatcher.note_began(box, began)
+                dispatcher.record_start(box, began)
         for promise in demand.promises:
             self.asks.expect(promise, now=now)
         for ask in demand.asks:
-            self._take_ask(box, ask, now)
+            self._handle_ask(box, ask, now)
         if self.asks.wanted and (demand.promises or demand.over):
             # A place may have been given up by what ended.
             self._on_unserved()
@@ -131,12 +131,12 @@
         for dispatcher in self.dispatchers.values():
             dispatcher.forget_box(box)
 
-    def _take_ask(self, box: str, ask: Ask, now: float) -> None:
+    def _handle_ask(self, box: str, ask: Ask, now: float) -> None:
         waiting = self.asks.add(box, ask, now=now)
-        self._popularity.note(waiting.key, 1)
+        self._popularity.record(waiting.key, 1)
         self.grant_waiting(waiting.key)
         if waiting.key in self.asks.keys:
-            self.forecasts.tell_known(waiting.key, box)
+            self.forecasts.send_known(waiting.key, box)
             self._on_unserved()
 
     def grant_all(self) -> None:
@@ -170,7 +170,7 @@
         if choice is None:
             return
         self.asks.remove(waiting.box, ask.number)
-        dispatcher.note_granted(waiting.box, ask.number, choice, key, ask.prompt)
+        dispatcher.record_granted(waiting.box, ask.number, choice, key, ask.prompt)
         permitted = self._permit(waiting, choice.instance)
         saves = self._saved_by_copy(waiting)
         grant = Grant(ask.number, choice.instance, permitted, round(100 * saves))
@@ -201,7 +201,7 @@
         if zone_obstacle_of(home, bounds=ask.bounds, world=self._world()) is not None:
             return 0.0
         carried = bytes_of_prompt(sum(tokens for _, tokens in ask.prompt))
-        return self._near.note(waiting.key, home_zone=home, carried_bytes=carried)
+        return self._near.record(waiting.key, home_zone=home, carried_bytes=carried)
 
     def holders(
         self, key: AdapterKey, *, avoid: Collection[str] = (), bounds: Bounds = ANYWHERE
@@ -211,11 +211,11 @@
         world = self._world()
         return [
             instance
-            for instance, keeper in self._keepers.items()
-            if keeper.book.reachable
+            for instance, reconciler in self._reconcilers.items()
+            if reconciler.book.reachable
             and instance not in avoid
-            and keeper.book.is_ready(key, version=newest)
-            and self._may_grant(keeper.book.record, bounds, world)
+            and reconciler.book.is_ready(key, version=newest)
+            and self._may_grant(reconciler.book.record, bounds, world)
         ]
 
     def _may_grant(self, record: ReplicaRecord, bounds: Bounds, world: World) -> bool:
@@ -227,7 +227,7 @@
 
     def _permit(self, waiting: WaitingAsk, instance: str) -> bool:
         """Take a permit with the grant of a metered engine."""
-        record = self._keepers[instance].book.record
+        record = self._reconcilers[instance].book.record
         world = self._world()
         if world.metered(record) is None:
             return False
@@ -242,7 +242,7 @@
     def limited(self) -> dict[str, float]:
         """Return the engines that have named a limit, and the seconds until each has room."""
         world = self._world()
-        records = [keeper.book.record for keeper in self._keepers.values()]
+        records = [reconciler.book.record for reconciler in self._reconcilers.values()]
         return {
             record.instance: self._permits.room_in_s(record, cold=world.is_cold(record))
             for record in records
@@ -260,7 +260,11 @@
         if not ask.failed_at:
             return []
         version = self._versions.newest(key)
-        books = [keeper.book for keeper in self._keepers.values() if keeper.book.reachable]
+        books = [
+            reconciler.book
+            for reconciler in self._reconcilers.values()
+            if reconciler.book.reachable
+        ]
         at_hand = any(
             book.at_hand(key, version=version)
             for book in books
@@ -276,12 +280,12 @@
 
     def _end_use(self, box: str, over: Over) -> None:
         for dispatcher in self.dispatchers.values():
-            run = dispatcher.note_over(box, over)
-            keeper = self._keepers.get(run.instance) if run is not None else None
-            if keeper is not None and over.outcome in _DOUBTFUL:
-                keeper.doubt()
+            run = dispatcher.record_finished(box, over)
+            reconciler = self._reconcilers.get(run.instance) if run is not None else None
+            if reconciler is not None and over.outcome in _DOUBTFUL:
+                reconciler.mark_stale()
             if run is not None and over.backoff_ms:
-                self._backoffs.note(box, run.instance, seconds=over.backoff_ms / 1000)
+                self._backoffs.record(box, run.instance, seconds=over.backoff_ms / 1000)
 
     def _service_of(self, key: AdapterKey) -> str | None:
         """Return the service whose engines hold the base model of an adapter."""
@@ -296,12 +300,12 @@
         A box that has not read of the new start yet names the one that it knows. Its request runs
         at the new one all the same, where its adapter must not be taken for unused.
         """
-        if instance in self._keepers:
+        if instance in self._reconcilers:
             return instance
         replica_id = instance.rpartition("@")[0]
-        for standing, keeper in self._keepers.items():
-            if replica_id and keeper.book.record.replica_id == replica_id:
-                return standing
+        for existing, reconciler in self._reconcilers.items():
+            if replica_id and reconciler.book.record.replica_id == replica_id:
+                return existing
         return instance
 
     def _dispatcher_of(self, instance: str) -> Dispatcher:
--- a/springrock/placement/residency.py
+++ b/springrock/placement/residency.py
@@ -31,7 +31,7 @@
         """Return the newest named version; 0 if none was named."""
         return self._newest.get(key, 0)
 
-    def note(self, key: AdapterKey, version: int) -> None:
+    def record(self, key: AdapterKey, version: int) -> None:
         """Learn of a version."""
         self._newest[key] = max(version, self.newest(key))
 
@@ -47,7 +47,7 @@
     def __init__(self, directory: Directory, versions: Versions) -> None:
         self._directory = directory
         self._versions = versions
-        self._told: dict[str, tuple[HeldAdapter, ...]] = {}
+        self._reported: dict[str, tuple[HeldAdapter, ...]] = {}
         self._held: dict[str, tuple[HeldAdapter, ...]] = {}
         self._versions_at: dict[AdapterKey, dict[str, int]] = {}
         self._denied: dict[tuple[str, AdapterKey], float] = {}
@@ -76,7 +76,7 @@
         )
         return [key for key, _ in copies.most_common()]
 
-    def keepers(self, key: AdapterKey) -> list[Replica]:
+    def cache_holders(self, key: AdapterKey) -> list[Replica]:
         """Return the replicas that gave an adapter up lately, and so load it without the store."""
         newest = self._versions.newest(key)
         known = (
@@ -90,21 +90,21 @@
         """Learn from a replica itself that it does not hold an adapter."""
         self._denied[(instance, key)] = monotonic() + _DENIED_S
 
-    def note_told(self, instance: str, adapters: Iterable[HeldAdapter]) -> None:
+    def record_reported(self, instance: str, adapters: Iterable[HeldAdapter]) -> None:
         """Learn from the placer what a replica holds."""
         before = self._held.get(instance, ())
-        self._told[instance] = tuple(adapters)
-        for held in self._told[instance]:
+        self._reported[instance] = tuple(adapters)
+        for held in self._reported[instance]:
             if held not in before:
                 self._denied.pop((instance, held.key), None)
         self._index(instance)
 
-    def forget_told(self, zone: str) -> None:
+    def forget_reported(self, zone: str) -> None:
         """Lose the placer of a zone: go by what its replicas write of themselves."""
-        for instance in list(self._told):
+        for instance in list(self._reported):
             replica = self._directory.find(instance)
             if replica is None or replica.record.zone == zone:
-                del self._told[instance]
+                del self._reported[instance]
                 self._index(instance)
 
     def _is_denied(self, instance: str, key: AdapterKey) -> bool:
@@ -118,7 +118,7 @@
 
     def _replica_changed(self, record: ReplicaRecord | None, instance: str) -> None:
         if record is None:
-            self._told.pop(instance, None)
+            self._reported.pop(instance, None)
         self._index(instance)
         if record is None:
             for key in self._given_up.pop(instance, {}):
@@ -130,16 +130,16 @@
         """Have an adapter's replicas found without a look at each of them."""
         replica = self._directory.find(instance)
         recorded = () if replica is None else replica.record.adapters
-        now = self._told.get(instance, recorded)
+        now = self._reported.get(instance, recorded)
         before = self._held.get(instance, ())
         if now == before:
             return
         for held in before:
-            standing = self._versions_at[held.key]
-            del standing[instance]
-            if not standing:
+            existing = self._versions_at[held.key]
+            del existing[instance]
+            if not existing:
                 del self._versions_at[held.key]
-        self._note_given_up(instance, before, now)
+        self._record_unload(instance, before, now)
         for held in now:
             self._versions_at.setdefault(held.key, {})[instance] = held.version
         if now:
@@ -147,16 +147,16 @@
         else:
             self._held.pop(instance, None)
 
-    def _note_given_up(
+    def _record_unload(
         self, instance: str, before: Iterable[HeldAdapter], now: Iterable[HeldAdapter]
     ) -> None:
-        standing = {held.key for held in now}
+        existing = {held.key for held in now}
         lately = self._given_up.setdefault(instance, OrderedDict())
-        for key in standing & lately.keys():
+        for key in existing & lately.keys():
             del lately[key]
             self._forget_given_up(instance, key)
         for held in before:
-            if held.key not in standing:
+            if held.key not in existing:
                 lately[held.key] = held.version
                 self._given_up_by.setdefault(held.key, set()).add(instance)
         while len(lately) > LATELY_KEPT:
--- a/springrock/placement/zone.py
+++ b/springrock/placement/zone.py
@@ -8,7 +8,7 @@
 import gevent
 import msgspec
 
-from springrock.eras import era_of, number_of, told_version
+from springrock.eras import era_of, number_of, peer_version
 from springrock.forwarding.directory import LeavingSign
 from springrock.forwarding.message import AdapterKey
 from springrock.metrics import BytesKind
@@ -31,20 +31,20 @@
     TableNews,
     WriteFor,
 )
-from springrock.placement.outlook import Outlook
 from springrock.placement.placer import Placer
 from springrock.placement.placer_row import key_of
 from springrock.placement.relayed_writes import RelayedWrites, write_for
-from springrock.placement.residents_news import ResidentsNews, is_far
+from springrock.placement.residents_publisher import ResidentsPublisher, is_far
 from springrock.placement.settings import PlacementSettings
 from springrock.placement.succession import Successor
-from springrock.placement.surroundings import Surroundings
+from springrock.placement.wait_estimate import WaitEstimate
+from springrock.placement.zone_dependencies import ZoneDependencies
 from springrock.quotas.charge_book import CounterSilent
 from springrock.quotas.messages import Charged, Verdict
 from springrock.quotas.part_counter import PartCounter
 from springrock.topology import Distance
 
-_TOLD_WITHIN_S = 0.2
+_REPORT_INTERVAL_S = 0.2
 """So long a placer that stops keeps its links open for its last word."""
 
 _RESIDENTS_EVERY_S = 0.05
@@ -59,128 +59,130 @@
     Args:
         zone: The availability zone.
         settings: What placement takes from the settings.
-        around: What the zones of this box share.
+        dependencies: What the zones of this box share.
 
     Attributes:
         demand: What this box wants and uses of the zone's engines.
-        ahead: What the zone brings of evacuated ones, while this box places it.
+        prefetch: What the zone brings of evacuated ones, while this box places it.
         links: The boxes linked to this one as the zone's placer.
         room: How many more adapters the engines could take when the placer last told.
         boxes: How many boxes the placer had linked when it last told, its own included.
         home_boxes: How many of them stand in the zone; 0 if that was never told.
         spread: Adapters, as MODEL/NAME, that each zone does better to serve itself, as last told.
-        outlook: What awaits one more adapter and request there, as last told.
+        wait_estimate: What awaits one more adapter and request there, as last told.
     """
 
-    def __init__(self, zone: str, settings: PlacementSettings, around: Surroundings) -> None:
+    def __init__(
+        self, zone: str, settings: PlacementSettings, dependencies: ZoneDependencies
+    ) -> None:
         self._zone = zone
         self._settings = settings
-        self._directory = around.directory
-        self._residency = around.residency
-        self._incarnation = around.incarnation
-        self._metrics = around.metrics
-        self._warmth = around.warmth
-        self._limits = around.limits
-        self._on_table_news = around.on_table_news
-        self._on_handover = around.on_handover
-        self._on_placer_heard = around.on_placer_heard
-        self._on_placer_lost = around.on_placer_lost
-        self._on_copy_pays = around.on_copy_pays
-        self._board = around.board
+        self._directory = dependencies.directory
+        self._residency = dependencies.residency
+        self._incarnation = dependencies.incarnation
+        self._metrics = dependencies.metrics
+        self._warmup = dependencies.warmup
+        self._limits = dependencies.limits
+        self._on_table_news = dependencies.on_table_news
+        self._on_handover = dependencies.on_handover
+        self._on_placer_contact = dependencies.on_placer_contact
+        self._on_placer_lost = dependencies.on_placer_lost
+        self._on_copy_worthwhile = dependencies.on_copy_worthwhile
+        self._board = dependencies.board
         self.demand = DemandBook(
             has_placer=lambda: self.reachable,
-            leaving=around.directory.leaving,
-            limits=lambda: around.limits.words(self._instances()),
+            leaving=dependencies.directory.leaving,
+            limits=lambda: dependencies.limits.arguments(self._instances()),
         )
         self.room = 0
         self.boxes = 1
         self.home_boxes = 0
         self.spread: frozenset[str] = frozenset()
-        self.outlook = Outlook()
-        self._store = around.store
-        self._topology = around.world().topology
+        self.wait_estimate = WaitEstimate()
+        self._store = dependencies.store
+        self._topology = dependencies.world().topology
         self.links = BoxLinks(
             self,
-            log=around.log_of("link"),
+            log=dependencies.log_of("link"),
             count_sent_to=self._counting_to,
             is_far=lambda home_zone: is_far(self._topology, zone, home_zone),
-            count_unknown=around.metrics.count_unknown_message,
+            count_unknown=dependencies.metrics.count_unknown_message,
         )
-        self._writes = RelayedWrites(helpers=self.links.some, send=self._send)
+        self._writes = RelayedWrites(helpers=self.links.sample_boxes, send=self._send)
         self._lease = PlacerLease(
-            around.store,
+            dependencies.store,
             zone=zone,
             box=settings.box,
             address=settings.address,
-            incarnation=around.incarnation,
+            incarnation=dependencies.incarnation,
             lease_s=settings.lease_s,
             checks_fence=settings.checks_fence,
-            rows=around.board,
+            rows=dependencies.board,
             relay=self._writes,
-            log=around.log_of("lease"),
+            log=dependencies.log_of("lease"),
         )
         self._permits = PermitCounter(
             zone,
-            configuration=around.configuration,
-            terms=around.slow_start_terms,
-            limits=around.limits,
+            configuration=dependencies.configuration,
+            terms=dependencies.slow_start_terms,
+            limits=dependencies.limits,
             lease_left_s=lambda: self._lease.left_s,
             goes_on=lambda: self._lease.holds,
             answer=self._send,
-            on_counted=around.metrics.count_permit,
-            log=around.log_of("permits"),
+            on_counted=dependencies.metrics.count_permit,
+            log=dependencies.log_of("permits"),
         )
         self._placer = Placer(
             zone,
-            configuration=around.configuration,
-            directory=around.directory,
-            versions=around.versions,
-            world=around.world,
-            control=around.control,
+            configuration=dependencies.configuration,
+            directory=dependencies.directory,
+            versions=dependencies.versions,
+            world=dependencies.world,
+            control=dependencies.control,
             lease=self._lease,
             permits=self._permits,
             box=settings.box,
             ceiling_ratio=settings.ceiling_ratio,
             ceiling_burst=settings.ceiling_burst,
             send=self._send,
-            log=around.log_of("placer"),
-            metrics=around.metrics,
+            log=dependencies.log_of("placer"),
+            metrics=dependencies.metrics,
             prices=settings.prices,
             home_zone_of=self._home_zone_of,
         )
-        self.ahead = self._placer.ahead
+        self.prefetch = self._placer.prefetch
         self._client = PlacerClient(
             settings.box,
             home_zone=settings.zone,
             zone=zone,
             strength=settings.strength,
             address=settings.address if settings.checks_fence else "",
-            process=around.incarnation if settings.checks_fence else "",
+            process=dependencies.incarnation if settings.checks_fence else "",
             demand=self.demand,
-            on_message=self.take,
+            on_message=self.handle,
             on_lost=self._placer_lost,
-            log=around.log_of("link"),
+            log=dependencies.log_of("link"),
             count_sent=self._counting_to(zone),
-            count_unknown=around.metrics.count_unknown_message,
+            count_unknown=dependencies.metrics.count_unknown_message,
         )
         self._election = Election(
             zone,
             settings=settings,
             lease=self._lease,
-            board=around.board,
+            board=dependencies.board,
             client=self._client,
             links=self.links,
-            incarnation=around.incarnation,
+            incarnation=dependencies.incarnation,
             holder=self,
         )
         self._part = PartCounter(
             zone,
-            configuration=around.configuration,
-            terms=around.quota_terms,
+            configuration=dependencies.configuration,
+            terms=dependencies.quota_terms,
             lease_left_s=lambda: self._lease.left_s,
             answer=self._send,
-            on_counted=around.metrics.count_charge,
-            log=around.log_of("quotas"),
+            on_counted=dependencies.metrics.count_charge,
+            log=dependencies.log_of("quotas"),
         )
         self._tasks: list[gevent.Greenlet[..., Any]] = []
         self._under_lease: list[gevent.Greenlet[..., Any]] = []
@@ -220,7 +222,7 @@
         goes_on = self._lease.held and not self._lease.confirmed
         return self._placer.active and (goes_on or self._lease.holds)
 
-    def tell_handover(self, boxes: Collection[str]) -> None:
+    def send_handover(self, boxes: Collection[str]) -> None:
         """Tell boxes what was asked for in the zone."""
         handover = self._placer.handover()
         for box in boxes:
@@ -230,23 +232,23 @@
 
     def first_messages(self) -> list[Message]:
         """Return what a newly linked box is told."""
-        return [self._heartbeat(), self._placer.standing()]
+        return [self._heartbeat(), self._placer.residents_snapshot()]
 
-    def take_demand(self, box: str, demand: Demand) -> None:
+    def apply_demand(self, box: str, demand: Demand) -> None:
         """Take all that a box now wants and uses."""
         if demand.charges or demand.given_back:
-            self._part.take(box, demand.charges, demand.given_back)
+            self._part.answer(box, demand.charges, demand.given_back)
         if demand.permits:
-            self._permits.take(box, demand.permits)
-        for sighting in demand.sightings:
-            self._warmth.take_sighting(sighting.instance, answered=sighting.answered)
+            self._permits.answer(box, demand.permits)
+        for observation in demand.observations:
+            self._warmup.apply_observation(observation.instance, answered=observation.answered)
         for instance in demand.leaving:
-            self._directory.note_leaving(instance, LeavingSign.BOX)
+            self._directory.record_leaving(instance, LeavingSign.BOX)
         for word in demand.limits:
-            self._limits.take_word(word)
+            self._limits.apply_limit_report(word)
         for written in demand.written:
-            self._writes.note_written(written)
-        self._placer.take_demand(box, demand)
+            self._writes.record_written(written)
+        self._placer.apply_demand(box, demand)
 
     def forget_box(self, box: str) -> None:
         """Drop what a box wanted and used."""
@@ -269,7 +271,7 @@
         """Undo a charge whose request did not run."""
         self.demand.charges.give_back(number)
 
-    def permit(self, wish: PermitAsk) -> tuple[PermitVerdict, float]:
+    def permit(self, adapter_request: PermitAsk) -> tuple[PermitVerdict, float]:
         """Ask the zone's placer whether a request may be sent to a cold or limited replica.
 
         Raises:
@@ -277,7 +279,7 @@
         """
         if not self.reachable:
             raise PermitsUnheard()
-        return self.demand.permits.ask(wish)
+        return self.demand.permits.ask(adapter_request)
 
     # The placer's word.
 
@@ -290,7 +292,7 @@
         return own.zone if box == own.box else self.links.home_zone(box)
 
     def _heartbeat(self) -> Heartbeat:
-        outlook = self._placer.outlook()
+        wait_estimate = self._placer.wait_estimate()
         return Heartbeat(
             row_version=number_of(self._lease.version),
             row_era=era_of(self._lease.version),
@@ -299,9 +301,9 @@
             boxes=self.links.count + 1,
             spread=self._placer.spread(),
             leaving=self._directory.leaving(),
-            doubted=self._warmth.doubted(self._zone),
-            pressure=round(100 * outlook.pressure),
-            wait_ms=round(1000 * outlook.wait_s),
+            suspected=self._warmup.suspected(self._zone),
+            pressure=round(100 * wait_estimate.pressure),
+            wait_ms=round(1000 * wait_estimate.wait_s),
             limits=self._limits.named(self._instances()),
             home_boxes=self.links.count_of(self._zone) + (self._settings.zone == self._zone),
         )
@@ -309,98 +311,98 @@
     def _instances(self) -> list[str]:
         return [replica.instance for replica in self._directory.in_zone(self._zone)]
 
-    def tell_table(self, news: TableNews, *, also: Collection[str] = ()) -> None:
+    def publish_table(self, updates: TableNews, *, also: Collection[str] = ()) -> None:
         """Tell the boxes that stand in the zone, and some others, what was read of the store."""
-        self.links.tell_all(news, home_zone=self._zone, also=also)
+        self.links.broadcast(updates, home_zone=self._zone, also=also)
 
     @property
-    def tells_home(self) -> bool:
+    def notifies_home_zone(self) -> bool:
         """Whether boxes that stand in the zone go by what this one reads of the store."""
-        return self.placing and self.links.hold(self._zone, for_s=0.0)
+        return self.placing and self.links.has_linked_box(self._zone, for_s=0.0)
 
     def _send(self, box: str, message: Message) -> None:
         if box == self._settings.box:
-            self.take(message)
+            self.handle(message)
         else:
-            self.links.tell(box, message)
+            self.links.notify(box, message)
 
-    def take(self, message: Message) -> None:
+    def handle(self, message: Message) -> None:
         """Learn what the placer says."""
         match message:
             case Grant():
-                self._take_grant(message)
+                self._handle_grant(message)
             case Forecast(model=model, adapter=adapter):
                 key, ready_in_s = AdapterKey(model, adapter), message.ready_in_ms / 1000
-                self.demand.note_forecast(key, ready_in_s, elsewhere=message.elsewhere)
+                self.demand.record_forecast(key, ready_in_s, elsewhere=message.elsewhere)
             case Residents(engines=engines):
                 for engine in engines:
-                    self._residency.note_told(engine.instance, engine.adapters)
+                    self._residency.record_reported(engine.instance, engine.adapters)
             case WriteFor():
                 gevent.spawn(self._write_for, message)
             case Charged():
-                self.demand.charges.note_charged(message)
+                self.demand.charges.record_charged(message)
             case Handover():
                 self._on_handover(self._zone, message)
             case Permitted():
-                self.demand.permits.note_permitted(message)
+                self.demand.permits.record_permitted(message)
             case TableNews():
                 self._on_table_news(self._zone, message)
             case Heartbeat():
                 if message.successor is not None:
-                    self._take_successor(message.successor)
-                self._lease.note_heartbeat(
-                    told_version(message.row_era, message.row_version), message.lease_left_ms / 1000
+                    self._handle_successor(message.successor)
+                self._lease.record_heartbeat(
+                    peer_version(message.row_era, message.row_version), message.lease_left_ms / 1000
                 )
-                self._note_heartbeat(message)
+                self._record_heartbeat(message)
 
-    def _take_successor(self, successor: Successor) -> None:
-        self._board.note_successor(key_of(self._zone), successor)
+    def _handle_successor(self, successor: Successor) -> None:
+        self._board.record_successor(key_of(self._zone), successor)
         if successor.incarnation == self._incarnation:
             self._election.adopt(successor)
 
-    def _take_grant(self, grant: Grant) -> None:
-        key = self.demand.note_grant(grant.number, grant.instance, permitted=grant.permitted)
+    def _handle_grant(self, grant: Grant) -> None:
+        key = self.demand.record_grant(grant.number, grant.instance, permitted=grant.permitted)
         if grant.saves and key is not None:
-            self._on_copy_pays(self._zone, key, grant.saves)
+            self._on_copy_worthwhile(self._zone, key, grant.saves)
 
     def _write_for(self, asked: WriteFor) -> None:
-        self.demand.note_written(write_for(self._store, asked))
+        self.demand.record_written(write_for(self._store, asked))
 
-    def _note_heartbeat(self, heartbeat: Heartbeat) -> None:
+    def _record_heartbeat(self, heartbeat: Heartbeat) -> None:
         self.room = heartbeat.room
         self.boxes = heartbeat.boxes
         self.spread = frozenset(heartbeat.spread)
-        self.outlook = Outlook(heartbeat.pressure / 100, heartbeat.wait_ms / 1000)
+        self.wait_estimate = WaitEstimate(heartbeat.pressure / 100, heartbeat.wait_ms / 1000)
         for instance in heartbeat.leaving:
-            self._directory.note_leaving(instance, LeavingSign.BOX)
-        self._warmth.take_doubted(self._zone, heartbeat.doubted)
-        self._limits.take_told(self._zone, heartbeat.limits)
+            self._directory.record_leaving(instance, LeavingSign.BOX)
+        self._warmup.apply_suspected(self._zone, heartbeat.suspected)
+        self._limits.apply_reported(self._zone, heartbeat.limits)
         # A placer of an earlier build tells only how many there are in all.
         self.home_boxes = heartbeat.home_boxes or heartbeat.boxes
-        self._on_placer_heard()
+        self._on_placer_contact()
 
     def _placer_lost(self) -> None:
         self.spread = frozenset()
-        self._residency.forget_told(self._zone)
+        self._residency.forget_reported(self._zone)
         self.demand.forget_placer()
         self._on_placer_lost(self._zone)
 
-    def _tell_residents_forever(self) -> None:
-        news = ResidentsNews(self.links)
+    def _publish_residents_loop(self) -> None:
+        updates = ResidentsPublisher(self.links)
         while True:
             gevent.sleep(max(_RESIDENTS_EVERY_S, self.links.count / _RESIDENTS_FRAMES_PER_S))
-            changed = self._placer.take_changed()
-            news.tell(changed)
+            changed = self._placer.drain_changed()
+            updates.notify(changed)
             if changed is not None:
-                self.take(changed)
+                self.handle(changed)
 
     def _feed_own_demand(self) -> None:
         """Tell this box's own placer what its link would tell another box's."""
         box = self._settings.box
-        self.take_demand(box, self.demand.whole())
+        self.apply_demand(box, self.demand.whole())
         while True:
-            self.demand.wait_for_news()
-            self.take_demand(box, self.demand.take_news())
+            self.demand.wait_for_updates()
+            self.apply_demand(box, self.demand.drain_updates())
 
     # While this box places.
 
@@ -411,7 +413,7 @@
         self._placer.start()
         self._under_lease = [
             gevent.spawn(self._feed_own_demand),
-            gevent.spawn(self._tell_residents_forever),
+            gevent.spawn(self._publish_residents_loop),
         ]
         self._metrics.placer.labels(self._zone).set(1)
 
@@ -424,20 +426,20 @@
         self.links.close_all()
         self._placer_lost()
 
-    def tell_heartbeat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Tell all linked boxes, and this one, that the placer lives."""
         heartbeat = self._heartbeat()
-        self._note_heartbeat(heartbeat)
-        self.links.tell_all(heartbeat)
+        self._record_heartbeat(heartbeat)
+        self.links.broadcast(heartbeat)
 
-    def tell_successor(self, successor: Successor) -> None:
+    def send_successor(self, successor: Successor) -> None:
         """Tell all linked boxes who goes on in this one's stead."""
-        self._board.note_successor(key_of(self._zone), successor)
+        self._board.record_successor(key_of(self._zone), successor)
         heartbeat = msgspec.structs.replace(
             self._heartbeat(),
             row_version=successor.version,
             row_era=successor.era,
             successor=successor,
         )
-        self.links.tell_all(heartbeat)
-        self.links.flush(within_s=_TOLD_WITHIN_S)
+        self.links.broadcast(heartbeat)
+        self.links.flush(within_s=_REPORT_INTERVAL_S)
--- a/springrock/quotas/charging.py
+++ b/springrock/quotas/charging.py
@@ -14,7 +14,7 @@
 _LEFT_ALONE_S = 0.5
 """How long a zone whose placer did not answer a charge is asked last."""
 
-_UNHEARD_RETRY_S = 0.5
+_UNANSWERED_RETRY_S = 0.5
 """When to come back if no zone counts: boxes that had all lost power had placers again 0.2 s after
 their start, and a placer that was killed is followed within a lease."""
 
@@ -58,7 +58,7 @@
     ) -> None:
         self._zones = zones
         self._counter = counter
-        self._left_alone_until: dict[str, float] = {}
+        self._skipped_until: dict[str, float] = {}
 
     def charge(self, team: Team | None, *, tokens: int | None, request: str) -> Receipt:
         """Charge a request once for all that is done for it.
@@ -81,18 +81,18 @@
             try:
                 verdict, number = counter.charge(team.name, units, request=request)
             except CounterSilent:
-                self._left_alone_until[zone] = monotonic() + _LEFT_ALONE_S
+                self._skipped_until[zone] = monotonic() + _LEFT_ALONE_S
                 continue
             if verdict.charged:
                 return Receipt(counter, number)
             returns_in_s.append(verdict.back_in_s)
         if not returns_in_s:
-            raise QuotaUnheard(_UNHEARD_RETRY_S)
+            raise QuotaUnheard(_UNANSWERED_RETRY_S)
         raise OverQuota(min((back for back in returns_in_s if back is not None), default=None))
 
     def _order(self) -> list[str]:
         """Return the zones in the order in which they are asked."""
         now = monotonic()
         zones = self._zones()
-        heard = [zone for zone in zones if self._left_alone_until.get(zone, 0.0) <= now]
-        return heard or list(zones)
+        answering = [zone for zone in zones if self._skipped_until.get(zone, 0.0) <= now]
+        return answering or list(zones)
--- a/springrock/serving/loader.py
+++ b/springrock/serving/loader.py
@@ -42,14 +42,14 @@
 
     def start(self) -> None:
         """Begin loading."""
-        self._task = gevent.spawn(self._load_forever)
+        self._task = gevent.spawn(self._load_loop)
 
     def stop(self) -> None:
         """Stop loading."""
         if self._task is not None:
             self._task.kill(block=False)
 
-    def _load_forever(self) -> None:
+    def _load_loop(self) -> None:
         replica = self._replica
         while True:
             replica.load_wanted.wait(timeout=_IDLE_WAIT_S)
@@ -59,9 +59,9 @@
                     replica.place_freed.clear()
                     replica.place_freed.wait(timeout=_NO_VICTIM_WAIT_S)
                     continue
-                self._take_turn()
+                self._wait_for_turn()
 
-    def _take_turn(self) -> None:
+    def _wait_for_turn(self) -> None:
         want = self._choose()
         if want is None:
             return
@@ -158,14 +158,14 @@
         try:
             replica.order("load_adapter", want.adapter)
         except _FAILURES as error:
-            self._note_failed(want, str(error))
+            self._record_failed(want, str(error))
             return
         self._failed_tries.pop(want.adapter, None)
-        replica.estimate.note_load(monotonic() - began_at)
+        replica.estimate.record_load(monotonic() - began_at)
         replica.metrics.loads.labels("done").inc()
         replica.adapter_ready(want.adapter)
 
-    def _note_failed(self, want: Want, detail: str) -> None:
+    def _record_failed(self, want: Want, detail: str) -> None:
         replica = self._replica
         replica.residency.loading = ""
         replica.metrics.loads.labels("failed").inc()
--- a/springrock/serving/relay.py
+++ b/springrock/serving/relay.py
@@ -29,7 +29,7 @@
     RESUME_PAUSE_S,
     RESUMES_WITHOUT_PROGRESS,
     Answer,
-    cancel_surely,
+    cancel_until_confirmed,
     cause_of,
 )
 from springrock.serving.request import ServingRequest
@@ -118,7 +118,7 @@
         """Run a request once under a permit; the permit is given back unless an answer comes."""
         give_back = _once(lambda tokens: self._router.give_back(permitted, tokens))
         try:
-            claimed = claim.take()
+            claimed = claim.claim()
         except BaseException:
             give_back(0)
             raise
@@ -157,12 +157,18 @@
             found = _find_begun(driver, sent)
             if found is None:
                 gevent.spawn(
-                    cancel_surely, driver, sent.request_id, permitted.held.ends_at, give_back
+                    cancel_until_confirmed,
+                    driver,
+                    sent.request_id,
+                    permitted.held.ends_at,
+                    give_back,
                 )
                 return Error(_unknown(error))
             stream = found
         except BaseException:
-            gevent.spawn(cancel_surely, driver, sent.request_id, permitted.held.ends_at, give_back)
+            gevent.spawn(
+                cancel_until_confirmed, driver, sent.request_id, permitted.held.ends_at, give_back
+            )
             raise
         answer = Answer(
             sent,
@@ -202,7 +208,7 @@
         self._taken = False
         self.sent = False
 
-    def take(self) -> Result[None, Refusal]:
+    def claim(self) -> Result[None, Refusal]:
         if not self._request_id or self._taken:
             return Ok(None)
         result = self._claims.claim(self._request_id)
--- a/springrock/serving/router.py
+++ b/springrock/serving/router.py
@@ -80,7 +80,7 @@
         self._held = held
         self._routing = routing
         self._log = log
-        peers.handle(wire.ReplicaReport, lambda _, report: view.take(report))
+        peers.handle(wire.ReplicaReport, lambda _, report: view.apply(report))
 
     def permit(
         self, request: ServingRequest, *, avoid: frozenset[str]
@@ -119,14 +119,14 @@
         self._held.release(held)
         notice = wire.Return(held.replica, held.number, held.fence, tokens)
         for owner in self._held.owners_of(held, permitted.owner):
-            self._tell_over(owner, notice)
+            self._notify_end(owner, notice)
 
-    def _tell_over(self, owner: str, notice: wire.Return) -> None:
+    def _notify_end(self, owner: str, notice: wire.Return) -> None:
         if owner == self._box:
             self._owner.give_back(notice)
             return
         try:
-            self._peers.link_to(owner).tell(notice)
+            self._peers.link_to(owner).notify(notice)
         except PeerUnreachable:
             return
 
@@ -148,7 +148,7 @@
     def _ask(self, request: ServingRequest, replica: str) -> Result[Permitted, Refusal]:
         report = self._view.report(replica)
         assert report is not None
-        self._view.note_sent(replica)
+        self._view.record_sent(replica)
         asked_at = monotonic()
         ask = wire.Ask(
             number=0,
@@ -166,7 +166,7 @@
         )
         if answer.is_error():
             return Error(answer.error)
-        return self._take(answer.ok, report.owner, asked_at)
+        return self._accept_grant(answer.ok, report.owner, asked_at)
 
     def _ask_peer(self, ask: wire.Ask, owner: str) -> Result[wire.Grant, Refusal]:
         try:
@@ -194,10 +194,12 @@
         self._view.avoid(ask.replica)
         return Error(Refusal(Cause.OWNER_UNREACHABLE, detail, RunState.NOT_RUN, 1.0))
 
-    def _take(self, grant: wire.Grant, owner: str, asked_at: float) -> Result[Permitted, Refusal]:
+    def _accept_grant(
+        self, grant: wire.Grant, owner: str, asked_at: float
+    ) -> Result[Permitted, Refusal]:
         """Enter a grant, unless it came too late or under an old fence."""
         ends_at = asked_at + grant.waited_s + grant.end_within_s
-        held = self._held.take(grant, ends_at=ends_at)
+        held = self._held.enter(grant, ends_at=ends_at)
         if held is None:
             return Error(_expired("a newer owner of the replica is known"))
         permitted = Permitted(
--- a/springrock/serving/view.py
+++ b/springrock/serving/view.py
@@ -39,7 +39,7 @@
         }
         self.leaving: Callable[[str], bool] = lambda _: False
 
-    def take(self, report: wire.ReplicaReport) -> None:
+    def apply(self, report: wire.ReplicaReport) -> None:
         """Take a report, unless one of a newer owner is known."""
         known = self._reports.get(report.replica)
         if known is not None and known.fence > report.fence:
@@ -52,7 +52,7 @@
         """Return the newest report of a replica."""
         return self._reports.get(replica)
 
-    def note_sent(self, replica: str) -> None:
+    def record_sent(self, replica: str) -> None:
         """Count a request sent to a replica since its newest report."""
         self._sent[replica] += 1
 
--- a/springrock/table_follower.py
+++ b/springrock/table_follower.py
@@ -11,7 +11,6 @@
 from gevent.event import Event
 
 from springrock.clock import monotonic
-from springrock.doubted_rows import DoubtedRows, KeptS
 from springrock.eras import era_of, shown, version_in
 from springrock.log import Condition, Log
 from springrock.rows import (
@@ -25,6 +24,7 @@
     TableReading,
 )
 from springrock.store_clock import StoreClock
+from springrock.unconfirmed_rows import RetentionPeriods, UnconfirmedRows
 
 POLL_WAIT_S = 1.8
 """With the time for an answer it is under three seconds: so soon after a cut has healed silently a
@@ -40,7 +40,7 @@
 reads. With a read of the own after it, a change is known in under two seconds all the same, if the
 store answers at once."""
 
-_PATIENCE_S = 0.4
+_EXTRA_WAIT_S = 0.4
 """How much longer at most those wait who tell nobody, so that one who does reads first."""
 
 _COPY_KEPT_S = 5.0
@@ -94,9 +94,9 @@
         poll_wait_s: Callable[[], float] = lambda: POLL_WAIT_S,
         clock: StoreClock | None = None,
         eager: bool = False,
-        kept_s: Callable[[str], KeptS] = lambda key: KeptS(),
+        kept_s: Callable[[str], RetentionPeriods] = lambda key: RetentionPeriods(),
     ) -> None:
-        self._doubted = DoubtedRows(kept_s)
+        self._unconfirmed = UnconfirmedRows(kept_s)
         self._whole_stands = False
         self._poll_wait_s = poll_wait_s
         self._clock = StoreClock() if clock is None else clock
@@ -115,8 +115,8 @@
             log, begins=f"Lost the table {table}.", ends=f"Regained the table {table}."
         )
         self._task: gevent.Greenlet[..., Any] | None = None
-        self._told_until = 0.0
-        self._told_by = ""
+        self._reported_until = 0.0
+        self._reported_by = ""
         self._behind = Condition(
             log,
             begins=f"Is told of the table {table} what is behind what is known.",
@@ -162,18 +162,18 @@
         stale_s = self.staleness_s
         return {
             "table_version": shown(self.version),
-            "told_by": self._told_by,
+            "told_by": self._reported_by,
             "table_stale_ms": round(1000 * stale_s) if math.isfinite(stale_s) else None,
         }
 
-    def take_reading(
-        self, reading: TableReading, *, relied_on: bool = True, teller: str = ""
+    def apply_reading(
+        self, reading: TableReading, *, relied_on: bool = True, source_zone: str = ""
     ) -> None:
         """Learn what another box has read just now.
 
         Args:
             reading: What it read.
-            teller: The zone whose placer's box told it, for logs.
+            source_zone: The zone whose placer's box told it, for logs.
             relied_on: Whether it will tell what follows, so that this box need not read. A box
                 that the store does not answer relies on whoever tells.
         """
@@ -183,16 +183,16 @@
             if era_of(reading.after) > era_of(self._version):
                 self.read_alone()
             return
-        self._note_behind(reading, teller)
+        self._record_behind(reading, source_zone)
         if reading.version < self._version:
             return
-        self._told_by = teller
+        self._reported_by = source_zone
         self._apply(reading)
-        self._note_newest(reading)
+        self._record_newest(reading)
         self.read_at = monotonic()
         if relied_on or self._unread.holds:
-            patience_s = 0.0 if self.sharing() else random.uniform(0.5, 1.0) * _PATIENCE_S
-            self._told_until = self.read_at + _TOLD_FRESH_S + patience_s
+            extra_wait_s = 0.0 if self.sharing() else random.uniform(0.5, 1.0) * _EXTRA_WAIT_S
+            self._reported_until = self.read_at + _TOLD_FRESH_S + extra_wait_s
         if self.sharing():
             self.shared_with(reading, False)
 
@@ -218,7 +218,7 @@
         era = era_of(self.version)
         return row if era_of(row.version) == era else row._replace(version=version_in(era, 0))
 
-    def take_copy(self, reading: TableReading, *, newest_at: float) -> None:
+    def apply_copy(self, reading: TableReading, *, newest_at: float) -> None:
         """Learn the whole table from another box, as old as it may be; never what is older.
 
         Args:
@@ -234,16 +234,16 @@
 
     def read_alone(self) -> None:
         """Read the store at once, as nobody tells any more."""
-        self._told_until = 0.0
+        self._reported_until = 0.0
         self._alone.set()
 
     def _follow(self) -> None:
         retry_s = _FIRST_RETRY_S
         while True:
-            told_s = self._told_until - monotonic()
-            if told_s > 0:
+            reported_s = self._reported_until - monotonic()
+            if reported_s > 0:
                 self._alone.clear()
-                self._alone.wait(timeout=told_s)
+                self._alone.wait(timeout=reported_s)
                 continue
             try:
                 was_known = self._version is not None
@@ -270,8 +270,8 @@
         self._check_era(reading)
         if store_s is not None:
             era = era_of(reading.version)
-            self._clock.note(store_s, sent_at=asked_at, received_at=monotonic(), era=era)
-        self._told_by = ""
+            self._clock.record(store_s, sent_at=asked_at, received_at=monotonic(), era=era)
+        self._reported_by = ""
         self._apply(reading)
         self._whole_stands = False
         self._newest_at = max(self._newest_at, asked_at)
@@ -311,16 +311,18 @@
         self._whole_stands = True
         return True
 
-    def _note_behind(self, reading: TableReading, teller: str) -> None:
+    def _record_behind(self, reading: TableReading, source_zone: str) -> None:
         """Say when a box tells less than is known, and when it no longer does."""
         if reading.version < self.version:
             self._behind.begin(
-                teller=teller, told=shown(reading.version), known=shown(self.version)
+                teller=source_zone, told=shown(reading.version), known=shown(self.version)
             )
         else:
-            self._behind.end(teller=teller, told=shown(reading.version), known=shown(self.version))
+            self._behind.end(
+                teller=source_zone, told=shown(reading.version), known=shown(self.version)
+            )
 
-    def _note_newest(self, reading: TableReading) -> None:
+    def _record_newest(self, reading: TableReading) -> None:
         """Learn up to when what another box has read was the newest."""
         if reading.as_of_s is None:
             return
@@ -338,17 +340,17 @@
     def _apply(self, reading: TableReading) -> None:
         """Hand on what is newer than what is known."""
         if reading.whole:
-            self._take_whole(reading)
+            self._apply_full_table(reading)
         else:
-            self._take_changes(reading)
-        for change in self._doubted.settled():
-            self._take(change)
+            self._apply_changes(reading)
+        for change in self._unconfirmed.expired():
+            self._apply_change(change)
 
-    def _take_whole(self, reading: TableReading) -> None:
+    def _apply_full_table(self, reading: TableReading) -> None:
         known = self._version
         rows = [row for row in reading.changes if isinstance(row, Row)]
         if known is not None and era_of(reading.version) > era_of(known):
-            self._take_return(rows, version=reading.version)
+            self._apply_restored_table(rows, version=reading.version)
         elif known is None or reading.version > known or self._whole_stands:
             self._replace(rows)
         else:
@@ -356,18 +358,18 @@
         self._version = reading.version
 
     def _replace(self, rows: Sequence[Row]) -> None:
-        self._rows = self._doubted.note_whole(rows, known=self._rows)
+        self._rows = self._unconfirmed.record_full_table(rows, known=self._rows)
         self._listener.replace(list(self._rows.values()))
 
-    def _take_changes(self, reading: TableReading) -> None:
+    def _apply_changes(self, reading: TableReading) -> None:
         known = self.version
         for change in reading.changes:
             if not change.version or change.version > known:
-                self._take(change)
+                self._apply_change(change)
         self._version = max(known, reading.version)
 
-    def _take(self, change: Change) -> None:
-        self._doubted.note_taken(change)
+    def _apply_change(self, change: Change) -> None:
+        self._unconfirmed.record_applied(change)
         match change:
             case Row(key=key):
                 self._rows[key] = change
@@ -376,20 +378,20 @@
                 self._rows.pop(key, None)
                 self._listener.remove(key)
 
-    def _take_return(self, rows: Sequence[Row], *, version: int) -> None:
+    def _apply_restored_table(self, rows: Sequence[Row], *, version: int) -> None:
         """Take the whole table of a store that came back from a copy."""
-        told = {row.key for row in rows}
-        lost = [row for key, row in self._rows.items() if key not in told]
-        for row in self._doubted.note_return(rows, lost=lost):
-            self._take(row)
+        reported = {row.key for row in rows}
+        lost = [row for key, row in self._rows.items() if key not in reported]
+        for row in self._unconfirmed.apply_restored_table(rows, lost=lost):
+            self._apply_change(row)
         self._log.say(
             "The store came back from a copy.",
             table=self.table,
             version=shown(version),
             known=shown(self.version),
             lost=len(lost),
-            doubted=len(self._doubted),
-            told_by=self._told_by,
+            doubted=len(self._unconfirmed),
+            told_by=self._reported_by,
         )
         self.on_lost(lost)
 
--- a/springrock/doubted_rows.py
+++ b/springrock/unconfirmed_rows.py
@@ -13,7 +13,7 @@
 """So many removed rows of a table are remembered."""
 
 
-class KeptS(NamedTuple):
+class RetentionPeriods(NamedTuple):
     """How long what is known of a row outlasts a store that came back from a copy without it.
 
     Attributes:
@@ -25,42 +25,42 @@
     removed: float = 0.0
 
 
-class _Doubted(NamedTuple):
+class _UnconfirmedRow(NamedTuple):
     """What the store tells of a row.
 
     Attributes:
-        told: The row; None if there is none.
+        reported: The row; None if there is none.
         until: When the store's word is taken, on the local monotonic clock.
     """
 
-    told: Row | None
+    reported: Row | None
     until: float
 
 
-class DoubtedRows:
+class UnconfirmedRows:
     """Knows for how long which rows of a table stay as they were known.
 
     Args:
         kept_s: Returns how long what is known of a row outlasts a copy.
     """
 
-    def __init__(self, kept_s: Callable[[str], KeptS]) -> None:
+    def __init__(self, kept_s: Callable[[str], RetentionPeriods]) -> None:
         self._kept_s = kept_s
-        self._doubted: dict[str, _Doubted] = {}
+        self._unconfirmed: dict[str, _UnconfirmedRow] = {}
         self._removed: Remembered[None] = Remembered(at_most=_REMOVED_KEPT)
 
     def __len__(self) -> int:
-        return len(self._doubted)
+        return len(self._unconfirmed)
 
-    def note_taken(self, change: Change) -> None:
+    def record_applied(self, change: Change) -> None:
         """Learn what counts for a row from now on."""
-        self._doubted.pop(change.key, None)
+        self._unconfirmed.pop(change.key, None)
         if isinstance(change, Removed):
-            self._removed.note(change.key, None)
+            self._removed.record(change.key, None)
         else:
             self._removed.pop(change.key, None)
 
-    def note_return(self, rows: Sequence[Row], *, lost: Sequence[Row]) -> list[Row]:
+    def apply_restored_table(self, rows: Sequence[Row], *, lost: Sequence[Row]) -> list[Row]:
         """Learn the whole table of a store that came back from a copy.
 
         Args:
@@ -71,38 +71,40 @@
             The rows that count at once.
         """
         now = monotonic()
-        self._doubted = {
-            row.key: _Doubted(None, now + self._kept_s(row.key).missing) for row in lost
+        self._unconfirmed = {
+            row.key: _UnconfirmedRow(None, now + self._kept_s(row.key).missing) for row in lost
         }
         for row in rows:
             if row.key in self._removed:
-                self._doubted[row.key] = _Doubted(row, now + self._kept_s(row.key).removed)
+                self._unconfirmed[row.key] = _UnconfirmedRow(
+                    row, now + self._kept_s(row.key).removed
+                )
         return [row for row in rows if row.key not in self._removed]
 
-    def note_whole(self, rows: Sequence[Row], *, known: Mapping[str, Row]) -> dict[str, Row]:
+    def record_full_table(self, rows: Sequence[Row], *, known: Mapping[str, Row]) -> dict[str, Row]:
         """Learn the whole table once more; return it but for what stays as it is known."""
         present = {row.key: row for row in rows}
-        self._doubted = {
-            key: doubted
-            for key, doubted in self._doubted.items()
-            if present.get(key) == doubted.told
+        self._unconfirmed = {
+            key: unconfirmed
+            for key, unconfirmed in self._unconfirmed.items()
+            if present.get(key) == unconfirmed.reported
         }
-        for key, doubted in self._doubted.items():
-            if doubted.told is None:
+        for key, unconfirmed in self._unconfirmed.items():
+            if unconfirmed.reported is None:
                 present[key] = known[key]
             else:
                 del present[key]
         for key in known.keys() - present.keys():
-            self._removed.note(key, None)
+            self._removed.record(key, None)
         for key in present:
             self._removed.pop(key, None)
         return present
 
-    def settled(self) -> list[Change]:
+    def expired(self) -> list[Change]:
         """Return what the store tells of rows that nobody has written again in time."""
         now = monotonic()
         return [
-            Removed(key) if doubted.told is None else doubted.told
-            for key, doubted in self._doubted.items()
-            if doubted.until <= now
+            Removed(key) if unconfirmed.reported is None else unconfirmed.reported
+            for key, unconfirmed in self._unconfirmed.items()
+            if unconfirmed.until <= now
         ]
--- a/tests/forwarding/test_notices_model.py
+++ b/tests/forwarding/test_notices_model.py
@@ -100,7 +100,7 @@
             case ToldByBox(replica_id, born_ms):
                 instance = incarnation_of(replica_id, born_ms)
                 self._left.add(instance)
-                self._directory.note_leaving(instance, LeavingSign.BOX)
+                self._directory.record_leaving(instance, LeavingSign.BOX)
             case Waited(seconds):
                 self.now += seconds
             case Answered() if self._sent:
@@ -109,7 +109,7 @@
 
     def _answer(self, step: Answered) -> None:
         replica = self._sent[step.sent % len(self._sent)]
-        self._notices.take(replica, ReplicaNotice(step.leaving, step.backoff_s), sent_at=self.now)
+        self._notices.apply(replica, ReplicaNotice(step.leaving, step.backoff_s), sent_at=self.now)
         if step.leaving:
             self._left.add(replica.instance)
         replica_id = replica.record.replica_id
--- a/tests/placement/test_election.py
+++ b/tests/placement/test_election.py
@@ -15,7 +15,7 @@
 from springrock.placement.placer_board import PlacerBoard
 from springrock.placement.placer_row import key_of
 from springrock.placement.settings import PlacementSettings
-from springrock.placement.succession import Heir, Successor
+from springrock.placement.succession import HandoverTarget, Successor
 from springrock.rows import Row
 from tests.placement.test_lease import Store
 
@@ -34,10 +34,10 @@
         self.writes += 1
         gevent.sleep(0.002)
         version = super().write(table, key, value, expected=expected)
-        gevent.spawn_later(0.002, self._tell, Row(key, value, version))
+        gevent.spawn_later(0.002, self._notify, Row(key, value, version))
         return version
 
-    def _tell(self, row: Row) -> None:
+    def _notify(self, row: Row) -> None:
         for board in self.boards:
             board.change(row)
 
@@ -53,10 +53,10 @@
         self.linked = True
         return True
 
-    def hold(self, home_zone: str, *, for_s: float, strength: float = 0.0) -> bool:
+    def has_linked_box(self, home_zone: str, *, for_s: float, strength: float = 0.0) -> bool:
         return False
 
-    def heir(self, home_zone: str) -> Heir | None:
+    def handover_target(self, home_zone: str) -> HandoverTarget | None:
         return None
 
 
@@ -73,10 +73,10 @@
     def end_placing(self) -> None:
         """Nothing to end."""
 
-    def tell_heartbeat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Nobody to tell."""
 
-    def tell_successor(self, successor: Successor) -> None:
+    def send_successor(self, successor: Successor) -> None:
         """Nobody to tell."""
 
 
@@ -145,7 +145,7 @@
     for event in list(sleeps.pending):
         event.set()
         wait_until(lambda: bool(placing))
-        wait_until(lambda: all(board.standing(key_of(ZONE)) for board in store.boards))
+        wait_until(lambda: all(board.current_row(key_of(ZONE)) for board in store.boards))
     assert len(placing) == 1
     assert store.writes == 1
 
--- a/tests/placement/test_known_state.py
+++ b/tests/placement/test_known_state.py
@@ -11,11 +11,11 @@
 from springrock.errors import PeerRejected
 from springrock.forwarding.directory import Directory
 from springrock.log import Log
-from springrock.placement import state_asker
+from springrock.placement import state_fetcher
 from springrock.placement.messages import Hello, KnownState, decode, encode
 from springrock.placement.placer_board import PlacerBoard
-from springrock.placement.state_asker import StateAsker
-from springrock.placement.state_teller import StateTeller
+from springrock.placement.state_fetcher import StateFetcher
+from springrock.placement.state_provider import StateProvider
 from springrock.placement.succession import Successor
 from springrock.rows import Row, TableReading
 from springrock.table_follower import TableFollower
@@ -44,7 +44,7 @@
         self.board = PlacerBoard(age_s=lambda: 0.0)
         self.directory = Directory(log)
         self.zones = zones
-        self.teller = StateTeller(
+        self.source_zone = StateProvider(
             zones=zones,
             followers=self.followers,
             board=self.board,
@@ -54,8 +54,8 @@
 
     def learn(self, version: int, *, age_s: float = 0.0, value: bytes = b"1") -> None:
         for follower in self.followers:
-            told = reading(follower.table, version, value)
-            follower.take_copy(told, newest_at=monotonic() - age_s)
+            reported = reading(follower.table, version, value)
+            follower.apply_copy(reported, newest_at=monotonic() - age_s)
 
     def ask(self, *others: Box | Exception) -> None:
         """Ask other boxes, by frames as they go over a link, until all is known."""
@@ -65,11 +65,11 @@
             asked = seeds[seed]
             if isinstance(asked, Exception):
                 raise asked
-            state = decode(encode(asked.teller.answer(HELLO)))
+            state = decode(encode(asked.source_zone.answer(HELLO)))
             assert isinstance(state, KnownState)
             return state
 
-        asker = StateAsker(
+        requester = StateFetcher(
             list(seeds),
             fetch=_fetch,
             zones=self.zones,
@@ -79,7 +79,7 @@
             log=Log("state", "test"),
         )
         with gevent.Timeout(5.0):
-            asker.run()
+            requester.run()
 
     def values(self) -> list[dict[str, bytes]]:
         return [listener.rows for listener in self.listeners.values()]
@@ -87,7 +87,7 @@
 
 @pytest.fixture(autouse=True)
 def no_wait_for_the_store(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(state_asker, "_STORE_FIRST_S", 0.0)
+    monkeypatch.setattr(state_fetcher, "_STORE_FIRST_S", 0.0)
 
 
 @pytest.fixture
@@ -102,7 +102,7 @@
 
 def test_a_box_learns_all_tables_and_how_old_they_are(knowing: Box) -> None:
     knowing.learn(7, age_s=2.0)
-    knowing.board.note_successor("placer/zone-1", SUCCESSOR)
+    knowing.board.record_successor("placer/zone-1", SUCCESSOR)
     fresh = Box()
     fresh.ask(knowing)
     assert fresh.values() == [{"a": b"1"}, {"a": b"1"}]
@@ -141,8 +141,8 @@
 
 def test_who_does_not_know_all_tables_tells_none(knowing: Box) -> None:
     follower = knowing.followers[0]
-    follower.take_copy(reading(follower.table, 7), newest_at=monotonic())
-    assert knowing.teller.answer(HELLO).tables == []
+    follower.apply_copy(reading(follower.table, 7), newest_at=monotonic())
+    assert knowing.source_zone.answer(HELLO).tables == []
 
 
 def test_a_box_of_other_zones_is_not_believed(knowing: Box, other: Box) -> None:
@@ -163,7 +163,7 @@
 
 def test_a_box_tells_only_so_many_a_second(knowing: Box) -> None:
     knowing.learn(7)
-    states = [knowing.teller.answer(HELLO) for _ in range(20)]
+    states = [knowing.source_zone.answer(HELLO) for _ in range(20)]
     refused = [state for state in states if state.retry_after_ms]
     assert 0 < len(states) - len(refused) <= 10
     assert all(not state.tables and 0 < state.retry_after_ms <= 1000 for state in refused)
@@ -176,7 +176,7 @@
             Row(f"replica-{number}", b'{"service":"language","adapters":["a%d"]}' % number * 8, 1)
             for number in range(4000)
         ]
-        follower.take_copy(TableReading(follower.table, 0, 1, rows, whole=True), newest_at=0.0)
-    frame = encode(box.teller.answer(HELLO))
+        follower.apply_copy(TableReading(follower.table, 0, 1, rows, whole=True), newest_at=0.0)
+    frame = encode(box.source_zone.answer(HELLO))
     assert len(frame) < 1_048_576
     assert isinstance(decode(frame), KnownState)
--- a/tests/placement/test_lease_return.py
+++ b/tests/placement/test_lease_return.py
@@ -6,7 +6,7 @@
 
 from springrock.placement.lease import PlacerLease
 from springrock.placement.placer_row import placer_row_from
-from springrock.placement.succession import Heir, Successor
+from springrock.placement.succession import HandoverTarget, Successor
 from tests.placement.conftest import Clock
 from tests.placement.test_lease import LEASE_S, ReadRows, make_lease
 from tests.placement.test_return_model import Client, ReturningStore
@@ -22,7 +22,7 @@
         self.store = ReturningStore()
         self.one, self.two, self.three = (self._lease(box) for box in ("one", "two", "three"))
         for lease in (self.one, self.two, self.three):
-            lease.challenge(lease.look())
+            lease.challenge(lease.known_row())
         assert self.one.holds
 
     def _lease(self, box: str) -> PlacerLease:
@@ -33,8 +33,10 @@
         """Let the second box go on in the stead of the first, and the store answer again."""
         self.store.down = True
         self.one.renew()
-        heir = Heir("two", "two-1", "127.0.0.1:1")
-        handover = self.one.give_up(reason="a test", successor=True, heir=heir)
+        handover_target = HandoverTarget("two", "two-1", "127.0.0.1:1")
+        handover = self.one.give_up(
+            reason="a test", successor=True, handover_target=handover_target
+        )
         assert handover is not None
         assert self.two.adopt(handover)
         self.store.down = False
@@ -43,8 +45,8 @@
     @property
     def holder(self) -> str:
         row = Client(self.store).row
-        standing = None if row is None else placer_row_from(row)
-        return "" if standing is None else standing.box
+        existing = None if row is None else placer_row_from(row)
+        return "" if existing is None else existing.box
 
 
 @pytest.fixture
@@ -65,12 +67,12 @@
     at: Boxes, clock: Clock
 ) -> None:
     at.store.return_from(EMPTY)
-    assert not at.two.challenge(at.two.look())
+    assert not at.two.challenge(at.two.known_row())
     clock.now += LEASE_S
-    assert not at.two.challenge(at.two.look())
+    assert not at.two.challenge(at.two.known_row())
     clock.now += 0.5
     at.store.pass_over()
-    assert at.two.challenge(at.two.look())
+    assert at.two.challenge(at.two.known_row())
     assert not at.one.holds
     assert at.two.fence > at.one.last_fence, "also above what the lost row had reserved"
     assert not at.one.renew()
@@ -80,9 +82,9 @@
     at: Boxes, clock: Clock
 ) -> None:
     at.store.return_from(EMPTY)
-    at.two.look()
+    at.two.known_row()
     clock.now += LEASE_S + 0.5
-    assert at.two.challenge(at.two.look())
+    assert at.two.challenge(at.two.known_row())
     at.one.renew()
     assert at.holder == "one", "its number was given out to the row of two"
     assert not at.one.holds
@@ -105,9 +107,9 @@
     at.hand_over_in_an_outage()
     at.store.return_from(EMPTY)
     at.store.pass_over()
-    at.three.look()
+    at.three.known_row()
     clock.now += LEASE_S + 0.5
-    assert at.three.challenge(at.three.look())
+    assert at.three.challenge(at.three.known_row())
     at.two.renew()
     assert not at.two.held
     assert at.holder == "three"
--- a/tests/placement/test_planner.py
+++ b/tests/placement/test_planner.py
@@ -21,7 +21,7 @@
     record = ReplicaRecord(instance=instance, service="s", address="127.0.0.1:1", zone="z")
     book = EngineBook(record, slots=slots)
     held = tuple(HeldAdapter("m", name, 1) for name in adapters)
-    book.take_report(EngineState(sequence=0, models=frozenset({"m"}), adapters=held))
+    book.apply_report(EngineState(sequence=0, models=frozenset({"m"}), adapters=held))
     for place in book.places.values():
         place.since = monotonic() - 10
     return book
@@ -88,7 +88,7 @@
 
 def test_an_older_version_gives_its_place_first() -> None:
     popularity = Popularity()
-    popularity.note(key("x"), 50)
+    popularity.record(key("x"), 50)
     planner = make_planner(popularity, x=2)
     engine = make_engine("i-1", "x", "y")
     assert planner.victim(engine, used={}, now=monotonic()) == key("x")
@@ -103,8 +103,8 @@
 
 def test_a_popular_adapter_is_brought_before_somebody_waits() -> None:
     popularity = Popularity()
-    popularity.note(key("often"), 10)
-    popularity.note(key("once"), 1)
+    popularity.record(key("often"), 10)
+    popularity.record(key("once"), 1)
     plan = make_planner(popularity).plan([], [make_engine("i-1")], used={}, now=monotonic())
     assert [item.key for item in plan.assignments] == [key("often")]
 
@@ -119,7 +119,7 @@
     assert plan.ready_in_s[key("b")] > plan.ready_in_s[key("a")]
     again = planner.plan(wants, [engine], used=used, now=monotonic())
     assert again.assignments == [], "the one place is spoken for"
-    engine.unload_taken(key("z"))
+    engine.unload_executed(key("z"))
     assert engine.opening == 0
     engine.unloaded(key("z"))
     assert engine.opening == 0
@@ -127,17 +127,17 @@
 
 
 def test_a_hot_adapter_on_a_crowded_engine_gets_a_second_copy() -> None:
-    crowded, calm = make_engine("i-1", "hot", "cold"), make_engine("i-2", "x")
+    crowded, is_stable = make_engine("i-1", "hot", "cold"), make_engine("i-2", "x")
     popularity = Popularity()
-    popularity.note(key("hot"), 20)
-    popularity.note(key("cold"), 1)
+    popularity.record(key("hot"), 20)
+    popularity.record(key("cold"), 1)
     planner = make_planner(popularity)
     used = {("i-1", key("hot")): 20}
     waits = {"i-1": 0.6, "i-2": 0.0}
 
     def _plan(*keys: AdapterKey) -> list[tuple[AdapterKey, str]]:
         plan = planner.plan(
-            [], [crowded, calm], used=used, now=monotonic(), waits=waits, crowded=keys
+            [], [crowded, is_stable], used=used, now=monotonic(), waits=waits, crowded=keys
         )
         return [(item.key, item.engine.instance) for item in plan.assignments]
 
@@ -150,7 +150,7 @@
 def test_no_copy_is_made_where_a_first_event_would_wait_as_well() -> None:
     crowded, busy = make_engine("i-1", "hot"), make_engine("i-2", "x")
     popularity = Popularity()
-    popularity.note(key("hot"), 20)
+    popularity.record(key("hot"), 20)
     plan = make_planner(popularity).plan(
         [],
         [crowded, busy],
@@ -164,7 +164,7 @@
 
 def test_an_engine_that_had_the_adapter_lately_is_preferred() -> None:
     before, other = make_engine("i-1", "a"), make_engine("i-2", slots=3)
-    before.unload_taken(key("a"))
+    before.unload_executed(key("a"))
     before.unloaded(key("a"))
     plan = make_planner().plan([want("a")], [other, before], used={}, now=monotonic())
     assert [item.engine.instance for item in plan.assignments] == ["i-1"]
@@ -198,7 +198,7 @@
 
 def test_what_is_at_hand_takes_no_place_before_somebody_waits() -> None:
     engine = make_engine("i-1", "a", "x")
-    engine.unload_taken(key("a"))
+    engine.unload_executed(key("a"))
     engine.unloaded(key("a"))
     planner = make_planner()
     expected_back = want("a", waiting=0)
@@ -211,7 +211,7 @@
 
 def test_a_copy_that_spares_ways_takes_the_place_of_what_is_asked_for_less_than_it_saves() -> None:
     popularity = Popularity()
-    popularity.note(key("x"), 2.0)
+    popularity.record(key("x"), 2.0)
     engine = make_engine("i-1", "x", slots=1)
 
     def assigned(saves: float) -> list[AdapterKey]:
@@ -237,7 +237,7 @@
 
 def test_a_copy_that_finds_no_place_lets_nobody_wait_longer() -> None:
     popularity = Popularity()
-    popularity.note(key("x"), 50)
+    popularity.record(key("x"), 50)
     engine = make_engine("i-1", "x", slots=1)
     used = {("i-1", key("x")): 1}
     wants = [want("b")]
@@ -250,8 +250,8 @@
 
 def test_the_pressure_of_an_engine_is_how_often_its_next_victim_is_asked_for() -> None:
     popularity = Popularity()
-    popularity.note(key("x"), 2.0)
-    popularity.note(key("y"), 7.0)
+    popularity.record(key("x"), 2.0)
+    popularity.record(key("y"), 7.0)
     planner = make_planner(popularity)
     engine = make_engine("i-1", "x", "y")
     now = monotonic()
--- a/tests/placement/test_succession.py
+++ b/tests/placement/test_succession.py
@@ -3,25 +3,27 @@
 from __future__ import annotations
 
 from springrock.placement.lease import PlacerLease
-from springrock.placement.succession import RESERVED_FENCES, Heir, Successor
+from springrock.placement.succession import RESERVED_FENCES, HandoverTarget, Successor
 from tests.placement.conftest import Clock
 from tests.placement.test_lease import LEASE_S, Store, make_lease
 
-HEIR = Heir("two", "two-1", "127.0.0.1:1")
+HANDOVER_TARGET = HandoverTarget("two", "two-1", "127.0.0.1:1")
 
 
 def held(store: Store, box: str) -> PlacerLease:
     """A lease that a box has just taken."""
     lease = make_lease(store, box)
-    assert lease.challenge(lease.look())
+    assert lease.challenge(lease.known_row())
     return lease
 
 
-def handed_over(store: Store, lease: PlacerLease, heir: Heir = HEIR) -> Successor:
+def handed_over(
+    store: Store, lease: PlacerLease, handover_target: HandoverTarget = HANDOVER_TARGET
+) -> Successor:
     """What a box tells that stops while the store is silent."""
     store.down = True
     lease.renew()
-    handover = lease.give_up(reason="a test", successor=True, heir=heir)
+    handover = lease.give_up(reason="a test", successor=True, handover_target=handover_target)
     assert handover is not None
     return handover
 
@@ -29,8 +31,8 @@
 def test_a_role_is_given_back_to_a_store_that_answers(clock: Clock) -> None:
     store = Store()
     one, two = held(store, "one"), make_lease(store, "two")
-    assert one.give_up(reason="a test", successor=True, heir=HEIR) is None
-    assert two.challenge(two.look())
+    assert one.give_up(reason="a test", successor=True, handover_target=HANDOVER_TARGET) is None
+    assert two.challenge(two.known_row())
 
 
 def test_who_takes_over_orders_once_the_store_has_not_answered_it(clock: Clock) -> None:
@@ -64,14 +66,16 @@
     fences = [lease.fence]
     for number in range(1, RESERVED_FENCES + 1):
         name = f"box-{number}"
-        handover = handed_over(store, lease, Heir(name, f"{name}-1", "127.0.0.1:1"))
+        handover = handed_over(store, lease, HandoverTarget(name, f"{name}-1", "127.0.0.1:1"))
         lease = make_lease(store, name)
         assert lease.adopt(handover)
         fences.append(lease.fence)
     assert fences == sorted(set(fences))
     assert fences[-1] <= lease.last_fence
     lease.renew()
-    assert lease.give_up(reason="a test", successor=True, heir=HEIR) is None, "none is left"
+    assert (
+        lease.give_up(reason="a test", successor=True, handover_target=HANDOVER_TARGET) is None
+    ), "none is left"
 
 
 def test_a_late_write_of_who_went_before_is_no_other_holder(clock: Clock) -> None:
@@ -97,9 +101,9 @@
     one, two, three = held(store, "one"), make_lease(store, "two"), make_lease(store, "three")
     handover = handed_over(store, one)
     store.down = False
-    three.look()
+    three.known_row()
     clock.now += LEASE_S + 0.5
-    assert three.challenge(three.look())
+    assert three.challenge(three.known_row())
     assert two.adopt(handover)
     assert not two.renew()
     assert not two.held
@@ -109,7 +113,7 @@
 def test_where_engines_check_no_fence_nothing_is_handed_over(clock: Clock) -> None:
     store = Store()
     one = make_lease(store, "one", checks_fence=False)
-    assert one.challenge(one.look())
+    assert one.challenge(one.known_row())
     store.down = True
     one.renew()
-    assert one.give_up(reason="a test", successor=True, heir=HEIR) is None
+    assert one.give_up(reason="a test", successor=True, handover_target=HANDOVER_TARGET) is None
--- a/tests/quarantine/test_ways.py
+++ b/tests/quarantine/test_ways.py
@@ -130,7 +130,7 @@
         for _ in range(TRIES):
             book = self.chance.choice(self.books)
             if (yield self.environment.process(self._try(fingerprint, adapter, book))):
-                book.note_ran_well(fingerprint)
+                book.record_completion(fingerprint)
                 return
             yield self.environment.timeout(RETURNS_S)
         if fingerprint != GUILTY:
@@ -185,7 +185,7 @@
         broke, engine.running = engine.running, {}
         for book in set(broke.values()):
             own = [item for item, seen_by in broke.items() if seen_by is book]
-            accused = [str(item) for item in own if not book.forgive(item)]
+            accused = [str(item) for item in own if not book.is_exempt(item)]
             key = f"crash/{self.books.index(book)}/{engine.instance}"
             self._report(key, CrashReport("b", engine.instance, accused), book)
         ended, engine.ended = engine.ended, self.environment.event()
@@ -195,14 +195,14 @@
         self.environment.process(self._come_back(engine))
 
     def _report(self, key: str, report: CrashReport, own: CrashBook) -> None:
-        own.take(key, report)
+        own.hold(key, report)
         others = [book for book in self.books if book is not own]
-        self.environment.process(self._tell(key, report, others))
+        self.environment.process(self._notify(key, report, others))
 
-    def _tell(self, key: str, report: CrashReport, others: list[CrashBook]) -> Iterator[Any]:
+    def _notify(self, key: str, report: CrashReport, others: list[CrashBook]) -> Iterator[Any]:
         yield self.environment.timeout(TOLD_AFTER_S)
         for book in others:
-            book.take(key, report)
+            book.hold(key, report)
 
     def _come_back(self, engine: Engine) -> Iterator[Any]:
         yield self.environment.timeout(BACK_AFTER_S)
