--- a/springrock/placement/dispatcher.py
+++ b/springrock/placement/dispatcher.py
@@ -12,14 +12,14 @@
 
 from springrock.clock import monotonic
 from springrock.forwarding.message import AdapterKey
-from springrock.placement.engine_work import EngineWork, ReadingSpeed
+from springrock.placement.engine_work import EngineWork, PrefillSpeed
 from springrock.placement.messages import Began, Outcome, Over, Use
-from springrock.placement.planner import COPY_PART
+from springrock.placement.planner import COPY_WAIT_FRACTION
 
-_FAILURE_S = 0.5
+_FAILURE_PENALTY_S = 0.5
 """What a first event at an engine that always fails is reckoned to wait longer."""
 
-_AVOIDED_S = 5.0
+_AVOIDANCE_PENALTY_S = 5.0
 """What a first event is reckoned to wait longer where a request goes only for want of another."""
 
 
@@ -33,8 +33,8 @@
 
     instance: str
     key: AdapterKey
-    unread: int = 0
-    ahead: int = 0
+    prefill_tokens: int = 0
+    backlog: int = 0
 
 
 class Choice(NamedTuple):
@@ -47,7 +47,7 @@
 
     instance: str
     wait_s: float
-    unread: int
+    prefill_tokens: int
 
 
 class Dispatcher:
@@ -59,10 +59,10 @@
 
     def __init__(self, *, memory_tokens: int) -> None:
         self._memory_tokens = memory_tokens
-        self._usual = ReadingSpeed()
+        self._service_speed = PrefillSpeed()
         self._work: dict[str, EngineWork] = {}
         self._runs: dict[tuple[str, int], _Run] = {}
-        self._begun: set[tuple[str, int]] = set()
+        self._started: set[tuple[str, int]] = set()
         self.used: Counter[tuple[str, AdapterKey]] = Counter()
         self.crowded: dict[AdapterKey, float] = {}
 
@@ -70,7 +70,7 @@
         """Return the work at an engine."""
         work = self._work.get(instance)
         if work is None:
-            work = EngineWork(self._usual, memory_tokens=self._memory_tokens)
+            work = EngineWork(self._service_speed, memory_tokens=self._memory_tokens)
             self._work[instance] = work
         return work
 
@@ -96,23 +96,29 @@
             holders: The engines that hold the adapter.
             target_in_s: How long the request may take to its first event.
         """
-        choices = [self._reckon(instance, key, prompt) for instance in holders]
+        choices = [self._estimate(instance, key, prompt) for instance in holders]
         best = min((item for item in choices if item), key=lambda item: item.wait_s, default=None)
-        if best is not None and best.wait_s > COPY_PART * target_in_s:
+        if best is not None and best.wait_s > COPY_WAIT_FRACTION * target_in_s:
             self.crowded[key] = monotonic()
         return best
 
-    def _reckon(
+    def _estimate(
         self, instance: str, key: AdapterKey, prompt: list[tuple[str, int]]
     ) -> Choice | None:
         work = self.work(instance)
-        if work.lacks(key):
+        if work.is_missing(key):
             return None
-        unread = sum(tokens for _, tokens in prompt) - work.kept.kept(key, prompt)
-        wait_s = work.wait_s + unread * work.token_s + _FAILURE_S * work.health.failure_rate
+        prefill_tokens = sum(tokens for _, tokens in prompt) - work.prompt_cache.cached_tokens(
+            key, prompt
+        )
+        wait_s = (
+            work.wait_s
+            + prefill_tokens * work.token_s
+            + _FAILURE_PENALTY_S * work.health.failure_rate
+        )
         if work.is_full or work.backoff.active or work.health.resting:
-            wait_s += _AVOIDED_S
-        return Choice(instance, wait_s, unread)
+            wait_s += _AVOIDANCE_PENALTY_S
+        return Choice(instance, wait_s, prefill_tokens)
 
     def excess_failures(self, instance: str) -> float:
         """Return how much more often an engine fails than the others do, from -1 to 1."""
@@ -127,27 +133,29 @@
     ) -> None:
         """Note that a request was sent to its engine."""
         work = self.work(choice.instance)
-        work.unread += choice.unread
-        work.kept.record(key, prompt)
-        self._add((box, number), _Run(choice.instance, key, choice.unread, work.unread))
+        work.prefill_backlog += choice.prefill_tokens
+        work.prompt_cache.record(key, prompt)
+        self._add(
+            (box, number), _Run(choice.instance, key, choice.prefill_tokens, work.prefill_backlog)
+        )
 
     def record_use(self, box: str, use: Use) -> None:
         """Note a use that no ask preceded, or that an earlier placer granted."""
         key = AdapterKey(use.model, use.adapter)
-        self._begun.add((box, use.number))
+        self._started.add((box, use.number))
         self._add((box, use.number), _Run(use.instance, key))
 
     def record_start(self, box: str, began: Began) -> None:
         """Note the first event of a request."""
         name = (box, began.number)
         run = self._runs.get(name)
-        if run is None or name in self._begun:
+        if run is None or name in self._started:
             return
-        self._begun.add(name)
+        self._started.add(name)
         work = self._work.get(run.instance)
         if work is not None:
-            work.unread -= run.unread
-            work.record_read(run.ahead, after_s=began.after_ms / 1000)
+            work.prefill_backlog -= run.prefill_tokens
+            work.record_prefill(run.backlog, after_s=began.after_ms / 1000)
 
     def record_finished(self, box: str, over: Over) -> _Run | None:
         """Note the end of a request; return what ended, if it was known."""
@@ -159,12 +167,12 @@
         self.used[use] -= 1
         if not self.used[use]:
             del self.used[use]
-        begun = name in self._begun
-        self._begun.discard(name)
+        begun = name in self._started
+        self._started.discard(name)
         work = self._work.get(run.instance)
         if work is not None:
             work.runs -= 1
-            work.unread -= 0 if begun else run.unread
+            work.prefill_backlog -= 0 if begun else run.prefill_tokens
             self._record_outcome(work, run, over.outcome)
             if over.backoff_ms:
                 work.backoff.extend(over.backoff_ms / 1000)
@@ -190,7 +198,7 @@
         One that asked a box for rest has no room for others either, most likely.
         """
         return {
-            instance: work.wait_s + (_AVOIDED_S if work.backoff.active else 0.0)
+            instance: work.wait_s + (_AVOIDANCE_PENALTY_S if work.backoff.active else 0.0)
             for instance, work in self._work.items()
         }
 
--- a/springrock/placement/engine_book.py
+++ b/springrock/placement/engine_book.py
@@ -23,9 +23,9 @@
 class PlaceState(Enum):
     """How an adapter occupies its place."""
 
-    COMING = "coming"
+    LOADING = "coming"
     READY = "ready"
-    LEAVING = "leaving"
+    UNLOADING = "leaving"
 
 
 class Place(Struct, kw_only=True):
@@ -47,7 +47,7 @@
     unanswered: bool = False
 
 
-class Arrival(NamedTuple):
+class CompletedLoad(NamedTuple):
     """An adapter that came, and how long that took.
 
     Attributes:
@@ -78,13 +78,13 @@
         self.late_orders = LateOrders() if late_orders is None else late_orders
         self.places: dict[AdapterKey, Place] = {}
         self.assigned: dict[AdapterKey, float] = {}
-        self.arrivals: list[Arrival] = []
+        self.completed_loads: list[CompletedLoad] = []
         self.sequence: int | None = None
         self.ordered_at = 0.0
         self.reachable = False
         self.busy = False
         self.models = record.models
-        self._lately: OrderedDict[AdapterKey, int] = OrderedDict()
+        self._cached: OrderedDict[AdapterKey, int] = OrderedDict()
 
     @property
     def instance(self) -> str:
@@ -94,27 +94,27 @@
     @property
     def free(self) -> int:
         """Places that nothing occupies, nor an order to an earlier start may come to occupy."""
-        reserved = self.late_orders.may_come(self.record, self.sequence)
+        reserved = self.late_orders.pending_loads(self.record, self.sequence)
         return self.slots - len(self.places) - reserved
 
     @property
-    def coming(self) -> int:
+    def loading_count(self) -> int:
         """How many adapters are on their way in."""
-        return sum(place.state is PlaceState.COMING for place in self.places.values())
+        return sum(place.state is PlaceState.LOADING for place in self.places.values())
 
     @property
-    def not_yet_placed(self) -> int:
+    def unplaced_assignments(self) -> int:
         """How many adapters are assigned to the engine and have no place there yet."""
         return sum(key not in self.places for key in self.assigned)
 
     @property
-    def opening(self) -> int:
+    def available_places(self) -> int:
         """Places that are free or being given up, less those spoken for by assignments.
 
         Below zero it says how many adapters have yet to give up their places.
         """
-        leaving = sum(place.state is PlaceState.LEAVING for place in self.places.values())
-        return self.free + leaving - self.not_yet_placed
+        leaving = sum(place.state is PlaceState.UNLOADING for place in self.places.values())
+        return self.free + leaving - self.unplaced_assignments
 
     @property
     def all_ready(self) -> bool:
@@ -139,13 +139,13 @@
         place = self.places.get(key)
         return place is not None and place.state is PlaceState.READY and place.version < version
 
-    def at_hand(self, key: AdapterKey, *, version: int) -> bool:
+    def is_cached(self, key: AdapterKey, *, version: int) -> bool:
         """Whether the engine can load an adapter again without the weight store."""
-        return self._lately.get(key, -1) >= version
+        return self._cached.get(key, -1) >= version
 
-    def lately(self) -> Collection[AdapterKey]:
+    def cached_adapters(self) -> Collection[AdapterKey]:
         """Return the adapters that the engine may load again without the weight store."""
-        return self._lately.keys()
+        return self._cached.keys()
 
     def load_executed(
         self,
@@ -167,22 +167,22 @@
             cold: Whether it comes from the weight store.
         """
         known = self.places.get(key)
-        if known is not None and known.state is PlaceState.COMING:
+        if known is not None and known.state is PlaceState.LOADING:
             return
         now = monotonic()
         self.places[key] = Place(
             version=version,
-            state=PlaceState.COMING,
+            state=PlaceState.LOADING,
             since=now if sent_at is None else sent_at,
             expected_at=now + expected_s,
             cold=cold,
         )
 
-    def unload_begins(self, key: AdapterKey) -> None:
+    def unload_started(self, key: AdapterKey) -> None:
         """Note that an order to unload is about to be sent: no request is granted the adapter."""
         place = self.places.get(key)
         if place is not None and place.state is PlaceState.READY:
-            place.state = PlaceState.LEAVING
+            place.state = PlaceState.UNLOADING
 
     def unload_unanswered(self, key: AdapterKey) -> None:
         """Note that an order to unload got no answer.
@@ -191,7 +191,7 @@
         order was given again and answered, or the adapter is seen to be gone.
         """
         place = self.places.get(key)
-        if place is not None and place.state is PlaceState.LEAVING:
+        if place is not None and place.state is PlaceState.UNLOADING:
             place.unanswered = True
 
     @property
@@ -202,7 +202,7 @@
     def unload_failed(self, key: AdapterKey) -> None:
         """Note that the engine did not take an order to unload."""
         place = self.places.get(key)
-        if place is not None and place.state is PlaceState.LEAVING:
+        if place is not None and place.state is PlaceState.UNLOADING:
             place.state = PlaceState.READY
             place.unanswered = False
 
@@ -211,7 +211,7 @@
         place = self.places.get(key)
         if place is not None:
             self._remember(key, place.version)
-            place.state = PlaceState.LEAVING
+            place.state = PlaceState.UNLOADING
             place.unanswered = False
             place.since = monotonic()
 
@@ -219,10 +219,10 @@
         """Note that the engine says that it holds an adapter."""
         place = self.places.get(key)
         if place is None:
-            place = Place(version=version, state=PlaceState.COMING, since=monotonic())
+            place = Place(version=version, state=PlaceState.LOADING, since=monotonic())
             self.places[key] = place
-        if place is not None and place.state is PlaceState.COMING:
-            self.arrivals.append(Arrival(key, monotonic() - place.since, place.cold))
+        if place is not None and place.state is PlaceState.LOADING:
+            self.completed_loads.append(CompletedLoad(key, monotonic() - place.since, place.cold))
             place.state = PlaceState.READY
             place.since = monotonic()
             self._remember(key, place.version)
@@ -242,7 +242,7 @@
         self.models = state.models
         self.busy = state.busy
         self._apply_listed(state.adapters, PlaceState.READY)
-        self._apply_listed(state.coming, PlaceState.COMING)
+        self._apply_listed(state.coming, PlaceState.LOADING)
         listed = {held.key for held in (*state.adapters, *state.coming)}
         for key in [key for key in self.places if key not in listed]:
             self.unloaded(key)
@@ -260,7 +260,7 @@
                 self._remember(held.key, held.version)
 
     def _remember(self, key: AdapterKey, version: int) -> None:
-        self._lately[key] = version
-        self._lately.move_to_end(key)
-        while len(self._lately) > LATELY_KEPT:
-            self._lately.popitem(last=False)
+        self._cached[key] = version
+        self._cached.move_to_end(key)
+        while len(self._cached) > LATELY_KEPT:
+            self._cached.popitem(last=False)
--- a/springrock/placement/engine_reconciler.py
+++ b/springrock/placement/engine_reconciler.py
@@ -26,12 +26,12 @@
 from springrock.placement.lease import PlacerLease
 from springrock.placement.planner import Planner
 
-_LOOK_S = 0.03
+_POLL_INTERVAL_S = 0.03
 """How often the keeper looks while something is on its way."""
 
-_WARM_S = 0.03
-_COLD_S = 0.25
-_REPORT_EVERY_S = 0.25
+_WARM_LOAD_S = 0.03
+_COLD_LOAD_S = 0.25
+_REPORT_INTERVAL_S = 0.25
 """How often an engine is asked for what only its report tells: that a place is free again, or that
 a base model has come."""
 
@@ -40,18 +40,18 @@
 about, as often. That one is there is learnt sooner from the repeated order; a report has the price
 of a probe, sixty times that of an order."""
 
-_CONFIRM_AGAIN_S = 0.04
+_CONFIRM_INTERVAL_S = 0.04
 
 _CONFLICT_PAUSE_S = 0.1
 _UNREACHABLE_PAUSE_S = 0.4
-_AUDIT_S = 5.0
+_AUDIT_INTERVAL_S = 5.0
 """How often an engine is asked while nothing is on its way."""
 
-_WORD_WITHIN_S = 0.7
+_RUNS_REPORT_TIMEOUT_S = 0.7
 """So long a new placer lets an engine that runs more than it was told of unload nothing: boxes look
 for their placer every 0.6 s, and tell it on linking what they run."""
 
-_ASSIGNMENT_S = 2.0
+_ASSIGNMENT_TIMEOUT_S = 2.0
 """How long an assignment is tried before it is given back to the planner."""
 
 
@@ -99,10 +99,10 @@
         self._used = used
         self._known_runs = known_runs
         self._reported_runs = 0
-        self._began_at = 0.0
+        self._started_at = 0.0
         self._newest = newest
         self._wanted_model = wanted_model
-        self._holder = holder
+        self._box = holder
         self._on_change = on_change
         self._log = log
         self._metrics = metrics
@@ -119,7 +119,7 @@
 
     def start(self) -> None:
         """Begin keeping."""
-        self._began_at = monotonic()
+        self._started_at = monotonic()
         self._task = gevent.spawn(self._run)
 
     def stop(self) -> None:
@@ -143,7 +143,7 @@
     def _run(self) -> None:
         while True:
             if not self._lease.holds:
-                gevent.sleep(_LOOK_S)
+                gevent.sleep(_POLL_INTERVAL_S)
                 continue
             if self._stale and not self._read_report():
                 gevent.sleep(_UNREACHABLE_PAUSE_S)
@@ -153,11 +153,11 @@
             if self._confirm_next():
                 continue
             if not self.book.all_ready or not self.book.models or self.book.assigned:
-                self._work.wait(timeout=_LOOK_S)
+                self._work.wait(timeout=_POLL_INTERVAL_S)
                 self._work.clear()
-                self._stale = self._stale or self._report_due()
+                self._stale = self._stale or self._is_report_due()
                 continue
-            woken = self._work.wait(timeout=_AUDIT_S)
+            woken = self._work.wait(timeout=_AUDIT_INTERVAL_S)
             self._stale = self._stale or not woken
             self._work.clear()
 
@@ -177,7 +177,7 @@
         if book.apply_report(state):
             self._stale = False
         else:
-            gevent.sleep(_LOOK_S)
+            gevent.sleep(_POLL_INTERVAL_S)
         self._drop_finished()
         return True
 
@@ -198,20 +198,23 @@
         book = self.book
         now = monotonic()
         for key, assigned_at in list(book.assigned.items()):
-            if book.is_ready(key, version=self._newest(key)) or now - assigned_at > _ASSIGNMENT_S:
+            if (
+                book.is_ready(key, version=self._newest(key))
+                or now - assigned_at > _ASSIGNMENT_TIMEOUT_S
+            ):
                 del book.assigned[key]
-        for arrival in book.arrivals:
+        for load in book.completed_loads:
             self._log.say(
                 "An adapter came.",
                 instance=book.instance,
-                adapter=str(arrival.key),
-                seconds=round(arrival.seconds, 3),
-                cold=arrival.cold,
+                adapter=str(load.key),
+                seconds=round(load.seconds, 3),
+                cold=load.cold,
                 at_once=round(self._planner.loads.at_once, 1),
             )
-            if arrival.cold:
-                self._planner.loads.record(arrival.seconds)
-        book.arrivals.clear()
+            if load.cold:
+                self._planner.loads.record(load.seconds)
+        book.completed_loads.clear()
         ready = frozenset((held.key, held.version) for held in book.ready())
         if ready != self._reported:
             self._reported = ready
@@ -251,7 +254,7 @@
 
     def _awaits_reports(self) -> bool:
         """Whether requests may run here that no box has told this placer of yet."""
-        is_new = monotonic() - self._began_at < _WORD_WITHIN_S
+        is_new = monotonic() - self._started_at < _RUNS_REPORT_TIMEOUT_S
         return is_new and self._reported_runs > self._known_runs()
 
     def _first_assigned(self, fits: Callable[[AdapterKey], bool]) -> AdapterKey | None:
@@ -267,18 +270,18 @@
         if not self._takes_orders():
             return False
         for key, place in book.places.items():
-            if place.state is PlaceState.COMING and now >= place.expected_at:
-                place.expected_at = now + _CONFIRM_AGAIN_S
+            if place.state is PlaceState.LOADING and now >= place.expected_at:
+                place.expected_at = now + _CONFIRM_INTERVAL_S
                 return self._order(OrderKind.LOAD, key)
         return False
 
-    def _report_due(self) -> bool:
+    def _is_report_due(self) -> bool:
         book, now = self.book, monotonic()
         reported_s = now - self._reported_at
         places = book.places.values()
-        if not book.models or any(place.state is PlaceState.LEAVING for place in places):
-            return reported_s >= _REPORT_EVERY_S
-        coming = (place.since for place in places if place.state is PlaceState.COMING)
+        if not book.models or any(place.state is PlaceState.UNLOADING for place in places):
+            return reported_s >= _REPORT_INTERVAL_S
+        coming = (place.since for place in places if place.state is PlaceState.LOADING)
         return now - min(coming, default=now) >= _OVERDUE_LOAD_S <= reported_s
 
     def _load_model(self) -> bool:
@@ -295,25 +298,25 @@
             # It may have ended while a report was waited for.
             return False
         version = self._newest(key) if kind is OrderKind.LOAD else 0
-        order = Order(kind, key, version, book.sequence, self._holder, self._lease.fence)
+        order = Order(kind, key, version, book.sequence, self._box, self._lease.fence)
         sent_at = monotonic()
         if kind is OrderKind.UNLOAD:
-            book.unload_begins(key)
+            book.unload_started(key)
         try:
-            answer = self._give(order)
+            answer = self._send_order(order)
         except ControlUnanswered as error:
             if kind is OrderKind.UNLOAD:
                 book.unload_unanswered(key)
-            self._say(order, "unanswered", error=str(error))
+            self._log_order(order, "unanswered", error=str(error))
             self._stale = True
-            gevent.sleep(_LOOK_S)
+            gevent.sleep(_POLL_INTERVAL_S)
             return True
-        self._say(order, answer.value)
+        self._log_order(order, answer.value)
         self._handle_answer(order, answer, sent_at)
         self._drop_finished()
         return True
 
-    def _give(self, order: Order) -> OrderAnswer:
+    def _send_order(self, order: Order) -> OrderAnswer:
         """Give an order; without an answer it stays noted as one that may be carried out yet."""
         record = self.book.record
         self.book.late_orders.record_sent(record, order)
@@ -357,8 +360,8 @@
             if answer is OrderAnswer.DONE:
                 book.unloaded(order.key)
             return
-        warm = book.at_hand(order.key, version=order.version)
-        expected_s = _WARM_S if warm else _COLD_S
+        warm = book.is_cached(order.key, version=order.version)
+        expected_s = _WARM_LOAD_S if warm else _COLD_LOAD_S
         book.load_executed(
             order.key,
             version=order.version,
@@ -367,7 +370,7 @@
             cold=not warm,
         )
 
-    def _say(self, order: Order, answer: str, **fields: object) -> None:
+    def _log_order(self, order: Order, answer: str, **fields: object) -> None:
         book = self.book
         self._metrics.orders.labels(order.kind.value, answer).inc()
         self._log.say(
--- a/springrock/placement/late_orders.py
+++ b/springrock/placement/late_orders.py
@@ -8,7 +8,7 @@
 from springrock.forwarding.directory import ReplicaRecord
 from springrock.placement.control import Order, OrderKind
 
-_LATE_S = 15.0
+_ORDER_LIFETIME_S = 15.0
 """How long an order may be on its way: the platform's pages say seconds; our days of late orders go
 up to 12 s."""
 
@@ -35,16 +35,16 @@
             return
         now = monotonic()
         for replica_id, sent in list(self._sent.items()):
-            self._keep(replica_id, [item for item in sent if now < item.until])
+            self._store(replica_id, [item for item in sent if now < item.until])
         sent = self._sent.setdefault(record.replica_id, [])
-        sent.append(_Sent(record.instance, order, now + _LATE_S))
+        sent.append(_Sent(record.instance, order, now + _ORDER_LIFETIME_S))
 
     def record_answered(self, record: ReplicaRecord, order: Order) -> None:
         """Note that an order was answered, and so will not be carried out any more."""
         sent = self._sent.get(record.replica_id, [])
-        self._keep(record.replica_id, [item for item in sent if item.order is not order])
+        self._store(record.replica_id, [item for item in sent if item.order is not order])
 
-    def may_come(self, record: ReplicaRecord, sequence: int | None) -> int:
+    def pending_loads(self, record: ReplicaRecord, sequence: int | None) -> int:
         """Return how many orders to earlier starts an engine may yet carry out.
 
         Args:
@@ -59,7 +59,7 @@
             for item in self._sent.get(record.replica_id, ())
         )
 
-    def _keep(self, replica_id: str, sent: list[_Sent]) -> None:
+    def _store(self, replica_id: str, sent: list[_Sent]) -> None:
         if sent:
             self._sent[replica_id] = sent
         else:
--- a/springrock/placement/load_budget.py
+++ b/springrock/placement/load_budget.py
@@ -19,7 +19,7 @@
         self._tokens = 0.0
         self._filled_at = monotonic()
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Take one load out; return whether there was one."""
         self._fill()
         if self._tokens < 1.0:
--- a/springrock/placement/model_loads.py
+++ b/springrock/placement/model_loads.py
@@ -38,7 +38,7 @@
         self._ceiling_burst = ceiling_burst
         self._budgets: dict[str, LoadBudget] = {}
 
-    def wanted(self, service: str, books: Iterable[EngineBook]) -> str | None:
+    def next_model(self, service: str, books: Iterable[EngineBook]) -> str | None:
         """Return the base model that an empty engine is to load now, if one may be loaded.
 
         Args:
@@ -48,7 +48,7 @@
         engine = self._configuration().engine_services.get(service)
         if engine is None or not engine.models:
             return None
-        if not self._budget(service, engine.loads_per_s).take():
+        if not self._budget(service, engine.loads_per_s).try_acquire():
             return None
         held = Counter(
             model for book in books if book.record.service == service for model in book.models
--- a/springrock/placement/near_copies.py
+++ b/springrock/placement/near_copies.py
@@ -19,7 +19,7 @@
 """After so many asks what is not asked for any more is forgotten."""
 
 
-_WISHED_S = 1.0
+_REQUEST_VALID_S = 1.0
 """How long a copy is wished for after a box last said so: while it pays each grant says it anew."""
 
 
@@ -79,17 +79,17 @@
                 carried.forget_rare()
 
 
-class CopyWishes:
+class CopyRequests:
     """The copies that boxes wish for in a zone, and what each would save, in loads."""
 
     def __init__(self) -> None:
-        self._wished: dict[AdapterKey, tuple[float, float]] = {}
+        self._requested: dict[AdapterKey, tuple[float, float]] = {}
 
     def record(self, wishes: Iterable[CopyWish]) -> None:
         """Take what a box wishes for."""
         now = monotonic()
         for wish in wishes:
-            self._wished[AdapterKey(wish.model, wish.adapter)] = (
+            self._requested[AdapterKey(wish.model, wish.adapter)] = (
                 wish.saves / 100,
                 now,
             )
@@ -97,11 +97,13 @@
     def current(self) -> dict[AdapterKey, float]:
         """Return what each copy saves that is still wished for."""
         now = monotonic()
-        self._wished = {
-            key: (saves, at) for key, (saves, at) in self._wished.items() if now - at < _WISHED_S
+        self._requested = {
+            key: (saves, at)
+            for key, (saves, at) in self._requested.items()
+            if now - at < _REQUEST_VALID_S
         }
-        return {key: saves for key, (saves, _) in self._wished.items()}
+        return {key: saves for key, (saves, _) in self._requested.items()}
 
     def clear(self) -> None:
         """Begin anew, as with a lease just taken."""
-        self._wished.clear()
+        self._requested.clear()
--- a/springrock/placement/turnover.py
+++ b/springrock/placement/place_interval.py
@@ -3,28 +3,28 @@
 from __future__ import annotations
 
 _HALF_LIFE_S = 3.0
-_FIRST_PLACE_S = 0.15
+_INITIAL_INTERVAL_S = 0.15
 """What is reckoned before anything was seen."""
 
-_FIRST_PLACES = 4
+_INITIAL_PLACES = 4
 """How many places' worth of seeing outweigh that."""
 
-_LONGEST_PLACE_S = 1.5
+_MAX_INTERVAL_S = 1.5
 
 
-class Turnover:
+class PlaceInterval:
     """Measures the seconds per place over the recent time in which adapters waited for one."""
 
     def __init__(self) -> None:
-        self._short_s = _FIRST_PLACE_S * _FIRST_PLACES
-        self._given = float(_FIRST_PLACES)
+        self._shortage_s = _INITIAL_INTERVAL_S * _INITIAL_PLACES
+        self._given = float(_INITIAL_PLACES)
         self._recorded_at: float | None = None
         self._is_short = False
 
     @property
-    def place_s(self) -> float:
+    def estimate_s(self) -> float:
         """Seconds until one more place is given up, about."""
-        return min(_LONGEST_PLACE_S, self._short_s / self._given)
+        return min(_MAX_INTERVAL_S, self._shortage_s / self._given)
 
     def record(self, *, given: int, is_short: bool, now: float) -> None:
         """Take what one plan did.
@@ -37,7 +37,7 @@
         if self._is_short and self._recorded_at is not None:
             passed_s = now - self._recorded_at
             kept = 0.5 ** (passed_s / _HALF_LIFE_S)
-            self._short_s = self._short_s * kept + passed_s
+            self._shortage_s = self._shortage_s * kept + passed_s
             self._given = self._given * kept + given
         self._is_short = is_short
         self._recorded_at = now
--- a/springrock/placement/placer.py
+++ b/springrock/placement/placer.py
@@ -32,22 +32,22 @@
     Residents,
 )
 from springrock.placement.model_loads import ModelLoads
-from springrock.placement.near_copies import CopyWishes, NearCopies
+from springrock.placement.near_copies import CopyRequests, NearCopies
 from springrock.placement.planner import Assignment, Planner
 from springrock.placement.popularity import Popularity
 from springrock.placement.requests import Requests
 from springrock.placement.residency import Versions
-from springrock.placement.spread import Spread
+from springrock.placement.spread_adapters import SpreadAdapters
 from springrock.placement.wait_estimate import WaitEstimate
 
-_PLAN_EVERY_S = 0.05
+_PLAN_INTERVAL_S = 0.05
 """How often is planned while somebody waits, beside each time that something changed."""
 
-_PLAN_PAUSE_S = 0.005
-_PAUSES_OF_PLAN = 4
+_MIN_PLAN_PAUSE_S = 0.005
+_PAUSE_FACTOR = 4
 """Changes gather for so many times as long as a plan takes: a fifth of the time goes to plans."""
 
-_FIRST_REPORTS_S = 0.15
+_FIRST_REPORTS_TIMEOUT_S = 0.15
 """How long a new placer waits for the engines' first reports before it plans: what stands
 somewhere must not be brought again."""
 
@@ -55,11 +55,11 @@
 """An adapter at a limited engine that has room so soon needs no load elsewhere, which takes about
 as long."""
 
-_LIMITED_S = 5.0
+_LIMITED_PENALTY_S = 5.0
 """What a first event is reckoned to wait longer at an engine that has named a limit: nothing is
 brought there while another engine can take it."""
 
-_CROWDED_S = 0.5
+_CROWDED_VALID_S = 0.5
 """How long an adapter counts as crowded after a request found all its holders busy."""
 
 
@@ -122,8 +122,8 @@
         self._popularity = Popularity()
         self._planners: dict[str, Planner] = {}
         self._changed: set[str] = set()
-        self._spread = Spread(self._popularity)
-        self._models = ModelLoads(
+        self._spread = SpreadAdapters(self._popularity)
+        self._model_loads = ModelLoads(
             zone,
             configuration=configuration,
             directory=directory,
@@ -153,12 +153,12 @@
             on_unserved=self._work.set,
             on_granted=metrics.grant_seconds.labels(zone).observe,
             log=log,
-            near=NearCopies(zone, topology=lambda: world().topology, prices=prices),
+            near_copies=NearCopies(zone, topology=lambda: world().topology, prices=prices),
             home_zone_of=home_zone_of,
         )
-        self._copy_wishes = CopyWishes()
+        self._copy_requests = CopyRequests()
         self._task: gevent.Greenlet[..., Any] | None = None
-        directory.on_change.append(self._replica_changed)
+        directory.on_change.append(self._handle_replica_change)
 
     @property
     def active(self) -> bool:
@@ -172,7 +172,7 @@
         for service in self._configuration().engine_services:
             for replica in self._directory.of_service(service):
                 if replica.record.zone == self._zone:
-                    self._keep(replica)
+                    self._start_reconciler(replica)
 
     def stop(self) -> None:
         """Stop at once."""
@@ -183,18 +183,18 @@
             reconciler.stop()
         self._reconcilers.clear()
         self._planners.clear()
-        self._models.clear()
+        self._model_loads.clear()
         self.requests.clear()
         self._changed.clear()
         self._spread.clear()
         self.prefetch.clear()
-        self._copy_wishes.clear()
+        self._copy_requests.clear()
 
     def apply_demand(self, box: str, demand: Demand) -> None:
         """Take what is new at a box."""
         self.requests.apply_demand(box, demand)
         if demand.copies:
-            self._copy_wishes.record(demand.copies)
+            self._copy_requests.record(demand.copies)
             self._work.set()
 
     def forget_box(self, box: str) -> None:
@@ -285,7 +285,7 @@
 
     # Engines.
 
-    def _replica_changed(self, record: ReplicaRecord | None, instance: str) -> None:
+    def _handle_replica_change(self, record: ReplicaRecord | None, instance: str) -> None:
         if not self.active or (record is not None and record.zone != self._zone):
             return
         if record is None:
@@ -299,10 +299,10 @@
         elif record.service in self._configuration().engine_services:
             replica = self._directory.find(instance)
             if replica is not None:
-                self._keep(replica)
+                self._start_reconciler(replica)
         self._work.set()
 
-    def _keep(self, replica: Replica) -> None:
+    def _start_reconciler(self, replica: Replica) -> None:
         service = replica.record.service
         engine = self._configuration().engine_services[service]
         reconciler = EngineReconciler(
@@ -313,7 +313,7 @@
             used=lambda: self.requests.dispatcher(service).used,
             known_runs=lambda: self.requests.dispatcher(service).work(replica.instance).runs,
             newest=self._versions.newest,
-            wanted_model=lambda: self._models.wanted(service, self._books()),
+            wanted_model=lambda: self._model_loads.next_model(service, self._books()),
             takes_orders=lambda: not self._is_evacuated,
             holder=self._box,
             on_change=self._handle_engine_change,
@@ -332,8 +332,10 @@
 
     def _handle_engine_change(self, book: EngineBook) -> None:
         """Learn that what an engine holds has changed."""
-        kept = self.requests.dispatcher(book.record.service).work(book.instance).kept
-        kept.keep_only(book.places)
+        prompt_cache = (
+            self.requests.dispatcher(book.record.service).work(book.instance).prompt_cache
+        )
+        prompt_cache.retain_only(book.places)
         self._changed.add(book.instance)
         for key in [key for key in self.requests.asks.keys if key in book.places]:
             self.requests.grant_waiting(key)
@@ -343,18 +345,18 @@
 
     def _plan_loop(self) -> None:
         while True:
-            to_bring = self.requests.asks.wanted or self.prefetch.pending
-            self._work.wait(timeout=_PLAN_EVERY_S if to_bring else None)
+            has_pending_wants = self.requests.asks.wanted or self.prefetch.pending
+            self._work.wait(timeout=_PLAN_INTERVAL_S if has_pending_wants else None)
             self._work.clear()
             began_at = monotonic()
             if self._lease.holds and self._has_engine_reports():
                 self._plan()
             took_s = monotonic() - began_at
-            gevent.sleep(max(_PLAN_PAUSE_S, _PAUSES_OF_PLAN * took_s))
+            gevent.sleep(max(_MIN_PLAN_PAUSE_S, _PAUSE_FACTOR * took_s))
 
     def _has_engine_reports(self) -> bool:
         """Whether the engines have told what they hold, or were given the time for it."""
-        if monotonic() - self._started_at > _FIRST_REPORTS_S:
+        if monotonic() - self._started_at > _FIRST_REPORTS_TIMEOUT_S:
             return True
         return all(
             reconciler.book.sequence is not None for reconciler in self._reconcilers.values()
@@ -370,9 +372,11 @@
         if self._is_evacuated:
             return
         loadable = self._loadable()
-        limited = self.requests.limited()
-        without_room = {name for name, room_in_s in limited.items() if room_in_s > _ROOM_SOON_S}
-        prefetch = self.prefetch.wants(self._is_here(loadable), now)
+        limited = self.requests.limited_engines()
+        instances_without_room = {
+            name for name, room_in_s in limited.items() if room_in_s > _ROOM_SOON_S
+        }
+        prefetch = self.prefetch.wants(self._presence_check(loadable), now)
         wants += [want for want in prefetch if want.key not in wanted]
         for service, engine in self._configuration().engine_services.items():
             models = {model.name for model in engine.models}
@@ -384,33 +388,33 @@
                 used=dispatcher.used,
                 now=now,
                 waits=_with_limits(dispatcher.waits(), limited),
-                crowded=dispatcher.crowded_since(now - _CROWDED_S),
-                near=self._copy_wishes.current(),
-                backing_off=dispatcher.backing_off() | without_room,
+                crowded=dispatcher.crowded_since(now - _CROWDED_VALID_S),
+                near_copies=self._copy_requests.current(),
+                backing_off=dispatcher.backing_off() | instances_without_room,
             )
             for assignment in plan.assignments:
                 if assignment.want.saves:
                     # Else it would be the next to give up its place: nobody here has asked for it.
                     self._popularity.record(assignment.key, assignment.want.saves)
                 self._reconcilers[assignment.engine.instance].wake()
-                self._say_assigned(assignment, now)
+                self._log_assigned(assignment, now)
             for key, ready_in_s in plan.ready_in_s.items():
                 self.requests.forecasts.notify(
                     key,
                     ready_at=now + ready_in_s,
                     boxes=self.requests.asks.boxes(key),
-                    elsewhere=_is_held_back(key, books, without_room),
+                    elsewhere=_is_held_back(key, books, instances_without_room),
                 )
 
-    def _is_here(self, books: list[EngineBook]) -> Callable[[AdapterKey], bool]:
+    def _presence_check(self, books: list[EngineBook]) -> Callable[[AdapterKey], bool]:
         """Return whether an adapter stands at one of some engines, is on its way or at hand."""
 
         def _is_at(book: EngineBook, key: AdapterKey) -> bool:
-            return key in book.places or book.at_hand(key, version=self._versions.newest(key))
+            return key in book.places or book.is_cached(key, version=self._versions.newest(key))
 
         return lambda key: any(_is_at(book, key) for book in books)
 
-    def _say_assigned(self, assignment: Assignment, now: float) -> None:
+    def _log_assigned(self, assignment: Assignment, now: float) -> None:
         want = assignment.want
         self._log.say(
             "Assigned an adapter.",
@@ -435,13 +439,17 @@
 
 def _with_limits(waits: dict[str, float], limited: Collection[str]) -> dict[str, float]:
     """Return how long a first event would wait at each engine, where some have named limits."""
-    return waits | {name: waits.get(name, 0.0) + _LIMITED_S for name in limited}
+    return waits | {name: waits.get(name, 0.0) + _LIMITED_PENALTY_S for name in limited}
 
 
 def _is_held_back(
-    key: AdapterKey, books: Collection[EngineBook], without_room: Collection[str]
+    key: AdapterKey, books: Collection[EngineBook], instances_without_room: Collection[str]
 ) -> bool:
     """Whether an adapter stands, but only where limits keep out more, and is on its way nowhere."""
     holding = [book for book in books if key in book.places]
     on_its_way = any(key in book.assigned for book in books)
-    return bool(holding) and not on_its_way and all(b.instance in without_room for b in holding)
+    return (
+        bool(holding)
+        and not on_its_way
+        and all(b.instance in instances_without_room for b in holding)
+    )
--- a/springrock/placement/plan_index.py
+++ b/springrock/placement/plan_index.py
@@ -23,16 +23,19 @@
     def __init__(self, engines: Collection[EngineBook]) -> None:
         self._holding: dict[AdapterKey, list[EngineBook]] = defaultdict(list)
         self._assigned: dict[AdapterKey, list[EngineBook]] = defaultdict(list)
-        self._lately: dict[AdapterKey, list[EngineBook]] = defaultdict(list)
-        self._openings = {engine.instance: engine.opening for engine in engines}
-        self._loads = {engine.instance: engine.not_yet_placed + engine.coming for engine in engines}
+        self._cached: dict[AdapterKey, list[EngineBook]] = defaultdict(list)
+        self._available_places = {engine.instance: engine.available_places for engine in engines}
+        self._load_counts = {
+            engine.instance: engine.unplaced_assignments + engine.loading_count
+            for engine in engines
+        }
         for engine in engines:
             for key in engine.places:
                 self._holding[key].append(engine)
             for key in engine.assigned:
                 self._assigned[key].append(engine)
-            for key in engine.lately():
-                self._lately[key].append(engine)
+            for key in engine.cached_adapters():
+                self._cached[key].append(engine)
 
     def holding(self, key: AdapterKey) -> Sequence[EngineBook]:
         """Return the engines at which an adapter occupies a place."""
@@ -42,21 +45,21 @@
         """Return the engines to which an adapter is assigned."""
         return self._assigned.get(key, ())
 
-    def is_at_hand(self, key: AdapterKey, *, version: int) -> bool:
+    def is_cached(self, key: AdapterKey, *, version: int) -> bool:
         """Whether any engine can load an adapter without the weight store."""
-        return any(engine.at_hand(key, version=version) for engine in self._lately.get(key, ()))
+        return any(engine.is_cached(key, version=version) for engine in self._cached.get(key, ()))
 
-    def opening(self, engine: EngineBook) -> int:
+    def available_places(self, engine: EngineBook) -> int:
         """Return `EngineBook.opening`."""
-        return self._openings[engine.instance]
+        return self._available_places[engine.instance]
 
-    def loads(self, engine: EngineBook) -> int:
+    def load_count(self, engine: EngineBook) -> int:
         """Return how many adapters are on their way to an engine, or about to be ordered."""
-        return self._loads[engine.instance]
+        return self._load_counts[engine.instance]
 
     def assign(self, engine: EngineBook, key: AdapterKey, *, now: float) -> None:
         """Assign an adapter to an engine."""
         engine.assigned[key] = now
         self._assigned[key].append(engine)
-        self._openings[engine.instance] = engine.opening
-        self._loads[engine.instance] = engine.not_yet_placed + engine.coming
+        self._available_places[engine.instance] = engine.available_places
+        self._load_counts[engine.instance] = engine.unplaced_assignments + engine.loading_count
--- a/springrock/placement/planner.py
+++ b/springrock/placement/planner.py
@@ -11,41 +11,41 @@
 
 from springrock.forwarding.message import AdapterKey
 from springrock.placement.engine_book import EngineBook, Place, PlaceState
-from springrock.placement.load_pace import LoadPace
+from springrock.placement.load_concurrency import LoadConcurrency
+from springrock.placement.place_interval import PlaceInterval
 from springrock.placement.plan_index import PlanIndex
 from springrock.placement.popularity import Popularity
-from springrock.placement.turnover import Turnover
 
 COLD_LOAD_S = 0.35
 """A load from the weight store, about, until the placer knows that it is done."""
 
 WARM_LOAD_S = 0.1
-_COMING_TO_ONE = 4
+_MAX_LOADS_PER_ENGINE = 4
 """How many may be on their way to one engine: the platform's bound."""
 
-_UNREACHED_S = 0.3
+_UNREACHABLE_AFTER_S = 0.3
 """A want that stands this long although the adapter is ready somewhere cannot reach it."""
 
-_GRACE_S = 0.2
+_MIN_RESIDENCY_S = 0.2
 """How long a fresh adapter is kept for those who waited for it."""
 
-_LATE_PART = 0.3
+_LATE_WORTH_FACTOR = 0.3
 """What an answer that comes late is worth of one in time."""
 
-_ASKED_BY_ONE = 1.5
+_SINGLE_CLIENT_COUNT = 1.5
 """How often one client asks, its coming back included."""
 
-_POPULAR = 2.5
+_POPULAR_COUNT = 2.5
 """Asked for this often, an adapter is loaded although nobody waits for it now."""
 
-HOT = 5.0
+HOT_COUNT = 5.0
 """Asked for this often, an adapter whose every holder is crowded gets one more copy."""
 
-COPY_PART = 0.5
+COPY_WAIT_FRACTION = 0.5
 """Of the time to its target; where a first event would wait longer, a copy elsewhere is better:
 the load takes about the other half."""
 
-_LONGEST_WAIT_OF_COPY_S = 0.15
+_MAX_WAIT_AT_COPY_S = 0.15
 """Where a first event waits longer than this one more copy would help nobody."""
 
 COLD_COST = 1.0
@@ -55,14 +55,14 @@
 """How many loads more a copy that spares ways must save than the adapter that gives up its place is
 asked for: half of its own load, as copies that pay stand for long."""
 
-_WORTH_OF_FUTURE = 2.0
-_NO_PLACE = 100.0
-_EVICTION = 1.0
-_COLD = 10.0
-_RUNNING = 0.12
+_FUTURE_WORTH = 2.0
+_NO_PLACE_COST = 100.0
+_EVICTION_COST = 1.0
+_COLD_ENGINE_COST = 10.0
+_RUNNING_COST = 0.12
 """What one running request of an engine costs; eight of them as much as an eviction."""
 
-_WAIT = 1.0
+_WAIT_COST_PER_S = 1.0
 """What a second costs that a first event would wait there: as much as an eviction."""
 
 
@@ -122,8 +122,8 @@
         self._waits: Mapping[str, float] = {}
         self._backing_off: Collection[str] = ()
         self._victims_of: dict[str, list[AdapterKey]] = {}
-        self._turnover = Turnover()
-        self.loads = LoadPace()
+        self._place_interval = PlaceInterval()
+        self.loads = LoadConcurrency()
 
     def plan(
         self,
@@ -134,7 +134,7 @@
         now: float,
         waits: Mapping[str, float] | None = None,
         crowded: Collection[AdapterKey] = (),
-        near: Mapping[AdapterKey, float] | None = None,
+        near_copies: Mapping[AdapterKey, float] | None = None,
         backing_off: Collection[str] = (),
     ) -> Plan:
         """Return what to order now.
@@ -159,20 +159,20 @@
         wants = list(wants)
         self._wanted = frozenset(want.key for want in wants if want.waiting)
         wanted = {want.key for want in wants}
-        wants += self._foreseen(engines, index, wanted, now)
-        wants += self._copies(index, wanted, crowded, now)
-        wants += [unasked(key, now, saves=saves) for key, saves in _without(near, wanted)]
+        wants += self._popular_wants(engines, index, wanted, now)
+        wants += self._copy_wants(index, wanted, crowded, now)
+        wants += [unasked(key, now, saves=saves) for key, saves in _without(near_copies, wanted)]
         # Of equals the one that has waited longest: a later one would push it back again and again.
         ranked = sorted(wants, key=lambda want: (-self._value(want, index, now), want.target_at))
-        coming = sum(len(engine.assigned) for engine in engines)
+        loads_under_way = sum(len(engine.assigned) for engine in engines)
         short_of_places = 0
         for want in ranked:
-            known_s = self._known_ready_in(want, index, now)
-            if known_s is not None:
-                plan.ready_in_s[want.key] = known_s
+            existing_s = self._existing_ready_in(want, index, now)
+            if existing_s is not None:
+                plan.ready_in_s[want.key] = existing_s
                 continue
-            is_foreseen = not want.waiting and not want.is_copy and not want.saves
-            if is_foreseen and self._is_at_hand(want.key, index):
+            is_speculative = not want.waiting and not want.is_copy and not want.saves
+            if is_speculative and self._is_cached_anywhere(want.key, index):
                 # It takes no place before somebody waits: it can be there at once.
                 plan.ready_in_s[want.key] = WARM_LOAD_S
                 continue
@@ -181,29 +181,31 @@
                 continue
             if engine is None:
                 short_of_places += 1
-                place_in_s = self._turnover.place_s * short_of_places
+                place_in_s = self._place_interval.estimate_s * short_of_places
                 plan.ready_in_s[want.key] = place_in_s + COLD_LOAD_S
                 continue
-            warm = engine.at_hand(want.key, version=self._newest(want.key))
+            warm = engine.is_cached(want.key, version=self._newest(want.key))
             expected_s = WARM_LOAD_S if warm else COLD_LOAD_S
-            coming += 1
-            at_once = int(self.loads.at_once)
-            if coming > at_once:
-                rounds = (coming - 1) // at_once
+            loads_under_way += 1
+            max_loads = int(self.loads.at_once)
+            if loads_under_way > max_loads:
+                rounds = (loads_under_way - 1) // max_loads
                 plan.ready_in_s[want.key] = expected_s + rounds * COLD_LOAD_S
                 continue
             index.assign(engine, want.key, now=now)
             self._victims_of.pop(engine.instance, None)
             plan.assignments.append(Assignment(want.key, engine, want))
             plan.ready_in_s[want.key] = expected_s
-        self._turnover.record(given=len(plan.assignments), is_short=short_of_places > 0, now=now)
+        self._place_interval.record(
+            given=len(plan.assignments), is_short=short_of_places > 0, now=now
+        )
         return plan
 
     def room(
         self, engine: EngineBook, *, used: Collection[tuple[str, AdapterKey]], now: float
     ) -> int:
         """Return how many more adapters an engine could take now."""
-        return engine.opening + len(self._victims(engine, used, now))
+        return engine.available_places + len(self._victims(engine, used, now))
 
     def pressure(
         self, engine: EngineBook, *, used: Collection[tuple[str, AdapterKey]], now: float
@@ -212,7 +214,7 @@
 
         0 while a place is open, infinite if none can be given up.
         """
-        if engine.opening > 0:
+        if engine.available_places > 0:
             return 0.0
         victim = self.victim(engine, used=used, now=now)
         return math.inf if victim is None else self._popularity.of(victim)
@@ -229,7 +231,7 @@
         used: Collection[tuple[str, AdapterKey]],
         now: float,
         *,
-        opening: int,
+        available_places: int,
     ) -> AdapterKey | None:
         """Return who would give way to one more adapter on an engine without an open place.
 
@@ -240,8 +242,8 @@
         if victims is None:
             # They stay the same until an adapter is assigned to the engine.
             victims = self._victims_of[engine.instance] = self._victims(engine, used, now)
-        spoken_for = -opening
-        return victims[spoken_for] if spoken_for < len(victims) else None
+        reserved = -available_places
+        return victims[reserved] if reserved < len(victims) else None
 
     def _victims(
         self, engine: EngineBook, used: Collection[tuple[str, AdapterKey]], now: float
@@ -254,19 +256,19 @@
             and (engine.instance, key) not in used
             and key not in engine.assigned
             and (key not in self._wanted or engine.is_outdated(key, version=self._newest(key)))
-            and now - place.since >= _GRACE_S
+            and now - place.since >= _MIN_RESIDENCY_S
         ]
-        return sorted(victims, key=lambda key: self._keep_value(engine, key))
+        return sorted(victims, key=lambda key: self._retention_value(engine, key))
 
     def _value(self, want: CombinedWant, index: PlanIndex, now: float) -> float:
         """Return what a load is worth to those who wait and will likely ask, less what it costs."""
         in_time = now + COLD_LOAD_S < want.target_at
-        worth = want.worth if in_time or want.promised else want.worth * _LATE_PART
-        asked_again = max(0.0, self._popularity.of(want.key) - _ASKED_BY_ONE)
-        cost = 0.0 if self._is_at_hand(want.key, index) else COLD_COST
-        return worth + want.saves + _WORTH_OF_FUTURE * asked_again - cost
+        worth = want.worth if in_time or want.promised else want.worth * _LATE_WORTH_FACTOR
+        asked_again = max(0.0, self._popularity.of(want.key) - _SINGLE_CLIENT_COUNT)
+        cost = 0.0 if self._is_cached_anywhere(want.key, index) else COLD_COST
+        return worth + want.saves + _FUTURE_WORTH * asked_again - cost
 
-    def _foreseen(
+    def _popular_wants(
         self,
         engines: Collection[EngineBook],
         index: PlanIndex,
@@ -277,11 +279,11 @@
         models = {model for engine in engines for model in engine.models}
         return [
             unasked(key, now)
-            for key in self._popularity.above(_POPULAR)
+            for key in self._popularity.above(_POPULAR_COUNT)
             if key not in wanted and key.model in models and not index.holding(key)
         ]
 
-    def _copies(
+    def _copy_wants(
         self,
         index: PlanIndex,
         wanted: Collection[AdapterKey],
@@ -292,14 +294,14 @@
         copies = []
         for key in crowded:
             holders = index.holding(key)
-            is_coming = any(engine.places[key].state is PlaceState.COMING for engine in holders)
+            is_coming = any(engine.places[key].state is PlaceState.LOADING for engine in holders)
             on_its_way = is_coming or bool(index.assigned(key))
             asked = self._popularity.of(key) / max(1, len(holders))
-            if asked >= HOT and key not in wanted and holders and not on_its_way:
+            if asked >= HOT_COUNT and key not in wanted and holders and not on_its_way:
                 copies.append(unasked(key, now, is_copy=True))
         return copies
 
-    def _known_ready_in(self, want: CombinedWant, index: PlanIndex, now: float) -> float | None:
+    def _existing_ready_in(self, want: CombinedWant, index: PlanIndex, now: float) -> float | None:
         """Return when an adapter will be ready without a new load, if so."""
         key = want.key
         newest = self._newest(key)
@@ -309,8 +311,8 @@
                 continue
             if engine.instance in self._backing_off:
                 continue
-            stood_s = now - max(want.since, engine.places[key].since)
-            if not want.waiting or stood_s < _UNREACHED_S:
+            ready_for_s = now - max(want.since, engine.places[key].since)
+            if not want.waiting or ready_for_s < _UNREACHABLE_AFTER_S:
                 times.append(0.0)
         for engine in index.assigned(key):
             is_excluded = want.is_copy and key in engine.places
@@ -331,39 +333,37 @@
         newest = self._newest(key)
 
         def _cost(engine: EngineBook) -> float:
-            cost = _RUNNING * self._running[engine.instance]
-            cost += _WAIT * self._waits.get(engine.instance, 0.0)
-            if not engine.at_hand(key, version=newest):
-                cost += _COLD
+            cost = _RUNNING_COST * self._running[engine.instance]
+            cost += _WAIT_COST_PER_S * self._waits.get(engine.instance, 0.0)
+            if not engine.is_cached(key, version=newest):
+                cost += _COLD_ENGINE_COST
             if key in engine.places:
                 # Its older version gives up its own place.
                 return cost
-            opening = index.opening(engine)
-            if opening > 0:
-                return cost - 0.1 * opening
-            victim = self._next_victim(engine, used, now, opening=opening)
+            available_places = index.available_places(engine)
+            if available_places > 0:
+                return cost - 0.1 * available_places
+            victim = self._next_victim(engine, used, now, available_places=available_places)
             if victim is not None and self._outweighs(want, victim, index):
-                return cost + _EVICTION + 0.5 * len(engine.assigned)
-            return cost + _NO_PLACE
+                return cost + _EVICTION_COST + 0.5 * len(engine.assigned)
+            return cost + _NO_PLACE_COST
 
         candidates = [
             engine
             for engine in engines
             if key.model in engine.models
-            and (key not in engine.places or self._replaceable(engine, key, used))
-            and not (
-                want.is_copy and self._waits.get(engine.instance, 0.0) > _LONGEST_WAIT_OF_COPY_S
-            )
-            and index.loads(engine) < _COMING_TO_ONE
+            and (key not in engine.places or self._is_replaceable(engine, key, used))
+            and not (want.is_copy and self._waits.get(engine.instance, 0.0) > _MAX_WAIT_AT_COPY_S)
+            and index.load_count(engine) < _MAX_LOADS_PER_ENGINE
         ]
         costs = [(_cost(engine), engine) for engine in candidates]
-        cost, best = min(costs, key=lambda item: item[0], default=(_NO_PLACE, None))
-        return best if cost < _NO_PLACE else None
+        cost, best = min(costs, key=lambda item: item[0], default=(_NO_PLACE_COST, None))
+        return best if cost < _NO_PLACE_COST else None
 
-    def _is_at_hand(self, key: AdapterKey, index: PlanIndex) -> bool:
-        return index.is_at_hand(key, version=self._newest(key))
+    def _is_cached_anywhere(self, key: AdapterKey, index: PlanIndex) -> bool:
+        return index.is_cached(key, version=self._newest(key))
 
-    def _replaceable(
+    def _is_replaceable(
         self, engine: EngineBook, key: AdapterKey, used: Collection[tuple[str, AdapterKey]]
     ) -> bool:
         """Whether an older version of an adapter can give up its place at once."""
@@ -379,9 +379,9 @@
         asked = self._popularity.of(want.key)
         if want.is_copy:
             asked /= 1 + len(index.holding(want.key))
-        return asked > self._popularity.of(victim) + _POPULAR
+        return asked > self._popularity.of(victim) + _POPULAR_COUNT
 
-    def _keep_value(self, engine: EngineBook, key: AdapterKey) -> tuple[bool, float]:
+    def _retention_value(self, engine: EngineBook, key: AdapterKey) -> tuple[bool, float]:
         place: Place = engine.places[key]
         return place.version >= self._newest(key), self._popularity.of(key)
 
@@ -403,9 +403,9 @@
 
 
 def _without(
-    near: Mapping[AdapterKey, float] | None, wanted: Collection[AdapterKey]
+    near_copies: Mapping[AdapterKey, float] | None, wanted: Collection[AdapterKey]
 ) -> list[tuple[AdapterKey, float]]:
-    return [(key, saves) for key, saves in (near or {}).items() if key not in wanted]
+    return [(key, saves) for key, saves in (near_copies or {}).items() if key not in wanted]
 
 
 def _running_by_engine(used: Mapping[tuple[str, AdapterKey], int]) -> Counter[str]:
--- a/springrock/placement/popularity.py
+++ b/springrock/placement/popularity.py
@@ -8,7 +8,7 @@
 from springrock.forwarding.message import AdapterKey
 
 _HALF_LIFE_S = 8.0
-_FORGOTTEN = 0.01
+_MIN_COUNT = 0.01
 _DECAY = math.log(2) / _HALF_LIFE_S
 
 
@@ -41,7 +41,7 @@
         """Forget what is hardly asked for any more; return the decayed counts as they are now."""
         now_of = {key: self.of(key) for key in self._counts}
         self._counts = {
-            key: counted for key, counted in self._counts.items() if now_of[key] >= _FORGOTTEN
+            key: counted for key, counted in self._counts.items() if now_of[key] >= _MIN_COUNT
         }
         return now_of
 
--- a/springrock/placement/requests.py
+++ b/springrock/placement/requests.py
@@ -30,7 +30,7 @@
 from springrock.placement.popularity import Popularity
 from springrock.placement.residency import Versions
 
-_DOUBTFUL = (Outcome.LACKING, Outcome.UNREACHABLE, Outcome.FAILED)
+_SUSPECT_OUTCOMES = (Outcome.LACKING, Outcome.UNREACHABLE, Outcome.FAILED)
 """After these the engine is asked itself what it holds, so that one box's trouble with it is not
 taken for the engine's."""
 
@@ -50,7 +50,7 @@
         on_unserved: Called when there is something to plan for.
         on_granted: Called with the seconds that a request waited for its grant.
         log: The log to write to.
-        near: Counts who asks from far away.
+        near_copies: Counts who asks from far away.
         home_zone_of: Returns where a box stands; None if that is not known.
 
     Attributes:
@@ -73,7 +73,7 @@
         on_unserved: Callable[[], None],
         on_granted: Callable[[float], None],
         log: Log,
-        near: NearCopies,
+        near_copies: NearCopies,
         home_zone_of: Callable[[str], str | None],
     ) -> None:
         self._reconcilers = reconcilers
@@ -87,7 +87,7 @@
         self._on_unserved = on_unserved
         self._on_granted = on_granted
         self._log = log
-        self._near = near
+        self._near_copies = near_copies
         self._home_zone_of = home_zone_of
         self.asks = AskBook()
         self.forecasts = Forecasts(send)
@@ -100,13 +100,13 @@
         self.forecasts.keep_only(())
         self.dispatchers.clear()
         self._backoffs = Backoffs()
-        self._near.clear()
+        self._near_copies.clear()
 
     def apply_demand(self, box: str, demand: Demand) -> None:
         """Take what is new at a box."""
         now = monotonic()
         for use in demand.uses:
-            instance = self._start_that_stands(use.instance)
+            instance = self._current_instance(use.instance)
             self._dispatcher_of(instance).record_use(
                 box, Use(use.number, instance, use.model, use.adapter)
             )
@@ -163,7 +163,7 @@
         # The ask may have waited here while another request of its box was asked for rest.
         backing_off = self._backoffs.of(waiting.box)
         avoid = backing_off.union(ask.tried)
-        holders = self.holders(key, avoid=avoid, bounds=bounds) or self._holders_again(
+        holders = self.holders(key, avoid=avoid, bounds=bounds) or self._retry_holders(
             dispatcher, ask, key, avoid=backing_off
         )
         choice = dispatcher.choose(key, ask.prompt, holders, target_in_s=waiting.target_at - now)
@@ -186,7 +186,7 @@
             again=choice.instance in ask.failed_at,
             permitted=permitted,
             first_event_in_ms=round(choice.wait_s * 1000),
-            unread_tokens=choice.unread,
+            unread_tokens=choice.prefill_tokens,
             copy_saves=round(saves, 2),
             waited_ms=round((now - waiting.asked_at) * 1000),
         )
@@ -201,7 +201,7 @@
         if zone_obstacle_of(home, bounds=ask.bounds, world=self._world()) is not None:
             return 0.0
         carried = bytes_of_prompt(sum(tokens for _, tokens in ask.prompt))
-        return self._near.record(waiting.key, home_zone=home, carried_bytes=carried)
+        return self._near_copies.record(waiting.key, home_zone=home, carried_bytes=carried)
 
     def holders(
         self, key: AdapterKey, *, avoid: Collection[str] = (), bounds: Bounds = ANYWHERE
@@ -239,7 +239,7 @@
             cold=world.is_cold(record),
         )
 
-    def limited(self) -> dict[str, float]:
+    def limited_engines(self) -> dict[str, float]:
         """Return the engines that have named a limit, and the seconds until each has room."""
         world = self._world()
         records = [reconciler.book.record for reconciler in self._reconcilers.values()]
@@ -249,7 +249,7 @@
             if world.is_limited(record)
         }
 
-    def _holders_again(
+    def _retry_holders(
         self, dispatcher: Dispatcher, ask: Ask, key: AdapterKey, *, avoid: Collection[str]
     ) -> list[str]:
         """Return the engines that failed a request and are still better for it than a load.
@@ -265,12 +265,12 @@
             for reconciler in self._reconcilers.values()
             if reconciler.book.reachable
         ]
-        at_hand = any(
-            book.at_hand(key, version=version)
+        is_cached = any(
+            book.is_cached(key, version=version)
             for book in books
             if book.instance not in ask.failed_at
         )
-        load_cost = 0.0 if at_hand else COLD_COST
+        load_cost = 0.0 if is_cached else COLD_COST
         return [
             instance
             for instance in self.holders(key, avoid=avoid, bounds=ask.bounds)
@@ -282,7 +282,7 @@
         for dispatcher in self.dispatchers.values():
             run = dispatcher.record_finished(box, over)
             reconciler = self._reconcilers.get(run.instance) if run is not None else None
-            if reconciler is not None and over.outcome in _DOUBTFUL:
+            if reconciler is not None and over.outcome in _SUSPECT_OUTCOMES:
                 reconciler.mark_stale()
             if run is not None and over.backoff_ms:
                 self._backoffs.record(box, run.instance, seconds=over.backoff_ms / 1000)
@@ -294,7 +294,7 @@
                 return service
         return None
 
-    def _start_that_stands(self, instance: str) -> str:
+    def _current_instance(self, instance: str) -> str:
         """Return the start of an engine that runs what was sent to an earlier start of it.
 
         A box that has not read of the new start yet names the one that it knows. Its request runs
--- a/springrock/placement/residency.py
+++ b/springrock/placement/residency.py
@@ -13,7 +13,7 @@
 from springrock.forwarding.directory import Directory, HeldAdapter, Replica, ReplicaRecord
 from springrock.forwarding.message import AdapterKey
 
-_DENIED_S = 1.0
+_DENIAL_VALID_S = 1.0
 """How long a replica's own "not here" outweighs other witnesses that do not change."""
 
 LATELY_KEPT = 30
@@ -51,9 +51,9 @@
         self._held: dict[str, tuple[HeldAdapter, ...]] = {}
         self._versions_at: dict[AdapterKey, dict[str, int]] = {}
         self._denied: dict[tuple[str, AdapterKey], float] = {}
-        self._given_up: dict[str, OrderedDict[AdapterKey, int]] = {}
-        self._given_up_by: dict[AdapterKey, set[str]] = {}
-        directory.on_change.append(self._replica_changed)
+        self._cached: dict[str, OrderedDict[AdapterKey, int]] = {}
+        self._cached_at: dict[AdapterKey, set[str]] = {}
+        directory.on_change.append(self._handle_replica_change)
 
     def holds(self, replica: Replica, key: AdapterKey) -> bool:
         """Whether a replica holds the newest known version of an adapter."""
@@ -81,14 +81,14 @@
         newest = self._versions.newest(key)
         known = (
             self._directory.find(instance)
-            for instance in self._given_up_by.get(key, ())
-            if self._given_up[instance][key] >= newest
+            for instance in self._cached_at.get(key, ())
+            if self._cached[instance][key] >= newest
         )
         return [replica for replica in known if replica is not None]
 
     def deny(self, instance: str, key: AdapterKey) -> None:
         """Learn from a replica itself that it does not hold an adapter."""
-        self._denied[(instance, key)] = monotonic() + _DENIED_S
+        self._denied[(instance, key)] = monotonic() + _DENIAL_VALID_S
 
     def record_reported(self, instance: str, adapters: Iterable[HeldAdapter]) -> None:
         """Learn from the placer what a replica holds."""
@@ -116,13 +116,13 @@
         del self._denied[(instance, key)]
         return False
 
-    def _replica_changed(self, record: ReplicaRecord | None, instance: str) -> None:
+    def _handle_replica_change(self, record: ReplicaRecord | None, instance: str) -> None:
         if record is None:
             self._reported.pop(instance, None)
         self._index(instance)
         if record is None:
-            for key in self._given_up.pop(instance, {}):
-                self._forget_given_up(instance, key)
+            for key in self._cached.pop(instance, {}):
+                self._forget_cached(instance, key)
             for denied in [denied for denied in self._denied if denied[0] == instance]:
                 del self._denied[denied]
 
@@ -151,20 +151,20 @@
         self, instance: str, before: Iterable[HeldAdapter], now: Iterable[HeldAdapter]
     ) -> None:
         existing = {held.key for held in now}
-        lately = self._given_up.setdefault(instance, OrderedDict())
-        for key in existing & lately.keys():
-            del lately[key]
-            self._forget_given_up(instance, key)
+        cached_adapters = self._cached.setdefault(instance, OrderedDict())
+        for key in existing & cached_adapters.keys():
+            del cached_adapters[key]
+            self._forget_cached(instance, key)
         for held in before:
             if held.key not in existing:
-                lately[held.key] = held.version
-                self._given_up_by.setdefault(held.key, set()).add(instance)
-        while len(lately) > LATELY_KEPT:
-            key, _ = lately.popitem(last=False)
-            self._forget_given_up(instance, key)
-
-    def _forget_given_up(self, instance: str, key: AdapterKey) -> None:
-        instances = self._given_up_by[key]
+                cached_adapters[held.key] = held.version
+                self._cached_at.setdefault(held.key, set()).add(instance)
+        while len(cached_adapters) > LATELY_KEPT:
+            key, _ = cached_adapters.popitem(last=False)
+            self._forget_cached(instance, key)
+
+    def _forget_cached(self, instance: str, key: AdapterKey) -> None:
+        instances = self._cached_at[key]
         instances.discard(instance)
         if not instances:
-            del self._given_up_by[key]
+            del self._cached_at[key]
--- a/springrock/placement/spread.py
+++ b/springrock/placement/spread_adapters.py
@@ -6,17 +6,17 @@
 
 from springrock.clock import monotonic
 from springrock.forwarding.message import AdapterKey
-from springrock.placement.planner import HOT
+from springrock.placement.planner import HOT_COUNT
 from springrock.placement.popularity import Popularity
 
-_COPIES = 2
+_MIN_COPIES = 2
 """So many copies in one zone say that one engine is too little for an adapter."""
 
-_KEPT_UP_S = 10.0
+_RETENTION_S = 10.0
 """How long an adapter stays spread after it was last so: about the half-life of popularity."""
 
 
-class Spread:
+class SpreadAdapters:
     """The adapters that are spread over the zones.
 
     Args:
@@ -37,10 +37,10 @@
         now = monotonic()
         for key, count in copies.items():
             # While it is spread each zone sees its part of the requests only.
-            hot = HOT if key in self._since else HOT * zones
-            if count >= _COPIES and self._popularity.of(key) >= hot:
+            hot = HOT_COUNT if key in self._since else HOT_COUNT * zones
+            if count >= _MIN_COPIES and self._popularity.of(key) >= hot:
                 self._since[key] = now
-        self._since = {key: at for key, at in self._since.items() if now - at < _KEPT_UP_S}
+        self._since = {key: at for key, at in self._since.items() if now - at < _RETENTION_S}
         return tuple(sorted(map(str, self._since)))
 
     def clear(self) -> None:
--- a/springrock/placement/wait_estimate.py
+++ b/springrock/placement/wait_estimate.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-_MOST_PRESSURE = 1_000.0
+_MAX_PRESSURE = 1_000.0
 """Told where no adapter can give up its place: nothing is asked for as often."""
 
-_LONGEST_WAIT_S = 60.0
+_MAX_WAIT_S = 60.0
 
 
 class WaitEstimate(NamedTuple):
@@ -25,9 +25,9 @@
     @classmethod
     def from_engines(cls, *, pressures: Iterable[float], waits_s: Iterable[float]) -> WaitEstimate:
         """Build from what awaits them at each engine."""
-        return cls(min(_MOST_PRESSURE, _middle(pressures)), min(_LONGEST_WAIT_S, _middle(waits_s)))
+        return cls(min(_MAX_PRESSURE, _median(pressures)), min(_MAX_WAIT_S, _median(waits_s)))
 
 
-def _middle(values: Iterable[float]) -> float:
+def _median(values: Iterable[float]) -> float:
     ordered = sorted(values)
     return ordered[len(ordered) // 2] if ordered else 0.0
--- a/tests/placement/test_dispatcher.py
+++ b/tests/placement/test_dispatcher.py
@@ -83,21 +83,23 @@
     requests: Requests,
 ) -> None:
     requests.send("i-1", shared=SHARED)
-    kept = requests.dispatcher.work("i-1").kept
+    cache = requests.dispatcher.work("i-1").prompt_cache
     prompt = [*SHARED, ("own", 10)]
-    assert kept.kept(KEY, prompt) == 6000
-    assert kept.kept(OTHER, prompt) == 0
-    assert kept.kept(KEY, [("another", 5), *prompt]) == 0, "what stands behind a gap is read anew"
-    kept.keep_only({OTHER})
-    assert kept.kept(KEY, prompt) == 0
+    assert cache.cached_tokens(KEY, prompt) == 6000
+    assert cache.cached_tokens(OTHER, prompt) == 0
+    assert cache.cached_tokens(KEY, [("another", 5), *prompt]) == 0, (
+        "what stands behind a gap is read anew"
+    )
+    cache.retain_only({OTHER})
+    assert cache.cached_tokens(KEY, prompt) == 0
 
 
 def test_parts_unused_longest_give_way(requests: Requests) -> None:
     for name in range(30):
         requests.send("i-1", shared=[(f"part-{name}", 6000)])
-    kept = requests.dispatcher.work("i-1").kept
-    assert kept.kept(KEY, [("part-0", 6000)]) == 0
-    assert kept.kept(KEY, [("part-29", 6000)]) == 6000
+    cache = requests.dispatcher.work("i-1").prompt_cache
+    assert cache.cached_tokens(KEY, [("part-0", 6000)]) == 0
+    assert cache.cached_tokens(KEY, [("part-29", 6000)]) == 6000
 
 
 def test_an_engine_that_reads_slowly_gets_less_until_that_is_long_ago(
@@ -156,7 +158,7 @@
     dispatcher.forget_box("box")
     dispatcher.forget_box("other box")
     assert not dispatcher.used
-    assert (dispatcher.work("i-1").runs, dispatcher.work("i-1").unread) == (0, 0)
+    assert (dispatcher.work("i-1").runs, dispatcher.work("i-1").prefill_backlog) == (0, 0)
 
 
 def test_the_end_of_a_request_at_an_engine_that_is_gone_harms_nothing(requests: Requests) -> None:
@@ -164,7 +166,7 @@
     requests.dispatcher.forget("i-1")
     requests.over(1)
     assert not requests.dispatcher.used
-    assert requests.dispatcher.work("i-1").unread == 0
+    assert requests.dispatcher.work("i-1").prefill_backlog == 0
 
 
 def test_an_engine_that_fails_as_often_as_the_others_has_no_excess(pass_time: Pass) -> None:
--- a/tests/placement/test_engine_book.py
+++ b/tests/placement/test_engine_book.py
@@ -42,7 +42,7 @@
     order_load(book, A)
     assert book.free == 1
     assert not book.apply_report(state(0)), "an older report must not count"
-    assert book.places[A].state is PlaceState.COMING
+    assert book.places[A].state is PlaceState.LOADING
     book.apply_report(state(1, coming=(A,)))
     assert book.free == 1
     book.apply_report(state(1, A))
@@ -59,12 +59,12 @@
     book.unload_executed(A)
     assert book.free == 1
     book.apply_report(state(2, A))
-    assert book.places[A].state is PlaceState.LEAVING
+    assert book.places[A].state is PlaceState.UNLOADING
     assert book.free == 1
     book.apply_report(state(2))
     assert book.free == 2
-    assert book.at_hand(A, version=1)
-    assert not book.at_hand(A, version=2)
+    assert book.is_cached(A, version=1)
+    assert not book.is_cached(A, version=2)
 
 
 def test_what_another_holder_ordered_takes_its_place_too() -> None:
@@ -100,5 +100,5 @@
     book = make_book()
     book.load_executed(A, version=1, sent_at=monotonic() - 0.3, cold=True)
     book.loaded(A)
-    [arrival] = book.arrivals
-    assert arrival.seconds >= 0.3
+    [load] = book.completed_loads
+    assert load.seconds >= 0.3
--- a/tests/placement/test_engine_reconciler.py
+++ b/tests/placement/test_engine_reconciler.py
@@ -104,7 +104,7 @@
         self.adapters.add(name)
 
 
-def make_keeper(
+def make_reconciler(
     engine: Engine,
     lease: Lease,
     reported: list[set[str]],
@@ -151,7 +151,7 @@
 
 def test_an_assigned_adapter_is_brought_and_told() -> None:
     engine, reported = Engine(), []
-    reconciler = make_keeper(engine, Lease(), reported)
+    reconciler = make_reconciler(engine, Lease(), reported)
     reconciler.start()
     assign(reconciler, "a")
     wait_for(lambda: bool(reported) and reported[-1] == {"a"}, "a is told to be there")
@@ -162,7 +162,7 @@
 @pytest.mark.parametrize("fault", ["lose_order", "lose_answer"])
 def test_an_order_without_answer_never_takes_two_places(fault: str) -> None:
     engine, reported = Engine(), []
-    reconciler = make_keeper(engine, Lease(), reported)
+    reconciler = make_reconciler(engine, Lease(), reported)
     reconciler.start()
     wait_for(lambda: reconciler.book.sequence is not None, "the engine is known")
     setattr(engine, fault, True)
@@ -176,7 +176,7 @@
 def test_a_full_engine_gives_up_an_adapter_first() -> None:
     engine, reported = Engine(), []
     engine.adapters = {"x", "y"}
-    reconciler = make_keeper(engine, Lease(), reported)
+    reconciler = make_reconciler(engine, Lease(), reported)
     reconciler.start()
     assign(reconciler, "a")
     wait_for(lambda: "a" in engine.adapters, "a is there")
@@ -189,10 +189,10 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Boxes send without a placer's word too, and link to a new placer a little later."""
-    monkeypatch.setattr(reconciler_module, "_WORD_WITHIN_S", 60.0)
+    monkeypatch.setattr(reconciler_module, "_RUNS_REPORT_TIMEOUT_S", 60.0)
     engine, reported, known = Engine(), [], [0]
     engine.adapters, engine.running = {"x", "y"}, 2
-    reconciler = make_keeper(engine, Lease(), reported, known_runs=lambda: known[0])
+    reconciler = make_reconciler(engine, Lease(), reported, known_runs=lambda: known[0])
     reconciler.start()
     assign(reconciler, "a")
     wait_for(lambda: bool(reported), "the engine's report is read")
@@ -206,10 +206,10 @@
 def test_a_new_placer_waits_for_word_of_runs_only_so_long(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(reconciler_module, "_WORD_WITHIN_S", 0.1)
+    monkeypatch.setattr(reconciler_module, "_RUNS_REPORT_TIMEOUT_S", 0.1)
     engine, reported = Engine(), []
     engine.adapters, engine.running = {"x", "y"}, 2
-    reconciler = make_keeper(engine, Lease(), reported)
+    reconciler = make_reconciler(engine, Lease(), reported)
     reconciler.start()
     assign(reconciler, "a")
     wait_for(lambda: "a" in engine.adapters, "a is there, as nobody told of the runs")
@@ -218,7 +218,7 @@
 
 def test_a_newer_fence_ends_the_orders() -> None:
     engine, lease, reported = Engine(), Lease(), []
-    reconciler = make_keeper(engine, lease, reported)
+    reconciler = make_reconciler(engine, lease, reported)
     reconciler.start()
     wait_for(lambda: reconciler.book.sequence is not None, "the engine is known")
     engine.newest_fence = 6
@@ -234,7 +234,7 @@
 def test_an_engine_that_came_back_empty_loads_its_model_first() -> None:
     engine, reported = Engine(), []
     engine.models = frozenset()
-    reconciler = make_keeper(engine, Lease(), reported)
+    reconciler = make_reconciler(engine, Lease(), reported)
     reconciler.start()
     assign(reconciler, "a")
     wait_for(lambda: bool(engine.orders), "an order is given")
@@ -247,7 +247,7 @@
 def test_an_older_version_gives_way_to_the_newer_one() -> None:
     engine, reported = Engine(), []
     engine.adapters = {"a", "b"}
-    reconciler = make_keeper(engine, Lease(), reported, newest=2)
+    reconciler = make_reconciler(engine, Lease(), reported, newest=2)
     reconciler.start()
     assign(reconciler, "a")
     wait_for(lambda: len(engine.orders) >= 2, "two orders are given")
@@ -263,7 +263,7 @@
     engine, reported = Engine(), []
     engine.adapters = {"a", "b"}
     used = {("i-1", key("a"))}
-    reconciler = make_keeper(engine, Lease(), reported, newest=2, used=used)
+    reconciler = make_reconciler(engine, Lease(), reported, newest=2, used=used)
     reconciler.start()
     assign(reconciler, "a")
     gevent.sleep(0.3)
@@ -277,7 +277,7 @@
 
 def test_nothing_is_ordered_after_a_lease_that_ended_while_a_report_was_waited_for() -> None:
     engine, lease = Engine(), Lease()
-    reconciler = make_keeper(engine, lease, [])
+    reconciler = make_reconciler(engine, lease, [])
     reconciler._read_report()
     reconciler.book.assigned[key("a")] = monotonic()
     lease.holds = False
@@ -302,7 +302,7 @@
 def test_while_an_adapter_comes_the_order_is_repeated_and_few_reports_are_asked_for() -> None:
     """A report has the price of many orders: 10 for 40 orders before, 5 for 100 after."""
     engine = CountingEngine()
-    reconciler = make_keeper(engine, Lease(), [])
+    reconciler = make_reconciler(engine, Lease(), [])
     reconciler.start()
     assign(reconciler, "a")
     wait_for(lambda: len(engine.orders) >= 40, "the order was repeated often")
@@ -329,7 +329,7 @@
         return super().order(address, instance=instance, order=order)
 
 
-def told_start(reconciler: EngineReconciler) -> None:
+def set_start(reconciler: EngineReconciler) -> None:
     reconciler.book.record = msgspec.structs.replace(
         reconciler.book.record, instance="i-1@1", born_ms=1
     )
@@ -339,8 +339,8 @@
 def test_a_report_of_another_start_is_not_taken_for_the_engines(born_ms: int | None) -> None:
     engine, reported = RebornEngine(), []
     engine.adapters = {"a"}
-    reconciler = make_keeper(engine, Lease(), reported)
-    told_start(reconciler)
+    reconciler = make_reconciler(engine, Lease(), reported)
+    set_start(reconciler)
     reconciler.start()
     wait_for(lambda: reconciler.book.reachable, "the engine is known")
     engine.born_ms, engine.adapters = born_ms, {"b"}
@@ -357,8 +357,8 @@
 
 def test_an_engine_is_asked_by_its_id_whatever_its_start() -> None:
     engine = RebornEngine()
-    reconciler = make_keeper(engine, Lease(), [])
-    told_start(reconciler)
+    reconciler = make_reconciler(engine, Lease(), [])
+    set_start(reconciler)
     reconciler.start()
     assign(reconciler, "a")
     wait_for(lambda: "a" in engine.adapters, "the adapter is there")
@@ -368,7 +368,7 @@
 
 def test_an_engine_that_is_not_understood_is_ordered_nothing() -> None:
     engine = Engine()
-    reconciler = make_keeper(engine, Lease(), [])
+    reconciler = make_reconciler(engine, Lease(), [])
     reconciler.apply_record(msgspec.structs.replace(reconciler.book.record, understood=False))
     reconciler.start()
     wait_for(lambda: reconciler.book.reachable, "the engine is known")
@@ -384,7 +384,7 @@
 def test_an_engine_that_takes_no_orders_is_looked_at_and_given_none() -> None:
     engine, reported = Engine(), []
     orders_from: list[bool] = []
-    reconciler = make_keeper(engine, Lease(), reported, takes_orders=lambda: bool(orders_from))
+    reconciler = make_reconciler(engine, Lease(), reported, takes_orders=lambda: bool(orders_from))
     reconciler.start()
     assign(reconciler, "a")
     engine.adapters = {"x"}
@@ -420,7 +420,7 @@
 ) -> None:
     engine = SlowUnloads(refused)
     engine.adapters = {"x", "y"}
-    reconciler = make_keeper(engine, Lease(), [])
+    reconciler = make_reconciler(engine, Lease(), [])
     book = reconciler.book
     reconciler.start()
     wait_for(lambda: len(book.ready()) == SLOTS, "the engine is known")
@@ -440,7 +440,7 @@
         ReplicaRecord(instance="i-1", service="s", address="127.0.0.1:1", zone="z"), slots=SLOTS
     )
     book.loaded(key("x"))
-    book.unload_begins(key("x"))
+    book.unload_started(key("x"))
     assert not book.is_ready(key("x"), version=0)
     book.unload_failed(key("x"))
     assert book.is_ready(key("x"), version=0)
@@ -451,7 +451,7 @@
         ReplicaRecord(instance="i-1", service="s", address="127.0.0.1:1", zone="z"), slots=SLOTS
     )
     book.loaded(key("x"))
-    book.unload_begins(key("x"))
+    book.unload_started(key("x"))
     book.unload_unanswered(key("x"))
     assert not book.is_ready(key("x"), version=0)
     assert book.unanswered_unloads == [key("x")]
--- a/tests/placement/test_load_pace.py
+++ b/tests/placement/test_load_concurrency.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from springrock.placement.load_pace import LoadPace
+from springrock.placement.load_concurrency import LoadConcurrency
 
 
 def test_more_are_brought_at_once_while_they_come_fast_and_fewer_when_slow() -> None:
-    pace = LoadPace()
+    pace = LoadConcurrency()
     first = pace.at_once
     for _ in range(50):
         pace.record(0.25)
@@ -21,7 +21,7 @@
 
 
 def test_there_is_always_something_under_way_and_never_without_bound() -> None:
-    pace = LoadPace()
+    pace = LoadConcurrency()
     pace.record(0.1)
     for _ in range(500):
         pace.record(5.0)
@@ -32,7 +32,7 @@
 
 
 def test_a_lasting_change_of_speed_is_learned() -> None:
-    pace = LoadPace()
+    pace = LoadConcurrency()
     pace.record(0.1)
     for _ in range(1000):
         pace.record(0.3)
@@ -41,7 +41,7 @@
 
 def test_one_load_of_half_the_time_does_not_make_the_others_look_slow() -> None:
     """Before: 40 at once fell to 4 and stayed there; now they stay."""
-    pace = LoadPace()
+    pace = LoadConcurrency()
     for _ in range(400):
         pace.record(0.32)
     most = pace.at_once
--- a/tests/placement/test_near_copies.py
+++ b/tests/placement/test_near_copies.py
@@ -9,7 +9,7 @@
 from springrock.placement import near_copies as near_copies_module
 from springrock.placement import popularity as popularity_module
 from springrock.placement.messages import CopyWish
-from springrock.placement.near_copies import CopyWishes, NearCopies
+from springrock.placement.near_copies import CopyRequests, NearCopies
 from springrock.topology import Topology
 
 KEY, OTHER = AdapterKey("m", "a"), AdapterKey("m", "b")
@@ -69,7 +69,7 @@
 
 
 def test_a_wish_stands_for_a_second_after_it_was_last_told(clock: Clock) -> None:
-    wishes = CopyWishes()
+    wishes = CopyRequests()
     wishes.record([CopyWish("m", "a", 120), CopyWish("m", "b", 60)])
     clock.now += 0.7
     wishes.record([CopyWish("m", "b", 90)])
--- a/tests/placement/test_turnover.py
+++ b/tests/placement/test_place_interval.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from springrock.placement.turnover import Turnover
+from springrock.placement.place_interval import PlaceInterval
 
 
 def record_for(
-    turnover: Turnover, *, seconds: float, place_every_s: float, begins_at: float
+    turnover: PlaceInterval, *, seconds: float, place_every_s: float, begins_at: float
 ) -> None:
     """Have adapters wait all the time, while a place is given at an even pace."""
     step_s = 0.05
@@ -21,25 +21,25 @@
 
 
 def test_before_anything_is_seen_a_place_is_reckoned_to_come_soon() -> None:
-    assert Turnover().place_s == pytest.approx(0.15)
+    assert PlaceInterval().estimate_s == pytest.approx(0.15)
 
 
 def test_the_pace_is_measured_while_places_are_short() -> None:
-    turnover = Turnover()
+    turnover = PlaceInterval()
     record_for(turnover, seconds=10.0, place_every_s=0.5, begins_at=100.0)
-    assert turnover.place_s == pytest.approx(0.5, rel=0.2)
+    assert turnover.estimate_s == pytest.approx(0.5, rel=0.2)
     record_for(turnover, seconds=10.0, place_every_s=0.2, begins_at=110.0)
-    assert turnover.place_s == pytest.approx(0.2, rel=0.2)
+    assert turnover.estimate_s == pytest.approx(0.2, rel=0.2)
 
 
 def test_time_in_which_nobody_waited_does_not_count() -> None:
-    turnover = Turnover()
+    turnover = PlaceInterval()
     turnover.record(given=0, is_short=False, now=100.0)
     turnover.record(given=1, is_short=False, now=160.0)
-    assert turnover.place_s == pytest.approx(0.15)
+    assert turnover.estimate_s == pytest.approx(0.15)
 
 
 def test_places_that_never_come_are_reckoned_with_a_bound() -> None:
-    turnover = Turnover()
+    turnover = PlaceInterval()
     record_for(turnover, seconds=60.0, place_every_s=600.0, begins_at=100.0)
-    assert turnover.place_s == pytest.approx(1.5)
+    assert turnover.estimate_s == pytest.approx(1.5)
--- a/tests/placement/test_placer.py
+++ b/tests/placement/test_placer.py
@@ -385,7 +385,7 @@
 def test_a_place_that_a_request_gives_up_goes_at_once_to_who_wants_it(
     monkeypatch: pytest.MonkeyPatch, reported: list[Told], wanted: str
 ) -> None:
-    monkeypatch.setattr(placer_module, "_PLAN_EVERY_S", 60.0)
+    monkeypatch.setattr(placer_module, "_PLAN_INTERVAL_S", 60.0)
     placer = start_holding(SlowEngine("m", adapters=("x", "y")), reported)
     for number, adapter in enumerate(("x", "y")):
         placer.apply_demand("box-1", asking(adapter, number=number))
--- a/tests/placement/test_places_model.py
+++ b/tests/placement/test_places_model.py
@@ -130,9 +130,9 @@
         record = ReplicaRecord(instance="i-1", service="s", address="127.0.0.1:1", zone="z")
         self.book = EngineBook(record, slots=SLOTS)
         self.planner = Planner(Popularity(), lambda key: 0)
-        self.reconciler = self.make_keeper(self.book)
+        self.reconciler = self.make_reconciler(self.book)
 
-    def make_keeper(self, book: EngineBook) -> EngineReconciler:
+    def make_reconciler(self, book: EngineBook) -> EngineReconciler:
         """Return the keeper of the engine, as far as a book tells of it."""
         return EngineReconciler(
             book,
@@ -178,7 +178,7 @@
                 continue
             if not self.reconciler._order_next() and not self.reconciler._confirm_next():
                 self.now += 0.03
-                self.reconciler._stale = self.reconciler._stale or self.reconciler._report_due()
+                self.reconciler._stale = self.reconciler._stale or self.reconciler._is_report_due()
 
     @rule(seconds=st.sampled_from((0.05, 0.3, 1.1, 2.5)))
     def wait(self, seconds: float) -> None:
--- a/tests/placement/test_plan_index.py
+++ b/tests/placement/test_plan_index.py
@@ -21,9 +21,9 @@
     assert list(index.holding(key("a"))) == [second]
     assert list(index.assigned(key("c"))) == [second]
     assert list(index.holding(key("z"))) == list(index.assigned(key("z"))) == []
-    assert index.is_at_hand(key("a"), version=0)
-    assert not index.is_at_hand(key("a"), version=10**6)
-    assert not index.is_at_hand(key("z"), version=0)
+    assert index.is_cached(key("a"), version=0)
+    assert not index.is_cached(key("a"), version=10**6)
+    assert not index.is_cached(key("z"), version=0)
 
 
 def test_an_assignment_counts_at_once_and_for_its_engine_alone() -> None:
@@ -33,9 +33,9 @@
     assert engines[0].assigned == {key("a"): 1.0}
     assert list(index.assigned(key("a"))) == [engines[0]]
     for engine in engines:
-        assert index.opening(engine) == engine.opening
-        assert index.loads(engine) == engine.not_yet_placed + engine.coming
-    assert index.loads(engines[0]) == 1
+        assert index.available_places(engine) == engine.available_places
+        assert index.load_count(engine) == engine.unplaced_assignments + engine.loading_count
+    assert index.load_count(engines[0]) == 1
 
 
 def test_a_plan_counts_the_places_of_an_engine_once_and_at_each_assignment(
@@ -47,14 +47,14 @@
     151 to 201 ms, now 18 to 61 ms (12 plans each, beside other work); the plans are the same.
     """
     counted = 0
-    opening = EngineBook.opening
+    available_places = EngineBook.available_places
 
     def _counting(book: EngineBook) -> int:
         nonlocal counted
         counted += 1
-        return opening.__get__(book)
+        return available_places.__get__(book)
 
-    monkeypatch.setattr(EngineBook, "opening", property(_counting))
+    monkeypatch.setattr(EngineBook, "available_places", property(_counting))
     engines = [make_engine(f"i-{number}", "x", "y") for number in range(ENGINES)]
     wants = [want(f"a{number}") for number in range(WANTS)]
     plan = make_planner().plan(wants, engines, used={}, now=monotonic())
--- a/tests/placement/test_planner.py
+++ b/tests/placement/test_planner.py
@@ -120,9 +120,9 @@
     again = planner.plan(wants, [engine], used=used, now=monotonic())
     assert again.assignments == [], "the one place is spoken for"
     engine.unload_executed(key("z"))
-    assert engine.opening == 0
+    assert engine.available_places == 0
     engine.unloaded(key("z"))
-    assert engine.opening == 0
+    assert engine.available_places == 0
     assert planner.plan(wants, [engine], used=used, now=monotonic()).assignments == []
 
 
@@ -216,7 +216,7 @@
 
     def assigned(saves: float) -> list[AdapterKey]:
         plan = make_planner(popularity).plan(
-            [], [engine], used={}, now=monotonic(), near={key("a"): saves}
+            [], [engine], used={}, now=monotonic(), near_copies={key("a"): saves}
         )
         assert plan.ready_in_s.get(key("a")) != 0.0
         return [item.key for item in plan.assignments]
@@ -228,10 +228,10 @@
 def test_a_copy_that_spares_ways_is_made_once_and_not_where_the_adapter_stands() -> None:
     planner = make_planner()
     engines = [make_engine("i-1", "a"), make_engine("i-2")]
-    near = {key("a"): 3.0, key("b"): 3.0}
-    plan = planner.plan([], engines, used={}, now=monotonic(), near=near)
+    near_copies = {key("a"): 3.0, key("b"): 3.0}
+    plan = planner.plan([], engines, used={}, now=monotonic(), near_copies=near_copies)
     assert [item.key for item in plan.assignments] == [key("b")]
-    again = planner.plan([], engines, used={}, now=monotonic(), near=near)
+    again = planner.plan([], engines, used={}, now=monotonic(), near_copies=near_copies)
     assert again.assignments == []
 
 
@@ -243,7 +243,7 @@
     wants = [want("b")]
     alone = make_planner(popularity).plan(wants, [engine], used=used, now=monotonic())
     beside = make_planner(popularity).plan(
-        wants, [engine], used=used, now=monotonic(), near={key("a"): 9.0}
+        wants, [engine], used=used, now=monotonic(), near_copies={key("a"): 9.0}
     )
     assert beside.ready_in_s == alone.ready_in_s
 
--- a/tests/placement/test_reborn_model.py
+++ b/tests/placement/test_reborn_model.py
@@ -73,7 +73,7 @@
             born_ms=self.engine.born_ms,
         )
         self.book = EngineBook(record, slots=SLOTS, late_orders=self.late_orders)
-        self.reconciler = self.make_keeper(self.book)
+        self.reconciler = self.make_reconciler(self.book)
 
     @rule()
     def restart(self) -> None:
@@ -100,7 +100,7 @@
         _fill(world, "a", "b")
         world.wait(2.5)
         assert world.engine.overbooked == 0
-        world.wait(late_orders_module._LATE_S)
+        world.wait(late_orders_module._ORDER_LIFETIME_S)
         _fill(world, "a", "b")
         assert world.engine._sequence >= 3
         assert len(world.engine._ready_at) == SLOTS
--- a/tests/placement/test_spread.py
+++ b/tests/placement/test_spread_adapters.py
@@ -6,9 +6,9 @@
 
 from springrock.forwarding.message import AdapterKey
 from springrock.placement import popularity as popularity_module
-from springrock.placement import spread as spread_module
+from springrock.placement import spread_adapters as spread_module
 from springrock.placement.popularity import Popularity
-from springrock.placement.spread import Spread
+from springrock.placement.spread_adapters import SpreadAdapters
 
 HOT, COLD = AdapterKey("m", "hot"), AdapterKey("m", "cold")
 
@@ -36,16 +36,20 @@
 
 
 def test_only_what_each_zone_would_ask_for_often_is_spread(popularity: Popularity) -> None:
-    spread = Spread(popularity)
+    spread = SpreadAdapters(popularity)
     assert spread.evaluate({HOT: 2, COLD: 2}, zones=3) == ("m/hot",)
-    assert Spread(popularity).evaluate({HOT: 1}, zones=3) == (), "one engine is enough for it"
-    assert Spread(popularity).evaluate({HOT: 2}, zones=12) == (), "a twelfth is not asked for often"
+    assert SpreadAdapters(popularity).evaluate({HOT: 1}, zones=3) == (), (
+        "one engine is enough for it"
+    )
+    assert SpreadAdapters(popularity).evaluate({HOT: 2}, zones=12) == (), (
+        "a twelfth is not asked for often"
+    )
 
 
 def test_what_is_spread_stays_so_with_a_zone_s_part_of_the_requests(
     popularity: Popularity, clock: Clock
 ) -> None:
-    spread = Spread(popularity)
+    spread = SpreadAdapters(popularity)
     spread.evaluate({HOT: 2}, zones=3)
     clock.now += 16.0
     assert 5 < popularity.of(HOT) < 15
