--- a/springrock/placement/dispatcher.py
+++ b/springrock/placement/dispatcher.py
@@ -1,7 +1,8 @@
-"""Decides at which engine of a zone each request runs, by what runs at all of them.
+"""Chooses the engine of a zone on which each request runs.
 
-The placer hears of every use of its zone's engines, so it sees what no single box can: how much
-each engine has yet to read, which parts of prompts it keeps, which said that it is full.
+All boxes report their use of the zone's engines to its placer. So the placer knows what no single
+box does: the prompt tokens that each engine has yet to read, the prompt prefixes that it has
+cached, and the engines that reported to be full.
 """
 
 from __future__ import annotations
@@ -17,18 +18,18 @@
 from springrock.placement.planner import COPY_WAIT_FRACTION
 
 _FAILURE_PENALTY_S = 0.5
-"""What a first event at an engine that always fails is reckoned to wait longer."""
+"""Added to the estimated wait at an engine that always fails; scaled by the failure rate."""
 
 _AVOIDANCE_PENALTY_S = 5.0
-"""What a first event is reckoned to wait longer where a request goes only for want of another."""
+"""Added to the estimated wait at an engine that is used only if there is no other."""
 
 
 class _Run(NamedTuple):
-    """A request at an engine.
+    """A request that was sent to an engine.
 
     Attributes:
-        unread: Tokens of its prompt that the engine had yet to read.
-        ahead: Those and the tokens of all that had not begun before it.
+        prefill_tokens: Prompt tokens that the engine had to read for it.
+        backlog: Those and the tokens of all earlier requests that had not started.
     """
 
     instance: str
@@ -38,11 +39,11 @@
 
 
 class Choice(NamedTuple):
-    """Where a request is to run.
+    """The engine on which a request is to run.
 
     Attributes:
-        wait_s: How long its first event is reckoned to take.
-        unread: Tokens of its prompt that the engine has yet to read.
+        wait_s: Estimated seconds until its first event.
+        prefill_tokens: Prompt tokens that the engine has to read, as they are not cached.
     """
 
     instance: str
@@ -51,10 +52,14 @@
 
 
 class Dispatcher:
-    """The uses of the engines of one service's part in a zone, and the choice among engines.
+    """Tracks the requests on the engines of one service in a zone and chooses among the engines.
 
     Args:
-        memory_tokens: How many tokens each engine keeps; 0 if that is not known.
+        memory_tokens: Number of tokens that an engine's cache holds; 0 if that is not known.
+
+    Attributes:
+        used: Number of requests that use an adapter, by instance and adapter.
+        crowded: Time of the last request that found all holders busy, by adapter.
     """
 
     def __init__(self, *, memory_tokens: int) -> None:
@@ -67,7 +72,7 @@
         self.crowded: dict[AdapterKey, float] = {}
 
     def work(self, instance: str) -> EngineWork:
-        """Return the work at an engine."""
+        """Return the work of an engine; created at its first use."""
         work = self._work.get(instance)
         if work is None:
             work = EngineWork(self._service_speed, memory_tokens=self._memory_tokens)
@@ -75,7 +80,7 @@
         return work
 
     def forget(self, instance: str) -> None:
-        """Forget an engine that is gone; its requests are told to be over one by one."""
+        """Drop an engine that is gone; the ends of its requests are still reported one by one."""
         self._work.pop(instance, None)
 
     def choose(
@@ -88,13 +93,14 @@
     ) -> Choice | None:
         """Return the engine with the earliest first event; None if none can take a request now.
 
-        An adapter whose best engine would let it wait for long is noted in `crowded`.
+        If the wait on the best engine is too long for the target, the adapter is recorded in
+        `crowded`.
 
         Args:
             key: The adapter.
-            prompt: The parts of the prompt, each an id and its tokens.
+            prompt: The parts of the prompt, each an id and its number of tokens.
             holders: The engines that hold the adapter.
-            target_in_s: How long the request may take to its first event.
+            target_in_s: Seconds until the first event is due.
         """
         choices = [self._estimate(instance, key, prompt) for instance in holders]
         best = min((item for item in choices if item), key=lambda item: item.wait_s, default=None)
@@ -121,17 +127,17 @@
         return Choice(instance, wait_s, prefill_tokens)
 
     def excess_failures(self, instance: str) -> float:
-        """Return how much more often an engine fails than the others do, from -1 to 1."""
+        """Return an engine's failure rate less the mean rate of the others, from -1 to 1."""
         others = [work.health.failure_rate for name, work in self._work.items() if name != instance]
         usual = sum(others) / len(others) if others else 0.0
         return self.work(instance).health.failure_rate - usual
 
-    # What becomes of requests.
+    # The course of requests.
 
     def record_granted(
         self, box: str, number: int, choice: Choice, key: AdapterKey, prompt: list[tuple[str, int]]
     ) -> None:
-        """Note that a request was sent to its engine."""
+        """Record that a request was granted an engine."""
         work = self.work(choice.instance)
         work.prefill_backlog += choice.prefill_tokens
         work.prompt_cache.record(key, prompt)
@@ -140,13 +146,13 @@
         )
 
     def record_use(self, box: str, use: Use) -> None:
-        """Note a use that no ask preceded, or that an earlier placer granted."""
+        """Record a use without a grant of this placer, or one that an earlier placer granted."""
         key = AdapterKey(use.model, use.adapter)
         self._started.add((box, use.number))
         self._add((box, use.number), _Run(use.instance, key))
 
     def record_start(self, box: str, began: Began) -> None:
-        """Note the first event of a request."""
+        """Record the first event of a request."""
         name = (box, began.number)
         run = self._runs.get(name)
         if run is None or name in self._started:
@@ -158,7 +164,7 @@
             work.record_prefill(run.backlog, after_s=began.after_ms / 1000)
 
     def record_finished(self, box: str, over: Over) -> _Run | None:
-        """Note the end of a request; return what ended, if it was known."""
+        """Record the end of a request; return its run, or None if the request is unknown."""
         name = (box, over.number)
         run = self._runs.pop(name, None)
         if run is None:
@@ -179,23 +185,23 @@
         return run
 
     def forget_box(self, box: str) -> None:
-        """Take all requests of a box for ended."""
+        """Record the end of all requests of a box."""
         for name in [name for name in self._runs if name[0] == box]:
             self.record_finished(box, Over(name[1]))
 
     def crowded_since(self, at: float) -> list[AdapterKey]:
-        """Return the adapters whose holders let a request wait for long since then."""
+        """Return the adapters that were crowded since a point in time; drop the older records."""
         self.crowded = {key: recorded for key, recorded in self.crowded.items() if recorded >= at}
         return list(self.crowded)
 
     def backing_off(self) -> frozenset[str]:
-        """Return the engines that asked some box for rest, which is not over."""
+        """Return the engines that asked a box to pause and whose pause is not over."""
         return frozenset(instance for instance, work in self._work.items() if work.backoff.active)
 
     def waits(self) -> dict[str, float]:
-        """Return how long a first event would wait at each engine, without its own prompt.
+        """Return the seconds that a first event would wait at each engine, without its own prompt.
 
-        One that asked a box for rest has no room for others either, most likely.
+        An engine that asked one box to pause most likely has no room for other boxes either.
         """
         return {
             instance: work.wait_s + (_AVOIDANCE_PENALTY_S if work.backoff.active else 0.0)
--- a/springrock/placement/engine_work.py
+++ b/springrock/placement/engine_work.py
@@ -1,4 +1,4 @@
-"""What the placer knows of the work at one engine: what runs, what it has yet to read, how fast."""
+"""The work of one engine: running requests, prompt tokens to read, reading speed, cached prompts."""
 
 from __future__ import annotations
 
@@ -12,58 +12,62 @@
 from springrock.forwarding.message import AdapterKey
 
 _CACHE_MEMORY_FRACTION = 0.6
-"""Of an engine's memory; the rest is reckoned to be taken by running requests."""
+"""Fraction of an engine's memory that caches prompts; running requests occupy the rest."""
 
 _RUN_DELAY_S = 0.004
-"""What one running request delays another's first event: its part of the engine's step."""
+"""Delay of a first event by each running request: its share of the engine's step."""
 
 _FULL_VALID_S = 0.3
-"""How long an engine that said that it is full gets nothing else if another can take it."""
+"""Time for which an engine that reported to be full is avoided."""
 
 _MISSING_VALID_S = 1.0
-"""How long an engine's own "not here" outweighs the book, which a report may still confirm."""
+"""Time for which an engine's answer that it lacks an adapter overrides its book.
+
+A late report may still list the adapter.
+"""
 
 _MIN_SAMPLE_TOKENS = 1000
-"""A shorter prompt takes about as long to send as to read, and tells nothing of the speed."""
+"""Shorter prompts are no sample of the reading speed, as sending them takes about as long."""
 
 _SAMPLE_WEIGHT = 0.25
 _INITIAL_TOKEN_S = 1 / 20_000
-"""What is reckoned for reading one token until something was seen."""
+"""Time for reading one token that is assumed before the first sample."""
 
 _SPEED_HALF_LIFE_S = 5.0
-"""Half of what was seen of an engine's own speed counts no more after this time."""
+"""Half-life of an engine's deviation from the speed of its service."""
 
 _MAX_SLOWNESS = 20.0
-"""Times the usual; a first event that takes longer tells of a fault, not of the speed."""
+"""Highest ratio to the service's speed that a sample counts as; a slower one is due to a fault."""
 
 
 class PrefillSpeed:
-    """How long the engines of a service usually take to read one token of a prompt."""
+    """The mean time in which the engines of a service read one token of a prompt."""
 
     def __init__(self) -> None:
         self.token_s = _INITIAL_TOKEN_S
 
     def record(self, token_s: float) -> None:
-        """Learn from one prompt."""
+        """Add the seconds per token of one prompt to the moving average."""
         self.token_s += (token_s - self.token_s) * _SAMPLE_WEIGHT / 4
 
 
 class EngineWork:
-    """The work at one engine.
+    """The work of one engine.
 
     Args:
-        usual: The speed of all engines of the service.
-        memory_tokens: How many tokens the engine keeps; 0 if that is not known.
+        service_speed: The reading speed of all engines of the service.
+        memory_tokens: Number of tokens that the engine's memory holds; 0 if that is not known.
 
     Attributes:
-        runs: How many requests run or wait there.
-        unread: Tokens of prompts that were sent there and whose answers have not begun.
-        health: What requests of all boxes have seen of it.
-        backoff: The longest rest that it asks any box for.
+        runs: Number of requests that run or wait on the engine.
+        prefill_backlog: Prompt tokens of the requests that have not started to answer.
+        prompt_cache: The prompt parts that the engine is assumed to have cached.
+        health: Successes and failures of the requests of all boxes.
+        backoff: The longest pause that the engine asked of any box.
     """
 
-    def __init__(self, usual: PrefillSpeed, *, memory_tokens: int) -> None:
-        self._service_speed = usual
+    def __init__(self, service_speed: PrefillSpeed, *, memory_tokens: int) -> None:
+        self._service_speed = service_speed
         self._slowness = 1.0
         self._slowness_at = monotonic()
         self._full_until = 0.0
@@ -76,29 +80,29 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether the engine said just now that it has no room."""
+        """Whether the engine reported recently that it is full."""
         return monotonic() < self._full_until
 
     @property
     def wait_s(self) -> float:
-        """How long a request of no tokens would wait there for its first event, about."""
+        """Estimated seconds until the first event of a request with an empty prompt."""
         return self.prefill_backlog * self.token_s + self.runs * _RUN_DELAY_S
 
     @property
     def token_s(self) -> float:
-        """Seconds for reading one token, about; what was seen long ago counts little."""
+        """Estimated seconds for reading one token; old samples count little."""
         return self._service_speed.token_s * self._slowness_now()
 
     def record_full(self) -> None:
-        """Learn that the engine has no room."""
+        """Record that the engine reported to be full."""
         self._full_until = monotonic() + _FULL_VALID_S
 
     def record_missing(self, key: AdapterKey) -> None:
-        """Learn from the engine itself that it does not hold an adapter."""
+        """Record the engine's answer that it does not hold an adapter."""
         self._missing_until[key] = monotonic() + _MISSING_VALID_S
 
     def is_missing(self, key: AdapterKey) -> bool:
-        """Whether the engine said lately that it does not hold an adapter."""
+        """Whether the engine answered recently that it does not hold an adapter."""
         until = self._missing_until.get(key)
         if until is None:
             return False
@@ -108,14 +112,14 @@
         return False
 
     def record_prefill(self, tokens: int, *, after_s: float) -> None:
-        """Learn how long the engine took for a prompt and for those before it."""
+        """Record the time in which the engine read a prompt and those queued before it."""
         self.health.record_success()
         if tokens < _MIN_SAMPLE_TOKENS:
             return
-        usual_s = self._service_speed.token_s
-        token_s = min(after_s / tokens, usual_s * _MAX_SLOWNESS)
+        service_token_s = self._service_speed.token_s
+        token_s = min(after_s / tokens, service_token_s * _MAX_SLOWNESS)
         slowness = self._slowness_now()
-        self._slowness = slowness + (token_s / usual_s - slowness) * _SAMPLE_WEIGHT
+        self._slowness = slowness + (token_s / service_token_s - slowness) * _SAMPLE_WEIGHT
         self._slowness_at = monotonic()
         self._service_speed.record(token_s)
 
@@ -125,10 +129,10 @@
 
 
 class PromptCache:
-    """The parts of prompts that an engine has read, as far as it will still keep them.
+    """A model of the prompt parts that an engine has cached, evicted by least recent use.
 
     Args:
-        tokens_at_most: How many tokens are kept; those unused longest give way.
+        max_tokens: Number of tokens that the cache holds.
     """
 
     def __init__(self, *, max_tokens: int) -> None:
@@ -137,7 +141,7 @@
         self._tokens = 0
 
     def cached_tokens(self, key: AdapterKey, prompt: Iterable[tuple[str, int]]) -> int:
-        """Return how many tokens of a prompt need not be read: its first parts, without a gap."""
+        """Return the number of tokens in the leading parts of a prompt that are all cached."""
         kept = 0
         for part_id, tokens in prompt:
             if (key, part_id) not in self._parts:
@@ -146,7 +150,7 @@
         return kept
 
     def record(self, key: AdapterKey, prompt: list[tuple[str, int]]) -> None:
-        """Note that a prompt is read; its last part is the request's own and is not shared."""
+        """Record that a prompt is read; its last part is unique to the request and is not kept."""
         for part_id, tokens in prompt[:-1]:
             part = (key, part_id)
             if part in self._parts:
@@ -159,6 +163,6 @@
             self._tokens -= tokens
 
     def retain_only(self, keys: Container[AdapterKey]) -> None:
-        """Forget what was read for other adapters, as the engine does when it gives them up."""
+        """Drop the parts of other adapters, as the engine does when it unloads these."""
         for part in [part for part in self._parts if part[0] not in keys]:
             self._tokens -= self._parts.pop(part)
--- a/springrock/placement/late_orders.py
+++ b/springrock/placement/late_orders.py
@@ -1,4 +1,4 @@
-"""Orders without an answer, which an engine may carry out later, even after it started anew."""
+"""Load orders that got no answer and may be executed late, even after the engine restarted."""
 
 from __future__ import annotations
 
@@ -9,57 +9,60 @@
 from springrock.placement.control import Order, OrderKind
 
 _ORDER_LIFETIME_S = 15.0
-"""How long an order may be on its way: the platform's pages say seconds; our days of late orders go
-up to 12 s."""
+"""Time within which an order may still reach its engine.
 
+The platform documents delays of seconds; the fault tests delay orders by up to 12 s.
+"""
 
-class _Sent(NamedTuple):
+
+class _SentOrder(NamedTuple):
     instance: str
     order: Order
-    until: float
+    expires_at: float
 
 
 class LateOrders:
-    """Loads that a placer ordered without an answer.
+    """The load orders of a placer that got no answer.
 
-    An engine that starts anew under its id counts its sequence anew, and can come to the very one
-    that such an order to its earlier start expects. It then takes an adapter that nobody counts.
+    An engine that restarts under the same id begins its sequence again. It can reach the number
+    that an unanswered order to its earlier start expects, and then executes that order. The
+    adapter would occupy a place that the placer counts as free.
     """
 
     def __init__(self) -> None:
-        self._sent: dict[str, list[_Sent]] = {}
+        self._sent: dict[str, list[_SentOrder]] = {}
 
     def record_sent(self, record: ReplicaRecord, order: Order) -> None:
-        """Note an order that is about to be sent."""
+        """Record an order that is about to be sent; only loads are kept."""
         if order.kind is not OrderKind.LOAD:
             return
         now = monotonic()
         for replica_id, sent in list(self._sent.items()):
-            self._store(replica_id, [item for item in sent if now < item.until])
+            self._store(replica_id, [item for item in sent if now < item.expires_at])
         sent = self._sent.setdefault(record.replica_id, [])
-        sent.append(_Sent(record.instance, order, now + _ORDER_LIFETIME_S))
+        sent.append(_SentOrder(record.instance, order, now + _ORDER_LIFETIME_S))
 
     def record_answered(self, record: ReplicaRecord, order: Order) -> None:
-        """Note that an order was answered, and so will not be carried out any more."""
+        """Drop an order that was answered, as it cannot be executed later."""
         sent = self._sent.get(record.replica_id, [])
         self._store(record.replica_id, [item for item in sent if item.order is not order])
 
     def pending_loads(self, record: ReplicaRecord, sequence: int | None) -> int:
-        """Return how many orders to earlier starts an engine may yet carry out.
+        """Return how many load orders to earlier starts an engine may still execute.
 
         Args:
-            record: What the engine says of itself.
-            sequence: Its sequence, which only rises; None if it is not known.
+            record: The engine's own record.
+            sequence: The engine's current sequence, which only rises; None if it is not known.
         """
         now = monotonic()
         return sum(
             item.instance != record.instance
-            and now < item.until
+            and now < item.expires_at
             and _is_ahead(item.order.expected_sequence, sequence)
             for item in self._sent.get(record.replica_id, ())
         )
 
-    def _store(self, replica_id: str, sent: list[_Sent]) -> None:
+    def _store(self, replica_id: str, sent: list[_SentOrder]) -> None:
         if sent:
             self._sent[replica_id] = sent
         else:
--- a/springrock/placement/load_budget.py
+++ b/springrock/placement/load_budget.py
@@ -1,4 +1,4 @@
-"""The budget of loads from the weight store, for all engines of a service together."""
+"""A rate limit on base model loads from the weight store, shared by the engines of a service."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class LoadBudget:
-    """A token bucket that starts empty, as a placer before this one may have spent it.
+    """A token bucket that starts empty, as the previous placer may have just used its burst.
 
     Args:
-        per_s: Loads allowed a second.
-        burst: Loads that may be saved up.
+        per_s: Loads allowed per second.
+        burst: Maximum number of unused loads that accumulate.
     """
 
     def __init__(self, *, per_s: float, burst: float) -> None:
@@ -20,7 +20,7 @@
         self._filled_at = monotonic()
 
     def try_acquire(self) -> bool:
-        """Take one load out; return whether there was one."""
+        """Consume one load if the bucket holds one; return whether it did."""
         self._fill()
         if self._tokens < 1.0:
             return False
--- a/springrock/placement/load_concurrency.py
+++ b/springrock/placement/load_concurrency.py
@@ -1,41 +1,44 @@
-"""How many adapters are brought from the weight store at once, by how fast they come.
+"""An adaptive limit on concurrent loads of adapters from the weight store.
 
-The store serves so many at full speed; beyond that each takes longer, and nothing is gained by
-more. That number is not told, and all zones share it, so it is found by trying.
+The store serves a certain number of loads at full speed. Beyond that each load takes longer and
+the throughput does not rise. The store does not publish that number and all zones share it, so
+each zone finds its part by additive increase and multiplicative decrease.
 """
 
 from __future__ import annotations
 
 _INITIAL_LIMIT = 8.0
-"""What is tried first: enough for a zone of some engines."""
+"""Enough for a zone with a few engines."""
 
 _MIN_LIMIT = 4.0
 _MAX_LIMIT = 40.0
-"""More than the engines of one zone have taken in any run."""
+"""Above the peak concurrency of one zone in any test run."""
 
 _SLOW_FACTOR = 1.5
-"""Times the time at full speed; a load that takes longer shared the store's speed with too many."""
+"""Multiple of the full-speed duration above which a load counts as slowed down by other loads."""
 
 _INCREASE_PER_LOAD = 0.1
-"""For each load at full speed so many more may be under way."""
+"""Added to the limit after each load at full speed."""
 
 _DECREASE_FACTOR = 0.95
-"""For each slow one so many times as many."""
+"""Multiplies the limit after each slow load."""
 
 _FASTER_LOAD_WEIGHT = 0.2
-"""A load that is faster than any before moves the time at full speed by this part of the
-difference. One of half the time, as 1 in 80 took on a day with killed placers, otherwise makes all
-others look slow: zones that had brought up to 40 at once stood at 4 until the end of the day."""
+"""Fraction of the difference by which a faster load lowers the full-speed duration.
+
+If a single fast load replaced the duration, all others would look slow. When 1 load in 80 took
+half the time, after placers were killed, limits of up to 40 fell to 4 and stayed there.
+"""
 
 _FULL_SPEED_GROWTH = 1.002
-"""The time at full speed grows a little with each load, as speeds may change for good."""
+"""Multiplies the full-speed duration at each load, so that it follows a lasting slowdown."""
 
 
 class LoadConcurrency:
-    """Learns from each load how many may be under way.
+    """Adjusts the number of concurrent loads by the duration of each load.
 
     Attributes:
-        at_once: How many may be.
+        at_once: The current limit on concurrent loads.
     """
 
     def __init__(self) -> None:
@@ -43,7 +46,7 @@
         self._full_speed_s: float | None = None
 
     def record(self, seconds: float) -> None:
-        """Learn from a load from the weight store that took so long."""
+        """Adjust the limit by the duration of a load from the weight store, in seconds."""
         full_speed_s = seconds if self._full_speed_s is None else self._full_speed_s
         full_speed_s *= _FULL_SPEED_GROWTH
         full_speed_s += _FASTER_LOAD_WEIGHT * min(0.0, seconds - full_speed_s)
--- a/springrock/placement/model_loads.py
+++ b/springrock/placement/model_loads.py
@@ -1,4 +1,4 @@
-"""Which base model an engine that came back empty is to load, under the weight store's ceiling."""
+"""Chooses the base model that an empty engine loads, within the weight store's rate limit."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class ModelLoads:
-    """Loads of base models by one zone's placer.
+    """The loads of base models that one zone's placer orders.
 
     Args:
         zone: The availability zone.
         configuration: Returns the configuration in force.
         directory: The known replicas.
-        ceiling_ratio: How far loads may exceed the rate that the configuration states.
-        ceiling_burst: Loads that may be saved up.
+        ceiling_ratio: Multiple of the configured load rate that is allowed.
+        ceiling_burst: Maximum number of unused loads that accumulate, over all zones.
     """
 
     def __init__(
@@ -39,11 +39,13 @@
         self._budgets: dict[str, LoadBudget] = {}
 
     def next_model(self, service: str, books: Iterable[EngineBook]) -> str | None:
-        """Return the base model that an empty engine is to load now, if one may be loaded.
+        """Return the base model that an empty engine is to load; None if the budget allows none.
+
+        The model that the fewest engines of the service hold is chosen.
 
         Args:
             service: The engine's service.
-            books: What is known of the zone's engines.
+            books: The books of the zone's engines.
         """
         engine = self._configuration().engine_services.get(service)
         if engine is None or not engine.models:
@@ -56,7 +58,7 @@
         return min((model.name for model in engine.models), key=lambda name: held[name])
 
     def clear(self) -> None:
-        """Begin anew, as with a lease just taken."""
+        """Reset the budgets, as when the lease is lost."""
         self._budgets.clear()
 
     def _budget(self, service: str, loads_per_s: float) -> LoadBudget:
@@ -71,6 +73,6 @@
         return budget
 
     def _share_of(self, service: str) -> float:
-        """Return this zone's share of the engines, and so of the loads of models."""
+        """Return this zone's share of the service's engines, which is its share of the loads."""
         zones = [replica.record.zone for replica in self._directory.of_service(service)]
         return max(1, zones.count(self._zone)) / max(1, len(zones))
--- a/springrock/placement/near_copies.py
+++ b/springrock/placement/near_copies.py
@@ -1,4 +1,8 @@
-"""Copies of adapters near the boxes that ask for them: which pay, and which are wished for here."""
+"""Copies of adapters in the zones or regions of their callers, which save traffic between zones.
+
+`NearCopies` finds at the serving zone which copies elsewhere are worth a load. `CopyRequests`
+collects at the callers' zone the copies that its boxes ask for.
+"""
 
 from __future__ import annotations
 
@@ -12,27 +16,30 @@
 from springrock.topology import Distance, Topology
 
 _MIN_LOADS_SAVED = 0.5
-"""A copy is worth a load if, within the time that popularity remembers (about 12 s), it saves
-half of one: copies that pay stand for several times as long."""
+"""Savings, in loads, from which a copy is worthwhile.
+
+The savings are counted over the memory of popularity, about 12 s. Half a load is enough, as
+worthwhile copies stay loaded several times as long.
+"""
 
 _ASKS_BETWEEN_CLEANUPS = 2_000
-"""After so many asks what is not asked for any more is forgotten."""
+"""Number of asks after which the counts of rarely requested adapters are dropped."""
 
 
 _REQUEST_VALID_S = 1.0
-"""How long a copy is wished for after a box last said so: while it pays each grant says it anew."""
+"""Time for which a request for a copy is valid; each grant renews it while it is worthwhile."""
 
 
 class NearCopies:
-    """Counts the bytes that each adapter's requests carry away from other zones and regions.
+    """Counts the bytes that each adapter's requests carry from other zones and regions.
 
-    Boxes of one region but of different zones save one copy for each zone; those of another region
-    one for the region, as that is where the dear bytes are.
+    Boxes in other zones of this region are counted by zone. Boxes of another region are counted
+    together, as the traffic between regions is what costs most.
 
     Args:
         zone: The zone whose placer counts.
         topology: Returns the zones of the deployment.
-        prices: What bytes cost beside a load.
+        prices: The price of bytes relative to a load.
     """
 
     def __init__(
@@ -45,16 +52,16 @@
         self._asks_counted = 0
 
     def record(self, key: AdapterKey, *, home_zone: str, carried_bytes: int) -> float:
-        """Count an ask of a box.
+        """Count a request of a box.
 
         Args:
             key: The adapter.
-            home_zone: Where the box stands.
-            carried_bytes: What the request and its answer take.
+            home_zone: The zone of the box.
+            carried_bytes: Bytes of the request and its answer.
 
         Returns:
-            What a copy near that box saves, in loads, within the time that popularity remembers;
-            0 if it does not pay.
+            The loads that a copy near that box saves within the memory of popularity; 0 if that
+            is not worth a load.
         """
         topology = self._topology()
         distance = topology.distance_between(self._zone, home_zone)
@@ -69,7 +76,7 @@
         return saved if saved >= _MIN_LOADS_SAVED else 0.0
 
     def clear(self) -> None:
-        """Begin anew, as with a lease just taken."""
+        """Drop all counts, as when the lease is lost."""
         self._carried.clear()
 
     def _clean(self) -> None:
@@ -80,22 +87,22 @@
 
 
 class CopyRequests:
-    """The copies that boxes wish for in a zone, and what each would save, in loads."""
+    """The copies that boxes request in this zone, and the loads that each would save."""
 
     def __init__(self) -> None:
         self._requested: dict[AdapterKey, tuple[float, float]] = {}
 
-    def record(self, wishes: Iterable[CopyWish]) -> None:
-        """Take what a box wishes for."""
+    def record(self, requests: Iterable[CopyWish]) -> None:
+        """Record the copies that a box requests."""
         now = monotonic()
-        for wish in wishes:
-            self._requested[AdapterKey(wish.model, wish.adapter)] = (
-                wish.saves / 100,
+        for request in requests:
+            self._requested[AdapterKey(request.model, request.adapter)] = (
+                request.saves / 100,
                 now,
             )
 
     def current(self) -> dict[AdapterKey, float]:
-        """Return what each copy saves that is still wished for."""
+        """Return the loads that each requested copy saves; drop expired requests."""
         now = monotonic()
         self._requested = {
             key: (saves, at)
@@ -105,5 +112,5 @@
         return {key: saves for key, (saves, _) in self._requested.items()}
 
     def clear(self) -> None:
-        """Begin anew, as with a lease just taken."""
+        """Drop all requests, as when the lease is lost."""
         self._requested.clear()
--- a/springrock/placement/place_interval.py
+++ b/springrock/placement/place_interval.py
@@ -1,19 +1,19 @@
-"""How long it takes until one more place on the engines is given up, while places are short."""
+"""Estimates how often a place becomes free on the engines while places are short."""
 
 from __future__ import annotations
 
 _HALF_LIFE_S = 3.0
 _INITIAL_INTERVAL_S = 0.15
-"""What is reckoned before anything was seen."""
+"""Estimate before anything was measured."""
 
 _INITIAL_PLACES = 4
-"""How many places' worth of seeing outweigh that."""
+"""Number of measured places that outweigh the initial estimate."""
 
 _MAX_INTERVAL_S = 1.5
 
 
 class PlaceInterval:
-    """Measures the seconds per place over the recent time in which adapters waited for one."""
+    """Measures the mean seconds per freed place, over recent times in which adapters waited."""
 
     def __init__(self) -> None:
         self._shortage_s = _INITIAL_INTERVAL_S * _INITIAL_PLACES
@@ -23,15 +23,15 @@
 
     @property
     def estimate_s(self) -> float:
-        """Seconds until one more place is given up, about."""
+        """Estimated seconds until the next place becomes free."""
         return min(_MAX_INTERVAL_S, self._shortage_s / self._given)
 
     def record(self, *, given: int, is_short: bool, now: float) -> None:
-        """Take what one plan did.
+        """Record the result of one plan.
 
         Args:
-            given: How many places were given to adapters.
-            is_short: Whether adapters are left without one.
+            given: Number of places that were assigned to adapters.
+            is_short: Whether wanted adapters were left without a place.
             now: The time on the local monotonic clock.
         """
         if self._is_short and self._recorded_at is not None:
--- a/springrock/placement/placer.py
+++ b/springrock/placement/placer.py
@@ -373,9 +373,7 @@
             return
         loadable = self._loadable()
         limited = self.requests.limited_engines()
-        instances_without_room = {
-            name for name, room_in_s in limited.items() if room_in_s > _ROOM_SOON_S
-        }
+        full_engines = {name for name, room_in_s in limited.items() if room_in_s > _ROOM_SOON_S}
         prefetch = self.prefetch.wants(self._presence_check(loadable), now)
         wants += [want for want in prefetch if want.key not in wanted]
         for service, engine in self._configuration().engine_services.items():
@@ -390,7 +388,7 @@
                 waits=_with_limits(dispatcher.waits(), limited),
                 crowded=dispatcher.crowded_since(now - _CROWDED_VALID_S),
                 near_copies=self._copy_requests.current(),
-                backing_off=dispatcher.backing_off() | instances_without_room,
+                backing_off=dispatcher.backing_off() | full_engines,
             )
             for assignment in plan.assignments:
                 if assignment.want.saves:
@@ -403,7 +401,7 @@
                     key,
                     ready_at=now + ready_in_s,
                     boxes=self.requests.asks.boxes(key),
-                    elsewhere=_is_held_back(key, books, instances_without_room),
+                    elsewhere=_is_held_back(key, books, full_engines),
                 )
 
     def _presence_check(self, books: list[EngineBook]) -> Callable[[AdapterKey], bool]:
@@ -443,13 +441,9 @@
 
 
 def _is_held_back(
-    key: AdapterKey, books: Collection[EngineBook], instances_without_room: Collection[str]
+    key: AdapterKey, books: Collection[EngineBook], full_engines: Collection[str]
 ) -> bool:
     """Whether an adapter stands, but only where limits keep out more, and is on its way nowhere."""
     holding = [book for book in books if key in book.places]
     on_its_way = any(key in book.assigned for book in books)
-    return (
-        bool(holding)
-        and not on_its_way
-        and all(b.instance in instances_without_room for b in holding)
-    )
+    return bool(holding) and not on_its_way and all(b.instance in full_engines for b in holding)
--- a/springrock/placement/plan_index.py
+++ b/springrock/placement/plan_index.py
@@ -1,7 +1,7 @@
-"""What one plan asks of its engines for each want again, counted once for all wants.
+"""An index over the engine books of one plan, so that places are counted once for all wants.
 
-Nothing but the plan itself changes the books while it is made. Without this a plan for 600 wants
-and 15 engines took 0.17 s, most of it for counting the same places again.
+Only the plan itself changes the books while it is made. Without the index a plan for 600 wants and
+15 engines took 0.17 s, most of which went into counting the same places for each want.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 
 class PlanIndex:
-    """The engines of a plan, by what they hold, are assigned and have at hand.
+    """The engines of a plan, indexed by the adapters that they hold, are assigned and have cached.
 
     Args:
-        engines: The engines; their books change only by `assign` while this is used.
+        engines: The engines. Their books may change only through `assign` while the index is used.
     """
 
     def __init__(self, engines: Collection[EngineBook]) -> None:
@@ -46,19 +46,19 @@
         return self._assigned.get(key, ())
 
     def is_cached(self, key: AdapterKey, *, version: int) -> bool:
-        """Whether any engine can load an adapter without the weight store."""
+        """Whether any engine can load an adapter from its cache, without the weight store."""
         return any(engine.is_cached(key, version=version) for engine in self._cached.get(key, ()))
 
     def available_places(self, engine: EngineBook) -> int:
-        """Return `EngineBook.opening`."""
+        """Return `EngineBook.available_places`, as of the last assignment."""
         return self._available_places[engine.instance]
 
     def load_count(self, engine: EngineBook) -> int:
-        """Return how many adapters are on their way to an engine, or about to be ordered."""
+        """Return how many adapters an engine is loading or is assigned to load."""
         return self._load_counts[engine.instance]
 
     def assign(self, engine: EngineBook, key: AdapterKey, *, now: float) -> None:
-        """Assign an adapter to an engine."""
+        """Assign an adapter to an engine and update the counts of that engine."""
         engine.assigned[key] = now
         self._assigned[key].append(engine)
         self._available_places[engine.instance] = engine.available_places
--- a/springrock/placement/planner.py
+++ b/springrock/placement/planner.py
@@ -1,4 +1,7 @@
-"""Decides which wanted adapter is loaded next, and where. Pure decisions over the books."""
+"""Decides which adapter is loaded next, and on which engine.
+
+The planner only reads and assigns in the engine books. It sends no orders.
+"""
 
 from __future__ import annotations
 
@@ -17,65 +20,75 @@
 from springrock.placement.popularity import Popularity
 
 COLD_LOAD_S = 0.35
-"""A load from the weight store, about, until the placer knows that it is done."""
+"""Expected time of a load from the weight store, until the placer learns that it is done."""
 
 WARM_LOAD_S = 0.1
+"""Expected time of a load of an adapter that the engine has cached."""
+
 _MAX_LOADS_PER_ENGINE = 4
-"""How many may be on their way to one engine: the platform's bound."""
+"""Concurrent loads per engine that the platform allows."""
 
 _UNREACHABLE_AFTER_S = 0.3
-"""A want that stands this long although the adapter is ready somewhere cannot reach it."""
+"""A want that is still unserved this long after its adapter became ready cannot reach that copy."""
 
 _MIN_RESIDENCY_S = 0.2
-"""How long a fresh adapter is kept for those who waited for it."""
+"""Time a newly loaded adapter is kept, so that the requests that waited for it can use it."""
 
 _LATE_WORTH_FACTOR = 0.3
-"""What an answer that comes late is worth of one in time."""
+"""Worth of a late answer, as a fraction of its worth in time."""
 
 _SINGLE_CLIENT_COUNT = 1.5
-"""How often one client asks, its coming back included."""
+"""Popularity that a single client causes, its retry included."""
 
 _POPULAR_COUNT = 2.5
-"""Asked for this often, an adapter is loaded although nobody waits for it now."""
+"""Popularity above which an adapter is loaded although no request waits for it."""
 
 HOT_COUNT = 5.0
-"""Asked for this often, an adapter whose every holder is crowded gets one more copy."""
+"""Popularity per copy from which an adapter gets one more copy when all its holders are crowded."""
 
 COPY_WAIT_FRACTION = 0.5
-"""Of the time to its target; where a first event would wait longer, a copy elsewhere is better:
-the load takes about the other half."""
+"""Fraction of the time to a request's target that its first event may wait.
+
+If it would wait longer, another copy is better, as its load takes about the other half.
+"""
 
 _MAX_WAIT_AT_COPY_S = 0.15
-"""Where a first event waits longer than this one more copy would help nobody."""
+"""Wait for a first event above which an engine is too busy for one more copy to help."""
 
 COLD_COST = 1.0
-"""What a load from the weight store costs, in the worth of requests: it takes the place longer."""
+"""Cost of a load from the weight store, in units of request worth: it occupies its place longer."""
 
 _NEAR_COPY_MARGIN = 0.5
-"""How many loads more a copy that spares ways must save than the adapter that gives up its place is
-asked for: half of its own load, as copies that pay stand for long."""
+"""Margin, in loads, by which a near copy's savings must exceed the popularity of its victim.
+
+It is half the cost of the copy's own load, as worthwhile copies stay loaded for long.
+"""
 
 _FUTURE_WORTH = 2.0
+"""Worth of each request that is expected later, by the adapter's popularity."""
+
 _NO_PLACE_COST = 100.0
 _EVICTION_COST = 1.0
 _COLD_ENGINE_COST = 10.0
 _RUNNING_COST = 0.12
-"""What one running request of an engine costs; eight of them as much as an eviction."""
+"""Cost of each request that runs on an engine; eight of them cost as much as an eviction."""
 
 _WAIT_COST_PER_S = 1.0
-"""What a second costs that a first event would wait there: as much as an eviction."""
+"""Cost of each second that a first event would wait: as much as an eviction."""
 
 
 class CombinedWant(Struct, kw_only=True):
-    """What all boxes together wait for of one adapter.
+    """The demand of all boxes together for one adapter.
 
     Attributes:
-        waiting: How many requests wait now.
-        promised: How many clients were told when to come back for it.
-        since: When the placer first heard of it, on the local monotonic clock.
-        target_at: When the first request is late.
-        is_copy: Whether it is for one more copy of an adapter that stands ready.
-        saves: What a copy that spares requests a long way saves, in loads; 0 if it is not one.
+        waiting: Number of requests that wait now.
+        promised: Number of clients that were given a time at which to retry.
+        worth: Total worth of those requests.
+        since: When the placer first received a request for it, on the local monotonic clock.
+        target_at: When the first of the requests becomes late.
+        is_copy: Whether it asks for one more copy of an adapter that is already loaded.
+        saves: Loads that a copy nearer to its callers saves in traffic between zones; 0 if the
+            want is not for such a copy.
     """
 
     key: AdapterKey
@@ -89,7 +102,7 @@
 
 
 class Assignment(NamedTuple):
-    """A load that is to be ordered now, and what for."""
+    """A load to be ordered now, and the want that it serves."""
 
     key: AdapterKey
     engine: EngineBook
@@ -97,7 +110,7 @@
 
 
 class Plan(NamedTuple):
-    """What to order, and when each wanted adapter will be ready, in seconds."""
+    """The loads to order, and the seconds until each wanted adapter is expected to be ready."""
 
     assignments: list[Assignment]
     ready_in_s: dict[AdapterKey, float]
@@ -107,11 +120,11 @@
     """Plans the loads of one service's engines in a zone.
 
     Args:
-        popularity: How often adapters are asked for.
+        popularity: Decayed request counts of the adapters.
         newest: Returns the newest version of an adapter; 0 if none was named.
 
     Attributes:
-        loads: How many adapters may be on their way to the engines at once.
+        loads: The limit on concurrent loads of the service's engines.
     """
 
     def __init__(self, popularity: Popularity, newest: Callable[[AdapterKey], int]) -> None:
@@ -137,18 +150,18 @@
         near_copies: Mapping[AdapterKey, float] | None = None,
         backing_off: Collection[str] = (),
     ) -> Plan:
-        """Return what to order now.
+        """Assign loads to engines and return the plan.
 
         Args:
-            wants: What the boxes wait for.
-            engines: The engines that may be ordered.
-            used: How many requests now use an adapter at an engine.
+            wants: The demand of the boxes.
+            engines: The engines that may be given orders.
+            used: Number of requests that use each adapter on each engine.
             now: The time on the local monotonic clock.
-            waits: How long a first event would wait at each engine, in seconds.
-            crowded: Adapters whose every holder lets first events wait for long.
-            near: What copies save in loads that would spare requests a long way.
-            backing_off: Engines that asked a box for rest, or that their own limits keep from more:
-                who waits although one of them holds the adapter needs it elsewhere.
+            waits: Seconds that a first event would wait on each engine.
+            crowded: Adapters whose first events wait too long on every engine that holds them.
+            near_copies: Loads that a copy in this zone would save, by adapter.
+            backing_off: Engines that asked a box to pause or have reached their own limits. A
+                request that waits although one of them holds its adapter needs another copy.
         """
         plan = Plan([], {})
         self._running = _running_by_engine(used)
@@ -162,7 +175,7 @@
         wants += self._popular_wants(engines, index, wanted, now)
         wants += self._copy_wants(index, wanted, crowded, now)
         wants += [unasked(key, now, saves=saves) for key, saves in _without(near_copies, wanted)]
-        # Of equals the one that has waited longest: a later one would push it back again and again.
+        # Ties go to the earliest target: otherwise newer wants would postpone it repeatedly.
         ranked = sorted(wants, key=lambda want: (-self._value(want, index, now), want.target_at))
         loads_under_way = sum(len(engine.assigned) for engine in engines)
         short_of_places = 0
@@ -173,7 +186,7 @@
                 continue
             is_speculative = not want.waiting and not want.is_copy and not want.saves
             if is_speculative and self._is_cached_anywhere(want.key, index):
-                # It takes no place before somebody waits: it can be there at once.
+                # It gets a place only when a request waits, as a cached adapter loads fast.
                 plan.ready_in_s[want.key] = WARM_LOAD_S
                 continue
             engine = self._best_engine(want, engines, index, used, now)
@@ -204,15 +217,15 @@
     def room(
         self, engine: EngineBook, *, used: Collection[tuple[str, AdapterKey]], now: float
     ) -> int:
-        """Return how many more adapters an engine could take now."""
+        """Return how many more adapters could be loaded on an engine now."""
         return engine.available_places + len(self._victims(engine, used, now))
 
     def pressure(
         self, engine: EngineBook, *, used: Collection[tuple[str, AdapterKey]], now: float
     ) -> float:
-        """Return how often what would next give up its place on an engine is asked for, decayed.
+        """Return the popularity of the adapter that an engine would evict next.
 
-        0 while a place is open, infinite if none can be given up.
+        0 while a place is available; infinite if no adapter can be evicted.
         """
         if engine.available_places > 0:
             return 0.0
@@ -222,7 +235,7 @@
     def victim(
         self, engine: EngineBook, *, used: Collection[tuple[str, AdapterKey]], now: float
     ) -> AdapterKey | None:
-        """Return the adapter that may best give up its place, or None."""
+        """Return the adapter that is the best one to evict, or None if none can be."""
         return next(iter(self._victims(engine, used, now)), None)
 
     def _next_victim(
@@ -233,14 +246,14 @@
         *,
         available_places: int,
     ) -> AdapterKey | None:
-        """Return who would give way to one more adapter on an engine without an open place.
+        """Return the victim for one more adapter on an engine that has no available place.
 
-        Each adapter assigned before that has no place yet speaks for a victim of its own: one that
-        no place can be given to would wait here while places elsewhere are given up.
+        Each earlier assignment without a place reserves a victim of its own. Otherwise an adapter
+        that cannot get a place would wait here although other engines can evict for it.
         """
         victims = self._victims_of.get(engine.instance)
         if victims is None:
-            # They stay the same until an adapter is assigned to the engine.
+            # The list is valid until an adapter is assigned to the engine.
             victims = self._victims_of[engine.instance] = self._victims(engine, used, now)
         reserved = -available_places
         return victims[reserved] if reserved < len(victims) else None
@@ -248,7 +261,7 @@
     def _victims(
         self, engine: EngineBook, used: Collection[tuple[str, AdapterKey]], now: float
     ) -> list[AdapterKey]:
-        """Return the adapters that may give up their places, those of the least value first."""
+        """Return the adapters that may be evicted, the least valuable first."""
         victims = [
             key
             for key, place in engine.places.items()
@@ -261,12 +274,12 @@
         return sorted(victims, key=lambda key: self._retention_value(engine, key))
 
     def _value(self, want: CombinedWant, index: PlanIndex, now: float) -> float:
-        """Return what a load is worth to those who wait and will likely ask, less what it costs."""
+        """Return the worth of a load to waiting and expected requests, less its cost."""
         in_time = now + COLD_LOAD_S < want.target_at
         worth = want.worth if in_time or want.promised else want.worth * _LATE_WORTH_FACTOR
-        asked_again = max(0.0, self._popularity.of(want.key) - _SINGLE_CLIENT_COUNT)
+        expected_requests = max(0.0, self._popularity.of(want.key) - _SINGLE_CLIENT_COUNT)
         cost = 0.0 if self._is_cached_anywhere(want.key, index) else COLD_COST
-        return worth + want.saves + _FUTURE_WORTH * asked_again - cost
+        return worth + want.saves + _FUTURE_WORTH * expected_requests - cost
 
     def _popular_wants(
         self,
@@ -275,7 +288,7 @@
         wanted: Collection[AdapterKey],
         now: float,
     ) -> list[CombinedWant]:
-        """Return popular adapters that stand nowhere, as if they were wanted."""
+        """Return wants for popular adapters that no engine holds."""
         models = {model for engine in engines for model in engine.models}
         return [
             unasked(key, now)
@@ -290,19 +303,19 @@
         crowded: Collection[AdapterKey],
         now: float,
     ) -> list[CombinedWant]:
-        """Return crowded adapters, as if they were wanted once more where there is less to do."""
+        """Return wants for one more copy of each crowded adapter that is hot and not loading."""
         copies = []
         for key in crowded:
             holders = index.holding(key)
-            is_coming = any(engine.places[key].state is PlaceState.LOADING for engine in holders)
-            on_its_way = is_coming or bool(index.assigned(key))
+            is_loading = any(engine.places[key].state is PlaceState.LOADING for engine in holders)
+            is_assigned_or_loading = is_loading or bool(index.assigned(key))
             asked = self._popularity.of(key) / max(1, len(holders))
-            if asked >= HOT_COUNT and key not in wanted and holders and not on_its_way:
+            if asked >= HOT_COUNT and key not in wanted and holders and not is_assigned_or_loading:
                 copies.append(unasked(key, now, is_copy=True))
         return copies
 
     def _existing_ready_in(self, want: CombinedWant, index: PlanIndex, now: float) -> float | None:
-        """Return when an adapter will be ready without a new load, if so."""
+        """Return the seconds until an adapter is ready without a new load; None if it needs one."""
         key = want.key
         newest = self._newest(key)
         times: list[float] = []
@@ -338,7 +351,7 @@
             if not engine.is_cached(key, version=newest):
                 cost += _COLD_ENGINE_COST
             if key in engine.places:
-                # Its older version gives up its own place.
+                # The older version is evicted from the same place.
                 return cost
             available_places = index.available_places(engine)
             if available_places > 0:
@@ -366,12 +379,12 @@
     def _is_replaceable(
         self, engine: EngineBook, key: AdapterKey, used: Collection[tuple[str, AdapterKey]]
     ) -> bool:
-        """Whether an older version of an adapter can give up its place at once."""
+        """Whether an engine holds an outdated version of an adapter that no request uses."""
         outdated = engine.is_outdated(key, version=self._newest(key))
         return outdated and (engine.instance, key) not in used
 
     def _outweighs(self, want: CombinedWant, victim: AdapterKey, index: PlanIndex) -> bool:
-        """Whether a load may push out an adapter: if it is waited for, or far more popular."""
+        """Whether a load may evict an adapter: requests wait for it, or it is far more popular."""
         if want.waiting or want.promised:
             return True
         if want.saves:
@@ -389,7 +402,7 @@
 def unasked(
     key: AdapterKey, now: float, *, is_copy: bool = False, saves: float = 0.0
 ) -> CombinedWant:
-    """Return the want of an adapter that nobody waits for."""
+    """Return a want for an adapter that no request waits for."""
     return CombinedWant(
         key=key,
         waiting=0,
--- a/springrock/placement/popularity.py
+++ b/springrock/placement/popularity.py
@@ -1,4 +1,4 @@
-"""How often adapters are asked for, decayed with time."""
+"""Request counts of adapters with exponential decay."""
 
 from __future__ import annotations
 
@@ -13,37 +13,37 @@
 
 
 class Popularity:
-    """Decayed counts of requests, by adapter."""
+    """Decayed request counts by adapter; the popularity of an adapter is its count."""
 
     def __init__(self) -> None:
         self._counts: dict[AdapterKey, tuple[float, float]] = {}
 
     def record(self, key: AdapterKey, count: float) -> None:
-        """Count requests, or what counts as much."""
+        """Add to an adapter's count: a number of requests, bytes, or an equivalent."""
         self._counts[key] = (self.of(key) + count, monotonic())
 
     def raise_to(self, key: AdapterKey, count: float) -> None:
-        """Count an adapter as asked for at least so often, as it was where it stood before."""
+        """Raise an adapter's count to the one that it had in the zone that served it before."""
         self._counts[key] = (max(self.of(key), count), monotonic())
 
     def ranked(self, *, least: float) -> list[tuple[AdapterKey, float]]:
-        """Return the adapters that were asked for so often at least, the most asked for first."""
-        now_of = {key: self.of(key) for key in self._counts}
-        ranked = sorted(now_of.items(), key=lambda item: -item[1])
-        return [(key, asked) for key, asked in ranked if asked >= least]
+        """Return the adapters whose count is at least `least`, the most popular first."""
+        counts = {key: self.of(key) for key in self._counts}
+        ranked = sorted(counts.items(), key=lambda item: -item[1])
+        return [(key, count) for key, count in ranked if count >= least]
 
     def above(self, count: float) -> list[AdapterKey]:
-        """Return the adapters that were asked for more often, decayed; forget the rare ones."""
-        now_of = self.forget_rare()
-        return [key for key, now in now_of.items() if now > count]
+        """Return the adapters with a higher count; drop rarely requested ones."""
+        counts = self.forget_rare()
+        return [key for key, current in counts.items() if current > count]
 
     def forget_rare(self) -> dict[AdapterKey, float]:
-        """Forget what is hardly asked for any more; return the decayed counts as they are now."""
-        now_of = {key: self.of(key) for key in self._counts}
+        """Drop the adapters with a negligible count; return all current counts."""
+        counts = {key: self.of(key) for key in self._counts}
         self._counts = {
-            key: counted for key, counted in self._counts.items() if now_of[key] >= _MIN_COUNT
+            key: counted for key, counted in self._counts.items() if counts[key] >= _MIN_COUNT
         }
-        return now_of
+        return counts
 
     def of(self, key: AdapterKey) -> float:
         """Return the decayed count of an adapter."""
--- a/springrock/placement/spread_adapters.py
+++ b/springrock/placement/spread_adapters.py
@@ -1,4 +1,4 @@
-"""Which adapters are asked for so much that each zone does better to serve them itself."""
+"""Finds the adapters that are popular enough for every zone to load and serve its own copies."""
 
 from __future__ import annotations
 
@@ -10,17 +10,20 @@
 from springrock.placement.popularity import Popularity
 
 _MIN_COPIES = 2
-"""So many copies in one zone say that one engine is too little for an adapter."""
+"""Number of copies in one zone that shows that one engine is not enough for an adapter."""
 
 _RETENTION_S = 10.0
-"""How long an adapter stays spread after it was last so: about the half-life of popularity."""
+"""Time for which an adapter stays spread after it last met the conditions.
+
+It is about the half-life of popularity, so that the set does not change at each evaluation.
+"""
 
 
 class SpreadAdapters:
-    """The adapters that are spread over the zones.
+    """The spread adapters: those that each zone serves itself.
 
     Args:
-        popularity: How often adapters are asked for in this zone.
+        popularity: Decayed request counts of the adapters in this zone.
     """
 
     def __init__(self, popularity: Popularity) -> None:
@@ -28,21 +31,21 @@
         self._since: dict[AdapterKey, float] = {}
 
     def evaluate(self, copies: Mapping[AdapterKey, int], *, zones: int) -> tuple[str, ...]:
-        """Return the adapters as MODEL/NAME.
+        """Return the spread adapters as MODEL/NAME, sorted.
 
         Args:
-            copies: How many engines of this zone hold an adapter.
-            zones: How many zones have engines.
+            copies: Number of engines of this zone that hold each adapter.
+            zones: Number of zones that have engines.
         """
         now = monotonic()
         for key, count in copies.items():
-            # While it is spread each zone sees its part of the requests only.
-            hot = HOT_COUNT if key in self._since else HOT_COUNT * zones
-            if count >= _MIN_COPIES and self._popularity.of(key) >= hot:
+            # While an adapter is spread, each zone receives only its share of the requests.
+            threshold = HOT_COUNT if key in self._since else HOT_COUNT * zones
+            if count >= _MIN_COPIES and self._popularity.of(key) >= threshold:
                 self._since[key] = now
         self._since = {key: at for key, at in self._since.items() if now - at < _RETENTION_S}
         return tuple(sorted(map(str, self._since)))
 
     def clear(self) -> None:
-        """Begin anew, as with a lease just taken."""
+        """Drop all adapters, as when the lease is lost."""
         self._since.clear()
--- a/springrock/placement/wait_estimate.py
+++ b/springrock/placement/wait_estimate.py
@@ -1,4 +1,4 @@
-"""What awaits one more adapter, and one more request, at the engines of a zone."""
+"""The eviction pressure and the waiting time at the engines of a zone, published to all boxes."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 from typing import NamedTuple
 
 _MAX_PRESSURE = 1_000.0
-"""Told where no adapter can give up its place: nothing is asked for as often."""
+"""Stands for infinite pressure, where no adapter can be evicted; above any real popularity."""
 
 _MAX_WAIT_S = 60.0
 
 
 class WaitEstimate(NamedTuple):
-    """What awaits them at a usual engine, the middle one of all: one alone may be in trouble.
+    """The medians over the engines of a zone, so that a single slow engine does not count.
 
     Attributes:
-        pressure: How often what would next give up its place is asked for, decayed.
-        wait_s: How long a first event would wait, without its own prompt.
+        pressure: Popularity of the adapter that would be evicted next; 0 with a free place.
+        wait_s: Seconds that a first event would wait, without reading its own prompt.
     """
 
     pressure: float = 0.0
@@ -24,7 +24,7 @@
 
     @classmethod
     def from_engines(cls, *, pressures: Iterable[float], waits_s: Iterable[float]) -> WaitEstimate:
-        """Build from what awaits them at each engine."""
+        """Return the estimate from the pressure and the wait of each engine."""
         return cls(min(_MAX_PRESSURE, _median(pressures)), min(_MAX_WAIT_S, _median(waits_s)))
 
 
