--- a/springrock/placement/engine_book.py
+++ b/springrock/placement/engine_book.py
@@ -1,4 +1,8 @@
-"""What the placer knows of the adapter places of one engine."""
+"""The placer's account of the adapter places of one engine.
+
+A place is an adapter slot of the engine. The account joins the engine's reports with the orders
+that the placer sent after them.
+"""
 
 from __future__ import annotations
 
@@ -17,11 +21,14 @@
 from springrock.placement.residency import LATELY_KEPT
 
 _REPORTS_LAG_S = 1.0
-"""A report shows what was ordered longer ago than this, whatever its sequence."""
+"""Age of the last order from which a report counts whatever its sequence.
+
+By then every report shows the order. So a sequence that was counted too far is corrected.
+"""
 
 
 class PlaceState(Enum):
-    """How an adapter occupies its place."""
+    """The state of the adapter in an occupied place."""
 
     LOADING = "coming"
     READY = "ready"
@@ -32,11 +39,12 @@
     """An occupied place.
 
     Attributes:
-        since: When it came into its state, on the local monotonic clock.
-        expected_at: When one that is coming should be there.
-        cold: Whether one that is coming comes from the weight store.
-        unanswered: Whether it is leaving by an order without an answer, which may be carried out
-            yet, or never.
+        version: The adapter's version; 0 if the newest was ordered and no report named it yet.
+        since: When the place entered its state, on the local monotonic clock.
+        expected_at: When a loading adapter should be ready.
+        cold: Whether a loading adapter comes from the weight store.
+        unanswered: Whether its unload order got no answer, so that it may be executed later or
+            never.
     """
 
     version: int
@@ -48,10 +56,10 @@
 
 
 class CompletedLoad(NamedTuple):
-    """An adapter that came, and how long that took.
+    """A load that finished, and its duration.
 
     Attributes:
-        cold: Whether it came from the weight store.
+        cold: Whether the adapter came from the weight store.
     """
 
     key: AdapterKey
@@ -60,14 +68,26 @@
 
 
 class EngineBook:
-    """The places of one engine, all orders of this placer included.
+    """The places of one engine, including the effect of this placer's orders.
 
-    A place is free only once the engine shows it; one that an order has asked for is taken.
+    An order to load occupies a place at once. A place becomes free only when the engine confirms
+    it.
 
     Args:
-        record: What the engine says of itself.
-        slots: How many adapters it holds.
-        late_orders: The placer's orders without an answer; none if they are not told.
+        record: The engine's own record.
+        slots: Number of adapters that the engine holds.
+        late_orders: The placer's unanswered load orders; an empty record of its own by default.
+
+    Attributes:
+        places: The occupied places, by adapter.
+        assigned: The adapters that the planner assigned, with the time of the assignment.
+        completed_loads: Loads that finished since the list was last cleared.
+        sequence: The engine's sequence, counted on at each executed order; None before its first
+            report.
+        ordered_at: When the last order was executed.
+        reachable: Whether the engine answered the last request for its report.
+        busy: Whether the engine is executing an order, as of its last report.
+        models: The base models that the engine has loaded.
     """
 
     def __init__(
@@ -93,36 +113,36 @@
 
     @property
     def free(self) -> int:
-        """Places that nothing occupies, nor an order to an earlier start may come to occupy."""
+        """Number of places without an adapter, less those that late orders may still occupy."""
         reserved = self.late_orders.pending_loads(self.record, self.sequence)
         return self.slots - len(self.places) - reserved
 
     @property
     def loading_count(self) -> int:
-        """How many adapters are on their way in."""
+        """Number of adapters that are loading."""
         return sum(place.state is PlaceState.LOADING for place in self.places.values())
 
     @property
     def unplaced_assignments(self) -> int:
-        """How many adapters are assigned to the engine and have no place there yet."""
+        """Number of adapters that are assigned to the engine and have no place yet."""
         return sum(key not in self.places for key in self.assigned)
 
     @property
     def available_places(self) -> int:
-        """Places that are free or being given up, less those spoken for by assignments.
+        """Number of places that are free or being freed, less the assignments without a place.
 
-        Below zero it says how many adapters have yet to give up their places.
+        If negative, that many adapters have yet to be evicted.
         """
         leaving = sum(place.state is PlaceState.UNLOADING for place in self.places.values())
         return self.free + leaving - self.unplaced_assignments
 
     @property
     def all_ready(self) -> bool:
-        """Whether nothing is on its way in or out."""
+        """Whether no adapter is loading or being unloaded."""
         return all(place.state is PlaceState.READY for place in self.places.values())
 
     def ready(self) -> list[HeldAdapter]:
-        """Return the adapters that requests can use."""
+        """Return the adapters that requests can use, with their versions."""
         return [
             HeldAdapter(key.model, key.adapter, place.version)
             for key, place in self.places.items()
@@ -130,21 +150,21 @@
         ]
 
     def is_ready(self, key: AdapterKey, *, version: int) -> bool:
-        """Whether requests can use an adapter of a version or a newer one."""
+        """Whether requests can use an adapter in at least the given version."""
         place = self.places.get(key)
         return place is not None and place.state is PlaceState.READY and place.version >= version
 
     def is_outdated(self, key: AdapterKey, *, version: int) -> bool:
-        """Whether an adapter stands ready in a version that is older than the newest."""
+        """Whether an adapter is ready in a version older than the given one."""
         place = self.places.get(key)
         return place is not None and place.state is PlaceState.READY and place.version < version
 
     def is_cached(self, key: AdapterKey, *, version: int) -> bool:
-        """Whether the engine can load an adapter again without the weight store."""
+        """Whether the engine can load an adapter from its cache, without the weight store."""
         return self._cached.get(key, -1) >= version
 
     def cached_adapters(self) -> Collection[AdapterKey]:
-        """Return the adapters that the engine may load again without the weight store."""
+        """Return the adapters that the engine has in its cache, in any version."""
         return self._cached.keys()
 
     def load_executed(
@@ -156,15 +176,15 @@
         expected_s: float = 0.0,
         cold: bool = False,
     ) -> None:
-        """Note that the engine took an order to load.
+        """Record that the engine accepted an order to load.
 
         Args:
             key: The adapter.
             version: Its version; 0 for the newest.
-            sent_at: When it was sent, if that is told: counted from its answer, which may come
-                late, a load would look faster than any is.
-            expected_s: When it should be there, in seconds from now.
-            cold: Whether it comes from the weight store.
+            sent_at: When the order was sent; now by default. The load is timed from here, as a
+                late answer would make it look faster than it was.
+            expected_s: Seconds until the adapter should be ready.
+            cold: Whether the adapter comes from the weight store.
         """
         known = self.places.get(key)
         if known is not None and known.state is PlaceState.LOADING:
@@ -179,16 +199,16 @@
         )
 
     def unload_started(self, key: AdapterKey) -> None:
-        """Note that an order to unload is about to be sent: no request is granted the adapter."""
+        """Record that an order to unload is about to be sent: no request is granted the adapter."""
         place = self.places.get(key)
         if place is not None and place.state is PlaceState.READY:
             place.state = PlaceState.UNLOADING
 
     def unload_unanswered(self, key: AdapterKey) -> None:
-        """Note that an order to unload got no answer.
+        """Record that an order to unload got no answer.
 
-        The engine may carry it out at any moment, so the adapter is granted to nobody until the
-        order was given again and answered, or the adapter is seen to be gone.
+        The engine may execute it at any moment. So the adapter is granted to no request until the
+        order is repeated and answered, or a report shows that the adapter is gone.
         """
         place = self.places.get(key)
         if place is not None and place.state is PlaceState.UNLOADING:
@@ -196,18 +216,18 @@
 
     @property
     def unanswered_unloads(self) -> list[AdapterKey]:
-        """The adapters whose orders to unload got no answer and are to be given again."""
+        """The adapters whose orders to unload got no answer and must be repeated."""
         return [key for key, place in self.places.items() if place.unanswered]
 
     def unload_failed(self, key: AdapterKey) -> None:
-        """Note that the engine did not take an order to unload."""
+        """Record that the engine rejected an order to unload."""
         place = self.places.get(key)
         if place is not None and place.state is PlaceState.UNLOADING:
             place.state = PlaceState.READY
             place.unanswered = False
 
     def unload_executed(self, key: AdapterKey) -> None:
-        """Note that the engine took an order to unload."""
+        """Record that the engine accepted an order to unload."""
         place = self.places.get(key)
         if place is not None:
             self._remember(key, place.version)
@@ -216,7 +236,7 @@
             place.since = monotonic()
 
     def loaded(self, key: AdapterKey, *, version: int = 0) -> None:
-        """Note that the engine says that it holds an adapter."""
+        """Record that the engine confirmed that it holds an adapter."""
         place = self.places.get(key)
         if place is None:
             place = Place(version=version, state=PlaceState.LOADING, since=monotonic())
@@ -228,15 +248,15 @@
             self._remember(key, place.version)
 
     def unloaded(self, key: AdapterKey) -> None:
-        """Note that the engine says that an adapter is gone."""
+        """Record that the engine confirmed that it no longer holds an adapter."""
         place = self.places.pop(key, None)
         if place is not None:
             self._remember(key, place.version)
 
     def apply_report(self, state: EngineState) -> bool:
-        """Take what the engine reports; return whether the report is new enough to count."""
-        all_ready = monotonic() - self.ordered_at > _REPORTS_LAG_S
-        if self.sequence is not None and state.sequence < self.sequence and not all_ready:
+        """Apply a report of the engine unless it is outdated; return whether it was applied."""
+        lag_is_over = monotonic() - self.ordered_at > _REPORTS_LAG_S
+        if self.sequence is not None and state.sequence < self.sequence and not lag_is_over:
             return False
         self.sequence = state.sequence
         self.models = state.models
--- a/springrock/placement/engine_reconciler.py
+++ b/springrock/placement/engine_reconciler.py
@@ -1,4 +1,7 @@
-"""Carries out the placer's assignments at one engine: one order at a time, each accounted for."""
+"""Carries out the placer's assignments on one engine, one order at a time.
+
+The effect of each order is recorded in the engine's book, whether or not an answer arrives.
+"""
 
 from __future__ import annotations
 
@@ -27,49 +30,57 @@
 from springrock.placement.planner import Planner
 
 _POLL_INTERVAL_S = 0.03
-"""How often the keeper looks while something is on its way."""
+"""Interval between checks while a load, an unload or an assignment is pending."""
 
 _WARM_LOAD_S = 0.03
 _COLD_LOAD_S = 0.25
 _REPORT_INTERVAL_S = 0.25
-"""How often an engine is asked for what only its report tells: that a place is free again, or that
-a base model has come."""
+"""Interval between reports while waiting for a free place or a base model.
+
+Only a report shows these.
+"""
 
 _OVERDUE_LOAD_S = 1.5
-"""An adapter that has not come so long after its order, six times what a load takes, is asked
-about, as often. That one is there is learnt sooner from the repeated order; a report has the price
-of a probe, sixty times that of an order."""
+"""Age of a pending load from which reports are requested, and the interval between them.
+
+It is six times the duration of a load. Until then only the load order is repeated, as its answer
+shows sooner that the adapter is ready. A report has the price of a probe, sixty times that of an
+order.
+"""
 
 _CONFIRM_INTERVAL_S = 0.04
+"""Interval at which the order for an overdue load is repeated."""
 
 _CONFLICT_PAUSE_S = 0.1
 _UNREACHABLE_PAUSE_S = 0.4
 _AUDIT_INTERVAL_S = 5.0
-"""How often an engine is asked while nothing is on its way."""
+"""Interval between reports while nothing is pending."""
 
 _RUNS_REPORT_TIMEOUT_S = 0.7
-"""So long a new placer lets an engine that runs more than it was told of unload nothing: boxes look
-for their placer every 0.6 s, and tell it on linking what they run."""
+"""Time for which a new placer unloads nothing from an engine with requests that no box reported.
+
+Boxes check for a new placer every 0.6 s, and report their running requests when they connect.
+"""
 
 _ASSIGNMENT_TIMEOUT_S = 2.0
-"""How long an assignment is tried before it is given back to the planner."""
+"""Age at which an assignment without a result is dropped, so that the planner can decide again."""
 
 
 class EngineReconciler:
-    """Keeps the places of one engine.
+    """Brings the places of one engine to the state that the planner assigned.
 
     Args:
-        book: What is known of the engine.
-        control: Speaks to it.
-        lease: The lease under whose fence it orders.
-        planner: Chooses what gives way.
-        used: Returns which adapters requests now use, and where.
-        known_runs: Returns how many requests run at the engine, as boxes have told.
+        book: The account of the engine's places.
+        control: Sends orders to the engine and reads its reports.
+        lease: The placer's lease, whose fence each order carries.
+        planner: Chooses the adapters to evict.
+        used: Returns the adapters that requests now use, with the instances.
+        known_runs: Returns the number of requests on the engine that boxes have reported.
         newest: Returns the newest version of an adapter.
-        wanted_model: Returns the base model that an empty engine is to load now, if any may be.
-        takes_orders: Whether the engine is given orders at all.
-        holder: The name under which it orders.
-        on_change: Called when the adapters that can be used have changed.
+        wanted_model: Returns the base model that an empty engine is to load; None if none may be.
+        takes_orders: Returns whether the engine may be given orders.
+        holder: The name of the box, which each order carries.
+        on_change: Called when the adapters that requests can use have changed.
         log: The log to write to.
         metrics: The metrics to count in.
     """
@@ -106,7 +117,7 @@
         self._on_change = on_change
         self._log = log
         self._metrics = metrics
-        self._reported: frozenset[tuple[AdapterKey, int]] | None = None
+        self._published_ready: frozenset[tuple[AdapterKey, int]] | None = None
         self._stale = True
         self._reported_at = 0.0
         self._work = Event()
@@ -118,26 +129,26 @@
         self._task: gevent.Greenlet[..., Any] | None = None
 
     def start(self) -> None:
-        """Begin keeping."""
+        """Start the reconciliation loop."""
         self._started_at = monotonic()
         self._task = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """Stop; nothing is ordered any more."""
+        """Stop the loop; no more orders are sent."""
         if self._task is not None:
             self._task.kill()
 
     def wake(self) -> None:
-        """Look at the assignments."""
+        """Check the assignments now."""
         self._work.set()
 
     def mark_stale(self) -> None:
-        """Ask the engine what it holds, as a request found something else."""
+        """Read a new report, as a request's outcome contradicts the book."""
         self._stale = True
         self._work.set()
 
     def apply_record(self, record: ReplicaRecord) -> None:
-        """Learn what the engine newly says of itself."""
+        """Apply a new record of the engine."""
         self.book.record = record
 
     def _run(self) -> None:
@@ -162,7 +173,7 @@
             self._work.clear()
 
     def _read_report(self) -> bool:
-        """Read the engine's report; return whether it answered."""
+        """Read the engine's report and apply it to the book; return whether the engine answered."""
         book = self.book
         try:
             state = self._read_state()
@@ -185,7 +196,7 @@
         """Return the engine's report.
 
         Raises:
-            ControlUnanswered: If none came, or another start of the engine answered.
+            ControlUnanswered: If no report came, or another start of the engine answered.
         """
         record = self.book.record
         state = self._control.report(record.address, instance=record.replica_id)
@@ -194,7 +205,7 @@
         return state
 
     def _drop_finished(self) -> None:
-        """Drop what is done from the assignments, and tell if what can be used has changed."""
+        """Drop finished and expired assignments, log finished loads, and publish changes."""
         book = self.book
         now = monotonic()
         for key, assigned_at in list(book.assigned.items()):
@@ -216,18 +227,18 @@
                 self._planner.loads.record(load.seconds)
         book.completed_loads.clear()
         ready = frozenset((held.key, held.version) for held in book.ready())
-        if ready != self._reported:
-            self._reported = ready
+        if ready != self._published_ready:
+            self._published_ready = ready
             self._on_change(book)
 
     def _order_next(self) -> bool:
-        """Give the next order, if there is one to give; return whether there was."""
+        """Send the next order, if any; return whether one was sent."""
         book = self.book
         if book.record.leaving or not book.record.understood or not self._takes_orders():
             return False
         if not book.models:
             return self._load_model()
-        # An unload that has to wait for runs keeps the engine from any other order.
+        # An unload that waits for running requests would block all other orders of the engine.
         used = self._used()
         for leaving in book.unanswered_unloads:
             if (book.instance, leaving) not in used:
@@ -253,7 +264,7 @@
         return self._order(OrderKind.UNLOAD, victim)
 
     def _awaits_reports(self) -> bool:
-        """Whether requests may run here that no box has told this placer of yet."""
+        """Whether the engine may run requests that no box has reported to this placer yet."""
         is_new = monotonic() - self._started_at < _RUNS_REPORT_TIMEOUT_S
         return is_new and self._reported_runs > self._known_runs()
 
@@ -261,9 +272,9 @@
         return next((key for key in self.book.assigned if fits(key)), None)
 
     def _confirm_next(self) -> bool:
-        """Ask for an adapter that should be there by now; return whether there was one.
+        """Repeat the order for a load that is due; return whether there was one.
 
-        An order to load what is there is answered so at once, while reports are late.
+        The engine answers at once whether the adapter is ready, while its reports lag.
         """
         book = self.book
         now = monotonic()
@@ -285,7 +296,7 @@
         return now - min(coming, default=now) >= _OVERDUE_LOAD_S <= reported_s
 
     def _load_model(self) -> bool:
-        """Have an engine that came back empty load a base model."""
+        """Order an engine without a base model to load one; return whether an order was sent."""
         model = None if self.book.busy else self._wanted_model()
         if model is None:
             return False
@@ -295,7 +306,7 @@
     def _order(self, kind: OrderKind, key: AdapterKey) -> bool:
         book = self.book
         if not self._lease.holds:
-            # It may have ended while a report was waited for.
+            # The lease may have ended while the report was read.
             return False
         version = self._newest(key) if kind is OrderKind.LOAD else 0
         order = Order(kind, key, version, book.sequence, self._box, self._lease.fence)
@@ -317,7 +328,7 @@
         return True
 
     def _send_order(self, order: Order) -> OrderAnswer:
-        """Give an order; without an answer it stays noted as one that may be carried out yet."""
+        """Send an order; without an answer it remains recorded as one that may be executed late."""
         record = self.book.record
         self.book.late_orders.record_sent(record, order)
         answer = self._control.order(record.address, instance=record.replica_id, order=order)
@@ -334,7 +345,7 @@
             return
         place = book.places.get(order.key)
         if answer is not OrderAnswer.CONFLICT or place is None or not place.unanswered:
-            # A conflict may be with the earlier order of which no answer came.
+            # A conflict after an unanswered unload may be due to that order, which was executed.
             book.unload_failed(order.key)
         self._stale = True
         if answer is OrderAnswer.OLDER_FENCE:
@@ -347,7 +358,7 @@
         book = self.book
         place = book.places.get(order.key)
         if order.kind is OrderKind.LOAD and place is not None:
-            # It is on its way still; the engine takes no second order for it.
+            # The adapter is still loading; the engine did not count the repeated order.
             return
         if book.sequence is not None:
             book.sequence += 1
--- a/springrock/placement/engine_work.py
+++ b/springrock/placement/engine_work.py
@@ -1,4 +1,4 @@
-"""The work of one engine: running requests, prompt tokens to read, reading speed, cached prompts."""
+"""The work of one engine: its requests, prompt tokens to read, reading speed and prompt cache."""
 
 from __future__ import annotations
 
--- a/springrock/placement/placer.py
+++ b/springrock/placement/placer.py
@@ -1,4 +1,7 @@
-"""The placer of a zone: hears what boxes want, plans loads, has them ordered, tells of them."""
+"""The placer of a zone: collects the boxes' demand, plans loads and publishes the result.
+
+The reconcilers of the engines send the orders.
+"""
 
 from __future__ import annotations
 
@@ -41,26 +44,35 @@
 from springrock.placement.wait_estimate import WaitEstimate
 
 _PLAN_INTERVAL_S = 0.05
-"""How often is planned while somebody waits, beside each time that something changed."""
+"""Longest time between plans while adapters are wanted; a change leads to a plan sooner."""
 
 _MIN_PLAN_PAUSE_S = 0.005
 _PAUSE_FACTOR = 4
-"""Changes gather for so many times as long as a plan takes: a fifth of the time goes to plans."""
+"""Pause after a plan as a multiple of its duration: planning takes at most a fifth of the time.
+
+Changes during the pause lead to one plan.
+"""
 
 _FIRST_REPORTS_TIMEOUT_S = 0.15
-"""How long a new placer waits for the engines' first reports before it plans: what stands
-somewhere must not be brought again."""
+"""Time for which a new placer waits for the engines' first reports before it plans.
+
+Without them it would load adapters that an engine already holds.
+"""
 
 _ROOM_SOON_S = 0.3
-"""An adapter at a limited engine that has room so soon needs no load elsewhere, which takes about
-as long."""
+"""Time until a limited engine has room, up to which its adapters are not loaded elsewhere.
+
+A load takes about as long.
+"""
 
 _LIMITED_PENALTY_S = 5.0
-"""What a first event is reckoned to wait longer at an engine that has named a limit: nothing is
-brought there while another engine can take it."""
+"""Added to the estimated wait at an engine that has named a limit.
+
+Adapters are loaded there only if no other engine can take them.
+"""
 
 _CROWDED_VALID_S = 0.5
-"""How long an adapter counts as crowded after a request found all its holders busy."""
+"""Time for which an adapter counts as crowded after a request found all its holders busy."""
 
 
 class Placer:
@@ -71,22 +83,23 @@
         configuration: Returns the configuration in force.
         directory: The known replicas.
         versions: The newest versions of adapters.
-        world: Returns what is known beside the replicas.
-        control: Speaks to engines.
-        lease: The lease.
-        permits: Counts out what cold and limited engines get.
-        box: The name under which it orders.
-        ceiling_ratio: How far loads may exceed the rate that the configuration states.
-        ceiling_burst: Loads that may be saved up.
+        world: Returns the state that decides which replicas may be used: evacuations, limits and
+            cold replicas.
+        control: Sends orders to engines and reads their reports.
+        lease: The lease of the zone's placer.
+        permits: Grants the permits for requests to cold and limited engines.
+        box: The name of this box, which each order carries.
+        ceiling_ratio: Multiple of the configured load rate of base models that is allowed.
+        ceiling_burst: Maximum number of unused loads of base models that accumulate.
         send: Sends a message to one box, which may be this one.
         log: The log to write to.
         metrics: The metrics to count in.
-        prices: What bytes between zones cost beside a load.
-        home_zone_of: Returns where a box stands; None if that is not known.
+        prices: The price of bytes between zones relative to a load.
+        home_zone_of: Returns the zone of a box; None if that is not known.
 
     Attributes:
-        requests: What boxes ask and use.
-        prefetch: What is brought of evacuated zones although nobody asked for it here.
+        requests: The requests that boxes want to send or have sent to the engines.
+        prefetch: The adapters of evacuated zones that are loaded here before they are requested.
     """
 
     def __init__(
@@ -162,11 +175,11 @@
 
     @property
     def active(self) -> bool:
-        """Whether it works now."""
+        """Whether the placer is running."""
         return self._task is not None
 
     def start(self) -> None:
-        """Begin to place, under the lease just taken."""
+        """Start to plan, under a lease that this box has just acquired."""
         self._started_at = monotonic()
         self._task = gevent.spawn(self._plan_loop)
         for service in self._configuration().engine_services:
@@ -175,7 +188,7 @@
                     self._start_reconciler(replica)
 
     def stop(self) -> None:
-        """Stop at once."""
+        """Stop planning and all reconcilers, and drop the state of this tenure."""
         if self._task is not None:
             self._task.kill()
             self._task = None
@@ -191,18 +204,18 @@
         self._copy_requests.clear()
 
     def apply_demand(self, box: str, demand: Demand) -> None:
-        """Take what is new at a box."""
+        """Apply the changes of a box's demand since its last message."""
         self.requests.apply_demand(box, demand)
         if demand.copies:
             self._copy_requests.record(demand.copies)
             self._work.set()
 
     def forget_box(self, box: str) -> None:
-        """Drop what a box wanted and used; its requests are gone or will be told anew."""
+        """Drop the requests of a box; they ended with it or will be reported again."""
         self.requests.forget_box(box)
 
     def residents_snapshot(self) -> Residents:
-        """Return what all engines hold that were heard."""
+        """Return the adapters of all engines that have sent a report."""
         return Residents(
             [
                 EngineHolds(reconciler.book.instance, reconciler.book.ready())
@@ -212,7 +225,7 @@
         )
 
     def drain_changed(self) -> Residents | None:
-        """Return what engines hold that changed since this was asked last; None if none did."""
+        """Return the adapters of the engines that changed since the last call; None if none did."""
         changed, self._changed = self._changed, set()
         books = [
             self._reconcilers[instance].book
@@ -224,7 +237,7 @@
         return Residents([EngineHolds(book.instance, book.ready()) for book in books])
 
     def spread(self) -> tuple[str, ...]:
-        """Return the adapters, as MODEL/NAME, that each zone does better to serve itself."""
+        """Return the adapters, as MODEL/NAME, that each zone should serve itself."""
         copies = Counter(
             held.key
             for reconciler in self._reconcilers.values()
@@ -233,11 +246,11 @@
         return self._spread.evaluate(copies, zones=self._zones_with_engines())
 
     def handover(self) -> Handover:
-        """Return what was asked for here, for the zones that remain when this one is evacuated."""
+        """Return this zone's popular adapters, for the zones that remain when it is evacuated."""
         return handover_of(self._popularity)
 
     def room(self) -> int:
-        """Return how many more adapters the engines could take now."""
+        """Return how many more adapters could be loaded on the engines now."""
         now = monotonic()
         return sum(
             self._planner(book.record.service).room(
@@ -248,7 +261,7 @@
         )
 
     def wait_estimate(self) -> WaitEstimate:
-        """Return what awaits one more adapter and one more request."""
+        """Return the eviction pressure and the wait at the zone's engines."""
         books = [book for book in self._loadable() if book.models]
         now = monotonic()
         dispatchers = [self.requests.dispatcher(book.record.service) for book in books]
@@ -264,7 +277,7 @@
         )
 
     def _loadable(self) -> list[EngineBook]:
-        """Return the engines that may be given adapters now."""
+        """Return the engines on which adapters may be loaded now."""
         world = self._world()
         return [
             book
@@ -331,7 +344,7 @@
         return [reconciler.book for reconciler in self._reconcilers.values()]
 
     def _handle_engine_change(self, book: EngineBook) -> None:
-        """Learn that what an engine holds has changed."""
+        """Grant waiting requests and plan again after the adapters of an engine changed."""
         prompt_cache = (
             self.requests.dispatcher(book.record.service).work(book.instance).prompt_cache
         )
@@ -348,14 +361,14 @@
             has_pending_wants = self.requests.asks.wanted or self.prefetch.pending
             self._work.wait(timeout=_PLAN_INTERVAL_S if has_pending_wants else None)
             self._work.clear()
-            began_at = monotonic()
+            started_at = monotonic()
             if self._lease.holds and self._has_engine_reports():
                 self._plan()
-            took_s = monotonic() - began_at
+            took_s = monotonic() - started_at
             gevent.sleep(max(_MIN_PLAN_PAUSE_S, _PAUSE_FACTOR * took_s))
 
     def _has_engine_reports(self) -> bool:
-        """Whether the engines have told what they hold, or were given the time for it."""
+        """Whether all engines have sent a report, or the time to wait for one is over."""
         if monotonic() - self._started_at > _FIRST_REPORTS_TIMEOUT_S:
             return True
         return all(
@@ -363,7 +376,7 @@
         )
 
     def _plan(self) -> None:
-        # An engine may answer again, or no longer count as full or lacking, without other news.
+        # An engine may have become usable by time alone, for example after it was full.
         self.requests.grant_all()
         now = monotonic()
         wants = self.requests.asks.wants(now)
@@ -392,7 +405,7 @@
             )
             for assignment in plan.assignments:
                 if assignment.want.saves:
-                    # Else it would be the next to give up its place: nobody here has asked for it.
+                    # Without requests in this zone the copy would be the next to be evicted.
                     self._popularity.record(assignment.key, assignment.want.saves)
                 self._reconcilers[assignment.engine.instance].wake()
                 self._log_assigned(assignment, now)
@@ -401,16 +414,16 @@
                     key,
                     ready_at=now + ready_in_s,
                     boxes=self.requests.asks.boxes(key),
-                    elsewhere=_is_held_back(key, books, full_engines),
+                    elsewhere=_is_blocked_by_limits(key, books, full_engines),
                 )
 
     def _presence_check(self, books: list[EngineBook]) -> Callable[[AdapterKey], bool]:
-        """Return whether an adapter stands at one of some engines, is on its way or at hand."""
+        """Return a predicate: whether any of the engines holds, loads or has cached an adapter."""
 
-        def _is_at(book: EngineBook, key: AdapterKey) -> bool:
+        def _has(book: EngineBook, key: AdapterKey) -> bool:
             return key in book.places or book.is_cached(key, version=self._versions.newest(key))
 
-        return lambda key: any(_is_at(book, key) for book in books)
+        return lambda key: any(_has(book, key) for book in books)
 
     def _log_assigned(self, assignment: Assignment, now: float) -> None:
         want = assignment.want
@@ -436,14 +449,14 @@
 
 
 def _with_limits(waits: dict[str, float], limited: Collection[str]) -> dict[str, float]:
-    """Return how long a first event would wait at each engine, where some have named limits."""
+    """Return the waits at the engines, with the penalty added for those that named a limit."""
     return waits | {name: waits.get(name, 0.0) + _LIMITED_PENALTY_S for name in limited}
 
 
-def _is_held_back(
+def _is_blocked_by_limits(
     key: AdapterKey, books: Collection[EngineBook], full_engines: Collection[str]
 ) -> bool:
-    """Whether an adapter stands, but only where limits keep out more, and is on its way nowhere."""
+    """Whether all engines that hold an adapter are full, and it is assigned to no engine."""
     holding = [book for book in books if key in book.places]
-    on_its_way = any(key in book.assigned for book in books)
-    return bool(holding) and not on_its_way and all(b.instance in full_engines for b in holding)
+    is_assigned = any(key in book.assigned for book in books)
+    return bool(holding) and not is_assigned and all(b.instance in full_engines for b in holding)
--- a/springrock/placement/requests.py
+++ b/springrock/placement/requests.py
@@ -1,4 +1,4 @@
-"""The requests of all boxes at a zone's placer: asks granted or kept waiting, uses followed."""
+"""The requests of all boxes at a zone's placer, from the ask through the grant to the end."""
 
 from __future__ import annotations
 
@@ -31,32 +31,36 @@
 from springrock.placement.residency import Versions
 
 _SUSPECT_OUTCOMES = (Outcome.LACKING, Outcome.UNREACHABLE, Outcome.FAILED)
-"""After these the engine is asked itself what it holds, so that one box's trouble with it is not
-taken for the engine's."""
+"""Outcomes after which the engine's report is read.
+
+The report shows whether the fault is the engine's or that of one box's connection to it.
+"""
 
 
 class Requests:
-    """Grants engines to requests, and keeps those for which none holds the adapter.
+    """Grants engines to requests, and queues the requests whose adapter no engine holds.
 
     Args:
-        reconcilers: The reconcilers of the zone's engines, by instance; the placer changes them.
+        reconcilers: The reconcilers of the zone's engines, by instance; the placer adds and removes
+            them.
         configuration: Returns the configuration in force.
         directory: The known replicas.
         versions: The newest versions of adapters.
-        world: Returns what is known beside the replicas.
-        permits: Counts out what cold and limited engines get.
-        popularity: Learns what is asked for.
+        world: Returns the state that decides which replicas may be used: evacuations, limits and
+            cold replicas.
+        permits: Grants the permits for requests to cold and limited engines.
+        popularity: Counts the requests for each adapter.
         send: Sends a message to one box.
-        on_unserved: Called when there is something to plan for.
+        on_unserved: Called when a new plan is needed.
         on_granted: Called with the seconds that a request waited for its grant.
         log: The log to write to.
-        near_copies: Counts who asks from far away.
-        home_zone_of: Returns where a box stands; None if that is not known.
+        near_copies: Counts the traffic of requests from other zones.
+        home_zone_of: Returns the zone of a box; None if that is not known.
 
     Attributes:
-        asks: The asks that wait, and the clients that are expected back.
-        forecasts: What was told to those who wait.
-        dispatchers: What runs at the engines of each service.
+        asks: The asks that wait, and the clients that are expected to retry.
+        forecasts: The forecasts that were sent to boxes with waiting asks.
+        dispatchers: The dispatcher of each service, with the requests on its engines.
     """
 
     def __init__(
@@ -95,7 +99,7 @@
         self._backoffs = Backoffs()
 
     def clear(self) -> None:
-        """Forget all, as when the lease is lost."""
+        """Drop all requests, as when the lease is lost."""
         self.asks = AskBook()
         self.forecasts.keep_only(())
         self.dispatchers.clear()
@@ -103,7 +107,7 @@
         self._near_copies.clear()
 
     def apply_demand(self, box: str, demand: Demand) -> None:
-        """Take what is new at a box."""
+        """Apply the changes of a box's demand since its last message."""
         now = monotonic()
         for use in demand.uses:
             instance = self._current_instance(use.instance)
@@ -121,11 +125,11 @@
         for ask in demand.asks:
             self._handle_ask(box, ask, now)
         if self.asks.wanted and (demand.promises or demand.over):
-            # A place may have been given up by what ended.
+            # A request that ended may have freed a place.
             self._on_unserved()
 
     def forget_box(self, box: str) -> None:
-        """Drop what a box wanted and used; its requests are gone or will be told anew."""
+        """Drop the requests of a box; they ended with it or will be reported again."""
         self.asks.forget_box(box)
         self._backoffs.forget_box(box)
         for dispatcher in self.dispatchers.values():
@@ -140,15 +144,15 @@
             self._on_unserved()
 
     def grant_all(self) -> None:
-        """Send all who wait to the engines that hold what they ask for, as far as there are any.
+        """Grant engines to all waiting requests whose adapter an engine holds.
 
-        Those worth most go first: an engine may have room for a few only.
+        The most valuable ones go first, as an engine may have room for only a few.
         """
         for key in self.asks.keys_by_worth():
             self.grant_waiting(key)
 
     def grant_waiting(self, key: AdapterKey) -> None:
-        """Send those who wait for an adapter to the engines that hold it."""
+        """Grant engines to the requests that wait for an adapter, if any engine holds it."""
         for waiting in self.asks.of(key):
             self._grant(waiting)
 
@@ -160,7 +164,7 @@
         now = monotonic()
         dispatcher = self.dispatcher(service)
         bounds = ask.bounds
-        # The ask may have waited here while another request of its box was asked for rest.
+        # An engine may have asked the box to pause while this ask waited.
         backing_off = self._backoffs.of(waiting.box)
         avoid = backing_off.union(ask.tried)
         holders = self.holders(key, avoid=avoid, bounds=bounds) or self._retry_holders(
@@ -194,7 +198,7 @@
             self._on_unserved()
 
     def _saved_by_copy(self, waiting: WaitingAsk) -> float:
-        """Return what a copy near the asking box would save, in loads; 0 if it would not pay."""
+        """Return the loads that a copy near the asking box would save; 0 if not worth a load."""
         ask, home = waiting.ask, self._home_zone_of(waiting.box)
         if home is None:
             return 0.0
@@ -219,14 +223,14 @@
         ]
 
     def _may_grant(self, record: ReplicaRecord, bounds: Bounds, world: World) -> bool:
-        """Whether a request may go to an engine; to a metered one as far as it bears more."""
+        """Whether a request may go to an engine; to a metered one only if a permit is free."""
         obstacle = obstacle_of(record, bounds=bounds, world=world)
         if obstacle in METERED:
             return not self._permits.room_in_s(record, cold=world.is_cold(record))
         return obstacle is None
 
     def _permit(self, waiting: WaitingAsk, instance: str) -> bool:
-        """Take a permit with the grant of a metered engine."""
+        """Take a permit if the engine is metered; return whether one was taken."""
         record = self._reconcilers[instance].book.record
         world = self._world()
         if world.metered(record) is None:
@@ -240,7 +244,7 @@
         )
 
     def limited_engines(self) -> dict[str, float]:
-        """Return the engines that have named a limit, and the seconds until each has room."""
+        """Return the seconds until each engine that has named a limit has room."""
         world = self._world()
         records = [reconciler.book.record for reconciler in self._reconcilers.values()]
         return {
@@ -254,8 +258,9 @@
     ) -> list[str]:
         """Return the engines that failed a request and are still better for it than a load.
 
-        What is lost there is the request's worth as much more often as the engine fails more
-        than others do; what a load costs where one has the weights at hand is as good as nothing.
+        The expected loss of a retry is the request's worth times the engine's excess failure rate.
+        It must not exceed the cost of a load, which is zero if another engine has the adapter
+        cached.
         """
         if not ask.failed_at:
             return []
@@ -288,17 +293,17 @@
                 self._backoffs.record(box, run.instance, seconds=over.backoff_ms / 1000)
 
     def _service_of(self, key: AdapterKey) -> str | None:
-        """Return the service whose engines hold the base model of an adapter."""
+        """Return the service whose engines serve the base model of an adapter, if any."""
         for service, engine in self._configuration().engine_services.items():
             if any(model.name == key.model for model in engine.models):
                 return service
         return None
 
     def _current_instance(self, instance: str) -> str:
-        """Return the start of an engine that runs what was sent to an earlier start of it.
+        """Return the current instance of an engine, given the instance that a box named.
 
-        A box that has not read of the new start yet names the one that it knows. Its request runs
-        at the new one all the same, where its adapter must not be taken for unused.
+        A box that does not know of a restart yet names the earlier instance. Its request runs on
+        the new one all the same, where its adapter must count as used.
         """
         if instance in self._reconcilers:
             return instance
@@ -313,7 +318,7 @@
         return self.dispatcher("" if replica is None else replica.record.service)
 
     def dispatcher(self, service: str) -> Dispatcher:
-        """Return what runs at the engines of a service."""
+        """Return the dispatcher of a service; created at its first use."""
         dispatcher = self.dispatchers.get(service)
         if dispatcher is None:
             engine = self._configuration().engine_services.get(service)
--- a/springrock/placement/residency.py
+++ b/springrock/placement/residency.py
@@ -1,7 +1,7 @@
-"""Which adapters stand on which replicas, as far as this box knows without a placer.
+"""The adapters that each replica holds, as known to this box without a placer.
 
-Three witnesses, the freshest first: what this box's own requests were told, what the placers say
-of their engines, and what the replicas write of themselves about every second.
+There are three sources, the most recent first: the answers to this box's own requests, the reports
+of the placers on their engines, and the records that the replicas write about every second.
 """
 
 from __future__ import annotations
@@ -14,11 +14,14 @@
 from springrock.forwarding.message import AdapterKey
 
 _DENIAL_VALID_S = 1.0
-"""How long a replica's own "not here" outweighs other witnesses that do not change."""
+"""Time for which a replica's answer that it lacks an adapter overrides unchanged other sources."""
 
 LATELY_KEPT = 30
-"""How many adapters a replica is taken to keep at hand beside those in its places: of 197 that came
-from the weight store again to a replica that had held them, 143 had been followed there by more."""
+"""Number of unloaded adapters that a replica is assumed to keep in its cache.
+
+Of 197 adapters that a replica loaded again from the weight store although it had held them, 143 had
+been followed there by more adapters than this.
+"""
 
 
 class Versions:
@@ -32,16 +35,16 @@
         return self._newest.get(key, 0)
 
     def record(self, key: AdapterKey, version: int) -> None:
-        """Learn of a version."""
+        """Record a version that was named; an older one changes nothing."""
         self._newest[key] = max(version, self.newest(key))
 
 
 class Residency:
-    """Answers where an adapter can be used.
+    """Finds the replicas that hold an adapter.
 
     Args:
         directory: The known replicas.
-        versions: The newest versions.
+        versions: The newest versions of adapters.
     """
 
     def __init__(self, directory: Directory, versions: Versions) -> None:
@@ -50,7 +53,7 @@
         self._reported: dict[str, tuple[HeldAdapter, ...]] = {}
         self._held: dict[str, tuple[HeldAdapter, ...]] = {}
         self._versions_at: dict[AdapterKey, dict[str, int]] = {}
-        self._denied: dict[tuple[str, AdapterKey], float] = {}
+        self._missing_until: dict[tuple[str, AdapterKey], float] = {}
         self._cached: dict[str, OrderedDict[AdapterKey, int]] = {}
         self._cached_at: dict[AdapterKey, set[str]] = {}
         directory.on_change.append(self._handle_replica_change)
@@ -68,7 +71,7 @@
         return [replica for replica in known if replica is not None and self.holds(replica, key)]
 
     def held_in(self, zone: str) -> list[AdapterKey]:
-        """Return the adapters that the replicas of a zone hold, those of more replicas first."""
+        """Return the adapters on the replicas of a zone, those with the most copies first."""
         copies = Counter(
             held.key
             for replica in self._directory.in_zone(zone)
@@ -77,7 +80,7 @@
         return [key for key, _ in copies.most_common()]
 
     def cache_holders(self, key: AdapterKey) -> list[Replica]:
-        """Return the replicas that gave an adapter up lately, and so load it without the store."""
+        """Return the replicas that unloaded an adapter recently and so have it in their cache."""
         newest = self._versions.newest(key)
         known = (
             self._directory.find(instance)
@@ -87,20 +90,20 @@
         return [replica for replica in known if replica is not None]
 
     def deny(self, instance: str, key: AdapterKey) -> None:
-        """Learn from a replica itself that it does not hold an adapter."""
-        self._denied[(instance, key)] = monotonic() + _DENIAL_VALID_S
+        """Record a replica's answer that it does not hold an adapter."""
+        self._missing_until[(instance, key)] = monotonic() + _DENIAL_VALID_S
 
     def record_reported(self, instance: str, adapters: Iterable[HeldAdapter]) -> None:
-        """Learn from the placer what a replica holds."""
+        """Record the adapters that a replica holds, as its placer reports."""
         before = self._held.get(instance, ())
         self._reported[instance] = tuple(adapters)
         for held in self._reported[instance]:
             if held not in before:
-                self._denied.pop((instance, held.key), None)
+                self._missing_until.pop((instance, held.key), None)
         self._index(instance)
 
     def forget_reported(self, zone: str) -> None:
-        """Lose the placer of a zone: go by what its replicas write of themselves."""
+        """Drop the reports of a zone's placer, and use the records of its replicas instead."""
         for instance in list(self._reported):
             replica = self._directory.find(instance)
             if replica is None or replica.record.zone == zone:
@@ -108,12 +111,12 @@
                 self._index(instance)
 
     def _is_denied(self, instance: str, key: AdapterKey) -> bool:
-        until = self._denied.get((instance, key))
+        until = self._missing_until.get((instance, key))
         if until is None:
             return False
         if monotonic() < until:
             return True
-        del self._denied[(instance, key)]
+        del self._missing_until[(instance, key)]
         return False
 
     def _handle_replica_change(self, record: ReplicaRecord | None, instance: str) -> None:
@@ -123,11 +126,11 @@
         if record is None:
             for key in self._cached.pop(instance, {}):
                 self._forget_cached(instance, key)
-            for denied in [denied for denied in self._denied if denied[0] == instance]:
-                del self._denied[denied]
+            for denied in [denied for denied in self._missing_until if denied[0] == instance]:
+                del self._missing_until[denied]
 
     def _index(self, instance: str) -> None:
-        """Have an adapter's replicas found without a look at each of them."""
+        """Update the index from adapters to replicas after a change of one replica."""
         replica = self._directory.find(instance)
         recorded = () if replica is None else replica.record.adapters
         now = self._reported.get(instance, recorded)
