--- a/springrock/placement/placer.py
+++ b/springrock/placement/placer.py
@@ -376,7 +376,7 @@
         )
 
     def _plan(self) -> None:
-        # An engine may have become usable by time alone, for example after it was full.
+        # An engine may have become usable without an event, for example as it is no longer full.
         self.requests.grant_all()
         now = monotonic()
         wants = self.requests.asks.wants(now)
--- a/tests/placement/test_dispatcher.py
+++ b/tests/placement/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""At which engine a request runs, by what the placer heard of all boxes."""
+"""Tests of the dispatcher: the engine on which a request runs, by the use of all boxes."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Requests:
-    """Sends requests to where a dispatcher says."""
+    """Sends requests to the engines that a dispatcher chooses."""
 
     def __init__(self) -> None:
         self.dispatcher = Dispatcher(memory_tokens=200_000)
@@ -46,7 +46,7 @@
         shared: list[tuple[str, int]] | None = None,
         target_in_s: float = 1.0,
     ) -> str | None:
-        """Return where a request goes."""
+        """Return the engine that a request is sent to; None if there is none."""
         self.sent += 1
         prompt = [*(shared or []), (f"own-{self.sent}", tokens)]
         choice = self.dispatcher.choose(key, prompt, holders, target_in_s=target_in_s)
@@ -64,14 +64,14 @@
     return Requests()
 
 
-def test_requests_go_where_the_least_is_to_be_read(requests: Requests) -> None:
+def test_requests_go_to_the_engine_with_the_smallest_prefill_backlog(requests: Requests) -> None:
     assert {requests.send("i-1", "i-2"), requests.send("i-1", "i-2")} == {"i-1", "i-2"}
     first = requests.send("i-1", "i-2", tokens=8000)
     assert requests.send("i-1", "i-2") != first
     assert requests.send("i-1", "i-2") != first
 
 
-def test_a_prompt_that_an_engine_keeps_is_read_there(requests: Requests) -> None:
+def test_a_prompt_goes_to_the_engine_that_has_it_cached(requests: Requests) -> None:
     first = requests.send("i-1", "i-2", shared=SHARED)
     requests.dispatcher.record_start("box", Began(1, 400))
     assert requests.send("i-1", "i-2", shared=SHARED) == first
@@ -79,7 +79,7 @@
     assert requests.send("i-1", "i-2", shared=SHARED) == first
 
 
-def test_parts_are_kept_for_one_adapter_and_only_while_the_engine_holds_it(
+def test_parts_are_cached_for_one_adapter_and_only_while_the_engine_holds_it(
     requests: Requests,
 ) -> None:
     requests.send("i-1", shared=SHARED)
@@ -88,13 +88,13 @@
     assert cache.cached_tokens(KEY, prompt) == 6000
     assert cache.cached_tokens(OTHER, prompt) == 0
     assert cache.cached_tokens(KEY, [("another", 5), *prompt]) == 0, (
-        "what stands behind a gap is read anew"
+        "parts after a gap are read again"
     )
     cache.retain_only({OTHER})
     assert cache.cached_tokens(KEY, prompt) == 0
 
 
-def test_parts_unused_longest_give_way(requests: Requests) -> None:
+def test_the_least_recently_used_parts_are_evicted(requests: Requests) -> None:
     for name in range(30):
         requests.send("i-1", shared=[(f"part-{name}", 6000)])
     cache = requests.dispatcher.work("i-1").prompt_cache
@@ -102,7 +102,7 @@
     assert cache.cached_tokens(KEY, [("part-29", 6000)]) == 6000
 
 
-def test_an_engine_that_reads_slowly_gets_less_until_that_is_long_ago(
+def test_an_engine_that_reads_slowly_gets_fewer_requests_for_a_time(
     requests: Requests, pass_time: Pass
 ) -> None:
     for number in range(1, 9):
@@ -117,7 +117,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.UNREACHABLE])
-def test_an_engine_that_cannot_take_a_request_is_left_alone_by_all_boxes(
+def test_an_engine_that_cannot_take_a_request_is_avoided_for_all_boxes(
     requests: Requests, outcome: Outcome
 ) -> None:
     first = requests.send("i-1", "i-2")
@@ -147,7 +147,7 @@
     assert requests.dispatcher.crowded_since(1000.5) == []
 
 
-def test_what_ended_or_whose_box_is_gone_counts_no_more(requests: Requests) -> None:
+def test_ended_requests_and_those_of_gone_boxes_are_not_counted(requests: Requests) -> None:
     requests.send("i-1")
     requests.send("i-1", key=OTHER)
     requests.dispatcher.record_use("other box", Use(1, "i-1", *KEY))
@@ -161,7 +161,7 @@
     assert (dispatcher.work("i-1").runs, dispatcher.work("i-1").prefill_backlog) == (0, 0)
 
 
-def test_the_end_of_a_request_at_an_engine_that_is_gone_harms_nothing(requests: Requests) -> None:
+def test_the_end_of_a_request_at_a_removed_engine_is_ignored(requests: Requests) -> None:
     requests.send("i-1")
     requests.dispatcher.forget("i-1")
     requests.over(1)
@@ -180,7 +180,7 @@
     assert dispatcher.excess_failures("i-1") == pytest.approx(dispatcher.excess_failures("i-2"))
 
 
-def test_an_engine_that_asked_a_box_for_rest_gets_others_requests_for_want_of_another(
+def test_an_engine_that_asked_a_box_to_pause_is_used_only_if_there_is_no_other(
     pass_time: Pass,
 ) -> None:
     requests = Requests()
--- a/tests/placement/test_distance_ways.py
+++ b/tests/placement/test_distance_strategies.py
@@ -1,7 +1,8 @@
-"""Ways of choosing the zone that brings an adapter, played in virtual time on the same requests.
+"""A simulation of the strategies that choose the zone in which an adapter is loaded.
 
-Each zone keeps its adapters in the places of its engines. Counted are loads from the weight store,
-bytes between zones and between regions, and adapters that gave up their place.
+All strategies get the same requests, in virtual time. Each zone holds adapters in the places of its
+engines. The simulation counts loads from the weight store, bytes between zones and between regions,
+and evictions.
 """
 
 from __future__ import annotations
@@ -23,26 +24,34 @@
 from springrock.placement.zone_choice import ZoneView, choose_zone
 from springrock.topology import Distance, Topology
 
-ADAPTERS = 10_000
+ADAPTER_COUNT = 10_000
 ZIPF = 1.2
-LENGTH_S = 45.0
-WARM_S = 15.0
+DURATION_S = 45.0
+WARMUP_S = 15.0
 LOAD_S = 0.3
-NOTICE_S = 0.1
-"""How late boxes of other zones know what a zone holds."""
+NOTICE_DELAY_S = 0.1
+"""Delay until boxes know that a zone has loaded an adapter."""
 
-TELL_S = 0.4
-"""How often a placer tells its pressure."""
+PUBLISH_INTERVAL_S = 0.4
+"""Interval at which placers publish their pressure."""
 
 MARGIN = 0.5
-"""How many loads more than the adapter that it pushes out is asked for a copy must save."""
+"""Margin, in loads, by which a copy's savings must exceed the popularity of its victim."""
 
 PROMPT_TOKENS = (646, 9_190)
-PART_OF_LONG = 0.035
+LONG_PROMPT_SHARE = 0.035
 
 
 class Site(NamedTuple):
-    """Zones with engines, and how the requests fall on them."""
+    """Zones with engines, and the distribution of the requests over them.
+
+    Attributes:
+        regions: The region of each zone.
+        engines: Number of engines in each zone.
+        places: Number of places on each engine.
+        per_s: Requests per second over all zones.
+        shares: Weight of each zone in the requests.
+    """
 
     regions: dict[str, str]
     engines: int
@@ -56,15 +65,15 @@
 SIX = Site({f"{region}-{n}": region for region in "ab" for n in range(3)}, 8, 9, 432.0, (1.0,) * 6)
 
 
-class Count(NamedTuple):
-    """What a way cost.
+class Cost(NamedTuple):
+    """The cost of a strategy.
 
     Attributes:
-        loads: Adapters brought, for each 100 requests.
-        zones: Kilobytes between zones of a region, for each request.
-        regions: Kilobytes between regions, for each request.
-        evictions: Adapters that gave up their place, for each 100 requests.
-        busiest: What the busiest zone served, as a multiple of an equal part.
+        loads: Loaded adapters per 100 requests.
+        zones: Kilobytes between zones of a region per request.
+        regions: Kilobytes between regions per request.
+        evictions: Evicted adapters per 100 requests.
+        busiest: Requests that the busiest zone served, as a multiple of an equal share.
     """
 
     loads: float
@@ -74,7 +83,7 @@
     busiest: float
 
     def price(self, prices: DistancePrices) -> float:
-        """Return what a request costs, in loads."""
+        """Return the cost of a request, in loads."""
         near = prices.in_loads(Distance.OWN_REGION, self.zones * 1_000)
         far = prices.in_loads(Distance.OTHER_REGION, self.regions * 1_000)
         return self.loads / 100 + near + far
@@ -87,7 +96,7 @@
 
 
 class Zone:
-    """The engines of a zone: what stands on each, and what is coming."""
+    """The engines of a zone, with the adapters that they hold and load."""
 
     def __init__(self, name: str, site: Site, topology: Topology, prices: DistancePrices) -> None:
         self.name = name
@@ -101,19 +110,19 @@
         self.loads = self.evictions = self.served = 0
 
     def victim(self, engine: set[AdapterKey]) -> tuple[float, AdapterKey | None]:
-        """Return what gives up its place on an engine, and how often that is asked for."""
+        """Return the popularity of the adapter to evict on an engine, and the adapter itself."""
         if len(engine) < self.places:
             return 0.0, None
         return min((self.popularity.of(key), key) for key in engine)
 
-    def look(self) -> None:
-        """Take the pressure as the placer tells it."""
+    def publish_pressure(self) -> None:
+        """Publish the current pressure of the zone."""
         costs = sorted(self.victim(engine)[0] for engine in self.engines)
         self.pressure = costs[len(costs) // 2]
 
-    def bring(self, key: AdapterKey, chance: random.Random, *, saves: float | None = None) -> bool:
-        """Load an adapter; one that nobody waits for only if it saves more than it pushes out."""
-        engines = chance.sample(self.engines, 4)
+    def load(self, key: AdapterKey, rng: random.Random, *, saves: float | None = None) -> bool:
+        """Load an adapter; a near copy only if it saves more than its victim is worth."""
+        engines = rng.sample(self.engines, 4)
         (asked, victim), engine = min(
             ((self.victim(engine), engine) for engine in engines), key=lambda item: item[0][0]
         )
@@ -129,7 +138,7 @@
 
 
 def hash_over_all(key: AdapterKey, views: list[ZoneView], holding: set[str]) -> str:
-    """The zone by a hash over all zones, unless some hold the adapter: the own one first."""
+    """Choose by a hash over all zones, or over those that hold the adapter, the own one first."""
     home = next((view.name for view in views if view.distance is Distance.OWN_ZONE), "")
     if home in holding:
         return home
@@ -138,7 +147,7 @@
 
 
 def hash_in_region(key: AdapterKey, views: list[ZoneView], holding: set[str]) -> str:
-    """The zone by a hash within the own region."""
+    """Choose by a hash over the zones of the own region."""
     near = [view for view in views if view.distance is not Distance.OTHER_REGION]
     held_near = {view.name for view in near} & holding
     return (
@@ -149,24 +158,31 @@
 
 
 def by_distance(key: AdapterKey, views: list[ZoneView], holding: set[str]) -> str:
-    """The own zone while its places are hardly more sought after than those of its region."""
+    """Choose the own zone unless its pressure is much higher than elsewhere in the region."""
     advantage = DistancePrices().in_loads(Distance.OWN_REGION, bytes_of_prompt(PROMPT_TOKENS[0]))
     name = choose_zone(key, views, prefer=holding, home_advantage=advantage)
     assert name is not None
     return name
 
 
-Way = Callable[[AdapterKey, list[ZoneView], set[str]], str]
+Strategy = Callable[[AdapterKey, list[ZoneView], set[str]], str]
 
 
-class Play:
-    """One way, played over a site's requests."""
+class Simulation:
+    """A simulation of one strategy over a site's requests."""
 
     def __init__(
-        self, way: Way, site: Site, *, copies: bool, clock: Clock, prices: DistancePrices, seed: int
+        self,
+        strategy: Strategy,
+        site: Site,
+        *,
+        copies: bool,
+        clock: Clock,
+        prices: DistancePrices,
+        seed: int,
     ) -> None:
-        self.way, self.site, self.copies, self.clock = way, site, copies, clock
-        self.chance = random.Random(seed)
+        self.strategy, self.site, self.copies, self.clock = strategy, site, copies, clock
+        self.rng = random.Random(seed)
         self.topologies = {
             name: Topology(home=name, zones=tuple(site.regions), regions=site.regions)
             for name in site.regions
@@ -174,32 +190,32 @@
         self.zones = {
             name: Zone(name, site, self.topologies[name], prices) for name in site.regions
         }
-        self.crossed = {Distance.OWN_REGION: 0, Distance.OTHER_REGION: 0}
+        self.crossed_bytes = {Distance.OWN_REGION: 0, Distance.OTHER_REGION: 0}
         self.requests = 0
-        weights = [number**-ZIPF for number in range(1, ADAPTERS + 1)]
-        self.cumulated = list(itertools.accumulate(weights))
+        weights = [number**-ZIPF for number in range(1, ADAPTER_COUNT + 1)]
+        self.cumulative_weights = list(itertools.accumulate(weights))
         self.events: list[tuple[float, int, Callable[[], None]]] = []
-        self.numbers = itertools.count()
+        self.tie_breakers = itertools.count()
 
-    def run(self) -> Count:
-        """Return what the requests after the start cost."""
+    def run(self) -> Cost:
+        """Return the cost of the requests after the warm-up."""
         began = self.clock.now
-        self.later(TELL_S, self.look)
+        self.schedule(PUBLISH_INTERVAL_S, self.publish_pressure)
         for at, home, key, tokens in self.arrivals():
             while self.events and self.events[0][0] <= began + at:
-                when, _, act = heapq.heappop(self.events)
+                when, _, action = heapq.heappop(self.events)
                 self.clock.now = when
-                act()
+                action()
             self.clock.now = began + at
-            if at > WARM_S and not self.requests:
-                self.forget()
-            self.requests += at > WARM_S
+            if at > WARMUP_S and not self.requests:
+                self.reset_counts()
+            self.requests += at > WARMUP_S
             self.serve(home, key, bytes_of_prompt(tokens))
         total = sum(zone.served for zone in self.zones.values())
-        return Count(
+        return Cost(
             100 * sum(zone.loads for zone in self.zones.values()) / self.requests,
-            self.crossed[Distance.OWN_REGION] / self.requests / 1_000,
-            self.crossed[Distance.OTHER_REGION] / self.requests / 1_000,
+            self.crossed_bytes[Distance.OWN_REGION] / self.requests / 1_000,
+            self.crossed_bytes[Distance.OTHER_REGION] / self.requests / 1_000,
             100 * sum(zone.evictions for zone in self.zones.values()) / self.requests,
             max(zone.served for zone in self.zones.values()) * len(self.zones) / total,
         )
@@ -207,25 +223,25 @@
     def arrivals(self) -> Iterator[tuple[float, str, AdapterKey, int]]:
         at = 0.0
         names = list(self.site.regions)
-        while at < LENGTH_S:
-            at += self.chance.expovariate(self.site.per_s)
-            home = self.chance.choices(names, weights=self.site.shares)[0]
-            drawn = self.chance.choices(range(ADAPTERS), cum_weights=self.cumulated)[0]
-            tokens = PROMPT_TOKENS[self.chance.random() < PART_OF_LONG]
+        while at < DURATION_S:
+            at += self.rng.expovariate(self.site.per_s)
+            home = self.rng.choices(names, weights=self.site.shares)[0]
+            drawn = self.rng.choices(range(ADAPTER_COUNT), cum_weights=self.cumulative_weights)[0]
+            tokens = PROMPT_TOKENS[self.rng.random() < LONG_PROMPT_SHARE]
             yield at, home, AdapterKey("m", f"a{drawn}"), tokens
 
-    def forget(self) -> None:
+    def reset_counts(self) -> None:
         for zone in self.zones.values():
             zone.loads = zone.evictions = zone.served = 0
-        self.crossed = dict.fromkeys(self.crossed, 0)
+        self.crossed_bytes = dict.fromkeys(self.crossed_bytes, 0)
 
-    def later(self, in_s: float, act: Callable[[], None]) -> None:
-        heapq.heappush(self.events, (self.clock.now + in_s, next(self.numbers), act))
+    def schedule(self, in_s: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self.events, (self.clock.now + in_s, next(self.tie_breakers), action))
 
-    def look(self) -> None:
+    def publish_pressure(self) -> None:
         for zone in self.zones.values():
-            zone.look()
-        self.later(TELL_S, self.look)
+            zone.publish_pressure()
+        self.schedule(PUBLISH_INTERVAL_S, self.publish_pressure)
 
     def serve(self, home: str, key: AdapterKey, carried: int) -> None:
         topology = self.topologies[home]
@@ -244,18 +260,18 @@
         holding = {name for name, zone in self.zones.items() if key in zone.ready}
         if key in self.zones[home].coming:
             holding = holding or {home}
-        name = self.way(key, views, holding)
+        name = self.strategy(key, views, holding)
         zone = self.zones[name]
         zone.popularity.record(key, 1)
         zone.served += 1
         distance = topology.distance(name)
         if distance is not Distance.OWN_ZONE:
-            self.crossed[distance] += carried
-        if not self.stands(zone, key):
-            self.bring(zone, key)
+            self.crossed_bytes[distance] += carried
+        if not self.is_held(zone, key):
+            self.load(zone, key)
         saves = zone.near.record(key, home_zone=home, carried_bytes=carried)
         if self.copies and saves:
-            self.bring_near(self.near_zone(home, distance, key), key, saves)
+            self.load_near(self.near_zone(home, distance, key), key, saves)
 
     def near_zone(self, home: str, distance: Distance, key: AdapterKey) -> Zone:
         if distance is Distance.OWN_REGION:
@@ -265,26 +281,26 @@
         return self.zones[max(names, key=lambda name: rendezvous_score(str(key), name))]
 
     @staticmethod
-    def stands(zone: Zone, key: AdapterKey) -> bool:
+    def is_held(zone: Zone, key: AdapterKey) -> bool:
         return key in zone.coming or any(key in engine for engine in zone.engines)
 
-    def bring(self, zone: Zone, key: AdapterKey, saves: float | None = None) -> None:
-        if not zone.bring(key, self.chance, saves=saves):
+    def load(self, zone: Zone, key: AdapterKey, saves: float | None = None) -> None:
+        if not zone.load(key, self.rng, saves=saves):
             return
         if saves is not None:
             zone.popularity.record(key, saves)
         zone.coming[key] = self.clock.now
 
-        def _stand() -> None:
+        def _finish_load() -> None:
             zone.coming.pop(key, None)
             if any(key in engine for engine in zone.engines):
                 zone.ready.add(key)
 
-        self.later(LOAD_S + NOTICE_S, _stand)
+        self.schedule(LOAD_S + NOTICE_DELAY_S, _finish_load)
 
-    def bring_near(self, zone: Zone, key: AdapterKey, saves: float) -> None:
-        if not self.stands(zone, key):
-            self.bring(zone, key, saves)
+    def load_near(self, zone: Zone, key: AdapterKey, saves: float) -> None:
+        if not self.is_held(zone, key):
+            self.load(zone, key, saves)
 
 
 @pytest.fixture
@@ -294,54 +310,63 @@
     return clock
 
 
-def play(way: Way, site: Site, clock: Clock, *, copies: bool) -> Count:
+def simulate(strategy: Strategy, site: Site, clock: Clock, *, copies: bool) -> Cost:
     prices = DistancePrices()
-    return Play(way, site, copies=copies, clock=clock, prices=prices, seed=1).run()
+    return Simulation(strategy, site, copies=copies, clock=clock, prices=prices, seed=1).run()
 
 
-DEAR_ZONES = DistancePrices(zone_mb=1.0, region_mb=2.0, adapter_load=0.014)
-DEAR_REGIONS = DistancePrices(zone_mb=0.25, region_mb=1.0, adapter_load=0.03)
-"""What operators paid beside each other where the bytes between zones, or regions, were dear."""
+EXPENSIVE_ZONES = DistancePrices(zone_mb=1.0, region_mb=2.0, adapter_load=0.014)
+EXPENSIVE_REGIONS = DistancePrices(zone_mb=0.25, region_mb=1.0, adapter_load=0.03)
+"""Prices of operators for whom the bytes between zones, or between regions, were expensive."""
 
 
-def test_three_zones_that_bring_at_home_and_copy_what_pays_spare_most_of_the_ways(
+def test_three_zones_that_load_at_home_and_make_worthwhile_copies_avoid_most_traffic(
     clock: Clock,
 ) -> None:
-    """3.86 KB a request between zones and 18.3 loads of 100 requests, then 0.69 and 20.0."""
-    before = play(hash_over_all, THREE, clock, copies=False)
-    after = play(by_distance, THREE, clock, copies=True)
+    """By hash: 3.86 KB between zones per request and 18.3 loads per 100 requests.
+
+    By distance with copies: 0.69 KB and 20.0 loads.
+    """
+    before = simulate(hash_over_all, THREE, clock, copies=False)
+    after = simulate(by_distance, THREE, clock, copies=True)
     assert after.zones < 0.25 * before.zones
     assert after.loads < 1.15 * before.loads
-    assert after.price(DEAR_ZONES) < 0.65 * before.price(DEAR_ZONES)
+    assert after.price(EXPENSIVE_ZONES) < 0.65 * before.price(EXPENSIVE_ZONES)
 
 
 def test_two_regions_keep_nearly_all_requests_to_themselves(clock: Clock) -> None:
-    """2.88 KB a request between regions and 1.94 between zones, then 0.30 and 0.89."""
-    before = play(hash_over_all, SIX, clock, copies=False)
-    after = play(by_distance, SIX, clock, copies=True)
+    """By hash: 2.88 KB between regions and 1.94 KB between zones per request.
+
+    By distance with copies: 0.30 KB and 0.89 KB.
+    """
+    before = simulate(hash_over_all, SIX, clock, copies=False)
+    after = simulate(by_distance, SIX, clock, copies=True)
     assert after.regions < 0.15 * before.regions
     assert after.zones < 0.6 * before.zones
     assert after.loads < 1.25 * before.loads
-    assert after.price(DEAR_REGIONS) < 0.85 * before.price(DEAR_REGIONS)
+    assert after.price(EXPENSIVE_REGIONS) < 0.85 * before.price(EXPENSIVE_REGIONS)
 
 
-def test_each_part_of_the_choice_is_worth_its_while(clock: Clock) -> None:
-    """A hash within the region 0.34 a request, with copies 0.27; at home 0.27, with copies 0.25."""
+def test_each_part_of_the_choice_lowers_the_price(clock: Clock) -> None:
+    """Cost per request, in loads: 0.34 by a hash within the region and 0.27 with copies.
+
+    By distance it is 0.27, and 0.25 with copies.
+    """
     hashed, hashed_copied, home, home_copied = (
-        play(way, SIX, clock, copies=copies).price(DistancePrices())
-        for way in (hash_in_region, by_distance)
+        simulate(strategy, SIX, clock, copies=copies).price(DistancePrices())
+        for strategy in (hash_in_region, by_distance)
         for copies in (False, True)
     )
     assert home_copied < min(hashed_copied, home)
     assert max(hashed_copied, home) < hashed
 
 
-def test_where_one_zone_asks_for_most_the_places_of_the_others_are_still_used(
+def test_if_one_zone_sends_most_requests_the_places_of_the_others_are_still_used(
     clock: Clock,
 ) -> None:
-    """Of requests that fall on zones as 8 to 1 to 1 the busiest zone serves 2.0 equal parts."""
-    hashed = play(hash_over_all, UNEVEN, clock, copies=False)
-    after = play(by_distance, UNEVEN, clock, copies=True)
+    """With requests in the ratio of 8 to 1 to 1 the busiest zone serves 2.0 equal shares."""
+    hashed = simulate(hash_over_all, UNEVEN, clock, copies=False)
+    after = simulate(by_distance, UNEVEN, clock, copies=True)
     assert after.busiest < 2.15
     assert after.loads < 1.15 * hashed.loads
-    assert after.price(DEAR_ZONES) < 0.65 * hashed.price(DEAR_ZONES)
+    assert after.price(EXPENSIVE_ZONES) < 0.65 * hashed.price(EXPENSIVE_ZONES)
--- a/tests/placement/test_engine_book.py
+++ b/tests/placement/test_engine_book.py
@@ -1,4 +1,4 @@
-"""The account of places: a place is free only once the engine shows it."""
+"""Tests of the engine book: a place is free only once the engine confirms it."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
     assert book.free == 1
 
 
-def test_an_unload_that_waits_keeps_its_place() -> None:
+def test_an_unload_occupies_its_place_until_the_engine_confirms_it() -> None:
     book = make_book()
     order_load(book, A)
     book.apply_report(state(1, A))
@@ -67,7 +67,7 @@
     assert not book.is_cached(A, version=2)
 
 
-def test_what_another_holder_ordered_takes_its_place_too() -> None:
+def test_adapters_that_another_box_ordered_occupy_places() -> None:
     book = make_book()
     book.apply_report(state(3, A, coming=(B,)))
     assert book.free == 0
@@ -82,7 +82,7 @@
     assert not book.is_ready(A, version=2)
 
 
-def test_a_sequence_counted_too_far_is_mended_by_a_later_report(
+def test_a_sequence_counted_too_far_is_corrected_by_a_later_report(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     book = make_book()
--- a/tests/placement/test_engine_reconciler.py
+++ b/tests/placement/test_engine_reconciler.py
@@ -1,4 +1,4 @@
-"""Orders to an engine that answers late, not at all, or out of step."""
+"""Tests of the reconciler with an engine that answers late, not at all, or out of sequence."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Lease:
-    """A lease that is held until it is lost."""
+    """A lease that is held until `lose` is called."""
 
     fence = 5
     holds = True
@@ -46,7 +46,7 @@
 
 
 class Engine:
-    """An engine in memory; orders can be lost before or after they are taken."""
+    """An engine in memory; orders can be lost before or after they are executed."""
 
     def __init__(self) -> None:
         self.sequence = 0
@@ -74,13 +74,13 @@
         if self.lose_order:
             self.lose_order = False
             raise ControlUnanswered("lost before")
-        answer = self._carry_out(order)
+        answer = self._execute(order)
         if self.lose_answer:
             self.lose_answer = False
             raise ControlUnanswered("lost after")
         return answer
 
-    def _carry_out(self, order: Order) -> OrderAnswer:
+    def _execute(self, order: Order) -> OrderAnswer:
         if order.fence < self.newest_fence:
             return OrderAnswer.OLDER_FENCE
         if order.expected_sequence != self.sequence:
@@ -139,7 +139,7 @@
 
 
 def wait_for(condition: Callable[[], bool], what: str) -> None:
-    with gevent.Timeout(WITHIN_S, AssertionError(f"did not come about: {what}")):
+    with gevent.Timeout(WITHIN_S, AssertionError(f"not reached in time: {what}")):
         while not condition():
             gevent.sleep(0.01)
 
@@ -149,12 +149,12 @@
     reconciler.wake()
 
 
-def test_an_assigned_adapter_is_brought_and_told() -> None:
+def test_an_assigned_adapter_is_loaded_and_published() -> None:
     engine, reported = Engine(), []
     reconciler = make_reconciler(engine, Lease(), reported)
     reconciler.start()
     assign(reconciler, "a")
-    wait_for(lambda: bool(reported) and reported[-1] == {"a"}, "a is told to be there")
+    wait_for(lambda: bool(reported) and reported[-1] == {"a"}, "a is published as ready")
     assert key("a") not in reconciler.book.assigned
     reconciler.stop()
 
@@ -173,7 +173,7 @@
     reconciler.stop()
 
 
-def test_a_full_engine_gives_up_an_adapter_first() -> None:
+def test_a_full_engine_evicts_an_adapter_first() -> None:
     engine, reported = Engine(), []
     engine.adapters = {"x", "y"}
     reconciler = make_reconciler(engine, Lease(), reported)
@@ -185,10 +185,10 @@
     reconciler.stop()
 
 
-def test_a_new_placer_unloads_nothing_under_a_run_that_no_box_has_told_of_yet(
+def test_a_new_placer_unloads_nothing_while_requests_run_that_no_box_has_reported(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Boxes send without a placer's word too, and link to a new placer a little later."""
+    """Boxes also send requests without a grant, and connect to a new placer only later."""
     monkeypatch.setattr(reconciler_module, "_RUNS_REPORT_TIMEOUT_S", 60.0)
     engine, reported, known = Engine(), [], [0]
     engine.adapters, engine.running = {"x", "y"}, 2
@@ -199,11 +199,11 @@
     gevent.sleep(0.2)
     assert engine.orders == []
     known[0] = 2
-    wait_for(lambda: "a" in engine.adapters, "a is there once all runs are known")
+    wait_for(lambda: "a" in engine.adapters, "a is loaded once all running requests are reported")
     reconciler.stop()
 
 
-def test_a_new_placer_waits_for_word_of_runs_only_so_long(
+def test_a_new_placer_waits_for_reported_requests_for_a_limited_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(reconciler_module, "_RUNS_REPORT_TIMEOUT_S", 0.1)
@@ -212,11 +212,11 @@
     reconciler = make_reconciler(engine, Lease(), reported)
     reconciler.start()
     assign(reconciler, "a")
-    wait_for(lambda: "a" in engine.adapters, "a is there, as nobody told of the runs")
+    wait_for(lambda: "a" in engine.adapters, "a is loaded, as no box reported the running requests")
     reconciler.stop()
 
 
-def test_a_newer_fence_ends_the_orders() -> None:
+def test_no_order_is_sent_after_a_newer_fence_was_seen() -> None:
     engine, lease, reported = Engine(), Lease(), []
     reconciler = make_reconciler(engine, lease, reported)
     reconciler.start()
@@ -244,7 +244,7 @@
     reconciler.stop()
 
 
-def test_an_older_version_gives_way_to_the_newer_one() -> None:
+def test_an_older_version_is_replaced_by_the_newer_one() -> None:
     engine, reported = Engine(), []
     engine.adapters = {"a", "b"}
     reconciler = make_reconciler(engine, Lease(), reported, newest=2)
@@ -259,7 +259,7 @@
     reconciler.stop()
 
 
-def test_an_older_version_in_use_is_not_ordered_away() -> None:
+def test_an_older_version_in_use_is_not_unloaded() -> None:
     engine, reported = Engine(), []
     engine.adapters = {"a", "b"}
     used = {("i-1", key("a"))}
@@ -275,7 +275,7 @@
     reconciler.stop()
 
 
-def test_nothing_is_ordered_after_a_lease_that_ended_while_a_report_was_waited_for() -> None:
+def test_no_order_is_sent_if_the_lease_ended_while_a_report_was_read() -> None:
     engine, lease = Engine(), Lease()
     reconciler = make_reconciler(engine, lease, [])
     reconciler._read_report()
@@ -287,7 +287,7 @@
 
 
 class CountingEngine(Engine):
-    """An engine whose loads never end, and which counts how often it is asked for its report."""
+    """An engine whose loads never finish, and which counts its reports."""
 
     reports = 0
 
@@ -296,11 +296,14 @@
         return super().report(address, instance=instance)
 
     def _arrive(self, name: str) -> None:
-        """Nothing comes."""
+        """Do nothing: the load never finishes."""
 
 
-def test_while_an_adapter_comes_the_order_is_repeated_and_few_reports_are_asked_for() -> None:
-    """A report has the price of many orders: 10 for 40 orders before, 5 for 100 after."""
+def test_while_an_adapter_loads_the_order_is_repeated_and_few_reports_are_read() -> None:
+    """Guards against frequent reports, each of which has the price of many orders.
+
+    There were 10 reports for 40 orders before, and 5 for 100 after.
+    """
     engine = CountingEngine()
     reconciler = make_reconciler(engine, Lease(), [])
     reconciler.start()
@@ -310,22 +313,22 @@
     reconciler.stop()
 
 
-class RebornEngine(Engine):
-    """An engine that tells its start, and may have started anew under its id."""
+class RestartingEngine(Engine):
+    """An engine that reports its start time, and may have restarted under the same id."""
 
     born_ms: int | None = 1
 
     def __init__(self) -> None:
         super().__init__()
-        self.asked_for: set[str] = set()
+        self.addressed: set[str] = set()
 
     def report(self, address: str, *, instance: str) -> EngineState:
-        self.asked_for.add(instance)
+        self.addressed.add(instance)
         state = super().report(address, instance=instance)
         return msgspec.structs.replace(state, born_ms=self.born_ms)
 
     def order(self, address: str, *, instance: str, order: Order) -> OrderAnswer:
-        self.asked_for.add(instance)
+        self.addressed.add(instance)
         return super().order(address, instance=instance, order=order)
 
 
@@ -336,8 +339,8 @@
 
 
 @pytest.mark.parametrize("born_ms", [2, None])
-def test_a_report_of_another_start_is_not_taken_for_the_engines(born_ms: int | None) -> None:
-    engine, reported = RebornEngine(), []
+def test_a_report_of_another_start_is_rejected(born_ms: int | None) -> None:
+    engine, reported = RestartingEngine(), []
     engine.adapters = {"a"}
     reconciler = make_reconciler(engine, Lease(), reported)
     set_start(reconciler)
@@ -345,28 +348,31 @@
     wait_for(lambda: reconciler.book.reachable, "the engine is known")
     engine.born_ms, engine.adapters = born_ms, {"b"}
     reconciler.mark_stale()
-    wait_for(lambda: not reconciler.book.reachable, "the engine counts as out of reach")
+    wait_for(lambda: not reconciler.book.reachable, "the engine counts as unreachable")
     assert [held.adapter for held in reconciler.book.ready()] == ["a"]
     assign(reconciler, "c")
     gevent.sleep(0.2)
     assert engine.orders == []
     engine.born_ms = 1
-    wait_for(lambda: reconciler.book.reachable and "c" in engine.adapters, "it is the engine again")
+    wait_for(
+        lambda: reconciler.book.reachable and "c" in engine.adapters,
+        "the expected start answers again",
+    )
     reconciler.stop()
 
 
-def test_an_engine_is_asked_by_its_id_whatever_its_start() -> None:
-    engine = RebornEngine()
+def test_an_engine_is_addressed_by_its_id_without_its_start() -> None:
+    engine = RestartingEngine()
     reconciler = make_reconciler(engine, Lease(), [])
     set_start(reconciler)
     reconciler.start()
     assign(reconciler, "a")
     wait_for(lambda: "a" in engine.adapters, "the adapter is there")
-    assert engine.asked_for == {"i-1"}
+    assert engine.addressed == {"i-1"}
     reconciler.stop()
 
 
-def test_an_engine_that_is_not_understood_is_ordered_nothing() -> None:
+def test_an_engine_that_is_not_understood_gets_no_orders() -> None:
     engine = Engine()
     reconciler = make_reconciler(engine, Lease(), [])
     reconciler.apply_record(msgspec.structs.replace(reconciler.book.record, understood=False))
@@ -381,14 +387,16 @@
     reconciler.stop()
 
 
-def test_an_engine_that_takes_no_orders_is_looked_at_and_given_none() -> None:
+def test_the_reports_of_an_engine_without_orders_are_still_read() -> None:
     engine, reported = Engine(), []
     orders_from: list[bool] = []
     reconciler = make_reconciler(engine, Lease(), reported, takes_orders=lambda: bool(orders_from))
     reconciler.start()
     assign(reconciler, "a")
     engine.adapters = {"x"}
-    wait_for(lambda: bool(reported) and reported[-1] == {"x"}, "what it holds is seen")
+    wait_for(
+        lambda: bool(reported) and reported[-1] == {"x"}, "the adapters of the engine are published"
+    )
     gevent.sleep(0.1)
     assert engine.orders == []
     orders_from.append(True)
@@ -397,17 +405,17 @@
 
 
 class SlowUnloads(Engine):
-    """An engine that answers an order to unload only when it is let, and may refuse it."""
+    """An engine that answers an unload only once `answer_allowed` is set, and may reject it."""
 
     def __init__(self, refused: OrderAnswer | None) -> None:
         super().__init__()
         self.refused = refused
-        self.let = Event()
+        self.answer_allowed = Event()
 
     def order(self, address: str, *, instance: str, order: Order) -> OrderAnswer:
         if order.kind is not OrderKind.UNLOAD:
             return super().order(address, instance=instance, order=order)
-        self.let.wait()
+        self.answer_allowed.wait()
         refused, self.refused = self.refused, None
         if refused is not None:
             return refused
@@ -415,7 +423,7 @@
 
 
 @pytest.mark.parametrize("refused", [None, OrderAnswer.CONFLICT])
-def test_an_adapter_that_is_being_unloaded_is_granted_to_nobody(
+def test_an_adapter_that_is_being_unloaded_is_not_granted(
     refused: OrderAnswer | None,
 ) -> None:
     engine = SlowUnloads(refused)
@@ -427,15 +435,15 @@
     for place in book.places.values():
         place.since -= 10.0
     assign(reconciler, "a")
-    wait_for(lambda: len(book.ready()) == SLOTS - 1, "one of them counts as leaving")
-    assert not engine.let.is_set()
-    engine.let.set()
+    wait_for(lambda: len(book.ready()) == SLOTS - 1, "one adapter counts as unloading")
+    assert not engine.answer_allowed.is_set()
+    engine.answer_allowed.set()
     wait_for(lambda: "a" in engine.adapters, "the adapter is there")
     assert engine.most_places <= SLOTS
     reconciler.stop()
 
 
-def test_an_adapter_whose_unload_was_refused_is_granted_again() -> None:
+def test_an_adapter_whose_unload_was_rejected_is_granted_again() -> None:
     book = EngineBook(
         ReplicaRecord(instance="i-1", service="s", address="127.0.0.1:1", zone="z"), slots=SLOTS
     )
@@ -446,7 +454,7 @@
     assert book.is_ready(key("x"), version=0)
 
 
-def test_an_adapter_whose_unload_got_no_answer_is_granted_to_nobody_and_asked_about_again() -> None:
+def test_an_adapter_whose_unload_got_no_answer_is_not_granted_and_the_order_is_repeated() -> None:
     book = EngineBook(
         ReplicaRecord(instance="i-1", service="s", address="127.0.0.1:1", zone="z"), slots=SLOTS
     )
@@ -457,6 +465,6 @@
     assert book.unanswered_unloads == [key("x")]
     report = EngineState(sequence=1, models=frozenset("m"), adapters=(HeldAdapter("m", "x", 1),))
     book.apply_report(report)
-    assert not book.is_ready(key("x"), version=0), "the order may be carried out yet"
+    assert not book.is_ready(key("x"), version=0), "the order may still be executed"
     book.unload_executed(key("x"))
     assert book.unanswered_unloads == []
--- a/tests/placement/test_load_concurrency.py
+++ b/tests/placement/test_load_concurrency.py
@@ -1,11 +1,11 @@
-"""How many adapters are brought at once."""
+"""Tests of the adaptive limit on concurrent loads."""
 
 from __future__ import annotations
 
 from springrock.placement.load_concurrency import LoadConcurrency
 
 
-def test_more_are_brought_at_once_while_they_come_fast_and_fewer_when_slow() -> None:
+def test_the_limit_rises_with_fast_loads_and_falls_with_slow_ones() -> None:
     pace = LoadConcurrency()
     first = pace.at_once
     for _ in range(50):
@@ -17,10 +17,10 @@
     assert pace.at_once < most
     for _ in range(200):
         pace.record(0.24 if pace.at_once < 12 else 0.6)
-    assert 10 < pace.at_once < 14, "it stays about where loads become slow"
+    assert 10 < pace.at_once < 14, "it stays near the number at which loads become slow"
 
 
-def test_there_is_always_something_under_way_and_never_without_bound() -> None:
+def test_the_limit_stays_within_its_bounds() -> None:
     pace = LoadConcurrency()
     pace.record(0.1)
     for _ in range(500):
@@ -31,7 +31,7 @@
     assert pace.at_once <= 40
 
 
-def test_a_lasting_change_of_speed_is_learned() -> None:
+def test_the_full_speed_duration_follows_a_lasting_slowdown() -> None:
     pace = LoadConcurrency()
     pace.record(0.1)
     for _ in range(1000):
@@ -39,8 +39,8 @@
     assert pace.at_once > 8
 
 
-def test_one_load_of_half_the_time_does_not_make_the_others_look_slow() -> None:
-    """Before: 40 at once fell to 4 and stayed there; now they stay."""
+def test_one_load_of_half_the_duration_does_not_make_the_others_count_as_slow() -> None:
+    """Guards against a limit of 40 that fell to 4 after one fast load and stayed there."""
     pace = LoadConcurrency()
     for _ in range(400):
         pace.record(0.32)
--- a/tests/placement/test_near_copies.py
+++ b/tests/placement/test_near_copies.py
@@ -1,4 +1,4 @@
-"""Which copies near callers pay, and how long they are wished for."""
+"""Tests of near copies: which are worth a load, and how long a request for one is valid."""
 
 from __future__ import annotations
 
@@ -36,17 +36,19 @@
     return NearCopies(zone, topology=lambda: topology, prices=prices)
 
 
-def test_a_copy_pays_once_the_ways_of_one_zone_cost_half_a_load(clock: Clock) -> None:
+def test_a_copy_is_worthwhile_once_the_traffic_of_one_zone_costs_half_a_load(clock: Clock) -> None:
     near = make_near()
     assert near.record(KEY, home_zone="a-2", carried_bytes=5_000) == 0.0
-    assert near.record(KEY, home_zone="a-3", carried_bytes=5_000) == 0.0, "each zone for itself"
+    assert near.record(KEY, home_zone="a-3", carried_bytes=5_000) == 0.0, (
+        "each zone is counted by itself"
+    )
     assert near.record(OTHER, home_zone="a-2", carried_bytes=5_000) == 0.0
     assert near.record(KEY, home_zone="a-2", carried_bytes=5_000) == pytest.approx(0.5)
     clock.now += 8.0
     assert near.record(KEY, home_zone="a-2", carried_bytes=7_000) == pytest.approx(0.6)
 
 
-def test_the_zones_of_another_region_count_together_and_by_the_price_between_regions(
+def test_the_zones_of_another_region_are_counted_together_at_the_price_between_regions(
     clock: Clock,
 ) -> None:
     near = make_near()
@@ -58,17 +60,17 @@
     assert make_near().record(KEY, home_zone="a-1", carried_bytes=9_000_000) == 0.0
 
 
-def test_loads_that_cost_nothing_make_every_copy_pay(clock: Clock) -> None:
+def test_loads_without_a_price_make_every_copy_worthwhile(clock: Clock) -> None:
     near = make_near(prices=DistancePrices(adapter_load=0.0))
     assert near.record(KEY, home_zone="a-2", carried_bytes=1) > 1.0
 
 
-def test_an_operator_who_pays_nothing_for_ways_gets_no_copies(clock: Clock) -> None:
+def test_traffic_without_a_price_leads_to_no_copies(clock: Clock) -> None:
     near = make_near(prices=DistancePrices(zone_mb=0.0, region_mb=0.0))
     assert near.record(KEY, home_zone="a-2", carried_bytes=9_000_000) == 0.0
 
 
-def test_a_wish_stands_for_a_second_after_it_was_last_told(clock: Clock) -> None:
+def test_a_request_for_a_copy_is_valid_for_a_second_after_it_was_last_sent(clock: Clock) -> None:
     wishes = CopyRequests()
     wishes.record([CopyWish("m", "a", 120), CopyWish("m", "b", 60)])
     clock.now += 0.7
--- a/tests/placement/test_place_interval.py
+++ b/tests/placement/test_place_interval.py
@@ -1,4 +1,4 @@
-"""How fast places come free."""
+"""Tests of the estimated interval between freed places."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 def record_for(
     turnover: PlaceInterval, *, seconds: float, place_every_s: float, begins_at: float
 ) -> None:
-    """Have adapters wait all the time, while a place is given at an even pace."""
+    """Record plans with waiting adapters, in which a place is assigned at even intervals."""
     step_s = 0.05
     next_at = begins_at + place_every_s
     for step in range(round(seconds / step_s)):
@@ -20,11 +20,11 @@
         turnover.record(given=given, is_short=True, now=now)
 
 
-def test_before_anything_is_seen_a_place_is_reckoned_to_come_soon() -> None:
+def test_the_initial_estimate_is_short() -> None:
     assert PlaceInterval().estimate_s == pytest.approx(0.15)
 
 
-def test_the_pace_is_measured_while_places_are_short() -> None:
+def test_the_interval_is_measured_while_places_are_short() -> None:
     turnover = PlaceInterval()
     record_for(turnover, seconds=10.0, place_every_s=0.5, begins_at=100.0)
     assert turnover.estimate_s == pytest.approx(0.5, rel=0.2)
@@ -32,14 +32,14 @@
     assert turnover.estimate_s == pytest.approx(0.2, rel=0.2)
 
 
-def test_time_in_which_nobody_waited_does_not_count() -> None:
+def test_time_without_waiting_adapters_does_not_count() -> None:
     turnover = PlaceInterval()
     turnover.record(given=0, is_short=False, now=100.0)
     turnover.record(given=1, is_short=False, now=160.0)
     assert turnover.estimate_s == pytest.approx(0.15)
 
 
-def test_places_that_never_come_are_reckoned_with_a_bound() -> None:
+def test_the_estimate_is_bounded_if_no_place_becomes_free() -> None:
     turnover = PlaceInterval()
     record_for(turnover, seconds=60.0, place_every_s=600.0, begins_at=100.0)
     assert turnover.estimate_s == pytest.approx(1.5)
--- a/tests/placement/test_placer.py
+++ b/tests/placement/test_placer.py
@@ -1,4 +1,4 @@
-"""What the placer tells the boxes."""
+"""Tests of the placer: its messages to the boxes and its orders to the engines."""
 
 from __future__ import annotations
 
@@ -46,12 +46,12 @@
 LOG = Log("test", "box")
 
 
-Told = tuple[str, Message]
-"""A box and what it was told."""
+Sent = tuple[str, Message]
+"""A box and a message that was sent to it."""
 
 
 class SlowEngine:
-    """Takes every order and never finishes a load."""
+    """Accepts every order and never finishes a load."""
 
     def __init__(self, *models: str, adapters: tuple[str, ...] = ()) -> None:
         self._models = frozenset(models)
@@ -68,7 +68,7 @@
 
 
 @pytest.fixture
-def reported(monkeypatch: pytest.MonkeyPatch) -> list[Told]:
+def reported(monkeypatch: pytest.MonkeyPatch) -> list[Sent]:
     began_at = monotonic()
     for module in (placer_module, reconciler_module):
         monkeypatch.setattr(module, "monotonic", lambda: began_at)
@@ -76,7 +76,7 @@
 
 
 @pytest.fixture
-def placer(reported: list[Told]) -> Iterator[Placer]:
+def placer(reported: list[Sent]) -> Iterator[Placer]:
     placer = make_placer(SlowEngine("m"), reported)
     placer.start()
     yield placer
@@ -84,15 +84,15 @@
 
 
 @pytest.fixture
-def holding(reported: list[Told]) -> Iterator[Placer]:
-    """A placer of an engine that holds the adapter x, and has been heard."""
+def placer_with_x(reported: list[Sent]) -> Iterator[Placer]:
+    """A placer whose engine has reported that it holds the adapter x."""
     placer = start_holding(SlowEngine("m", adapters=("x",)), reported)
     yield placer
     placer.stop()
 
 
 class ScriptedPermits:
-    """So many permits."""
+    """Permits of a fixed number."""
 
     def __init__(self, left: int = 0) -> None:
         self.left = left
@@ -109,7 +109,7 @@
 
 def make_placer(
     control: EngineControl,
-    reported: list[Told],
+    reported: list[Sent],
     *,
     world: Callable[[], World] = make_world,
     permits: ScriptedPermits | None = None,
@@ -158,13 +158,13 @@
 
 def start_holding(
     control: EngineControl,
-    reported: list[Told],
+    reported: list[Sent],
     *,
     world: Callable[[], World] = make_world,
     permits: ScriptedPermits | None = None,
     home_zone_of: Callable[[str], str | None] = lambda box: None,
 ) -> Placer:
-    """Start a placer and wait until it has heard that its engine holds the adapter x."""
+    """Start a placer and wait until its engine has reported that it holds the adapter x."""
     placer = make_placer(control, reported, world=world, permits=permits, home_zone_of=home_zone_of)
     placer.start()
     with gevent.Timeout(10):
@@ -173,55 +173,55 @@
     return placer
 
 
-def asking(adapter: str, *, number: int = 1) -> Demand:
+def demand_for(adapter: str, *, number: int = 1) -> Demand:
     return Demand(asks=[Ask(number, "r", "m", adapter, 1.0, 500)])
 
 
-def wait_for(reported: list[Told], kind: type[Message], *, count: int) -> list[Told]:
+def wait_for(reported: list[Sent], kind: type[Message], *, count: int) -> list[Sent]:
     with gevent.Timeout(10):
         while sum(isinstance(message, kind) for _, message in reported) < count:
             gevent.sleep(0.01)
     return [(box, message) for box, message in reported if isinstance(message, kind)]
 
 
-def test_each_box_that_waits_is_told_when_the_adapter_will_be_there(
-    placer: Placer, reported: list[Told]
-) -> None:
-    placer.apply_demand("box-1", asking("a"))
+def test_each_box_that_waits_is_sent_a_forecast(placer: Placer, reported: list[Sent]) -> None:
+    placer.apply_demand("box-1", demand_for("a"))
     assert [box for box, _ in wait_for(reported, Forecast, count=1)] == ["box-1"]
-    placer.apply_demand("box-2", asking("a"))
+    placer.apply_demand("box-2", demand_for("a"))
     assert [box for box, _ in wait_for(reported, Forecast, count=2)] == ["box-1", "box-2"]
 
 
-def test_what_an_engine_newly_holds_is_told_once(holding: Placer) -> None:
-    [engine] = holding.residents_snapshot().engines
-    changed = holding.drain_changed()
+def test_changed_adapters_of_an_engine_are_drained_once(placer_with_x: Placer) -> None:
+    [engine] = placer_with_x.residents_snapshot().engines
+    changed = placer_with_x.drain_changed()
     assert changed is not None
     assert changed.engines == [engine]
     assert [held.adapter for held in engine.adapters] == ["x"]
-    assert holding.drain_changed() is None
+    assert placer_with_x.drain_changed() is None
 
 
-def test_a_box_that_asks_again_is_told_again(placer: Placer, reported: list[Told]) -> None:
-    placer.apply_demand("box-1", asking("a", number=1))
+def test_a_box_that_asks_again_is_sent_another_forecast(
+    placer: Placer, reported: list[Sent]
+) -> None:
+    placer.apply_demand("box-1", demand_for("a", number=1))
     wait_for(reported, Forecast, count=1)
     placer.apply_demand("box-1", Demand(over=[Over(1)]))
-    placer.apply_demand("box-1", asking("a", number=2))
+    placer.apply_demand("box-1", demand_for("a", number=2))
     wait_for(reported, Forecast, count=2)
 
 
 def test_a_request_for_what_an_engine_holds_is_granted_at_once(
-    holding: Placer, reported: list[Told]
+    placer_with_x: Placer, reported: list[Sent]
 ) -> None:
-    holding.apply_demand("box-1", asking("x", number=7))
+    placer_with_x.apply_demand("box-1", demand_for("x", number=7))
     assert reported == [("box-1", Grant(7, "i-1"))]
 
 
 def test_an_engine_that_was_tried_is_not_granted_again(
-    holding: Placer, reported: list[Told]
+    placer_with_x: Placer, reported: list[Sent]
 ) -> None:
     again = Ask(8, "r", "m", "x", 1.0, 500, tried=["i-1"])
-    holding.apply_demand("box-1", Demand(asks=[again]))
+    placer_with_x.apply_demand("box-1", Demand(asks=[again]))
     wait_for(reported, Forecast, count=1)
     assert not any(isinstance(message, Grant) for _, message in reported)
 
@@ -229,7 +229,7 @@
 @pytest.mark.parametrize(("region", "granted"), [("a", True), ("b", False)])
 @pytest.mark.parametrize("failed", [False, True])
 def test_an_engine_is_granted_only_where_the_request_may_be_served(
-    reported: list[Told], region: str, granted: bool, failed: bool
+    reported: list[Sent], region: str, granted: bool, failed: bool
 ) -> None:
     placer = start_holding(
         SlowEngine("m", adapters=("x",)),
@@ -245,19 +245,19 @@
     assert any(isinstance(message, Grant) for _, message in reported) is granted
 
 
-def test_a_copy_that_boxes_of_this_zone_wish_for_is_brought_and_kept(
-    placer: Placer, reported: list[Told]
+def test_a_copy_that_boxes_of_this_zone_request_is_loaded_and_kept(
+    placer: Placer, reported: list[Sent]
 ) -> None:
     placer.apply_demand("box-1", Demand(copies=[CopyWish("m", "far", 300)]))
     with gevent.Timeout(10):
         while AdapterKey("m", "far") not in placer._reconcilers["i-1"].book.assigned:
             gevent.sleep(0.01)
     assert 2.0 < placer._popularity.of(AdapterKey("m", "far")) <= 3.0
-    assert reported == [], "nobody waits for it"
+    assert reported == [], "no request waits for it"
 
 
-def test_a_box_of_another_zone_that_asks_often_is_told_that_a_copy_there_pays(
-    reported: list[Told],
+def test_grants_to_a_box_of_another_zone_state_the_savings_of_a_copy_there(
+    reported: list[Sent],
 ) -> None:
     homes = {"box-2": "zone-2", "box-3": "zone-3", "box-1": "zone-1"}
     placer = start_holding(SlowEngine("m", adapters=("x",)), reported, home_zone_of=homes.get)
@@ -272,33 +272,33 @@
     grants = [(box, message.saves) for box, message in reported if isinstance(message, Grant)]
     saved = [saves for box, saves in grants if box == "box-2"]
     assert saved == sorted(saved)
-    assert saved[0] > 100, "42 KB are dearer than a load"
+    assert saved[0] > 100, "42 KB cost more than a load"
     assert {saves for box, saves in grants if box != "box-2"} == {0}
 
 
-def fail_at_once(placer: Placer, reported: list[Told], *, times: int) -> None:
-    """Let requests for the adapter x fail at its only engine, one after the other."""
+def fail_at_once(placer: Placer, reported: list[Sent], *, times: int) -> None:
+    """Make requests for the adapter x fail at its only engine, one after the other."""
     for number in range(100, 100 + times):
-        placer.apply_demand("box-1", asking("x", number=number))
+        placer.apply_demand("box-1", demand_for("x", number=number))
         placer.apply_demand("box-1", Demand(over=[Over(number, Outcome.FAILED)]))
     reported.clear()
 
 
 def test_an_engine_that_failed_a_request_gets_it_again_where_a_load_would_cost_more(
-    holding: Placer, reported: list[Told]
+    placer_with_x: Placer, reported: list[Sent]
 ) -> None:
-    fail_at_once(holding, reported, times=1)
+    fail_at_once(placer_with_x, reported, times=1)
     again = Ask(8, "r", "m", "x", 1.0, 500, tried=["i-1"], failed_at=["i-1"])
-    holding.apply_demand("box-1", Demand(asks=[again]))
+    placer_with_x.apply_demand("box-1", Demand(asks=[again]))
     assert reported == [("box-1", Grant(8, "i-1"))]
 
 
 def test_an_engine_that_fails_far_more_than_others_does_not_get_a_request_again(
-    holding: Placer, reported: list[Told]
+    placer_with_x: Placer, reported: list[Sent]
 ) -> None:
-    fail_at_once(holding, reported, times=10)
+    fail_at_once(placer_with_x, reported, times=10)
     again = Ask(8, "r", "m", "x", 4.0, 500, tried=["i-1"], failed_at=["i-1"])
-    holding.apply_demand("box-1", Demand(asks=[again]))
+    placer_with_x.apply_demand("box-1", Demand(asks=[again]))
     wait_for(reported, Forecast, count=1)
     assert not any(isinstance(message, Grant) for _, message in reported)
 
@@ -314,53 +314,55 @@
         return super().report(address, instance=instance)
 
 
-def test_an_engine_that_a_box_could_not_reach_is_asked_and_granted_to_nobody_if_it_is_gone(
-    reported: list[Told],
+def test_an_engine_that_a_box_could_not_reach_is_probed_and_not_granted_if_it_is_gone(
+    reported: list[Sent],
 ) -> None:
     control = CrashingEngine("m", adapters=("x",))
     placer = start_holding(control, reported)
     with gevent.Timeout(10):
-        placer.apply_demand("box-1", asking("x"))
+        placer.apply_demand("box-1", demand_for("x"))
         control.crashed = True
         placer.apply_demand("box-1", Demand(over=[Over(1, Outcome.UNREACHABLE)]))
         while placer.requests.holders(AdapterKey("m", "x")):
             gevent.sleep(0.01)
-    placer.apply_demand("box-2", asking("x"))
+    placer.apply_demand("box-2", demand_for("x"))
     assert [box for box, message in reported if isinstance(message, Grant)] == ["box-1"]
     placer.stop()
 
 
-def test_an_engine_that_lacks_the_adapter_is_asked_what_it_holds(
-    reported: list[Told],
+def test_the_report_of_an_engine_that_lacks_the_adapter_is_read(
+    reported: list[Sent],
 ) -> None:
     control = SlowEngine("m", adapters=("x",))
     placer = start_holding(control, reported)
     with gevent.Timeout(10):
-        placer.apply_demand("box-1", asking("x"))
-        heard = control.reports
+        placer.apply_demand("box-1", demand_for("x"))
+        reports_before = control.reports
         placer.apply_demand("box-1", Demand(over=[Over(1, Outcome.LACKING)]))
-        placer.apply_demand("box-2", asking("x"))
+        placer.apply_demand("box-2", demand_for("x"))
         assert [box for box, message in reported if isinstance(message, Grant)] == ["box-1"]
-        while control.reports == heard:
+        while control.reports == reports_before:
             gevent.sleep(0.01)
     placer.stop()
 
 
-def test_an_adapter_that_requests_use_is_no_room(holding: Placer, reported: list[Told]) -> None:
+def test_an_adapter_that_requests_use_is_no_room(
+    placer_with_x: Placer, reported: list[Sent]
+) -> None:
     with gevent.Timeout(10):
-        while holding.room() != 1:
+        while placer_with_x.room() != 1:
             gevent.sleep(0.01)
-    holding.apply_demand("box-1", asking("x"))
-    holding.apply_demand("box-1", asking("x", number=2))
-    holding.apply_demand("box-1", Demand(over=[Over(1)]))
-    used = holding.requests.dispatcher("s").used
+    placer_with_x.apply_demand("box-1", demand_for("x"))
+    placer_with_x.apply_demand("box-1", demand_for("x", number=2))
+    placer_with_x.apply_demand("box-1", Demand(over=[Over(1)]))
+    used = placer_with_x.requests.dispatcher("s").used
     assert used == {("i-1", AdapterKey("m", "x")): 1}
-    holding.forget_box("box-1")
+    placer_with_x.forget_box("box-1")
     assert not used
 
 
-def test_a_client_that_was_told_to_come_back_has_its_adapter_brought(
-    placer: Placer, reported: list[Told]
+def test_the_adapter_of_a_client_that_was_told_to_retry_is_loaded(
+    placer: Placer, reported: list[Sent]
 ) -> None:
     placer.apply_demand("box-1", Demand(promises=[Promise("m", "a", 1.0, 300)]))
     with gevent.Timeout(10):
@@ -370,7 +372,7 @@
 
 @pytest.mark.parametrize(("models", "room"), [(("m",), 2), ((), 0)])
 def test_an_engine_without_a_base_model_has_no_room(
-    reported: list[Told], models: tuple[str, ...], room: int
+    reported: list[Sent], models: tuple[str, ...], room: int
 ) -> None:
     placer = make_placer(SlowEngine(*models), reported)
     placer.start()
@@ -382,15 +384,15 @@
 
 
 @pytest.mark.parametrize("wanted", ["ask", "promise"])
-def test_a_place_that_a_request_gives_up_goes_at_once_to_who_wants_it(
-    monkeypatch: pytest.MonkeyPatch, reported: list[Told], wanted: str
+def test_a_place_that_a_request_frees_is_assigned_at_once(
+    monkeypatch: pytest.MonkeyPatch, reported: list[Sent], wanted: str
 ) -> None:
     monkeypatch.setattr(placer_module, "_PLAN_INTERVAL_S", 60.0)
     placer = start_holding(SlowEngine("m", adapters=("x", "y")), reported)
     for number, adapter in enumerate(("x", "y")):
-        placer.apply_demand("box-1", asking(adapter, number=number))
+        placer.apply_demand("box-1", demand_for(adapter, number=number))
     updates = (
-        asking("a", number=5)
+        demand_for("a", number=5)
         if wanted == "ask"
         else Demand(promises=[Promise("m", "a", 1.0, 60_000)])
     )
@@ -407,14 +409,14 @@
     placer.stop()
 
 
-def test_a_promise_is_planned_for_again_until_there_is_a_place(reported: list[Told]) -> None:
+def test_a_promise_is_planned_again_until_there_is_a_place(reported: list[Sent]) -> None:
     placer = start_holding(SlowEngine("m", adapters=("x", "y")), reported)
     [reconciler] = placer._reconcilers.values()
     for place in reconciler.book.places.values():
         place.since += 10
     placer.apply_demand("box-1", Demand(promises=[Promise("m", "a", 1.0, 60_000)]))
     gevent.sleep(0.1)
-    assert not reconciler.book.assigned, "what has just come is kept for a while"
+    assert not reconciler.book.assigned, "a newly loaded adapter is kept for a while"
     for place in reconciler.book.places.values():
         place.since -= 20
     with gevent.Timeout(10):
@@ -423,18 +425,18 @@
     placer.stop()
 
 
-def test_who_waits_for_an_engine_out_of_reach_is_granted_it_once_it_answers_again(
-    reported: list[Told],
+def test_a_waiting_request_is_granted_an_unreachable_engine_once_it_answers_again(
+    reported: list[Sent],
 ) -> None:
     control = CrashingEngine("m", adapters=("x", "y"))
     placer = start_holding(control, reported)
     control.crashed = True
-    placer.apply_demand("box-1", asking("x"))
+    placer.apply_demand("box-1", demand_for("x"))
     placer.apply_demand("box-1", Demand(over=[Over(1, Outcome.UNREACHABLE)]))
     with gevent.Timeout(10):
         while placer.requests.holders(AdapterKey("m", "x")):
             gevent.sleep(0.01)
-        placer.apply_demand("box-2", asking("x", number=2))
+        placer.apply_demand("box-2", demand_for("x", number=2))
         control.crashed = False
         while ("box-2", Grant(2, "i-1")) not in reported:
             gevent.sleep(0.01)
@@ -442,7 +444,7 @@
 
 
 class OrderedEngine(SlowEngine):
-    """Keeps what it was ordered to load."""
+    """Records the adapters that it was ordered to load."""
 
     def __init__(self, *models: str, adapters: tuple[str, ...] = ()) -> None:
         super().__init__(*models, adapters=adapters)
@@ -453,30 +455,30 @@
         return super().order(address, instance=instance, order=order)
 
 
-def test_an_evacuated_zone_is_granted_until_its_cut_and_brought_nothing(
-    reported: list[Told],
+def test_an_evacuated_zone_is_granted_until_its_cut_and_loads_no_adapters(
+    reported: list[Sent],
 ) -> None:
     worlds = [make_world(announced=("zone-1",))]
     control = OrderedEngine("m", adapters=("x",))
     placer = start_holding(control, reported, world=lambda: worlds[-1])
     assert placer.room() == 0
-    placer.apply_demand("box-1", asking("a", number=1))
-    placer.apply_demand("box-1", asking("x", number=2))
+    placer.apply_demand("box-1", demand_for("a", number=1))
+    placer.apply_demand("box-1", demand_for("x", number=2))
     assert reported == [("box-1", Grant(2, "i-1"))]
     worlds.append(make_world(evacuated=("zone-1",)))
-    placer.apply_demand("box-1", asking("x", number=3))
+    placer.apply_demand("box-1", demand_for("x", number=3))
     gevent.sleep(0.2)
-    assert reported == [("box-1", Grant(2, "i-1"))], "neither granted nor told of a load"
+    assert reported == [("box-1", Grant(2, "i-1"))], "neither a grant nor a forecast"
     assert control.ordered == []
     worlds.append(make_world())
-    placer.apply_demand("box-1", asking("b", number=4))
+    placer.apply_demand("box-1", demand_for("b", number=4))
     assert placer.room() > 0
     assert ("box-1", Grant(3, "i-1")) in wait_for(reported, Grant, count=2)
     placer.stop()
 
 
-def test_what_was_asked_for_in_an_evacuated_zone_is_loaded_though_nobody_waits(
-    reported: list[Told],
+def test_popular_adapters_of_an_evacuated_zone_are_loaded_before_a_request_waits(
+    reported: list[Sent],
 ) -> None:
     control = OrderedEngine("m")
     placer = make_placer(control, reported)
@@ -491,7 +493,7 @@
     assert not placer.prefetch.pending
 
 
-def test_a_cold_engine_is_granted_as_far_as_there_are_permits(reported: list[Told]) -> None:
+def test_a_cold_engine_is_granted_as_far_as_there_are_permits(reported: list[Sent]) -> None:
     cold: list[str] = []
     permits = ScriptedPermits()
     placer = start_holding(
@@ -501,35 +503,35 @@
         permits=permits,
     )
     try:
-        placer.apply_demand("box-2", asking("x", number=1))
+        placer.apply_demand("box-2", demand_for("x", number=1))
         cold.append("i-1")
-        placer.apply_demand("box-2", asking("x", number=2))
+        placer.apply_demand("box-2", demand_for("x", number=2))
         assert [message for _, message in reported if isinstance(message, Grant)] == [
             Grant(1, "i-1")
         ]
         permits.left = 1
         placer.requests.grant_all()
-        placer.apply_demand("box-2", asking("x", number=3))
+        placer.apply_demand("box-2", demand_for("x", number=3))
         grants = [message for _, message in reported if isinstance(message, Grant)]
         assert grants == [Grant(1, "i-1"), Grant(2, "i-1", permitted=True)]
     finally:
         placer.stop()
 
 
-def test_a_cold_engine_is_given_adapters_meanwhile(reported: list[Told]) -> None:
+def test_a_cold_engine_is_given_adapters_meanwhile(reported: list[Sent]) -> None:
     placer = make_placer(
         SlowEngine("m"), reported, world=lambda: make_world(is_cold=lambda record: True)
     )
     placer.start()
     try:
-        placer.apply_demand("box-1", asking("a"))
+        placer.apply_demand("box-1", demand_for("a"))
         wait_for(reported, Forecast, count=1)
     finally:
         placer.stop()
 
 
-def test_who_waits_for_what_stands_only_where_a_limit_keeps_it_out_asks_another_zone(
-    reported: list[Told],
+def test_a_request_whose_adapter_is_held_only_by_full_engines_is_sent_to_another_zone(
+    reported: list[Sent],
 ) -> None:
     limited: list[str] = []
     permits = ScriptedPermits()
@@ -541,11 +543,11 @@
     )
     try:
         limited.append("i-1")
-        placer.apply_demand("box-2", asking("x", number=1))
+        placer.apply_demand("box-2", demand_for("x", number=1))
         [(_, forecast), *_] = wait_for(reported, Forecast, count=1)
         assert isinstance(forecast, Forecast) and forecast.elsewhere
         permits.left = 1
-        placer.apply_demand("box-3", asking("x", number=2))
+        placer.apply_demand("box-3", demand_for("x", number=2))
         grants = [(box, m) for box, m in reported if isinstance(m, Grant)]
         assert len(grants) == 1 and grants[0][1].permitted
     finally:
--- a/tests/placement/test_placer_reborn.py
+++ b/tests/placement/test_placer_restart.py
@@ -1,4 +1,4 @@
-"""What a placer makes of an engine that starts again under its id."""
+"""Tests of the placer with an engine that restarts under the same id."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from springrock.placement.control import EngineState
 from springrock.placement.messages import Demand, Grant, Over, Use
 from springrock.placement.placer import Placer
-from tests.placement.test_placer import SlowEngine, Told, asking, make_placer
+from tests.placement.test_placer import Sent, SlowEngine, demand_for, make_placer
 
 KEY = AdapterKey("m", "x")
 
 
-class RebornEngine(SlowEngine):
-    """Tells its start; a new one holds no adapters."""
+class RestartingEngine(SlowEngine):
+    """Reports its start time; after a restart it holds no adapters."""
 
     def __init__(self) -> None:
         super().__init__("m", adapters=("x",))
@@ -47,17 +47,17 @@
 
 
 @pytest.fixture
-def engine() -> RebornEngine:
-    return RebornEngine()
+def engine() -> RestartingEngine:
+    return RestartingEngine()
 
 
 @pytest.fixture
-def reported() -> list[Told]:
+def reported() -> list[Sent]:
     return []
 
 
 @pytest.fixture
-def placer(engine: RebornEngine, reported: list[Told]) -> Iterator[Placer]:
+def placer(engine: RestartingEngine, reported: list[Sent]) -> Iterator[Placer]:
     placer = make_placer(engine, reported)
     placer._directory.update(record_of(1))
     placer.start()
@@ -72,10 +72,10 @@
             gevent.sleep(0.01)
 
 
-def test_nothing_of_the_earlier_start_is_granted(
-    placer: Placer, engine: RebornEngine, reported: list[Told]
+def test_adapters_of_the_earlier_start_are_not_granted(
+    placer: Placer, engine: RestartingEngine, reported: list[Sent]
 ) -> None:
-    placer.apply_demand("box-1", asking("x", number=1))
+    placer.apply_demand("box-1", demand_for("x", number=1))
     assert reported == [("box-1", Grant(1, "i-1@1"))]
     engine.restart()
     placer._directory.update(record_of(2))
@@ -83,15 +83,15 @@
     assert placer.requests.holders(KEY) == []
     dispatcher = placer.requests.dispatcher("s")
     assert "i-1@1" not in dispatcher.waits()
-    placer.apply_demand("box-1", asking("x", number=2))
+    placer.apply_demand("box-1", demand_for("x", number=2))
     assert not any(message == Grant(2, "i-1@2") for _, message in reported)
     engine.adapters = ("x",)
     wait_for_holders(placer, ["i-1@2"])
     assert ("box-1", Grant(2, "i-1@2")) in reported
 
 
-def test_a_new_start_that_only_the_engine_tells_is_granted_nothing(
-    placer: Placer, engine: RebornEngine
+def test_a_restart_that_only_the_engines_report_shows_stops_its_grants(
+    placer: Placer, engine: RestartingEngine
 ) -> None:
     engine.restart()
     placer._reconcilers["i-1@1"].mark_stale()
@@ -109,13 +109,14 @@
     assert placer.requests.holders(KEY) == ["i-1@1"]
 
 
-def test_what_a_box_sends_to_the_earlier_start_counts_where_it_runs(
-    placer: Placer, engine: RebornEngine
+def test_a_use_at_the_earlier_start_counts_at_the_current_one(
+    placer: Placer, engine: RestartingEngine
 ) -> None:
-    """A box that has yet to read of the new start names the one before; the engine runs it.
+    """Guards against unloading an adapter under a request that a box sent to the earlier start.
 
-    The placer took the adapter for unused and ordered it away under that run: seen once, where a
-    box was granted the new start 40 ms before it read of it.
+    A box that does not know of the restart yet names the earlier start, and the engine runs the
+    request. The placer took the adapter for unused and unloaded it. It happened when a box was
+    granted the new start 40 ms before it read of it.
     """
     engine.restart()
     placer._directory.update(record_of(2))
@@ -126,6 +127,6 @@
     assert not dispatcher.used
 
 
-def test_what_runs_at_an_engine_that_nobody_knows_counts_for_no_other(placer: Placer) -> None:
+def test_a_use_at_an_unknown_engine_counts_at_no_other(placer: Placer) -> None:
     placer.apply_demand("box-2", Demand(uses=[Use(7, "i-9@1", *KEY), Use(8, "i-8", *KEY)]))
     assert not placer.requests.dispatcher("s").used
--- a/tests/placement/test_places_model.py
+++ b/tests/placement/test_places_model.py
@@ -1,4 +1,4 @@
-"""The account of places as a model: orders are lost, answered or carried out late, reports lag."""
+"""A model test of the engine book: orders are lost, answered or executed late, and reports lag."""
 
 from __future__ import annotations
 
@@ -37,14 +37,14 @@
 
 
 class LateOrder(NamedTuple):
-    """An order that nobody had an answer to, and when it is carried out."""
+    """An order that got no answer, and the time at which it is executed."""
 
     order: Order
     at: float
 
 
 class ModelEngine:
-    """An engine with two places: one sequence, loads that take time, reports of a moment ago."""
+    """An engine with two places, a sequence, loads that take time, and reports that lag."""
 
     def __init__(self, clock: LossyWorld) -> None:
         self._world = clock
@@ -56,35 +56,35 @@
         self.unloaded_while_granted = 0
 
     def report(self, address: str, *, instance: str) -> EngineState:
-        """Return the state as it was a moment ago."""
-        self.settle()
+        """Return the state as it was one reporting lag ago."""
+        self.execute_due()
         seen = [state for at, state in self._history if at <= self._world.now - REPORTS_LAG_S]
         return seen[-1] if seen else self._history[0][1]
 
     def order(self, address: str, *, instance: str, order: Order) -> OrderAnswer:
-        """Take an order, or lose it in one of three ways."""
-        self.settle()
+        """Execute an order, or lose it in one of three ways."""
+        self.execute_due()
         fate = self._world.next_fate()
         if fate == "late":
             self._late.append(LateOrder(order, self._world.now + 2.0))
         if fate in ("late", "lost before"):
             self._world.now += 0.12
             raise ControlUnanswered("no answer")
-        answer = self._carry_out(order)
+        answer = self._execute(order)
         if fate == "lost after":
             self._world.now += 0.12
             raise ControlUnanswered("no answer")
         return answer
 
-    def settle(self) -> None:
-        """Carry out what is due by now."""
+    def execute_due(self) -> None:
+        """Execute the late orders that are due."""
         due = [late for late in self._late if late.at <= self._world.now]
         self._late = [late for late in self._late if late.at > self._world.now]
         for late in due:
-            self._carry_out(late.order)
+            self._execute(late.order)
         self._record()
 
-    def _carry_out(self, order: Order) -> OrderAnswer:
+    def _execute(self, order: Order) -> OrderAnswer:
         known = self._ready_at.get(order.key)
         if order.kind is OrderKind.LOAD and known is not None:
             return OrderAnswer.DONE if known <= self._world.now else OrderAnswer.TAKEN
@@ -116,7 +116,7 @@
 
 
 class LossyWorld(RuleBasedStateMachine):
-    """One keeper, one engine, and wants for twice as many adapters as there are places."""
+    """One reconciler, one engine, and wants for twice as many adapters as there are places."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -133,7 +133,7 @@
         self.reconciler = self.make_reconciler(self.book)
 
     def make_reconciler(self, book: EngineBook) -> EngineReconciler:
-        """Return the keeper of the engine, as far as a book tells of it."""
+        """Return a reconciler of the engine for a book."""
         return EngineReconciler(
             book,
             control=self.engine,
@@ -150,15 +150,15 @@
         )
 
     def pass_time(self, seconds: float) -> None:
-        """Let time pass, as a pause of the keeper does."""
+        """Advance the clock, as a pause of the reconciler does."""
         self.now += seconds
 
     def next_fate(self) -> str:
-        """Return what happens to the next order."""
+        """Return the fate of the next order."""
         return self.fates.pop(0) if self.fates else "answered"
 
     @rule(fates=st.lists(st.sampled_from(FATES), min_size=1, max_size=4))
-    def orders_will_meet(self, fates: list[str]) -> None:
+    def set_fates(self, fates: list[str]) -> None:
         self.fates = fates
 
     @rule(name=st.sampled_from(ADAPTERS))
@@ -171,8 +171,8 @@
         self.planner.plan([want], [self.book], used={}, now=self.now)
 
     @rule(steps=st.integers(min_value=1, max_value=6))
-    def keep(self, steps: int) -> None:
-        """Do what the keeper's task does, some turns of it."""
+    def reconcile(self, steps: int) -> None:
+        """Run some iterations of the reconciler's loop."""
         for _ in range(steps):
             if self.reconciler._stale and not self.reconciler._read_report():
                 continue
@@ -183,7 +183,7 @@
     @rule(seconds=st.sampled_from((0.05, 0.3, 1.1, 2.5)))
     def wait(self, seconds: float) -> None:
         self.now += seconds
-        self.engine.settle()
+        self.engine.execute_due()
 
     @invariant()
     def no_place_is_taken_twice(self) -> None:
--- a/tests/placement/test_plan_index.py
+++ b/tests/placement/test_plan_index.py
@@ -1,4 +1,4 @@
-"""What a plan counts once for all wants, and that it does."""
+"""Tests of the index of a plan, and that it counts the places once for all wants."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 WANTS = 200
 
 
-def test_it_tells_what_engines_hold_are_assigned_and_have_at_hand() -> None:
+def test_the_index_finds_engines_by_held_assigned_and_cached_adapters() -> None:
     first, second = make_engine("i-1", "a"), make_engine("i-2", "a", "b")
     second.assigned[key("c")] = 1.0
     first.unloaded(key("a"))
@@ -41,10 +41,11 @@
 def test_a_plan_counts_the_places_of_an_engine_once_and_at_each_assignment(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What a placer did most of after all boxes had been killed: 30 million calls in 8 s.
+    """Guards against counting the places of each engine again for each want.
 
-    Places were counted 2 times for each want and engine. A plan for 600 wants and 15 engines took
-    151 to 201 ms, now 18 to 61 ms (12 plans each, beside other work); the plans are the same.
+    Without the index they were counted twice for each want and engine. After all boxes had been
+    killed that made 30 million calls in 8 s. A plan for 600 wants and 15 engines took 151 to
+    201 ms, and takes 18 to 61 ms with the index (12 plans each, on a busy machine).
     """
     counted = 0
     available_places = EngineBook.available_places
--- a/tests/placement/test_planner.py
+++ b/tests/placement/test_planner.py
@@ -1,4 +1,4 @@
-"""Which adapter is loaded next, and where."""
+"""Tests of the planner: which adapter is loaded next, and on which engine."""
 
 from __future__ import annotations
 
@@ -43,14 +43,14 @@
     return Planner(popularity or Popularity(), lambda key: versions.get(key.adapter, 0))
 
 
-def test_a_want_is_brought_to_the_engine_with_most_room() -> None:
+def test_a_want_is_assigned_to_the_engine_with_most_places() -> None:
     full, empty = make_engine("i-1", "x"), make_engine("i-2")
     plan = make_planner().plan([want("a")], [full, empty], used={}, now=monotonic())
     assert [(item.key, item.engine.instance) for item in plan.assignments] == [(key("a"), "i-2")]
     assert plan.ready_in_s[key("a")] > 0
 
 
-def test_one_adapter_is_brought_once() -> None:
+def test_an_assigned_adapter_is_not_assigned_again() -> None:
     engines = [make_engine("i-1"), make_engine("i-2")]
     planner = make_planner()
     planner.plan([want("a")], engines, used={}, now=monotonic())
@@ -58,7 +58,7 @@
     assert again.assignments == []
 
 
-def test_a_want_that_cannot_reach_the_adapter_gets_a_second_copy() -> None:
+def test_a_want_that_cannot_use_the_ready_copy_gets_a_second_one() -> None:
     engines = [make_engine("i-1", "a"), make_engine("i-2")]
     planner = make_planner()
     fresh = planner.plan([want("a")], engines, used={}, now=monotonic())
@@ -75,18 +75,18 @@
     assert plan.assignments == []
 
 
-def test_what_is_used_or_wanted_gives_no_place() -> None:
+def test_adapters_that_are_used_or_wanted_are_not_evicted() -> None:
     engine = make_engine("i-1", "x", "y")
     planner = make_planner()
     used = {("i-1", key("x")): 1, ("i-1", key("y")): 2}
     plan = planner.plan([want("a")], [engine], used=used, now=monotonic())
     assert plan.assignments == []
-    assert plan.ready_in_s[key("a")] > 0, "a place will be given up sooner or later"
+    assert plan.ready_in_s[key("a")] > 0, "a place will be freed sooner or later"
     planner.plan([want("a"), want("x")], [engine], used={}, now=monotonic())
     assert planner.victim(engine, used={}, now=monotonic()) == key("y")
 
 
-def test_an_older_version_gives_its_place_first() -> None:
+def test_an_older_version_is_evicted_first() -> None:
     popularity = Popularity()
     popularity.record(key("x"), 50)
     planner = make_planner(popularity, x=2)
@@ -94,14 +94,14 @@
     assert planner.victim(engine, used={}, now=monotonic()) == key("x")
 
 
-def test_the_most_valuable_want_goes_first() -> None:
+def test_the_most_valuable_want_is_assigned_first() -> None:
     engine = make_engine("i-1", slots=1)
     wants = [want("cheap", worth=1.0), want("dear", worth=4.0)]
     plan = make_planner().plan(wants, [engine], used={}, now=monotonic())
     assert [item.key for item in plan.assignments] == [key("dear")]
 
 
-def test_a_popular_adapter_is_brought_before_somebody_waits() -> None:
+def test_a_popular_adapter_is_loaded_before_a_request_waits() -> None:
     popularity = Popularity()
     popularity.record(key("often"), 10)
     popularity.record(key("once"), 1)
@@ -118,7 +118,7 @@
     assert [item.key for item in plan.assignments] == [key("a")]
     assert plan.ready_in_s[key("b")] > plan.ready_in_s[key("a")]
     again = planner.plan(wants, [engine], used=used, now=monotonic())
-    assert again.assignments == [], "the one place is spoken for"
+    assert again.assignments == [], "the only place is reserved"
     engine.unload_executed(key("z"))
     assert engine.available_places == 0
     engine.unloaded(key("z"))
@@ -127,7 +127,7 @@
 
 
 def test_a_hot_adapter_on_a_crowded_engine_gets_a_second_copy() -> None:
-    crowded, is_stable = make_engine("i-1", "hot", "cold"), make_engine("i-2", "x")
+    crowded, idle = make_engine("i-1", "hot", "cold"), make_engine("i-2", "x")
     popularity = Popularity()
     popularity.record(key("hot"), 20)
     popularity.record(key("cold"), 1)
@@ -137,17 +137,17 @@
 
     def _plan(*keys: AdapterKey) -> list[tuple[AdapterKey, str]]:
         plan = planner.plan(
-            [], [crowded, is_stable], used=used, now=monotonic(), waits=waits, crowded=keys
+            [], [crowded, idle], used=used, now=monotonic(), waits=waits, crowded=keys
         )
         return [(item.key, item.engine.instance) for item in plan.assignments]
 
     assert _plan() == []
-    assert _plan(key("cold")) == [], "what is seldom asked for is not worth a load"
+    assert _plan(key("cold")) == [], "a rarely requested adapter is not worth a load"
     assert _plan(key("hot"), key("cold")) == [(key("hot"), "i-2")]
     assert _plan(key("hot")) == [], "one copy at a time"
 
 
-def test_no_copy_is_made_where_a_first_event_would_wait_as_well() -> None:
+def test_no_copy_is_made_on_an_engine_with_a_long_wait() -> None:
     crowded, busy = make_engine("i-1", "hot"), make_engine("i-2", "x")
     popularity = Popularity()
     popularity.record(key("hot"), 20)
@@ -162,7 +162,7 @@
     assert plan.assignments == []
 
 
-def test_an_engine_that_had_the_adapter_lately_is_preferred() -> None:
+def test_an_engine_with_the_adapter_in_its_cache_is_preferred() -> None:
     before, other = make_engine("i-1", "a"), make_engine("i-2", slots=3)
     before.unload_executed(key("a"))
     before.unloaded(key("a"))
@@ -170,14 +170,14 @@
     assert [item.engine.instance for item in plan.assignments] == ["i-1"]
 
 
-def test_a_new_version_is_brought_although_every_engine_holds_the_older_one() -> None:
+def test_a_new_version_is_loaded_although_every_engine_holds_the_older_one() -> None:
     engines = [make_engine("i-1", "a", "x"), make_engine("i-2", "a", "y")]
     planner = make_planner(a=2)
     plan = planner.plan([want("a")], engines, used={("i-1", key("a")): 1}, now=monotonic())
     assert [(item.key, item.engine.instance) for item in plan.assignments] == [(key("a"), "i-2")]
 
 
-def test_a_want_is_brought_to_the_engine_with_the_least_to_do() -> None:
+def test_a_want_is_assigned_to_the_engine_with_the_fewest_requests() -> None:
     busy, idle = make_engine("i-1"), make_engine("i-2", "x")
     plan = make_planner().plan(
         [want("a")], [busy, idle], used={("i-1", key("z")): 9}, now=monotonic()
@@ -185,7 +185,7 @@
     assert [item.engine.instance for item in plan.assignments] == ["i-2"]
 
 
-def test_what_is_at_hand_goes_before_what_the_weight_store_must_bring() -> None:
+def test_a_cached_adapter_goes_before_one_from_the_weight_store() -> None:
     engine = make_engine("i-1", "lately", slots=1)
     engine.unloaded(key("lately"))
     plan = make_planner().plan([want("cold"), want("lately")], [engine], used={}, now=monotonic())
@@ -196,20 +196,20 @@
     assert [item.key for item in plan.assignments] == [key("cold")]
 
 
-def test_what_is_at_hand_takes_no_place_before_somebody_waits() -> None:
+def test_a_cached_adapter_gets_a_place_only_when_a_request_waits() -> None:
     engine = make_engine("i-1", "a", "x")
     engine.unload_executed(key("a"))
     engine.unloaded(key("a"))
     planner = make_planner()
-    expected_back = want("a", waiting=0)
-    plan = planner.plan([expected_back], [engine], used={}, now=monotonic())
+    promised = want("a", waiting=0)
+    plan = planner.plan([promised], [engine], used={}, now=monotonic())
     assert plan.assignments == []
     assert 0 <= plan.ready_in_s[key("a")] < 0.2
     plan = planner.plan([want("a")], [engine], used={}, now=monotonic())
     assert [item.key for item in plan.assignments] == [key("a")]
 
 
-def test_a_copy_that_spares_ways_takes_the_place_of_what_is_asked_for_less_than_it_saves() -> None:
+def test_a_near_copy_evicts_an_adapter_whose_popularity_is_below_its_savings() -> None:
     popularity = Popularity()
     popularity.record(key("x"), 2.0)
     engine = make_engine("i-1", "x", slots=1)
@@ -225,7 +225,7 @@
     assert assigned(3.0) == [key("a")]
 
 
-def test_a_copy_that_spares_ways_is_made_once_and_not_where_the_adapter_stands() -> None:
+def test_a_near_copy_is_made_once_and_only_if_no_engine_holds_the_adapter() -> None:
     planner = make_planner()
     engines = [make_engine("i-1", "a"), make_engine("i-2")]
     near_copies = {key("a"): 3.0, key("b"): 3.0}
@@ -235,20 +235,20 @@
     assert again.assignments == []
 
 
-def test_a_copy_that_finds_no_place_lets_nobody_wait_longer() -> None:
+def test_a_near_copy_without_a_place_delays_no_other_adapter() -> None:
     popularity = Popularity()
     popularity.record(key("x"), 50)
     engine = make_engine("i-1", "x", slots=1)
     used = {("i-1", key("x")): 1}
     wants = [want("b")]
     alone = make_planner(popularity).plan(wants, [engine], used=used, now=monotonic())
-    beside = make_planner(popularity).plan(
+    with_copy = make_planner(popularity).plan(
         wants, [engine], used=used, now=monotonic(), near_copies={key("a"): 9.0}
     )
-    assert beside.ready_in_s == alone.ready_in_s
+    assert with_copy.ready_in_s == alone.ready_in_s
 
 
-def test_the_pressure_of_an_engine_is_how_often_its_next_victim_is_asked_for() -> None:
+def test_the_pressure_of_an_engine_is_the_popularity_of_its_next_victim() -> None:
     popularity = Popularity()
     popularity.record(key("x"), 2.0)
     popularity.record(key("y"), 7.0)
@@ -262,9 +262,7 @@
     assert planner.pressure(make_engine("i-2", "x"), used={}, now=now) == 0.0
 
 
-def test_who_waits_although_an_engine_that_rests_holds_the_adapter_gets_it_elsewhere_at_once() -> (
-    None
-):
+def test_an_adapter_held_only_by_an_engine_that_backs_off_is_loaded_elsewhere_at_once() -> None:
     engines = [make_engine("i-1", "a"), make_engine("i-2")]
     planner = make_planner()
     now = monotonic()
--- a/tests/placement/test_planner_properties.py
+++ b/tests/placement/test_planner_properties.py
@@ -1,4 +1,4 @@
-"""What holds of every plan, whatever is wanted and whatever the engines hold."""
+"""Properties of every plan, for any wants and any adapters on the engines."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def wants_of(worths: list[float]) -> list[CombinedWant]:
-    """Return a want for each worth, one targeted after the other."""
+    """Return a want for each worth, with ascending targets."""
     wants = [want(f"a{number}", worth=worth) for number, worth in enumerate(worths)]
     for number, item in enumerate(wants):
         item.target_at += number * 0.01
@@ -25,7 +25,7 @@
 
 
 def plan_for(worths: list[float], *, places: int) -> Plan:
-    """Return the plan for an empty engine with so many places."""
+    """Return the plan for an empty engine with a number of places."""
     return make_planner().plan(
         wants_of(worths), [make_engine("i-1", slots=places)], used={}, now=monotonic()
     )
@@ -49,7 +49,7 @@
 
 
 @given(worths=WORTHS, places=st.integers(min_value=1, max_value=6), chance=st.randoms())
-def test_nobody_is_told_of_an_earlier_moment_than_who_goes_before(
+def test_no_want_is_forecast_earlier_than_one_that_ranks_higher(
     worths: list[float], places: int, chance: Random
 ) -> None:
     wants = wants_of(worths)
@@ -66,7 +66,7 @@
     used=st.sets(st.sampled_from(HELD)),
     crowded=st.sets(st.sampled_from(HELD)),
 )
-def test_an_adapter_in_use_is_never_chosen_to_leave(
+def test_an_adapter_in_use_is_never_evicted(
     worths: list[float], used: set[str], crowded: set[str]
 ) -> None:
     engines = [make_engine("i-1", *HELD, slots=4), make_engine("i-2", *HELD, slots=4)]
--- a/tests/placement/test_residency.py
+++ b/tests/placement/test_residency.py
@@ -1,4 +1,4 @@
-"""Where a box believes that adapters stand, and on whose word."""
+"""Tests of the adapters that a box assumes on each replica, and by which source."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class World:
-    """One replica, and what a box learns of it."""
+    """One replica, and a box's record of it."""
 
     def __init__(self) -> None:
         self.directory = Directory(Log("test", "box"))
@@ -35,7 +35,7 @@
         return [replica.instance for replica in self.residency.holders(KEY)]
 
 
-def test_what_a_replica_writes_of_itself_counts_until_the_placer_tells_otherwise() -> None:
+def test_a_replicas_own_record_counts_until_the_placer_reports_otherwise() -> None:
     world = World()
     assert world.holders == []
     world.record(HeldAdapter("m", "a", 1))
@@ -43,7 +43,7 @@
     world.residency.record_reported("i-1", [])
     assert world.holders == []
     world.record(HeldAdapter("m", "a", 1), HeldAdapter("m", "b", 1))
-    assert world.holders == [], "the row may be older than the placer's word"
+    assert world.holders == [], "the row may be older than the placer's report"
     world.residency.forget_reported("zone-1")
     assert world.holders == ["i-1"]
     world.directory.remove("i-1")
@@ -59,7 +59,7 @@
     assert world.holders == ["i-1"]
 
 
-def test_a_replica_s_own_not_here_counts_until_it_is_newly_told_to_hold_it() -> None:
+def test_a_replicas_denial_counts_until_the_placer_newly_reports_the_adapter() -> None:
     world = World()
     world.record(HeldAdapter("m", "a", 1))
     world.residency.deny("i-1", KEY)
@@ -69,7 +69,7 @@
     assert world.holders == ["i-1"]
 
 
-def test_what_was_told_of_a_replica_that_is_not_known_yet_counts_once_it_is() -> None:
+def test_a_report_on_an_unknown_replica_counts_once_the_replica_is_known() -> None:
     world = World()
     world.residency.record_reported("i-1", [HeldAdapter("m", "a", 1)])
     assert world.holders == []
@@ -77,7 +77,7 @@
     assert world.holders == ["i-1"]
 
 
-def test_what_a_replica_gave_up_lately_is_at_hand_there() -> None:
+def test_a_replica_has_its_recently_unloaded_adapters_cached() -> None:
     world = World()
     world.record(HeldAdapter("m", "a", 1))
 
@@ -88,13 +88,13 @@
     world.residency.record_reported("i-1", [HeldAdapter("m", "b", 1)])
     assert _cache_holders() == ["i-1"]
     world.residency.record_reported("i-1", [HeldAdapter("m", "a", 1)])
-    assert _cache_holders() == [], "it stands there again"
+    assert _cache_holders() == [], "the replica holds it again"
     world.residency.record_reported("i-1", [])
     world.versions.record(KEY, 2)
-    assert _cache_holders() == [], "what it keeps is an older version"
+    assert _cache_holders() == [], "the cached version is an older one"
 
 
-def test_a_replica_keeps_only_so_much_at_hand_and_nothing_once_it_is_gone() -> None:
+def test_a_replicas_cache_is_bounded_and_dropped_with_the_replica() -> None:
     world = World()
     world.record(HeldAdapter("m", "a", 1))
     world.residency.record_reported("i-1", [])
@@ -110,10 +110,10 @@
     world.directory.remove("i-1")
     assert world.residency.cache_holders(last) == []
     world.record()
-    assert world.residency.cache_holders(last) == [], "another process has an empty memory"
+    assert world.residency.cache_holders(last) == [], "another process has an empty cache"
 
 
-def test_of_an_earlier_start_nothing_is_kept() -> None:
+def test_adapters_of_an_earlier_start_are_dropped() -> None:
     world = World()
     for born_ms in (1, 2):
         world.directory.update(
@@ -132,4 +132,4 @@
     assert world.holders == []
     assert world.residency.cache_holders(KEY) == []
     world.residency.record_reported("i-1@1", [HeldAdapter("m", "a", 1)])
-    assert world.holders == [], "a placer that has not heard of the new start yet"
+    assert world.holders == [], "the placer does not know of the new start yet"
--- a/tests/placement/test_reborn_model.py
+++ b/tests/placement/test_restart_model.py
@@ -1,4 +1,4 @@
-"""The account of places where an engine starts again under its id while orders are on their way."""
+"""A model test of the engine book, with an engine that restarts while orders are in transit."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 DOWN_S = 0.3
 
 
-class RebornEngine(ModelEngine):
-    """An engine that may start anew; orders to its earlier starts may yet reach it."""
+class RestartingEngine(ModelEngine):
+    """An engine that may restart; orders to its earlier starts may still reach it."""
 
     def __init__(self, clock: LossyWorld) -> None:
         super().__init__(clock)
@@ -25,12 +25,12 @@
         self.down_until = 0.0
 
     def restart(self) -> None:
-        """Forget all but the orders that are on their way, and serve nobody for a moment."""
-        self.settle()
+        """Drop all state but the orders in transit, and answer nothing for a moment."""
+        self.execute_due()
         self.born_ms += 1
         self.down_until = self._world.now + DOWN_S
         self._ready_at.clear()
-        self._sequence = 1  # It has taken its base model, which it held at its first start.
+        self._sequence = 1  # It has executed the load of its base model.
         self._history = [(self._world.now, self._state())]
 
     def report(self, address: str, *, instance: str) -> EngineState:
@@ -45,22 +45,22 @@
     def _check_up(self) -> None:
         if self._world.now < self.down_until:
             self._world.now += 0.12
-            raise ControlUnanswered("it is down")
+            raise ControlUnanswered("the engine is down")
 
 
-class RebornWorld(LossyWorld):
-    """One engine that starts anew, each start known by its row after a while."""
+class RestartingWorld(LossyWorld):
+    """One engine that restarts; the placer reads of each start later, from the engine's row."""
 
     def __init__(self) -> None:
         super().__init__()
         self.patch.setattr(late_orders_module, "monotonic", lambda: self.now)
-        self.engine = RebornEngine(self)
+        self.engine = RestartingEngine(self)
         self.late_orders = LateOrders()
-        self.learn_of_the_start()
+        self.apply_newest_row()
 
     @rule()
-    def learn_of_the_start(self) -> None:
-        """Learn of the engine's newest start by its row, as a placer does."""
+    def apply_newest_row(self) -> None:
+        """Apply the row of the engine's newest start, as a placer does."""
         instance = incarnation_of("i-1", self.engine.born_ms)
         if self.book.instance == instance:
             return
@@ -81,21 +81,21 @@
 
     @rule()
     def mark_stale(self) -> None:
-        """Have the placer ask the engine, as after a request that met the new start."""
+        """Make the placer read a report, as after a request that reached the new start."""
         self.reconciler.mark_stale()
 
 
-def test_a_load_ordered_from_the_earlier_start_finds_its_place_free_when_it_comes() -> None:
-    world = RebornWorld()
+def test_a_late_load_for_the_earlier_start_finds_its_place_free() -> None:
+    world = RestartingWorld()
     try:
         _fill(world, "a", "b")
         world.wait(2.5)
         world.want("c")
-        world.orders_will_meet(["answered", "late"])
-        world.keep(3)
+        world.set_fates(["answered", "late"])
+        world.reconcile(3)
         assert [late.order.expected_sequence for late in world.engine._late] == [3]
         world.restart()
-        world.learn_of_the_start()
+        world.apply_newest_row()
         world.wait(0.3)
         _fill(world, "a", "b")
         world.wait(2.5)
@@ -108,15 +108,15 @@
         world.teardown()
 
 
-def _fill(world: RebornWorld, *names: str) -> None:
+def _fill(world: RestartingWorld, *names: str) -> None:
     for name in names:
         world.want(name)
-        world.keep(6)
+        world.reconcile(6)
         world.wait(0.3)
-        world.keep(6)
+        world.reconcile(6)
 
 
-TestRebornModel = RebornWorld.TestCase
-TestRebornModel.settings = settings(
+TestRestartModel = RestartingWorld.TestCase
+TestRestartModel.settings = settings(
     max_examples=300, stateful_step_count=50, deadline=None, derandomize=True
 )
--- a/tests/placement/test_spread_adapters.py
+++ b/tests/placement/test_spread_adapters.py
@@ -1,4 +1,4 @@
-"""Which adapters each zone is to serve itself."""
+"""Tests of the adapters that each zone serves itself."""
 
 from __future__ import annotations
 
@@ -35,18 +35,18 @@
     return popularity
 
 
-def test_only_what_each_zone_would_ask_for_often_is_spread(popularity: Popularity) -> None:
+def test_only_adapters_popular_in_each_zone_are_spread(popularity: Popularity) -> None:
     spread = SpreadAdapters(popularity)
     assert spread.evaluate({HOT: 2, COLD: 2}, zones=3) == ("m/hot",)
     assert SpreadAdapters(popularity).evaluate({HOT: 1}, zones=3) == (), (
         "one engine is enough for it"
     )
     assert SpreadAdapters(popularity).evaluate({HOT: 2}, zones=12) == (), (
-        "a twelfth is not asked for often"
+        "a twelfth of the requests is not many"
     )
 
 
-def test_what_is_spread_stays_so_with_a_zone_s_part_of_the_requests(
+def test_an_adapter_stays_spread_when_each_zone_gets_its_share_of_the_requests(
     popularity: Popularity, clock: Clock
 ) -> None:
     spread = SpreadAdapters(popularity)
@@ -55,6 +55,6 @@
     assert 5 < popularity.of(HOT) < 15
     assert spread.evaluate({HOT: 2}, zones=3) == ("m/hot",)
     clock.now += 9.0
-    assert spread.evaluate({HOT: 1}, zones=3) == ("m/hot",), "it does not change from look to look"
+    assert spread.evaluate({HOT: 1}, zones=3) == ("m/hot",), "it does not change at each evaluation"
     clock.now += 2.0
     assert spread.evaluate({HOT: 1}, zones=3) == ()
--- a/tests/placement/test_strength.py
+++ b/tests/placement/test_strength.py
@@ -1,4 +1,4 @@
-"""Which box keeps a zone's lease: one of the zone itself, and rather a strong one."""
+"""Tests of the box that holds a zone's lease: one of the zone, and preferably a strong one."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def zone_of(*, home: str, strength: float) -> ZonePlacement:
-    """Return the placement of zone-2 at a box of a zone and a strength."""
+    """Return the placement of zone-2 on a box with a home zone and a strength."""
     zone = make_zone(Directory(Log("directory", "box-1")))
     election = zone._election
     election._settings = election._settings._replace(zone=home, strength=strength)
@@ -39,7 +39,7 @@
         ("zone-2", 1.0, "zone-2", 2.0, False),
     ],
 )
-def test_the_lease_goes_to_a_box_that_does_better(
+def test_the_lease_is_handed_to_a_better_box(
     home: str, own: float, other_home: str, other: float, hands_back: bool
 ) -> None:
     zone = zone_of(home=home, strength=own)
@@ -54,7 +54,7 @@
     assert not zone._election.has_better_box()
 
 
-def test_weak_boxes_leave_a_free_lease_longer_and_boxes_of_the_zone_come_first() -> None:
+def test_weak_boxes_and_boxes_of_other_zones_wait_longer_for_a_free_lease() -> None:
     waits = [
         zone_of(home=home, strength=strength)._election.takeover_delay_s()
         for home, strength in (("zone-2", 2.0), ("zone-2", 0.5), ("zone-1", 2.0), ("zone-1", 0.5))
