--- a/springrock/placement/dispatcher.py
+++ b/springrock/placement/dispatcher.py
@@ -129,8 +129,8 @@
     def excess_failures(self, instance: str) -> float:
         """Return an engine's failure rate less the mean rate of the others, from -1 to 1."""
         others = [work.health.failure_rate for name, work in self._work.items() if name != instance]
-        usual = sum(others) / len(others) if others else 0.0
-        return self.work(instance).health.failure_rate - usual
+        mean_of_others = sum(others) / len(others) if others else 0.0
+        return self.work(instance).health.failure_rate - mean_of_others
 
     # The course of requests.
 
@@ -153,11 +153,11 @@
 
     def record_start(self, box: str, began: Began) -> None:
         """Record the first event of a request."""
-        name = (box, began.number)
-        run = self._runs.get(name)
-        if run is None or name in self._started:
+        run_id = (box, began.number)
+        run = self._runs.get(run_id)
+        if run is None or run_id in self._started:
             return
-        self._started.add(name)
+        self._started.add(run_id)
         work = self._work.get(run.instance)
         if work is not None:
             work.prefill_backlog -= run.prefill_tokens
@@ -165,20 +165,20 @@
 
     def record_finished(self, box: str, over: Over) -> _Run | None:
         """Record the end of a request; return its run, or None if the request is unknown."""
-        name = (box, over.number)
-        run = self._runs.pop(name, None)
+        run_id = (box, over.number)
+        run = self._runs.pop(run_id, None)
         if run is None:
             return None
         use = (run.instance, run.key)
         self.used[use] -= 1
         if not self.used[use]:
             del self.used[use]
-        begun = name in self._started
-        self._started.discard(name)
+        has_started = run_id in self._started
+        self._started.discard(run_id)
         work = self._work.get(run.instance)
         if work is not None:
             work.runs -= 1
-            work.prefill_backlog -= 0 if begun else run.prefill_tokens
+            work.prefill_backlog -= 0 if has_started else run.prefill_tokens
             self._record_outcome(work, run, over.outcome)
             if over.backoff_ms:
                 work.backoff.extend(over.backoff_ms / 1000)
@@ -186,8 +186,8 @@
 
     def forget_box(self, box: str) -> None:
         """Record the end of all requests of a box."""
-        for name in [name for name in self._runs if name[0] == box]:
-            self.record_finished(box, Over(name[1]))
+        for run_id in [run_id for run_id in self._runs if run_id[0] == box]:
+            self.record_finished(box, Over(run_id[1]))
 
     def crowded_since(self, at: float) -> list[AdapterKey]:
         """Return the adapters that were crowded since a point in time; drop the older records."""
@@ -208,8 +208,8 @@
             for instance, work in self._work.items()
         }
 
-    def _add(self, name: tuple[str, int], run: _Run) -> None:
-        self._runs[name] = run
+    def _add(self, run_id: tuple[str, int], run: _Run) -> None:
+        self._runs[run_id] = run
         self.work(run.instance).runs += 1
         self.used[(run.instance, run.key)] += 1
 
--- a/springrock/placement/engine_reconciler.py
+++ b/springrock/placement/engine_reconciler.py
@@ -120,7 +120,7 @@
         self._published_ready: frozenset[tuple[AdapterKey, int]] | None = None
         self._stale = True
         self._reported_at = 0.0
-        self._work = Event()
+        self._wake_event = Event()
         self._unreachable = Condition(
             log,
             begins=f"Lost the engine {book.instance}.",
@@ -140,12 +140,12 @@
 
     def wake(self) -> None:
         """Check the assignments now."""
-        self._work.set()
+        self._wake_event.set()
 
     def mark_stale(self) -> None:
         """Read a new report, as a request's outcome contradicts the book."""
         self._stale = True
-        self._work.set()
+        self._wake_event.set()
 
     def apply_record(self, record: ReplicaRecord) -> None:
         """Apply a new record of the engine."""
@@ -164,13 +164,13 @@
             if self._confirm_next():
                 continue
             if not self.book.all_ready or not self.book.models or self.book.assigned:
-                self._work.wait(timeout=_POLL_INTERVAL_S)
-                self._work.clear()
+                self._wake_event.wait(timeout=_POLL_INTERVAL_S)
+                self._wake_event.clear()
                 self._stale = self._stale or self._is_report_due()
                 continue
-            woken = self._work.wait(timeout=_AUDIT_INTERVAL_S)
+            woken = self._wake_event.wait(timeout=_AUDIT_INTERVAL_S)
             self._stale = self._stale or not woken
-            self._work.clear()
+            self._wake_event.clear()
 
     def _read_report(self) -> bool:
         """Read the engine's report and apply it to the book; return whether the engine answered."""
@@ -238,11 +238,11 @@
             return False
         if not book.models:
             return self._load_model()
-        # An unload that waits for running requests would block all other orders of the engine.
+        # While requests use the adapter, its unload would wait and block the engine's other orders.
         used = self._used()
-        for leaving in book.unanswered_unloads:
-            if (book.instance, leaving) not in used:
-                return self._order(OrderKind.UNLOAD, leaving)
+        for unloading in book.unanswered_unloads:
+            if (book.instance, unloading) not in used:
+                return self._order(OrderKind.UNLOAD, unloading)
         may_unload = not self._awaits_reports()
         outdated = self._first_assigned(
             lambda key: (
@@ -268,8 +268,8 @@
         is_new = monotonic() - self._started_at < _RUNS_REPORT_TIMEOUT_S
         return is_new and self._reported_runs > self._known_runs()
 
-    def _first_assigned(self, fits: Callable[[AdapterKey], bool]) -> AdapterKey | None:
-        return next((key for key in self.book.assigned if fits(key)), None)
+    def _first_assigned(self, predicate: Callable[[AdapterKey], bool]) -> AdapterKey | None:
+        return next((key for key in self.book.assigned if predicate(key)), None)
 
     def _confirm_next(self) -> bool:
         """Repeat the order for a load that is due; return whether there was one.
@@ -288,12 +288,12 @@
 
     def _is_report_due(self) -> bool:
         book, now = self.book, monotonic()
-        reported_s = now - self._reported_at
+        report_age_s = now - self._reported_at
         places = book.places.values()
         if not book.models or any(place.state is PlaceState.UNLOADING for place in places):
-            return reported_s >= _REPORT_INTERVAL_S
-        coming = (place.since for place in places if place.state is PlaceState.LOADING)
-        return now - min(coming, default=now) >= _OVERDUE_LOAD_S <= reported_s
+            return report_age_s >= _REPORT_INTERVAL_S
+        started_at = (place.since for place in places if place.state is PlaceState.LOADING)
+        return now - min(started_at, default=now) >= _OVERDUE_LOAD_S <= report_age_s
 
     def _load_model(self) -> bool:
         """Order an engine without a base model to load one; return whether an order was sent."""
@@ -345,7 +345,7 @@
             return
         place = book.places.get(order.key)
         if answer is not OrderAnswer.CONFLICT or place is None or not place.unanswered:
-            # A conflict after an unanswered unload may be due to that order, which was executed.
+            # Not after a conflict with an unanswered unload: that order may have been executed.
             book.unload_failed(order.key)
         self._stale = True
         if answer is OrderAnswer.OLDER_FENCE:
--- a/springrock/placement/engine_work.py
+++ b/springrock/placement/engine_work.py
@@ -124,8 +124,8 @@
         self._service_speed.record(token_s)
 
     def _slowness_now(self) -> float:
-        kept = exp(-log(2) * (monotonic() - self._slowness_at) / _SPEED_HALF_LIFE_S)
-        return 1.0 + (self._slowness - 1.0) * kept
+        cached = exp(-log(2) * (monotonic() - self._slowness_at) / _SPEED_HALF_LIFE_S)
+        return 1.0 + (self._slowness - 1.0) * cached
 
 
 class PromptCache:
@@ -142,12 +142,12 @@
 
     def cached_tokens(self, key: AdapterKey, prompt: Iterable[tuple[str, int]]) -> int:
         """Return the number of tokens in the leading parts of a prompt that are all cached."""
-        kept = 0
+        cached = 0
         for part_id, tokens in prompt:
             if (key, part_id) not in self._parts:
                 break
-            kept += tokens
-        return kept
+            cached += tokens
+        return cached
 
     def record(self, key: AdapterKey, prompt: list[tuple[str, int]]) -> None:
         """Record that a prompt is read; its last part is unique to the request and is not kept."""
--- a/springrock/placement/load_concurrency.py
+++ b/springrock/placement/load_concurrency.py
@@ -12,7 +12,7 @@
 
 _MIN_LIMIT = 4.0
 _MAX_LIMIT = 40.0
-"""Above the peak concurrency of one zone in any test run."""
+"""More loads than one zone has ever run at once."""
 
 _SLOW_FACTOR = 1.5
 """Multiple of the full-speed duration above which a load counts as slowed down by other loads."""
--- a/springrock/placement/place_interval.py
+++ b/springrock/placement/place_interval.py
@@ -36,8 +36,8 @@
         """
         if self._is_short and self._recorded_at is not None:
             passed_s = now - self._recorded_at
-            kept = 0.5 ** (passed_s / _HALF_LIFE_S)
-            self._shortage_s = self._shortage_s * kept + passed_s
-            self._given = self._given * kept + given
+            decay = 0.5 ** (passed_s / _HALF_LIFE_S)
+            self._shortage_s = self._shortage_s * decay + passed_s
+            self._given = self._given * decay + given
         self._is_short = is_short
         self._recorded_at = now
--- a/springrock/placement/placer.py
+++ b/springrock/placement/placer.py
@@ -146,13 +146,13 @@
         self._started_at = 0.0
         self._reconcilers: dict[str, EngineReconciler] = {}
         self._late_orders = LateOrders()
-        self._work = Event()
+        self._plan_event = Event()
         self.prefetch = PrefetchWants(
             zone,
             popularity=self._popularity,
             log=log,
             metrics=metrics,
-            on_update=self._work.set,
+            on_update=self._plan_event.set,
         )
         self.requests = Requests(
             self._reconcilers,
@@ -163,7 +163,7 @@
             permits=permits,
             popularity=self._popularity,
             send=send,
-            on_unserved=self._work.set,
+            on_unserved=self._plan_event.set,
             on_granted=metrics.grant_seconds.labels(zone).observe,
             log=log,
             near_copies=NearCopies(zone, topology=lambda: world().topology, prices=prices),
@@ -208,7 +208,7 @@
         self.requests.apply_demand(box, demand)
         if demand.copies:
             self._copy_requests.record(demand.copies)
-            self._work.set()
+            self._plan_event.set()
 
     def forget_box(self, box: str) -> None:
         """Drop the requests of a box; they ended with it or will be reported again."""
@@ -256,13 +256,13 @@
             self._planner(book.record.service).room(
                 book, used=self.requests.dispatcher(book.record.service).used, now=now
             )
-            for book in self._loadable()
+            for book in self._loadable_engines()
             if book.models
         )
 
     def wait_estimate(self) -> WaitEstimate:
         """Return the eviction pressure and the wait at the zone's engines."""
-        books = [book for book in self._loadable() if book.models]
+        books = [book for book in self._loadable_engines() if book.models]
         now = monotonic()
         dispatchers = [self.requests.dispatcher(book.record.service) for book in books]
         return WaitEstimate.from_engines(
@@ -276,7 +276,7 @@
             ],
         )
 
-    def _loadable(self) -> list[EngineBook]:
+    def _loadable_engines(self) -> list[EngineBook]:
         """Return the engines on which adapters may be loaded now."""
         world = self._world()
         return [
@@ -313,7 +313,7 @@
             replica = self._directory.find(instance)
             if replica is not None:
                 self._start_reconciler(replica)
-        self._work.set()
+        self._plan_event.set()
 
     def _start_reconciler(self, replica: Replica) -> None:
         service = replica.record.service
@@ -352,15 +352,15 @@
         self._changed.add(book.instance)
         for key in [key for key in self.requests.asks.keys if key in book.places]:
             self.requests.grant_waiting(key)
-        self._work.set()
+        self._plan_event.set()
 
     # Planning.
 
     def _plan_loop(self) -> None:
         while True:
             has_pending_wants = self.requests.asks.wanted or self.prefetch.pending
-            self._work.wait(timeout=_PLAN_INTERVAL_S if has_pending_wants else None)
-            self._work.clear()
+            self._plan_event.wait(timeout=_PLAN_INTERVAL_S if has_pending_wants else None)
+            self._plan_event.clear()
             started_at = monotonic()
             if self._lease.holds and self._has_engine_reports():
                 self._plan()
@@ -384,7 +384,7 @@
         self.requests.forecasts.keep_only(wanted)
         if self._is_evacuated:
             return
-        loadable = self._loadable()
+        loadable = self._loadable_engines()
         limited = self.requests.limited_engines()
         full_engines = {name for name, room_in_s in limited.items() if room_in_s > _ROOM_SOON_S}
         prefetch = self.prefetch.wants(self._presence_check(loadable), now)
--- a/springrock/placement/planner.py
+++ b/springrock/placement/planner.py
@@ -309,8 +309,13 @@
             holders = index.holding(key)
             is_loading = any(engine.places[key].state is PlaceState.LOADING for engine in holders)
             is_assigned_or_loading = is_loading or bool(index.assigned(key))
-            asked = self._popularity.of(key) / max(1, len(holders))
-            if asked >= HOT_COUNT and key not in wanted and holders and not is_assigned_or_loading:
+            popularity = self._popularity.of(key) / max(1, len(holders))
+            if (
+                popularity >= HOT_COUNT
+                and key not in wanted
+                and holders
+                and not is_assigned_or_loading
+            ):
                 copies.append(unasked(key, now, is_copy=True))
         return copies
 
@@ -389,10 +394,10 @@
             return True
         if want.saves:
             return want.saves > self._popularity.of(victim) + _NEAR_COPY_MARGIN
-        asked = self._popularity.of(want.key)
+        popularity = self._popularity.of(want.key)
         if want.is_copy:
-            asked /= 1 + len(index.holding(want.key))
-        return asked > self._popularity.of(victim) + _POPULAR_COUNT
+            popularity /= 1 + len(index.holding(want.key))
+        return popularity > self._popularity.of(victim) + _POPULAR_COUNT
 
     def _retention_value(self, engine: EngineBook, key: AdapterKey) -> tuple[bool, float]:
         place: Place = engine.places[key]
--- a/springrock/placement/requests.py
+++ b/springrock/placement/requests.py
@@ -270,12 +270,12 @@
             for reconciler in self._reconcilers.values()
             if reconciler.book.reachable
         ]
-        is_cached = any(
+        is_cached_elsewhere = any(
             book.is_cached(key, version=version)
             for book in books
             if book.instance not in ask.failed_at
         )
-        load_cost = 0.0 if is_cached else COLD_COST
+        load_cost = 0.0 if is_cached_elsewhere else COLD_COST
         return [
             instance
             for instance in self.holders(key, avoid=avoid, bounds=ask.bounds)
--- a/tests/placement/test_dispatcher.py
+++ b/tests/placement/test_dispatcher.py
@@ -16,19 +16,19 @@
 KEY = AdapterKey("m", "a")
 OTHER = AdapterKey("m", "b")
 SHARED = [("letter", 6000)]
-Pass = Callable[[float], None]
+PassTime = Callable[[float], None]
 
 
 @pytest.fixture
-def pass_time(monkeypatch: pytest.MonkeyPatch) -> Pass:
+def pass_time(monkeypatch: pytest.MonkeyPatch) -> PassTime:
     now = [1000.0]
     for module in (dispatcher_module, engine_work_module, backoff_module):
         monkeypatch.setattr(module, "monotonic", lambda: now[0])
 
-    def _pass(seconds: float) -> None:
+    def _advance(seconds: float) -> None:
         now[0] += seconds
 
-    return _pass
+    return _advance
 
 
 class Requests:
@@ -55,12 +55,12 @@
         self.dispatcher.record_granted("box", self.sent, choice, key, prompt)
         return choice.instance
 
-    def over(self, number: int, outcome: Outcome = Outcome.ENDED) -> None:
+    def finish(self, number: int, outcome: Outcome = Outcome.ENDED) -> None:
         self.dispatcher.record_finished("box", Over(number, outcome))
 
 
 @pytest.fixture
-def requests(pass_time: Pass) -> Requests:
+def requests(pass_time: PassTime) -> Requests:
     return Requests()
 
 
@@ -103,16 +103,16 @@
 
 
 def test_an_engine_that_reads_slowly_gets_fewer_requests_for_a_time(
-    requests: Requests, pass_time: Pass
+    requests: Requests, pass_time: PassTime
 ) -> None:
     for number in range(1, 9):
         instance = requests.send("i-1" if number % 2 else "i-2")
         requests.dispatcher.record_start("box", Began(number, 800 if instance == "i-1" else 100))
-        requests.over(number)
+        requests.finish(number)
     assert [requests.send("i-1", "i-2") for _ in range(3)] == ["i-2"] * 3
     pass_time(60.0)
     for number in (9, 10, 11):
-        requests.over(number)
+        requests.finish(number)
     assert {requests.send("i-1", "i-2"), requests.send("i-1", "i-2")} == {"i-1", "i-2"}
 
 
@@ -121,15 +121,15 @@
     requests: Requests, outcome: Outcome
 ) -> None:
     first = requests.send("i-1", "i-2")
-    requests.over(1, outcome)
+    requests.finish(1, outcome)
     assert first not in [requests.send("i-1", "i-2") for _ in range(5)]
 
 
 def test_an_engine_that_lacks_the_adapter_gets_no_request_for_it(
-    requests: Requests, pass_time: Pass
+    requests: Requests, pass_time: PassTime
 ) -> None:
     assert requests.send("i-1") == "i-1"
-    requests.over(1, Outcome.LACKING)
+    requests.finish(1, Outcome.LACKING)
     assert requests.send("i-1") is None
     assert requests.send("i-1", key=OTHER) == "i-1"
     pass_time(2.0)
@@ -137,7 +137,7 @@
 
 
 def test_an_adapter_whose_first_events_would_come_late_is_crowded(
-    requests: Requests, pass_time: Pass
+    requests: Requests, pass_time: PassTime
 ) -> None:
     requests.send("i-1", tokens=3000)
     assert requests.dispatcher.crowded_since(0.0) == []
@@ -151,8 +151,8 @@
     requests.send("i-1")
     requests.send("i-1", key=OTHER)
     requests.dispatcher.record_use("other box", Use(1, "i-1", *KEY))
-    requests.over(1)
-    requests.over(1)
+    requests.finish(1)
+    requests.finish(1)
     dispatcher = requests.dispatcher
     assert dispatcher.used == {("i-1", OTHER): 1, ("i-1", KEY): 1}
     dispatcher.forget_box("box")
@@ -164,16 +164,16 @@
 def test_the_end_of_a_request_at_a_removed_engine_is_ignored(requests: Requests) -> None:
     requests.send("i-1")
     requests.dispatcher.forget("i-1")
-    requests.over(1)
+    requests.finish(1)
     assert not requests.dispatcher.used
     assert requests.dispatcher.work("i-1").prefill_backlog == 0
 
 
-def test_an_engine_that_fails_as_often_as_the_others_has_no_excess(pass_time: Pass) -> None:
+def test_an_engine_that_fails_as_often_as_the_others_has_no_excess(pass_time: PassTime) -> None:
     requests = Requests()
     for number, engine in enumerate(("i-1", "i-2", "i-1", "i-2", "i-3"), start=1):
         requests.send(engine)
-        requests.over(number, Outcome.FAILED)
+        requests.finish(number, Outcome.FAILED)
     dispatcher = requests.dispatcher
     assert dispatcher.excess_failures("i-1") > 0
     assert dispatcher.excess_failures("i-3") < 0
@@ -181,7 +181,7 @@
 
 
 def test_an_engine_that_asked_a_box_to_pause_is_used_only_if_there_is_no_other(
-    pass_time: Pass,
+    pass_time: PassTime,
 ) -> None:
     requests = Requests()
     assert requests.send("i-1") == "i-1"
--- a/tests/placement/test_engine_reconciler.py
+++ b/tests/placement/test_engine_reconciler.py
@@ -107,7 +107,7 @@
 def make_reconciler(
     engine: Engine,
     lease: Lease,
-    reported: list[set[str]],
+    published: list[set[str]],
     *,
     newest: int = 0,
     used: set[tuple[str, AdapterKey]] | None = None,
@@ -131,7 +131,7 @@
         newest=lambda key: newest,
         wanted_model=lambda: "m",
         holder="box",
-        on_change=lambda book: reported.append({held.adapter for held in book.ready()}),
+        on_change=lambda book: published.append({held.adapter for held in book.ready()}),
         log=Log("placer", "test"),
         metrics=ForwardingMetrics(),
         takes_orders=takes_orders,
@@ -150,36 +150,36 @@
 
 
 def test_an_assigned_adapter_is_loaded_and_published() -> None:
-    engine, reported = Engine(), []
-    reconciler = make_reconciler(engine, Lease(), reported)
+    engine, published = Engine(), []
+    reconciler = make_reconciler(engine, Lease(), published)
     reconciler.start()
     assign(reconciler, "a")
-    wait_for(lambda: bool(reported) and reported[-1] == {"a"}, "a is published as ready")
+    wait_for(lambda: bool(published) and published[-1] == {"a"}, "a is published as ready")
     assert key("a") not in reconciler.book.assigned
     reconciler.stop()
 
 
 @pytest.mark.parametrize("fault", ["lose_order", "lose_answer"])
 def test_an_order_without_answer_never_takes_two_places(fault: str) -> None:
-    engine, reported = Engine(), []
-    reconciler = make_reconciler(engine, Lease(), reported)
+    engine, published = Engine(), []
+    reconciler = make_reconciler(engine, Lease(), published)
     reconciler.start()
-    wait_for(lambda: reconciler.book.sequence is not None, "the engine is known")
+    wait_for(lambda: reconciler.book.sequence is not None, "a report of the engine is read")
     setattr(engine, fault, True)
     for name in ("a", "b"):
         assign(reconciler, name)
-    wait_for(lambda: engine.adapters == {"a", "b"}, "both are there")
+    wait_for(lambda: engine.adapters == {"a", "b"}, "both are loaded")
     assert engine.most_places <= SLOTS
     reconciler.stop()
 
 
 def test_a_full_engine_evicts_an_adapter_first() -> None:
-    engine, reported = Engine(), []
+    engine, published = Engine(), []
     engine.adapters = {"x", "y"}
-    reconciler = make_reconciler(engine, Lease(), reported)
+    reconciler = make_reconciler(engine, Lease(), published)
     reconciler.start()
     assign(reconciler, "a")
-    wait_for(lambda: "a" in engine.adapters, "a is there")
+    wait_for(lambda: "a" in engine.adapters, "a is loaded")
     assert engine.most_places <= SLOTS
     assert [order.kind for order in engine.orders][:2] == [OrderKind.UNLOAD, OrderKind.LOAD]
     reconciler.stop()
@@ -190,12 +190,12 @@
 ) -> None:
     """Boxes also send requests without a grant, and connect to a new placer only later."""
     monkeypatch.setattr(reconciler_module, "_RUNS_REPORT_TIMEOUT_S", 60.0)
-    engine, reported, known = Engine(), [], [0]
+    engine, published, known = Engine(), [], [0]
     engine.adapters, engine.running = {"x", "y"}, 2
-    reconciler = make_reconciler(engine, Lease(), reported, known_runs=lambda: known[0])
+    reconciler = make_reconciler(engine, Lease(), published, known_runs=lambda: known[0])
     reconciler.start()
     assign(reconciler, "a")
-    wait_for(lambda: bool(reported), "the engine's report is read")
+    wait_for(lambda: bool(published), "the engine's report is read")
     gevent.sleep(0.2)
     assert engine.orders == []
     known[0] = 2
@@ -207,9 +207,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(reconciler_module, "_RUNS_REPORT_TIMEOUT_S", 0.1)
-    engine, reported = Engine(), []
+    engine, published = Engine(), []
     engine.adapters, engine.running = {"x", "y"}, 2
-    reconciler = make_reconciler(engine, Lease(), reported)
+    reconciler = make_reconciler(engine, Lease(), published)
     reconciler.start()
     assign(reconciler, "a")
     wait_for(lambda: "a" in engine.adapters, "a is loaded, as no box reported the running requests")
@@ -217,10 +217,10 @@
 
 
 def test_no_order_is_sent_after_a_newer_fence_was_seen() -> None:
-    engine, lease, reported = Engine(), Lease(), []
-    reconciler = make_reconciler(engine, lease, reported)
+    engine, lease, published = Engine(), Lease(), []
+    reconciler = make_reconciler(engine, lease, published)
     reconciler.start()
-    wait_for(lambda: reconciler.book.sequence is not None, "the engine is known")
+    wait_for(lambda: reconciler.book.sequence is not None, "a report of the engine is read")
     engine.newest_fence = 6
     assign(reconciler, "a")
     wait_for(lambda: not lease.holds, "the lease is lost")
@@ -232,22 +232,22 @@
 
 
 def test_an_engine_that_came_back_empty_loads_its_model_first() -> None:
-    engine, reported = Engine(), []
+    engine, published = Engine(), []
     engine.models = frozenset()
-    reconciler = make_reconciler(engine, Lease(), reported)
+    reconciler = make_reconciler(engine, Lease(), published)
     reconciler.start()
     assign(reconciler, "a")
     wait_for(lambda: bool(engine.orders), "an order is given")
     assert engine.orders[0].key == AdapterKey("m", "")
     engine.models = frozenset({"m"})
-    wait_for(lambda: "a" in engine.adapters, "the adapter follows")
+    wait_for(lambda: "a" in engine.adapters, "the adapter is loaded afterwards")
     reconciler.stop()
 
 
 def test_an_older_version_is_replaced_by_the_newer_one() -> None:
-    engine, reported = Engine(), []
+    engine, published = Engine(), []
     engine.adapters = {"a", "b"}
-    reconciler = make_reconciler(engine, Lease(), reported, newest=2)
+    reconciler = make_reconciler(engine, Lease(), published, newest=2)
     reconciler.start()
     assign(reconciler, "a")
     wait_for(lambda: len(engine.orders) >= 2, "two orders are given")
@@ -260,10 +260,10 @@
 
 
 def test_an_older_version_in_use_is_not_unloaded() -> None:
-    engine, reported = Engine(), []
+    engine, published = Engine(), []
     engine.adapters = {"a", "b"}
     used = {("i-1", key("a"))}
-    reconciler = make_reconciler(engine, Lease(), reported, newest=2, used=used)
+    reconciler = make_reconciler(engine, Lease(), published, newest=2, used=used)
     reconciler.start()
     assign(reconciler, "a")
     gevent.sleep(0.3)
@@ -340,12 +340,12 @@
 
 @pytest.mark.parametrize("born_ms", [2, None])
 def test_a_report_of_another_start_is_rejected(born_ms: int | None) -> None:
-    engine, reported = RestartingEngine(), []
+    engine, published = RestartingEngine(), []
     engine.adapters = {"a"}
-    reconciler = make_reconciler(engine, Lease(), reported)
+    reconciler = make_reconciler(engine, Lease(), published)
     set_start(reconciler)
     reconciler.start()
-    wait_for(lambda: reconciler.book.reachable, "the engine is known")
+    wait_for(lambda: reconciler.book.reachable, "a report of the engine is read")
     engine.born_ms, engine.adapters = born_ms, {"b"}
     reconciler.mark_stale()
     wait_for(lambda: not reconciler.book.reachable, "the engine counts as unreachable")
@@ -367,7 +367,7 @@
     set_start(reconciler)
     reconciler.start()
     assign(reconciler, "a")
-    wait_for(lambda: "a" in engine.adapters, "the adapter is there")
+    wait_for(lambda: "a" in engine.adapters, "the adapter is loaded")
     assert engine.addressed == {"i-1"}
     reconciler.stop()
 
@@ -377,30 +377,31 @@
     reconciler = make_reconciler(engine, Lease(), [])
     reconciler.apply_record(msgspec.structs.replace(reconciler.book.record, understood=False))
     reconciler.start()
-    wait_for(lambda: reconciler.book.reachable, "the engine is known")
+    wait_for(lambda: reconciler.book.reachable, "a report of the engine is read")
     assign(reconciler, "a")
     gevent.sleep(0.2)
     assert engine.orders == []
     reconciler.apply_record(msgspec.structs.replace(reconciler.book.record, understood=True))
     reconciler.wake()
-    wait_for(lambda: "a" in engine.adapters, "the adapter is there")
+    wait_for(lambda: "a" in engine.adapters, "the adapter is loaded")
     reconciler.stop()
 
 
 def test_the_reports_of_an_engine_without_orders_are_still_read() -> None:
-    engine, reported = Engine(), []
+    engine, published = Engine(), []
     orders_from: list[bool] = []
-    reconciler = make_reconciler(engine, Lease(), reported, takes_orders=lambda: bool(orders_from))
+    reconciler = make_reconciler(engine, Lease(), published, takes_orders=lambda: bool(orders_from))
     reconciler.start()
     assign(reconciler, "a")
     engine.adapters = {"x"}
     wait_for(
-        lambda: bool(reported) and reported[-1] == {"x"}, "the adapters of the engine are published"
+        lambda: bool(published) and published[-1] == {"x"},
+        "the engine's adapters are published",
     )
     gevent.sleep(0.1)
     assert engine.orders == []
     orders_from.append(True)
-    wait_for(lambda: bool(reported) and reported[-1] == {"x", "a"}, "a is there")
+    wait_for(lambda: bool(published) and published[-1] == {"x", "a"}, "a is loaded")
     reconciler.stop()
 
 
@@ -431,14 +432,14 @@
     reconciler = make_reconciler(engine, Lease(), [])
     book = reconciler.book
     reconciler.start()
-    wait_for(lambda: len(book.ready()) == SLOTS, "the engine is known")
+    wait_for(lambda: len(book.ready()) == SLOTS, "a report of the engine is read")
     for place in book.places.values():
         place.since -= 10.0
     assign(reconciler, "a")
     wait_for(lambda: len(book.ready()) == SLOTS - 1, "one adapter counts as unloading")
     assert not engine.answer_allowed.is_set()
     engine.answer_allowed.set()
-    wait_for(lambda: "a" in engine.adapters, "the adapter is there")
+    wait_for(lambda: "a" in engine.adapters, "the adapter is loaded")
     assert engine.most_places <= SLOTS
     reconciler.stop()
 
--- a/tests/placement/test_near_copies.py
+++ b/tests/placement/test_near_copies.py
@@ -31,52 +31,52 @@
     return clock
 
 
-def make_near(zone: str = "a-1", prices: DistancePrices = PRICES) -> NearCopies:
+def make_near_copies(zone: str = "a-1", prices: DistancePrices = PRICES) -> NearCopies:
     topology = Topology(home=zone, zones=tuple(REGIONS), regions=REGIONS)
     return NearCopies(zone, topology=lambda: topology, prices=prices)
 
 
 def test_a_copy_is_worthwhile_once_the_traffic_of_one_zone_costs_half_a_load(clock: Clock) -> None:
-    near = make_near()
-    assert near.record(KEY, home_zone="a-2", carried_bytes=5_000) == 0.0
-    assert near.record(KEY, home_zone="a-3", carried_bytes=5_000) == 0.0, (
+    copies = make_near_copies()
+    assert copies.record(KEY, home_zone="a-2", carried_bytes=5_000) == 0.0
+    assert copies.record(KEY, home_zone="a-3", carried_bytes=5_000) == 0.0, (
         "each zone is counted by itself"
     )
-    assert near.record(OTHER, home_zone="a-2", carried_bytes=5_000) == 0.0
-    assert near.record(KEY, home_zone="a-2", carried_bytes=5_000) == pytest.approx(0.5)
+    assert copies.record(OTHER, home_zone="a-2", carried_bytes=5_000) == 0.0
+    assert copies.record(KEY, home_zone="a-2", carried_bytes=5_000) == pytest.approx(0.5)
     clock.now += 8.0
-    assert near.record(KEY, home_zone="a-2", carried_bytes=7_000) == pytest.approx(0.6)
+    assert copies.record(KEY, home_zone="a-2", carried_bytes=7_000) == pytest.approx(0.6)
 
 
 def test_the_zones_of_another_region_are_counted_together_at_the_price_between_regions(
     clock: Clock,
 ) -> None:
-    near = make_near()
-    assert near.record(KEY, home_zone="b-1", carried_bytes=2_000) == 0.0
-    assert near.record(KEY, home_zone="b-2", carried_bytes=2_000) == pytest.approx(0.8)
+    copies = make_near_copies()
+    assert copies.record(KEY, home_zone="b-1", carried_bytes=2_000) == 0.0
+    assert copies.record(KEY, home_zone="b-2", carried_bytes=2_000) == pytest.approx(0.8)
 
 
 def test_the_own_zone_needs_no_copy(clock: Clock) -> None:
-    assert make_near().record(KEY, home_zone="a-1", carried_bytes=9_000_000) == 0.0
+    assert make_near_copies().record(KEY, home_zone="a-1", carried_bytes=9_000_000) == 0.0
 
 
 def test_loads_without_a_price_make_every_copy_worthwhile(clock: Clock) -> None:
-    near = make_near(prices=DistancePrices(adapter_load=0.0))
-    assert near.record(KEY, home_zone="a-2", carried_bytes=1) > 1.0
+    copies = make_near_copies(prices=DistancePrices(adapter_load=0.0))
+    assert copies.record(KEY, home_zone="a-2", carried_bytes=1) > 1.0
 
 
 def test_traffic_without_a_price_leads_to_no_copies(clock: Clock) -> None:
-    near = make_near(prices=DistancePrices(zone_mb=0.0, region_mb=0.0))
-    assert near.record(KEY, home_zone="a-2", carried_bytes=9_000_000) == 0.0
+    copies = make_near_copies(prices=DistancePrices(zone_mb=0.0, region_mb=0.0))
+    assert copies.record(KEY, home_zone="a-2", carried_bytes=9_000_000) == 0.0
 
 
 def test_a_request_for_a_copy_is_valid_for_a_second_after_it_was_last_sent(clock: Clock) -> None:
-    wishes = CopyRequests()
-    wishes.record([CopyWish("m", "a", 120), CopyWish("m", "b", 60)])
+    requests = CopyRequests()
+    requests.record([CopyWish("m", "a", 120), CopyWish("m", "b", 60)])
     clock.now += 0.7
-    wishes.record([CopyWish("m", "b", 90)])
-    assert wishes.current() == {KEY: 1.2, OTHER: 0.9}
+    requests.record([CopyWish("m", "b", 90)])
+    assert requests.current() == {KEY: 1.2, OTHER: 0.9}
     clock.now += 0.7
-    assert wishes.current() == {OTHER: 0.9}
-    wishes.clear()
-    assert wishes.current() == {}
+    assert requests.current() == {OTHER: 0.9}
+    requests.clear()
+    assert requests.current() == {}
--- a/tests/placement/test_placer.py
+++ b/tests/placement/test_placer.py
@@ -46,7 +46,7 @@
 LOG = Log("test", "box")
 
 
-Sent = tuple[str, Message]
+SentMessage = tuple[str, Message]
 """A box and a message that was sent to it."""
 
 
@@ -68,7 +68,7 @@
 
 
 @pytest.fixture
-def reported(monkeypatch: pytest.MonkeyPatch) -> list[Sent]:
+def sent_messages(monkeypatch: pytest.MonkeyPatch) -> list[SentMessage]:
     began_at = monotonic()
     for module in (placer_module, reconciler_module):
         monkeypatch.setattr(module, "monotonic", lambda: began_at)
@@ -76,17 +76,17 @@
 
 
 @pytest.fixture
-def placer(reported: list[Sent]) -> Iterator[Placer]:
-    placer = make_placer(SlowEngine("m"), reported)
+def placer(sent_messages: list[SentMessage]) -> Iterator[Placer]:
+    placer = make_placer(SlowEngine("m"), sent_messages)
     placer.start()
     yield placer
     placer.stop()
 
 
 @pytest.fixture
-def placer_with_x(reported: list[Sent]) -> Iterator[Placer]:
+def placer_with_x(sent_messages: list[SentMessage]) -> Iterator[Placer]:
     """A placer whose engine has reported that it holds the adapter x."""
-    placer = start_holding(SlowEngine("m", adapters=("x",)), reported)
+    placer = start_holding(SlowEngine("m", adapters=("x",)), sent_messages)
     yield placer
     placer.stop()
 
@@ -109,7 +109,7 @@
 
 def make_placer(
     control: EngineControl,
-    reported: list[Sent],
+    sent_messages: list[SentMessage],
     *,
     world: Callable[[], World] = make_world,
     permits: ScriptedPermits | None = None,
@@ -149,7 +149,7 @@
         box="box-1",
         ceiling_ratio=1.0,
         ceiling_burst=2.0,
-        send=lambda box, message: reported.append((box, message)),
+        send=lambda box, message: sent_messages.append((box, message)),
         log=LOG,
         metrics=ForwardingMetrics(),
         home_zone_of=home_zone_of,
@@ -158,14 +158,16 @@
 
 def start_holding(
     control: EngineControl,
-    reported: list[Sent],
+    sent_messages: list[SentMessage],
     *,
     world: Callable[[], World] = make_world,
     permits: ScriptedPermits | None = None,
     home_zone_of: Callable[[str], str | None] = lambda box: None,
 ) -> Placer:
     """Start a placer and wait until its engine has reported that it holds the adapter x."""
-    placer = make_placer(control, reported, world=world, permits=permits, home_zone_of=home_zone_of)
+    placer = make_placer(
+        control, sent_messages, world=world, permits=permits, home_zone_of=home_zone_of
+    )
     placer.start()
     with gevent.Timeout(10):
         while not placer.requests.holders(AdapterKey("m", "x")):
@@ -177,18 +179,22 @@
     return Demand(asks=[Ask(number, "r", "m", adapter, 1.0, 500)])
 
 
-def wait_for(reported: list[Sent], kind: type[Message], *, count: int) -> list[Sent]:
+def wait_for(
+    sent_messages: list[SentMessage], kind: type[Message], *, count: int
+) -> list[SentMessage]:
     with gevent.Timeout(10):
-        while sum(isinstance(message, kind) for _, message in reported) < count:
+        while sum(isinstance(message, kind) for _, message in sent_messages) < count:
             gevent.sleep(0.01)
-    return [(box, message) for box, message in reported if isinstance(message, kind)]
+    return [(box, message) for box, message in sent_messages if isinstance(message, kind)]
 
 
-def test_each_box_that_waits_is_sent_a_forecast(placer: Placer, reported: list[Sent]) -> None:
+def test_each_box_that_waits_is_sent_a_forecast(
+    placer: Placer, sent_messages: list[SentMessage]
+) -> None:
     placer.apply_demand("box-1", demand_for("a"))
-    assert [box for box, _ in wait_for(reported, Forecast, count=1)] == ["box-1"]
+    assert [box for box, _ in wait_for(sent_messages, Forecast, count=1)] == ["box-1"]
     placer.apply_demand("box-2", demand_for("a"))
-    assert [box for box, _ in wait_for(reported, Forecast, count=2)] == ["box-1", "box-2"]
+    assert [box for box, _ in wait_for(sent_messages, Forecast, count=2)] == ["box-1", "box-2"]
 
 
 def test_changed_adapters_of_an_engine_are_drained_once(placer_with_x: Placer) -> None:
@@ -201,39 +207,39 @@
 
 
 def test_a_box_that_asks_again_is_sent_another_forecast(
-    placer: Placer, reported: list[Sent]
+    placer: Placer, sent_messages: list[SentMessage]
 ) -> None:
     placer.apply_demand("box-1", demand_for("a", number=1))
-    wait_for(reported, Forecast, count=1)
+    wait_for(sent_messages, Forecast, count=1)
     placer.apply_demand("box-1", Demand(over=[Over(1)]))
     placer.apply_demand("box-1", demand_for("a", number=2))
-    wait_for(reported, Forecast, count=2)
+    wait_for(sent_messages, Forecast, count=2)
 
 
 def test_a_request_for_what_an_engine_holds_is_granted_at_once(
-    placer_with_x: Placer, reported: list[Sent]
+    placer_with_x: Placer, sent_messages: list[SentMessage]
 ) -> None:
     placer_with_x.apply_demand("box-1", demand_for("x", number=7))
-    assert reported == [("box-1", Grant(7, "i-1"))]
+    assert sent_messages == [("box-1", Grant(7, "i-1"))]
 
 
 def test_an_engine_that_was_tried_is_not_granted_again(
-    placer_with_x: Placer, reported: list[Sent]
+    placer_with_x: Placer, sent_messages: list[SentMessage]
 ) -> None:
     again = Ask(8, "r", "m", "x", 1.0, 500, tried=["i-1"])
     placer_with_x.apply_demand("box-1", Demand(asks=[again]))
-    wait_for(reported, Forecast, count=1)
-    assert not any(isinstance(message, Grant) for _, message in reported)
+    wait_for(sent_messages, Forecast, count=1)
+    assert not any(isinstance(message, Grant) for _, message in sent_messages)
 
 
 @pytest.mark.parametrize(("region", "granted"), [("a", True), ("b", False)])
 @pytest.mark.parametrize("failed", [False, True])
 def test_an_engine_is_granted_only_where_the_request_may_be_served(
-    reported: list[Sent], region: str, granted: bool, failed: bool
+    sent_messages: list[SentMessage], region: str, granted: bool, failed: bool
 ) -> None:
     placer = start_holding(
         SlowEngine("m", adapters=("x",)),
-        reported,
+        sent_messages,
         world=lambda: make_world("zone-1", regions={"zone-1": "a", "zone-2": "b"}),
     )
     tried = ["i-1"] if failed else []
@@ -242,25 +248,25 @@
     assert isinstance(sent, Demand)
     placer.apply_demand("box-2", sent)
     placer.stop()
-    assert any(isinstance(message, Grant) for _, message in reported) is granted
+    assert any(isinstance(message, Grant) for _, message in sent_messages) is granted
 
 
 def test_a_copy_that_boxes_of_this_zone_request_is_loaded_and_kept(
-    placer: Placer, reported: list[Sent]
+    placer: Placer, sent_messages: list[SentMessage]
 ) -> None:
     placer.apply_demand("box-1", Demand(copies=[CopyWish("m", "far", 300)]))
     with gevent.Timeout(10):
         while AdapterKey("m", "far") not in placer._reconcilers["i-1"].book.assigned:
             gevent.sleep(0.01)
     assert 2.0 < placer._popularity.of(AdapterKey("m", "far")) <= 3.0
-    assert reported == [], "no request waits for it"
+    assert sent_messages == [], "no request waits for it"
 
 
 def test_grants_to_a_box_of_another_zone_state_the_savings_of_a_copy_there(
-    reported: list[Sent],
+    sent_messages: list[SentMessage],
 ) -> None:
     homes = {"box-2": "zone-2", "box-3": "zone-3", "box-1": "zone-1"}
-    placer = start_holding(SlowEngine("m", adapters=("x",)), reported, home_zone_of=homes.get)
+    placer = start_holding(SlowEngine("m", adapters=("x",)), sent_messages, home_zone_of=homes.get)
     long_prompt = [("p", 10_000)]
     for number in range(4):
         for box in ("box-1", "box-2", "box-4"):
@@ -269,38 +275,38 @@
     bound = Ask(9, "r", "m", "x", 1.0, 500, long_prompt, regions=["nowhere"])
     placer.apply_demand("box-3", Demand(asks=[bound]))
     placer.stop()
-    grants = [(box, message.saves) for box, message in reported if isinstance(message, Grant)]
+    grants = [(box, message.saves) for box, message in sent_messages if isinstance(message, Grant)]
     saved = [saves for box, saves in grants if box == "box-2"]
     assert saved == sorted(saved)
     assert saved[0] > 100, "42 KB cost more than a load"
     assert {saves for box, saves in grants if box != "box-2"} == {0}
 
 
-def fail_at_once(placer: Placer, reported: list[Sent], *, times: int) -> None:
+def fail_at_once(placer: Placer, sent_messages: list[SentMessage], *, times: int) -> None:
     """Make requests for the adapter x fail at its only engine, one after the other."""
     for number in range(100, 100 + times):
         placer.apply_demand("box-1", demand_for("x", number=number))
         placer.apply_demand("box-1", Demand(over=[Over(number, Outcome.FAILED)]))
-    reported.clear()
+    sent_messages.clear()
 
 
 def test_an_engine_that_failed_a_request_gets_it_again_where_a_load_would_cost_more(
-    placer_with_x: Placer, reported: list[Sent]
+    placer_with_x: Placer, sent_messages: list[SentMessage]
 ) -> None:
-    fail_at_once(placer_with_x, reported, times=1)
+    fail_at_once(placer_with_x, sent_messages, times=1)
     again = Ask(8, "r", "m", "x", 1.0, 500, tried=["i-1"], failed_at=["i-1"])
     placer_with_x.apply_demand("box-1", Demand(asks=[again]))
-    assert reported == [("box-1", Grant(8, "i-1"))]
+    assert sent_messages == [("box-1", Grant(8, "i-1"))]
 
 
 def test_an_engine_that_fails_far_more_than_others_does_not_get_a_request_again(
-    placer_with_x: Placer, reported: list[Sent]
+    placer_with_x: Placer, sent_messages: list[SentMessage]
 ) -> None:
-    fail_at_once(placer_with_x, reported, times=10)
+    fail_at_once(placer_with_x, sent_messages, times=10)
     again = Ask(8, "r", "m", "x", 4.0, 500, tried=["i-1"], failed_at=["i-1"])
     placer_with_x.apply_demand("box-1", Demand(asks=[again]))
-    wait_for(reported, Forecast, count=1)
-    assert not any(isinstance(message, Grant) for _, message in reported)
+    wait_for(sent_messages, Forecast, count=1)
+    assert not any(isinstance(message, Grant) for _, message in sent_messages)
 
 
 class CrashingEngine(SlowEngine):
@@ -315,10 +321,10 @@
 
 
 def test_an_engine_that_a_box_could_not_reach_is_probed_and_not_granted_if_it_is_gone(
-    reported: list[Sent],
+    sent_messages: list[SentMessage],
 ) -> None:
     control = CrashingEngine("m", adapters=("x",))
-    placer = start_holding(control, reported)
+    placer = start_holding(control, sent_messages)
     with gevent.Timeout(10):
         placer.apply_demand("box-1", demand_for("x"))
         control.crashed = True
@@ -326,28 +332,28 @@
         while placer.requests.holders(AdapterKey("m", "x")):
             gevent.sleep(0.01)
     placer.apply_demand("box-2", demand_for("x"))
-    assert [box for box, message in reported if isinstance(message, Grant)] == ["box-1"]
+    assert [box for box, message in sent_messages if isinstance(message, Grant)] == ["box-1"]
     placer.stop()
 
 
 def test_the_report_of_an_engine_that_lacks_the_adapter_is_read(
-    reported: list[Sent],
+    sent_messages: list[SentMessage],
 ) -> None:
     control = SlowEngine("m", adapters=("x",))
-    placer = start_holding(control, reported)
+    placer = start_holding(control, sent_messages)
     with gevent.Timeout(10):
         placer.apply_demand("box-1", demand_for("x"))
         reports_before = control.reports
         placer.apply_demand("box-1", Demand(over=[Over(1, Outcome.LACKING)]))
         placer.apply_demand("box-2", demand_for("x"))
-        assert [box for box, message in reported if isinstance(message, Grant)] == ["box-1"]
+        assert [box for box, message in sent_messages if isinstance(message, Grant)] == ["box-1"]
         while control.reports == reports_before:
             gevent.sleep(0.01)
     placer.stop()
 
 
 def test_an_adapter_that_requests_use_is_no_room(
-    placer_with_x: Placer, reported: list[Sent]
+    placer_with_x: Placer, sent_messages: list[SentMessage]
 ) -> None:
     with gevent.Timeout(10):
         while placer_with_x.room() != 1:
@@ -362,7 +368,7 @@
 
 
 def test_the_adapter_of_a_client_that_was_told_to_retry_is_loaded(
-    placer: Placer, reported: list[Sent]
+    placer: Placer, sent_messages: list[SentMessage]
 ) -> None:
     placer.apply_demand("box-1", Demand(promises=[Promise("m", "a", 1.0, 300)]))
     with gevent.Timeout(10):
@@ -372,9 +378,9 @@
 
 @pytest.mark.parametrize(("models", "room"), [(("m",), 2), ((), 0)])
 def test_an_engine_without_a_base_model_has_no_room(
-    reported: list[Sent], models: tuple[str, ...], room: int
+    sent_messages: list[SentMessage], models: tuple[str, ...], room: int
 ) -> None:
-    placer = make_placer(SlowEngine(*models), reported)
+    placer = make_placer(SlowEngine(*models), sent_messages)
     placer.start()
     with gevent.Timeout(10):
         while any(reconciler.book.sequence is None for reconciler in placer._reconcilers.values()):
@@ -385,10 +391,10 @@
 
 @pytest.mark.parametrize("wanted", ["ask", "promise"])
 def test_a_place_that_a_request_frees_is_assigned_at_once(
-    monkeypatch: pytest.MonkeyPatch, reported: list[Sent], wanted: str
+    monkeypatch: pytest.MonkeyPatch, sent_messages: list[SentMessage], wanted: str
 ) -> None:
     monkeypatch.setattr(placer_module, "_PLAN_INTERVAL_S", 60.0)
-    placer = start_holding(SlowEngine("m", adapters=("x", "y")), reported)
+    placer = start_holding(SlowEngine("m", adapters=("x", "y")), sent_messages)
     for number, adapter in enumerate(("x", "y")):
         placer.apply_demand("box-1", demand_for(adapter, number=number))
     updates = (
@@ -409,8 +415,10 @@
     placer.stop()
 
 
-def test_a_promise_is_planned_again_until_there_is_a_place(reported: list[Sent]) -> None:
-    placer = start_holding(SlowEngine("m", adapters=("x", "y")), reported)
+def test_a_promise_is_planned_again_until_there_is_a_place(
+    sent_messages: list[SentMessage],
+) -> None:
+    placer = start_holding(SlowEngine("m", adapters=("x", "y")), sent_messages)
     [reconciler] = placer._reconcilers.values()
     for place in reconciler.book.places.values():
         place.since += 10
@@ -426,10 +434,10 @@
 
 
 def test_a_waiting_request_is_granted_an_unreachable_engine_once_it_answers_again(
-    reported: list[Sent],
+    sent_messages: list[SentMessage],
 ) -> None:
     control = CrashingEngine("m", adapters=("x", "y"))
-    placer = start_holding(control, reported)
+    placer = start_holding(control, sent_messages)
     control.crashed = True
     placer.apply_demand("box-1", demand_for("x"))
     placer.apply_demand("box-1", Demand(over=[Over(1, Outcome.UNREACHABLE)]))
@@ -438,7 +446,7 @@
             gevent.sleep(0.01)
         placer.apply_demand("box-2", demand_for("x", number=2))
         control.crashed = False
-        while ("box-2", Grant(2, "i-1")) not in reported:
+        while ("box-2", Grant(2, "i-1")) not in sent_messages:
             gevent.sleep(0.01)
     placer.stop()
 
@@ -456,49 +464,51 @@
 
 
 def test_an_evacuated_zone_is_granted_until_its_cut_and_loads_no_adapters(
-    reported: list[Sent],
+    sent_messages: list[SentMessage],
 ) -> None:
     worlds = [make_world(announced=("zone-1",))]
     control = OrderedEngine("m", adapters=("x",))
-    placer = start_holding(control, reported, world=lambda: worlds[-1])
+    placer = start_holding(control, sent_messages, world=lambda: worlds[-1])
     assert placer.room() == 0
     placer.apply_demand("box-1", demand_for("a", number=1))
     placer.apply_demand("box-1", demand_for("x", number=2))
-    assert reported == [("box-1", Grant(2, "i-1"))]
+    assert sent_messages == [("box-1", Grant(2, "i-1"))]
     worlds.append(make_world(evacuated=("zone-1",)))
     placer.apply_demand("box-1", demand_for("x", number=3))
     gevent.sleep(0.2)
-    assert reported == [("box-1", Grant(2, "i-1"))], "neither a grant nor a forecast"
+    assert sent_messages == [("box-1", Grant(2, "i-1"))], "neither a grant nor a forecast"
     assert control.ordered == []
     worlds.append(make_world())
     placer.apply_demand("box-1", demand_for("b", number=4))
     assert placer.room() > 0
-    assert ("box-1", Grant(3, "i-1")) in wait_for(reported, Grant, count=2)
+    assert ("box-1", Grant(3, "i-1")) in wait_for(sent_messages, Grant, count=2)
     placer.stop()
 
 
 def test_popular_adapters_of_an_evacuated_zone_are_loaded_before_a_request_waits(
-    reported: list[Sent],
+    sent_messages: list[SentMessage],
 ) -> None:
     control = OrderedEngine("m")
-    placer = make_placer(control, reported)
+    placer = make_placer(control, sent_messages)
     placer.start()
     placer.prefetch.add("zone-2", [AskedFor("m", "a", 3.0), AskedFor("m", "b", 1.0)])
     with gevent.Timeout(10):
         while set(control.ordered) != {"a", "b"}:
             gevent.sleep(0.01)
     assert control.ordered[0] == "a"
-    assert reported == []
+    assert sent_messages == []
     placer.stop()
     assert not placer.prefetch.pending
 
 
-def test_a_cold_engine_is_granted_as_far_as_there_are_permits(reported: list[Sent]) -> None:
+def test_a_cold_engine_is_granted_as_far_as_there_are_permits(
+    sent_messages: list[SentMessage],
+) -> None:
     cold: list[str] = []
     permits = ScriptedPermits()
     placer = start_holding(
         SlowEngine("m", adapters=("x",)),
-        reported,
+        sent_messages,
         world=lambda: make_world(is_cold=lambda record: record.instance in cold),
         permits=permits,
     )
@@ -506,49 +516,49 @@
         placer.apply_demand("box-2", demand_for("x", number=1))
         cold.append("i-1")
         placer.apply_demand("box-2", demand_for("x", number=2))
-        assert [message for _, message in reported if isinstance(message, Grant)] == [
+        assert [message for _, message in sent_messages if isinstance(message, Grant)] == [
             Grant(1, "i-1")
         ]
         permits.left = 1
         placer.requests.grant_all()
         placer.apply_demand("box-2", demand_for("x", number=3))
-        grants = [message for _, message in reported if isinstance(message, Grant)]
+        grants = [message for _, message in sent_messages if isinstance(message, Grant)]
         assert grants == [Grant(1, "i-1"), Grant(2, "i-1", permitted=True)]
     finally:
         placer.stop()
 
 
-def test_a_cold_engine_is_given_adapters_meanwhile(reported: list[Sent]) -> None:
+def test_a_cold_engine_is_given_adapters_meanwhile(sent_messages: list[SentMessage]) -> None:
     placer = make_placer(
-        SlowEngine("m"), reported, world=lambda: make_world(is_cold=lambda record: True)
+        SlowEngine("m"), sent_messages, world=lambda: make_world(is_cold=lambda record: True)
     )
     placer.start()
     try:
         placer.apply_demand("box-1", demand_for("a"))
-        wait_for(reported, Forecast, count=1)
+        wait_for(sent_messages, Forecast, count=1)
     finally:
         placer.stop()
 
 
 def test_a_request_whose_adapter_is_held_only_by_full_engines_is_sent_to_another_zone(
-    reported: list[Sent],
+    sent_messages: list[SentMessage],
 ) -> None:
     limited: list[str] = []
     permits = ScriptedPermits()
     placer = start_holding(
         SlowEngine("m", adapters=("x",)),
-        reported,
+        sent_messages,
         world=lambda: make_world(is_limited=lambda record: record.instance in limited),
         permits=permits,
     )
     try:
         limited.append("i-1")
         placer.apply_demand("box-2", demand_for("x", number=1))
-        [(_, forecast), *_] = wait_for(reported, Forecast, count=1)
+        [(_, forecast), *_] = wait_for(sent_messages, Forecast, count=1)
         assert isinstance(forecast, Forecast) and forecast.elsewhere
         permits.left = 1
         placer.apply_demand("box-3", demand_for("x", number=2))
-        grants = [(box, m) for box, m in reported if isinstance(m, Grant)]
+        grants = [(box, m) for box, m in sent_messages if isinstance(m, Grant)]
         assert len(grants) == 1 and grants[0][1].permitted
     finally:
         placer.stop()
--- a/tests/placement/test_placer_restart.py
+++ b/tests/placement/test_placer_restart.py
@@ -13,7 +13,7 @@
 from springrock.placement.control import EngineState
 from springrock.placement.messages import Demand, Grant, Over, Use
 from springrock.placement.placer import Placer
-from tests.placement.test_placer import Sent, SlowEngine, demand_for, make_placer
+from tests.placement.test_placer import SentMessage, SlowEngine, demand_for, make_placer
 
 KEY = AdapterKey("m", "x")
 
@@ -52,13 +52,13 @@
 
 
 @pytest.fixture
-def reported() -> list[Sent]:
+def sent_messages() -> list[SentMessage]:
     return []
 
 
 @pytest.fixture
-def placer(engine: RestartingEngine, reported: list[Sent]) -> Iterator[Placer]:
-    placer = make_placer(engine, reported)
+def placer(engine: RestartingEngine, sent_messages: list[SentMessage]) -> Iterator[Placer]:
+    placer = make_placer(engine, sent_messages)
     placer._directory.update(record_of(1))
     placer.start()
     wait_for_holders(placer, ["i-1@1"])
@@ -73,10 +73,10 @@
 
 
 def test_adapters_of_the_earlier_start_are_not_granted(
-    placer: Placer, engine: RestartingEngine, reported: list[Sent]
+    placer: Placer, engine: RestartingEngine, sent_messages: list[SentMessage]
 ) -> None:
     placer.apply_demand("box-1", demand_for("x", number=1))
-    assert reported == [("box-1", Grant(1, "i-1@1"))]
+    assert sent_messages == [("box-1", Grant(1, "i-1@1"))]
     engine.restart()
     placer._directory.update(record_of(2))
     assert list(placer._reconcilers) == ["i-1@2"]
@@ -84,10 +84,10 @@
     dispatcher = placer.requests.dispatcher("s")
     assert "i-1@1" not in dispatcher.waits()
     placer.apply_demand("box-1", demand_for("x", number=2))
-    assert not any(message == Grant(2, "i-1@2") for _, message in reported)
+    assert not any(message == Grant(2, "i-1@2") for _, message in sent_messages)
     engine.adapters = ("x",)
     wait_for_holders(placer, ["i-1@2"])
-    assert ("box-1", Grant(2, "i-1@2")) in reported
+    assert ("box-1", Grant(2, "i-1@2")) in sent_messages
 
 
 def test_a_restart_that_only_the_engines_report_shows_stops_its_grants(
