--- a/springrock/placement/dispatcher.py
+++ b/springrock/placement/dispatcher.py
@@ -28,13 +28,13 @@
     """A request that was sent to an engine.
 
     Attributes:
-        prefill_tokens: Prompt tokens that the engine had to read for it.
+        unread: Prompt tokens that the engine had to read for it.
         backlog: Those and the tokens of all earlier requests that had not started.
     """
 
     instance: str
     key: AdapterKey
-    prefill_tokens: int = 0
+    unread: int = 0
     backlog: int = 0
 
 
@@ -43,12 +43,12 @@
 
     Attributes:
         wait_s: Estimated seconds until its first event.
-        prefill_tokens: Prompt tokens that the engine has to read, as they are not cached.
+        unread: Prompt tokens that the engine has to read, as they are not cached.
     """
 
     instance: str
     wait_s: float
-    prefill_tokens: int
+    unread: int
 
 
 class Dispatcher:
@@ -114,17 +114,11 @@
         work = self.work(instance)
         if work.is_missing(key):
             return None
-        prefill_tokens = sum(tokens for _, tokens in prompt) - work.prompt_cache.cached_tokens(
-            key, prompt
-        )
-        wait_s = (
-            work.wait_s
-            + prefill_tokens * work.token_s
-            + _FAILURE_PENALTY_S * work.health.failure_rate
-        )
+        unread = sum(tokens for _, tokens in prompt) - work.prompt_cache.cached_tokens(key, prompt)
+        wait_s = work.wait_s + unread * work.token_s + _FAILURE_PENALTY_S * work.health.failure_rate
         if work.is_full or work.backoff.active or work.health.resting:
             wait_s += _AVOIDANCE_PENALTY_S
-        return Choice(instance, wait_s, prefill_tokens)
+        return Choice(instance, wait_s, unread)
 
     def excess_failures(self, instance: str) -> float:
         """Return an engine's failure rate less the mean rate of the others, from -1 to 1."""
@@ -139,11 +133,9 @@
     ) -> None:
         """Record that a request was granted an engine."""
         work = self.work(choice.instance)
-        work.prefill_backlog += choice.prefill_tokens
+        work.prefill_backlog += choice.unread
         work.prompt_cache.record(key, prompt)
-        self._add(
-            (box, number), _Run(choice.instance, key, choice.prefill_tokens, work.prefill_backlog)
-        )
+        self._add((box, number), _Run(choice.instance, key, choice.unread, work.prefill_backlog))
 
     def record_use(self, box: str, use: Use) -> None:
         """Record a use without a grant of this placer, or one that an earlier placer granted."""
@@ -160,7 +152,7 @@
         self._started.add(run_id)
         work = self._work.get(run.instance)
         if work is not None:
-            work.prefill_backlog -= run.prefill_tokens
+            work.prefill_backlog -= run.unread
             work.record_prefill(run.backlog, after_s=began.after_ms / 1000)
 
     def record_finished(self, box: str, over: Over) -> _Run | None:
@@ -178,7 +170,7 @@
         work = self._work.get(run.instance)
         if work is not None:
             work.runs -= 1
-            work.prefill_backlog -= 0 if has_started else run.prefill_tokens
+            work.prefill_backlog -= 0 if has_started else run.unread
             self._record_outcome(work, run, over.outcome)
             if over.backoff_ms:
                 work.backoff.extend(over.backoff_ms / 1000)
--- a/springrock/placement/requests.py
+++ b/springrock/placement/requests.py
@@ -190,7 +190,7 @@
             again=choice.instance in ask.failed_at,
             permitted=permitted,
             first_event_in_ms=round(choice.wait_s * 1000),
-            unread_tokens=choice.prefill_tokens,
+            unread_tokens=choice.unread,
             copy_saves=round(saves, 2),
             waited_ms=round((now - waiting.asked_at) * 1000),
         )
