--- a/springrock/placement/planner.py
+++ b/springrock/placement/planner.py
@@ -1,6 +1,6 @@
 """Decides which adapter is loaded next, and on which engine.
 
-The planner only reads and assigns in the engine books. It sends no orders.
+The planner reads the engine books and records its assignments there. It sends no orders.
 """
 
 from __future__ import annotations
--- a/tests/placement/test_distance_strategies.py
+++ b/tests/placement/test_distance_strategies.py
@@ -103,8 +103,8 @@
         self.engines: list[set[AdapterKey]] = [set() for _ in range(site.engines)]
         self.places = site.places
         self.popularity = Popularity()
-        self.near = NearCopies(name, topology=lambda: topology, prices=prices)
-        self.coming: dict[AdapterKey, float] = {}
+        self.near_copies = NearCopies(name, topology=lambda: topology, prices=prices)
+        self.loading: dict[AdapterKey, float] = {}
         self.ready: set[AdapterKey] = set()
         self.pressure = 0.0
         self.loads = self.evictions = self.served = 0
@@ -123,10 +123,10 @@
     def load(self, key: AdapterKey, rng: random.Random, *, saves: float | None = None) -> bool:
         """Load an adapter; a near copy only if it saves more than its victim is worth."""
         engines = rng.sample(self.engines, 4)
-        (asked, victim), engine = min(
+        (victim_popularity, victim), engine = min(
             ((self.victim(engine), engine) for engine in engines), key=lambda item: item[0][0]
         )
-        if saves is not None and saves <= asked + MARGIN:
+        if saves is not None and saves <= victim_popularity + MARGIN:
             return False
         if victim is not None:
             engine.discard(victim)
@@ -243,7 +243,7 @@
             zone.publish_pressure()
         self.schedule(PUBLISH_INTERVAL_S, self.publish_pressure)
 
-    def serve(self, home: str, key: AdapterKey, carried: int) -> None:
+    def serve(self, home: str, key: AdapterKey, carried_bytes: int) -> None:
         topology = self.topologies[home]
         views = [
             ZoneView(
@@ -258,7 +258,7 @@
             for name, zone in self.zones.items()
         ]
         holding = {name for name, zone in self.zones.items() if key in zone.ready}
-        if key in self.zones[home].coming:
+        if key in self.zones[home].loading:
             holding = holding or {home}
         name = self.strategy(key, views, holding)
         zone = self.zones[name]
@@ -266,10 +266,10 @@
         zone.served += 1
         distance = topology.distance(name)
         if distance is not Distance.OWN_ZONE:
-            self.crossed_bytes[distance] += carried
+            self.crossed_bytes[distance] += carried_bytes
         if not self.is_held(zone, key):
             self.load(zone, key)
-        saves = zone.near.record(key, home_zone=home, carried_bytes=carried)
+        saves = zone.near_copies.record(key, home_zone=home, carried_bytes=carried_bytes)
         if self.copies and saves:
             self.load_near(self.near_zone(home, distance, key), key, saves)
 
@@ -282,17 +282,17 @@
 
     @staticmethod
     def is_held(zone: Zone, key: AdapterKey) -> bool:
-        return key in zone.coming or any(key in engine for engine in zone.engines)
+        return key in zone.loading or any(key in engine for engine in zone.engines)
 
     def load(self, zone: Zone, key: AdapterKey, saves: float | None = None) -> None:
         if not zone.load(key, self.rng, saves=saves):
             return
         if saves is not None:
             zone.popularity.record(key, saves)
-        zone.coming[key] = self.clock.now
+        zone.loading[key] = self.clock.now
 
         def _finish_load() -> None:
-            zone.coming.pop(key, None)
+            zone.loading.pop(key, None)
             if any(key in engine for engine in zone.engines):
                 zone.ready.add(key)
 
--- a/tests/placement/test_places_model.py
+++ b/tests/placement/test_places_model.py
@@ -46,12 +46,12 @@
 class ModelEngine:
     """An engine with two places, a sequence, loads that take time, and reports that lag."""
 
-    def __init__(self, clock: LossyWorld) -> None:
-        self._world = clock
+    def __init__(self, world: LossyWorld) -> None:
+        self._world = world
         self._ready_at: dict[AdapterKey, float] = {}
         self._sequence = 0
         self._late: list[LateOrder] = []
-        self._history: list[tuple[float, EngineState]] = [(clock.now, self._state())]
+        self._history: list[tuple[float, EngineState]] = [(world.now, self._state())]
         self.overbooked = 0
         self.unloaded_while_granted = 0
 
--- a/tests/placement/test_planner.py
+++ b/tests/placement/test_planner.py
@@ -190,9 +190,9 @@
     engine.unloaded(key("lately"))
     plan = make_planner().plan([want("cold"), want("lately")], [engine], used={}, now=monotonic())
     assert [item.key for item in plan.assignments] == [key("lately")]
-    dear = want("cold", worth=3.0)
+    valuable = want("cold", worth=3.0)
     engine.assigned.clear()
-    plan = make_planner().plan([dear, want("lately")], [engine], used={}, now=monotonic())
+    plan = make_planner().plan([valuable, want("lately")], [engine], used={}, now=monotonic())
     assert [item.key for item in plan.assignments] == [key("cold")]
 
 
--- a/tests/placement/test_restart_model.py
+++ b/tests/placement/test_restart_model.py
@@ -19,8 +19,8 @@
 class RestartingEngine(ModelEngine):
     """An engine that may restart; orders to its earlier starts may still reach it."""
 
-    def __init__(self, clock: LossyWorld) -> None:
-        super().__init__(clock)
+    def __init__(self, world: LossyWorld) -> None:
+        super().__init__(world)
         self.born_ms = 1
         self.down_until = 0.0
 
