--- a/springrock/placement/election.py
+++ b/springrock/placement/election.py
@@ -1,4 +1,4 @@
-"""The election of a zone's placer, as one box takes part in it."""
+"""One box's participation in the election of a zone's placer."""
 
 from __future__ import annotations
 
@@ -19,63 +19,66 @@
 
 _HEARTBEAT_S = 0.4
 _FIRST_POLL_SPREAD_S = 0.1
-"""Over this time after they know the rows the boxes spread their first look: the first to take a
-free lease is known to the others a few ms later. Without it 195 boxes wrote 150 to 260 times."""
+"""Boxes delay their first poll by a random time up to this after they have read the rows. The first
+box to acquire a free lease is known to the others a few ms later; without the delay 195 boxes wrote
+150 to 260 times."""
 
-_LOOK_S = 0.6
+_POLL_INTERVAL_S = 0.6
 _POLL_INTERVAL_GROWTH = 1.4
 _MAX_POLL_INTERVAL_S = 0.9
-"""A placer that could not be linked to is dialed again this often, without news of its row: it has
-most likely just left, and news of its successor are on their way."""
+"""Longest pause before a placer that could not be linked to is dialed again if its row does not
+change. Such a placer has most likely just stopped, and its successor is about to be announced."""
 
 _RENEWALS_PER_LEASE = 3
 _OTHER_ZONE_DELAY_S = 1.5
-"""How much longer a lapsed lease is left to the boxes of the zone itself."""
+"""Extra delay before a box of another zone takes over an expired lease, so that boxes of the zone
+itself come first."""
 
 _HAND_BACK_DELAY_S = 2.0
-"""How long a box of the zone itself must have been linked before it is trusted with the lease."""
+"""How long a box of the zone itself must have been linked before the lease is given back to it."""
 
 _MUCH_STRONGER = 1.5
-"""A box with so many times the processor does better as the placer; less is not worth a change."""
+"""Ratio of processor cores from which another box counts as the better placer. A smaller gain is
+not worth a change of the placer."""
 
 _AMPLE_STRENGTH = 1.0
-"""Cores with which a box need not leave the lease to stronger ones: the placer of 15 engines and
-75 boxes takes under half of that."""
+"""Cores from which a box does not defer to stronger ones: the placer of 15 engines and 75 boxes
+uses less than half of that."""
 
 _WEAKNESS_S = 1.2
-"""How much longer a box without any processor would leave a free lease to stronger ones. A box of
-half a core leaves it for 0.6 s, as boxes that start together do so within 0.3 s; a change of the
-placer later cuts the links of all boxes."""
+"""Takeover delay of a box without any processor; it shrinks linearly to 0 at `_AMPLE_STRENGTH`.
+A box of half a core waits 0.6 s, as boxes that start together do so within 0.3 s. Without the delay
+a stronger box would take over later, and a change of the placer breaks the links of all boxes."""
 
 
 class Holder(Protocol):
-    """Who places while this box holds the lease."""
+    """Places the zone's adapters while this box holds the lease."""
 
     def begin_placing(self) -> None:
-        """Begin, as the lease was taken."""
+        """Begin placing after the lease was acquired."""
 
     def end_placing(self) -> None:
-        """End, as the lease was lost."""
+        """Stop placing after the lease was lost."""
 
     def send_heartbeat(self) -> None:
-        """Tell all linked boxes that the placer lives."""
+        """Send a heartbeat to all linked boxes."""
 
     def send_successor(self, successor: Successor) -> None:
-        """Tell all linked boxes who goes on in this one's stead."""
+        """Announce to all linked boxes which box takes over from this one."""
 
 
 class Election:
-    """Looks for the zone's placer and links to it, or takes the lease and keeps it.
+    """Links this box to the zone's placer, or makes it the placer by acquiring the lease.
 
     Args:
         zone: The availability zone.
-        settings: What placement takes from the settings.
+        settings: The settings of placement.
         lease: The lease of the zone.
-        board: The placers' rows as far as they are known.
-        client: The link to the placer.
+        board: The last known placer rows of all zones.
+        client: This box's link to the placer.
         links: The boxes that are linked to this one as the placer.
-        incarnation: This process.
-        holder: Places under the lease.
+        incarnation: The id of this process.
+        holder: Places the zone's adapters while this box holds the lease.
     """
 
     def __init__(
@@ -98,44 +101,49 @@
         self._links = links
         self._incarnation = incarnation
         self._holder = holder
-        self._poll_interval_s = _LOOK_S
+        self._poll_interval_s = _POLL_INTERVAL_S
         self._stopping = False
         self._wake = Event()
 
     def run(self) -> None:
-        """Take part until the task is killed; a box that stops takes no lease any more."""
+        """Take part in the election until the task is killed.
+
+        After `stop` this box does not acquire the lease again.
+        """
         self._board.wait_known()
         gevent.sleep(random.uniform(0.0, _FIRST_POLL_SPREAD_S))
         while True:
             if self._lease.held:
                 self._hold()
-                self._poll_interval_s = _LOOK_S
+                self._poll_interval_s = _POLL_INTERVAL_S
             elif self._client.linked:
                 self._client.lost.wait()
-                self._poll_interval_s = _LOOK_S
+                self._poll_interval_s = _POLL_INTERVAL_S
             else:
                 self._find_placer()
 
     def stop(self) -> None:
-        """Be no placer any more as soon as another box can be, and stay linked to that one."""
+        """Stop being the placer once another box can take over, and stay linked to that box."""
         self._stopping = True
         self._wake.set()
 
     def end(self) -> None:
-        """Leave the role, if this box still has it, to whoever ends a little later."""
+        """Hand the lease over if this box still holds it; the target may itself be stopping."""
         handover_target = self._links.handover_target(self._zone, staying=False)
         if self._lease.held and handover_target is not None:
-            self._leave(reason="the end", handover_target=handover_target)
+            self._leave(reason="shutdown", handover_target=handover_target)
 
     def adopt(self, handover: Successor) -> None:
-        """Go on in the stead of a placer that hands its role over to this box."""
+        """Take over from a placer that hands its lease over to this box."""
         if self._lease.adopt(handover):
-            # What waits for the link to be lost places from now on.
+            # Wakes `run`, which waits for the link to be lost and then starts placing.
             self._client.close()
 
     def has_better_box(self) -> bool:
-        """Whether a box of the zone itself can place it, while this one stands elsewhere or is
-        much weaker."""
+        """Whether a linked box of the zone itself is a better placer than this one.
+
+        That is the case if this box is in another zone or has much less processor.
+        """
         settings = self._settings
         if settings.zone != self._zone:
             return self._links.has_linked_box(self._zone, for_s=_HAND_BACK_DELAY_S)
@@ -145,21 +153,24 @@
         return self._links.has_linked_box(self._zone, for_s=_HAND_BACK_DELAY_S, strength=needed)
 
     def takeover_delay_s(self) -> float:
-        """Return how much longer a free lease is left to boxes that do better as the placer."""
+        """Return how long this box leaves a free lease to boxes that are better placers."""
         settings = self._settings
         weakness = max(0.0, 1.0 - settings.strength / _AMPLE_STRENGTH)
         takeover_delay_s = 0.0 if settings.zone == self._zone else _OTHER_ZONE_DELAY_S
         return takeover_delay_s + weakness * _WEAKNESS_S
 
-    def _leave_if_followed(self) -> None:
-        """Leave the role as this box stops, unless nobody could take it."""
+    def _leave_unless_irreplaceable(self) -> None:
+        """Leave the role as this box stops, unless no other box could take over.
+
+        No box could if the store does not answer and there is no handover target.
+        """
         handover_target = self._links.handover_target(self._zone)
         if handover_target is None and self._lease.store_is_silent:
             return
         self._leave(reason="a planned stop", handover_target=handover_target)
 
     def _leave(self, *, reason: str, handover_target: HandoverTarget | None) -> None:
-        """Give the lease up, or hand it over while the store takes nothing back."""
+        """Release the lease, or hand it over if the store does not answer."""
         successor = self._links.has_linked_box(self._zone, for_s=0.0)
         handover = self._lease.give_up(
             reason=reason, successor=successor, handover_target=handover_target
@@ -168,7 +179,7 @@
             self._holder.send_successor(handover)
 
     def _hold(self) -> None:
-        """Place under the lease, and renew it, until it is lost."""
+        """Place the zone's adapters and renew the lease until it is lost."""
         self._holder.begin_placing()
         if not self._lease.confirmed:
             self._lease.renew()
@@ -182,13 +193,14 @@
                 renewed_at = monotonic()
                 self._lease.renew()
             if self._lease.held and self._stopping:
-                self._leave_if_followed()
+                self._leave_unless_irreplaceable()
             elif self._lease.held and self.has_better_box():
                 self._leave(
-                    reason="another box does better",
+                    reason="another box is a better placer",
                     handover_target=self._links.handover_target(self._zone),
                 )
-        # Only now: who loses the link finds the lease free, or knows who goes on.
+        # Links are closed only now, so that boxes that lose theirs find the lease free or know the
+        # successor.
         self._holder.end_placing()
 
     def _find_placer(self) -> None:
@@ -204,7 +216,7 @@
         self._pause_before_poll(existing)
 
     def _pause_before_poll(self, existing: PlacerRow | None) -> None:
-        """Wait for news of the row, but not beyond the time at which the lease lapses."""
+        """Wait until the row changes, but not beyond the expiry of the lease."""
         free_in_s = self._lease.free_in_s(existing)
         pause_s = random.uniform(self._poll_interval_s / 2, self._poll_interval_s)
         self._poll_interval_s = min(
--- a/springrock/placement/lease.py
+++ b/springrock/placement/lease.py
@@ -1,8 +1,9 @@
-"""The lease on the placer's row: who may order, under which fence, and until when.
+"""The lease on a zone's placer row: which box may give orders, with which fence, and until when.
 
-Only durations on the local monotonic clock are used. The holder counts from before it sent the
-last renewal that the store confirmed; a challenger from when it first saw that renewal, plus a
-margin. Each holder's fence is above all that the lease before had reserved.
+Only durations on the local monotonic clock are compared. The holder measures the lease from before
+it sent the last renewal that the store confirmed. A challenger measures it from when it first saw
+that renewal, plus a margin. Each holder's fence is higher than every fence that the previous lease
+had reserved.
 """
 
 from __future__ import annotations
@@ -31,58 +32,59 @@
 
 _MARGIN_S = 0.3
 _ORDER_TIMEOUT_S = 0.65
-"""So long an order may be under way: the time for a connection and for an answer. Where engines do
-not look at fences, none may arrive after the lease."""
+"""Longest time that an order to an engine is in flight: the connect and response timeouts together.
+Where engines do not check fences, no order may arrive after the lease has expired."""
 
 _STORE_RETRY_DELAY_S = 5.0
-"""So long after the store did not answer a renewal linked boxes are asked to write the next."""
+"""How long renewals are also sent through linked boxes after the store failed to answer one."""
 
 _LONGEST_ATTEMPT_S = 1.5
-"""So long a renewal takes where the store does not answer: the time for a connection and for an
-answer. What took longer tells of a pause of this process."""
+"""Longest time that a renewal takes if the store does not answer: the connect and response timeouts
+together. An attempt that took longer was prolonged by a pause of this process."""
 
 _RENEWAL_TRIES = 2
-"""A second one where the store says that the row has another version than it answered before, as
-it may name that of a later transaction: without it a third of the lease would pass unrenewed."""
-
+"""A renewal is retried once on a version conflict: the store may have answered the previous write
+with the version of a later transaction. Without the retry the lease would stay unrenewed for a
+third of its duration."""
 
 _FENCES_OF_AN_ERA = 65_536
-"""By so much are fences above those that a store which came back from a copy still knows: it may
-have lost a thousand leases with all that each had reserved."""
+"""How far fences are raised for each time the store was restored from a copy: a restore may lose a
+thousand leases with all the fences that each had reserved."""
 
 
 class PlacerRows(Protocol):
-    """The placers' rows as far as they are known."""
+    """The last known placer rows of all zones."""
 
     @property
     def era(self) -> int:
-        """The store's era of the rows."""
+        """The era of the store that the rows were read in."""
 
     def current_row(self, key: str) -> Row | None:
         """Return a row; None if there is none.
 
         Raises:
-            RowStoreUnavailable: If nothing current is known.
+            RowStoreUnavailable: If the rows were not read recently enough.
         """
 
     def record(self, row: Row) -> None:
-        """Learn of a row that is perhaps newer than what was read."""
+        """Record a row that may be newer than the last one read."""
 
 
 class PlacerLease:
-    """Takes, renews and gives up the lease.
+    """Acquires, renews and releases the lease.
 
     Args:
         store: The store.
-        zone: The availability zone whose engines are placed.
+        zone: The availability zone whose engines are placed under the lease.
         box: The name of this box.
-        address: Where it serves the placer's links.
-        incarnation: This process.
+        address: The address at which this box accepts links as the placer.
+        incarnation: The id of this process.
         lease_s: How long a lease lasts without a renewal.
-        checks_fence: Whether replicas refuse orders with an older fence, so that a holder that
-            cannot reach the store may go on: a successor's first order stops it.
-        rows: The rows of all zones' placers, as far as they are known.
-        relay: Writes renewals where the store does not answer this box; None if nobody can.
+        checks_fence: Whether replicas refuse orders with an older fence. If so, a holder that
+            cannot reach the store may continue: a successor's first order stops it.
+        rows: The last known placer rows of all zones.
+        relay: Writes renewals through other boxes if the store does not answer this one; None if
+            renewals cannot be relayed.
         log: The log to write to.
     """
 
@@ -105,8 +107,8 @@
         self._relay_failed = False
         self._relayed = Condition(
             log,
-            begins="Has its lease renewed by linked boxes.",
-            ends="Renews its lease itself again.",
+            begins="Renewing the placer's lease through linked boxes.",
+            ends="Renewing the placer's lease directly again.",
         )
         self._store = store
         self._rows = rows
@@ -123,18 +125,18 @@
         self._adopted_fence = 0
         self._seen_version = -1
         self._seen_at = 0.0
-        self._looked_version = -1
-        self._looked_era: int | None = None
+        self._read_version = -1
+        self._read_era: int | None = None
         self._returned_at = float("-inf")
 
     @property
     def fence(self) -> int:
-        """The fence under which this box orders; 0 if it does not hold the lease."""
+        """The fence of this box's orders; 0 if it does not hold the lease."""
         return self._own.fence if self._own is not None else 0
 
     @property
     def last_fence(self) -> int:
-        """The highest fence that the own lease has reserved; 0 if this box does not hold it."""
+        """The highest fence reserved by this box's lease; 0 if it does not hold the lease."""
         return self._own.row.fence if self._own is not None else 0
 
     @property
@@ -145,46 +147,56 @@
         now = monotonic()
         if now < self._held_until - (0.0 if self._checks_fence else _ORDER_TIMEOUT_S):
             return True
-        # A pause of this process is no outage: an attempt must have failed since.
+        # Only a renewal that failed since shows an outage: this process may have been paused.
         return self._checks_fence and now - self._unanswered_at < self._lease_s / 2
 
     @property
     def held(self) -> bool:
-        """Whether this box took the lease and does not know it lost."""
+        """Whether this box acquired the lease and has not found it lost; it may have expired."""
         return self._own is not None
 
     @property
     def confirmed(self) -> bool:
         """Whether the store has confirmed that this box holds the lease.
 
-        If not, it was handed over, and its time counts for nothing yet.
+        A lease that was handed over is unconfirmed, and has no expiry, until the first renewal.
         """
-        return self._own is not None and self._own.handed is None
+        return self._own is not None and self._own.unconfirmed_handover is None
 
     @property
     def version(self) -> int:
-        """The version of the row with the own lease."""
+        """The version of the row that holds this box's lease."""
         return self._own.version if self._own is not None else ABSENT_VERSION
 
     @property
     def left_s(self) -> float:
-        """Seconds that the own lease stands yet."""
+        """Seconds until this box's lease expires."""
         return max(0.0, self._held_until - monotonic())
 
     @property
     def store_is_silent(self) -> bool:
-        """Whether the store did not answer the last renewal, a short time ago."""
+        """Whether the last renewal went unanswered within the last half of a lease."""
         renewed_at = self._held_until - self._lease_s
         silent_s = monotonic() - self._unanswered_at
         return self._unanswered_at > renewed_at and silent_s < self._lease_s / 2
 
     def record_heartbeat(self, version: int, left_s: float) -> None:
-        """Learn from the holder how long its lease stands; what was sent earlier lapses earlier."""
+        """Record the remaining time of the holder's lease, as stated by the holder.
+
+        The expiry depends on when the holder sent its last renewal, not on when it was first seen.
+
+        Args:
+            version: The version of the holder's row.
+            left_s: Seconds until the lease expires, as of now.
+        """
         self._seen_version = version
         self._seen_at = monotonic() + left_s - self._lease_s
 
     def renew(self) -> bool:
-        """Renew the own lease; return whether it still stands as far as is known."""
+        """Renew this box's lease; return False if it is known to be lost.
+
+        A renewal that the store does not answer returns True.
+        """
         for _ in range(_RENEWAL_TRIES):
             if self._own is None:
                 return False
@@ -193,7 +205,7 @@
             except WrittenInAnotherEra as written:
                 return self._resolve_written(written.version)
             except RowStoreUnavailable as error:
-                self._say_not_renewed(error)
+                self._log_not_renewed(error)
                 return True
             except RowConflict as conflict:
                 if not self._resolve_conflict(conflict):
@@ -203,7 +215,11 @@
         return True
 
     def lose(self, *, reason: str) -> None:
-        """Stop holding, as after a refusal of an older fence."""
+        """Drop the lease without writing to the store, as after an engine refused an older fence.
+
+        Args:
+            reason: The reason to log.
+        """
         if self._own is not None:
             self._log.say(
                 "Lost the placer's lease.", row=self._key, fence=self._own.fence, reason=reason
@@ -214,16 +230,17 @@
     def give_up(
         self, *, reason: str, successor: bool, handover_target: HandoverTarget | None = None
     ) -> Successor | None:
-        """Let another box take the lease at once.
+        """Release the lease so that another box can acquire it at once.
 
         Args:
-            reason: Why, for the log.
-            successor: Whether a box of the zone itself can take it, so that others leave it to it.
-            handover_target: Who is to go on if the store does not answer, as nobody can take it
-                then.
+            reason: The reason to log.
+            successor: Whether a box of the zone itself can acquire it. Boxes of other zones then
+                wait before they challenge.
+            handover_target: The box that continues under the lease if the store does not answer,
+                as no box can acquire the lease then.
 
         Returns:
-            The handover, which the linked boxes are to be told; None if there is none.
+            The handover to announce to the linked boxes; None if the lease was not handed over.
         """
         own = self._own
         if own is None:
@@ -233,9 +250,9 @@
         self.lose(reason=reason)
         if handover is None or not is_silent:
             if not self._checks_fence:
-                # What was ordered just before must not arrive after a successor's orders.
+                # Orders still in flight must not arrive after a successor's orders.
                 gevent.sleep(_ORDER_TIMEOUT_S)
-            if self._free_row(own, successor=successor):
+            if self._release_row(own, successor=successor):
                 return None
         if handover is not None:
             self._log.say(
@@ -247,53 +264,54 @@
         return handover
 
     def adopt(self, handover: Successor) -> bool:
-        """Go on under a lease that was handed over to this box; return whether it does.
+        """Continue under a lease that was handed over to this box; return whether it does.
 
-        It may order only once the store has not answered it either.
+        This box may give orders only after the store has failed to answer its renewal too.
         """
         if self._own is not None or not self._checks_fence:
             return False
         if handover.fence <= self._adopted_fence:
-            # Heard of once more, after this box has handed it on.
+            # A repeated announcement, received after this box has handed the lease on.
             return False
         self._adopted_fence = handover.fence
         self._own = Tenure.from_handover(handover)
         self._held_until = 0.0
         self._unanswered_at = float("-inf")
         self._log.say(
-            "Goes on under a lease that was handed over.", row=self._key, fence=handover.fence
+            "Continues under a lease that was handed over.", row=self._key, fence=handover.fence
         )
         return True
 
     def known_row(self) -> PlacerRow | None:
-        """Return the row as far as it is known; None if there is none or nothing is known.
+        """Return the last known row; None if there is none or no recent reading.
 
-        What is known may be older than the row; a challenge then fails by its condition.
+        The store's row may be newer. The conditional write of a challenge fails then.
         """
         try:
             row = self._rows.current_row(self._key)
         except RowStoreUnavailable:
-            self._looked_version = -1
+            self._read_version = -1
             return None
         self._record_era(self._rows.era)
         absent = version_in(self._rows.era, ABSENT_VERSION)
-        self._looked_version = absent if row is None else row.version
+        self._read_version = absent if row is None else row.version
         if row is None or row.version > self._seen_version:
-            # A heartbeat may have told of a newer one.
-            self._record_seen(self._looked_version)
+            # A heartbeat may already have named a newer version than the reading.
+            self._record_seen(self._read_version)
         return None if row is None else placer_row_from(row)
 
     def challenge(self, existing: PlacerRow | None, *, takeover_delay_s: float = 0.0) -> bool:
-        """Take the lease if it is free or lapsed; return whether this box has it now.
+        """Acquire the lease if it is free or expired; return whether this box holds it now.
 
         Args:
-            existing: The row as `known_row` has just read it.
-            takeover_delay_s: How much longer it must have been free, so that others come first.
+            existing: The row that `known_row` has just returned.
+            takeover_delay_s: How much longer the lease must have been free, so that preferred
+                boxes can acquire it first.
 
-        The write's condition is the row as it was read, so that its fence is above that of the
-        newest row even where a heartbeat told of a version that was never read.
+        The write is conditional on the version that was read, not on one that a heartbeat named.
+        So its fence is higher than that of the newest row.
         """
-        if not self._free(existing, takeover_delay_s):
+        if not self._is_free(existing, takeover_delay_s):
             return False
         fence = self._next_fence(existing)
         sent_at = monotonic()
@@ -302,10 +320,10 @@
             incarnation=self._incarnation,
             address=self._address,
             fence=fence + RESERVED_FENCES,
-            era=era_of(self._looked_version),
+            era=era_of(self._read_version),
         )
         try:
-            version = self._write(own, expected=self._looked_version, writer=self._store)
+            version = self._write(own, expected=self._read_version, writer=self._store)
         except (RowStoreUnavailable, RowConflict) as error:
             self._log.say(
                 "Did not get the placer's lease.", row=self._key, fence=fence, error=str(error)
@@ -319,42 +337,42 @@
         return True
 
     def free_in_s(self, existing: PlacerRow | None) -> float:
-        """Return the seconds until a lease that is not renewed may be taken, at the earliest."""
+        """Return the seconds until the lease can be acquired if it is not renewed."""
         if existing is None or not existing.incarnation:
             return 0.0
         return max(0.0, self._seen_at + self._lease_s + _MARGIN_S - monotonic())
 
     def _next_fence(self, existing: PlacerRow | None) -> int:
-        """Return a fence above all that were ever given, those of rows that were lost too."""
-        known, given_in = (0, 0) if existing is None else (existing.fence, existing.era)
-        eras = max(0, era_of(self._looked_version) - given_in)
+        """Return a fence above all issued ones, including those lost by a restore of the store."""
+        known, issued_in = (0, 0) if existing is None else (existing.fence, existing.era)
+        eras = max(0, era_of(self._read_version) - issued_in)
         return known + 1 + eras * _FENCES_OF_AN_ERA
 
     def _record_era(self, era: int) -> None:
-        """Learn when the store came back from a copy."""
-        if self._looked_era is not None and era > self._looked_era:
+        """Record the store's era; a higher one means that it was restored from a copy."""
+        if self._read_era is not None and era > self._read_era:
             self._returned_at = monotonic()
-        self._looked_era = era
+        self._read_era = era
 
-    def _free(self, existing: PlacerRow | None, takeover_delay_s: float) -> bool:
-        if self._seen_version < 0 or self._looked_version < 0:
+    def _is_free(self, existing: PlacerRow | None, takeover_delay_s: float) -> bool:
+        if self._seen_version < 0 or self._read_version < 0:
             return False
         if monotonic() - self._returned_at <= self._lease_s + _MARGIN_S:
-            # Whoever held it may have been lost with the row, and writes it again.
+            # The restore may have lost the holder's row; the holder then writes it again.
             return False
         unchanged_s = monotonic() - self._seen_at
-        lapsed = unchanged_s > self._lease_s + _MARGIN_S + takeover_delay_s
-        if self._looked_version != self._seen_version:
-            # Heard of from its holder, not read yet, or a version that the row does not have.
-            return lapsed
+        expired = unchanged_s > self._lease_s + _MARGIN_S + takeover_delay_s
+        if self._read_version != self._seen_version:
+            # A heartbeat named a version that was not read yet, or that the row does not have.
+            return expired
         if existing is None:
             return unchanged_s >= takeover_delay_s
         if not existing.incarnation:
             return not existing.successor or unchanged_s >= takeover_delay_s
         if existing.box == self._box and existing.incarnation != self._incarnation:
-            # An earlier process of this box: it is gone, or this one could not run.
+            # Held by an earlier process of this box, which must have ended for this one to run.
             return True
-        return lapsed
+        return expired
 
     def _record_seen(self, version: int) -> None:
         if version != self._seen_version:
@@ -362,9 +380,12 @@
             self._seen_at = monotonic()
 
     def _resolve_conflict(self, conflict: RowConflict) -> bool:
-        """Learn from a failed renewal whether an earlier one took effect unanswered."""
+        """Resolve a conflicting renewal; return whether this box still holds the lease.
+
+        The conflict may come from an earlier renewal that took effect but was not answered.
+        """
         own = self._own
-        resolved = None if own is None else self._resolved(own, conflict)
+        resolved = None if own is None else self._resolve_row(own, conflict)
         if own is None or resolved is None:
             self.lose(reason="another box holds it")
             return False
@@ -379,29 +400,30 @@
         return True
 
     def _resolve_written(self, version: int) -> bool:
-        """Learn that a renewal met a row of a store that came back from a copy.
+        """Handle a renewal that took effect in a store restored from a copy.
 
-        While the lease stands that can only be its own row, as nobody takes it before it lapses.
+        Until the lease expires, the overwritten row can only be this box's own: no other box
+        acquires the lease before. Returns whether this box still holds the lease.
         """
         own = self._own
-        if own is None or self._has_lapsed(own):
-            self.lose(reason="the store came back from a copy")
+        if own is None or self._has_expired(own):
+            self.lose(reason="the store was restored from a copy")
             return False
         self._own = own._replace(version=version)
         return True
 
-    def _has_lapsed(self, own: Tenure) -> bool:
-        return own.handed is None and monotonic() >= self._held_until
+    def _has_expired(self, own: Tenure) -> bool:
+        return own.unconfirmed_handover is None and monotonic() >= self._held_until
 
-    def _resolved(self, own: Tenure, conflict: RowConflict) -> Tenure | None:
+    def _resolve_row(self, own: Tenure, conflict: RowConflict) -> Tenure | None:
         row = conflict.row
         existing = None if row is None else placer_row_from(row)
         if row is not None and existing is None:
             return None
         era = era_of(conflict.version)
         if era > era_of(own.version):
-            # The store came back from a copy, whose row is older than this lease.
-            if self._has_lapsed(own):
+            # The store was restored from a copy whose row is older than this lease.
+            if self._has_expired(own):
                 return None
             absent = version_in(era, ABSENT_VERSION)
             return own.reclaimed(existing, absent if row is None else row.version)
@@ -410,17 +432,21 @@
         return own.resolved(existing, row.version)
 
     def _handover(self, own: Tenure, handover_target: HandoverTarget | None) -> Successor | None:
-        """Return the handover to another box; None if none may go on."""
-        stands = self.holds or own.handed is not None
-        if handover_target is None or not self._checks_fence or not stands:
+        """Return the handover to another box; None if the lease cannot be handed over."""
+        may_continue = self.holds or own.unconfirmed_handover is not None
+        if handover_target is None or not self._checks_fence or not may_continue:
             return None
         handover = own.handover(handover_target)
         if handover is None:
-            self._log.say("Cannot hand over, as no fence is left.", row=self._key, fence=own.fence)
+            self._log.say(
+                "Cannot hand the placer's lease over: no reserved fence is left.",
+                row=self._key,
+                fence=own.fence,
+            )
         return handover
 
-    def _free_row(self, own: Tenure, *, successor: bool) -> bool:
-        """Write that nobody holds the lease; return whether the store answered."""
+    def _release_row(self, own: Tenure, *, successor: bool) -> bool:
+        """Write the row without a holder; return whether the store answered."""
         free = msgspec.structs.replace(
             own.row, incarnation="", renewal=own.row.renewal + 1, successor=successor
         )
@@ -436,44 +462,46 @@
         own = self._own
         assert own is not None
         renewed = own.renewal()
-        sent_at, version = self._renewed(renewed, expected=own.version)
+        sent_at, version = self._send_renewal(renewed, expected=own.version)
         if self._own is not own:
-            # Lost meanwhile, as by a refused order.
-            raise RowStoreUnavailable("the lease was given up meanwhile")
+            # Lost during the write, for example because an engine refused an order.
+            raise RowStoreUnavailable("the lease was released while its renewal was in flight")
         self._own = Tenure.from_row(renewed, version)
         self._held_until = sent_at + self._lease_s
 
-    def _renewed(self, renewed: PlacerRow, *, expected: int) -> tuple[float, int]:
-        """Write a renewal by the store or by linked boxes; return when it was sent, and as what.
+    def _send_renewal(self, renewed: PlacerRow, *, expected: int) -> tuple[float, int]:
+        """Write a renewal directly or through linked boxes; return its send time and version.
 
-        Both are asked at the same time, not in turn: heartbeats wait for it, and that must not
-        take longer than the silence after which boxes take a placer for lost.
+        Both writes are sent at the same time, not one after the other. Heartbeats wait for the
+        renewal, which must not take longer than the timeout after which boxes treat a placer as
+        lost.
         """
         sent_at = monotonic()
         relay = self._next_relay()
         self._relay_failed = False
         if relay is not None:
-            # That the store is silent yet is what lets this box go on if linked boxes say nothing.
-            beside = gevent.spawn(self._asked_store, renewed, expected)
+            # If the linked boxes do not answer either, this box may continue only because the
+            # direct write shows that the store is still unresponsive.
+            direct_write = gevent.spawn(self._renew_at_store, renewed, expected)
             try:
                 version = self._write(renewed, expected=expected, writer=relay)
             except RowStoreUnavailable as error:
                 self._relay_failed = True
                 if not isinstance(error, HelpersSilent):
                     self._record_unanswered(sent_at)
-                outcome = beside.get()
+                outcome = direct_write.get()
             else:
                 self._relayed.begin(row=self._key)
                 return sent_at, version
         else:
-            outcome = self._asked_store(renewed, expected)
+            outcome = self._renew_at_store(renewed, expected)
         if isinstance(outcome, RowStoreError):
             raise outcome
         self._relayed.end(row=self._key)
         return sent_at, outcome
 
-    def _asked_store(self, renewed: PlacerRow, expected: int) -> int | RowStoreError:
-        """Write a renewal; return its version, or what came instead."""
+    def _renew_at_store(self, renewed: PlacerRow, expected: int) -> int | RowStoreError:
+        """Write a renewal to the store itself; return its version, or the error."""
         sent_at = monotonic()
         try:
             return self._write(renewed, expected=expected, writer=self._store)
@@ -485,16 +513,16 @@
             return error
 
     def _record_unanswered(self, sent_at: float) -> None:
-        """Learn that the store did not answer a renewal, and so that it is out.
+        """Record that the store did not answer a renewal, and so is taken to be down.
 
-        One that was under way while the lease lapsed tells nothing: this process may have stood
-        still, and another box have taken the lease from a store that answers.
+        A renewal that was in flight when the lease expired is not counted: this process may have
+        been paused, while another box acquired the lease from a store that answers.
         """
         now = monotonic()
         if not sent_at < self._held_until <= now:
             self._unanswered_at = min(now, sent_at + _LONGEST_ATTEMPT_S)
 
-    def _say_not_renewed(self, error: RowStoreUnavailable) -> None:
+    def _log_not_renewed(self, error: RowStoreUnavailable) -> None:
         self._log.say(
             "Did not renew the placer's lease.",
             row=self._key,
@@ -505,7 +533,10 @@
         )
 
     def _next_relay(self) -> RowWriter | None:
-        """Return the linked boxes if the store did not answer lately and they did; else None."""
+        """Return the relay if the store recently failed to answer and the last relay did not fail.
+
+        Returns None otherwise.
+        """
         store_fails = monotonic() - self._store_failed_at < _STORE_RETRY_DELAY_S
         return None if self._relay_failed or not store_fails else self._relay
 
--- a/springrock/placement/succession.py
+++ b/springrock/placement/succession.py
@@ -1,8 +1,9 @@
-"""A placer's role handed over by a link, for as long as the store answers nobody.
+"""Handover of a placer's lease over a link, while the store answers no box.
 
-The store remains the one judge of who holds the lease. What is handed over is the right to go on
-under it until the store answers, with a fence that no other box has: each lease reserves some above
-its own, and its row names the highest of them, so that whoever takes it by the store is above all.
+Only the store decides which box holds the lease. A handover transfers the right to continue under
+the lease until the store answers, with a fence that no other box has. Each lease reserves some
+fences above its own, and its row names the highest of them. So the fence of a box that acquires the
+lease in the store is higher than all handed-over ones.
 """
 
 from __future__ import annotations
@@ -16,15 +17,15 @@
 from springrock.placement.placer_row import PlacerRow
 
 RESERVED_FENCES = 64
-"""So often in a row a role can be handed over while the store is silent."""
+"""How many times in a row a lease can be handed over while the store does not answer."""
 
 
 class HandoverTarget(NamedTuple):
-    """A box to which a role can be handed over.
+    """A box to which a lease can be handed over.
 
     Attributes:
-        incarnation: Its process.
-        address: Where it serves links.
+        incarnation: The id of its process.
+        address: The address at which it accepts links.
     """
 
     box: str
@@ -33,16 +34,16 @@
 
 
 class Successor(Struct, frozen=True, array_like=True):
-    """Who goes on under a lease whose holder has stopped.
+    """The box that continues under a lease whose holder has stopped.
 
     Attributes:
-        incarnation: The process that goes on.
-        address: Where it serves links.
-        fence: Under which it orders until the store has confirmed it.
-        last_fence: The highest that the lease has reserved.
-        version: The number of the row's version, as the last holder knew it.
-        after: The processes that went before under the lease; the row may name any of them.
-        era: The store's era of that version; 0 if it is not known.
+        incarnation: The id of its process.
+        address: The address at which it accepts links.
+        fence: The fence of its orders until the store has confirmed the lease.
+        last_fence: The highest fence that the lease has reserved.
+        version: The number of the row's version, as the previous holder knew it.
+        predecessors: The ids of the processes that held the lease before; the row may name any.
+        era: The store's era of that version; 0 if unknown.
     """
 
     box: str
@@ -51,71 +52,72 @@
     fence: int
     last_fence: int
     version: int
-    after: list[str]
+    predecessors: list[str]
     era: int = 0
 
     def follows(self, row: PlacerRow) -> bool:
-        """Whether a row of the store is of the lease that was handed over, and not a newer one."""
-        return row.fence <= self.last_fence or row.incarnation in self.after
+        """Whether a row belongs to the lease that was handed over, and not to a newer one."""
+        return row.fence <= self.last_fence or row.incarnation in self.predecessors
 
 
 class Tenure(NamedTuple):
-    """A lease as its holder has it.
+    """A lease as seen by its holder.
 
     Attributes:
-        row: What the row of the store says, or is to say once the store answers.
+        row: The content of the row in the store, or to be written once the store answers.
         version: The version of that row.
-        fence: Under which the holder orders.
-        handed: How the lease was handed over, until the store has confirmed that.
+        fence: The fence of the holder's orders.
+        unconfirmed_handover: The handover by which the holder got the lease; None once the store
+            has confirmed the lease.
     """
 
     row: PlacerRow
     version: int
     fence: int
-    handed: Successor | None = None
+    unconfirmed_handover: Successor | None = None
 
     @classmethod
     def from_row(cls, row: PlacerRow, version: int) -> Tenure:
-        """Return the lease that the store has confirmed by a row."""
+        """Return the lease of a row that the store has confirmed."""
         return cls(row, version, row.fence - RESERVED_FENCES)
 
     @classmethod
-    def from_handover(cls, handed: Successor) -> Tenure:
-        """Return the lease of the box that it was handed over to."""
+    def from_handover(cls, handover: Successor) -> Tenure:
+        """Return the lease as the box to which it was handed over has it."""
         row = PlacerRow(
-            box=handed.box,
-            incarnation=handed.incarnation,
-            address=handed.address,
-            fence=handed.last_fence,
+            box=handover.box,
+            incarnation=handover.incarnation,
+            address=handover.address,
+            fence=handover.last_fence,
         )
-        return cls(row, peer_version(handed.era, handed.version), handed.fence, handed)
+        return cls(row, peer_version(handover.era, handover.version), handover.fence, handover)
 
     def renewal(self) -> PlacerRow:
-        """Return what the next renewal writes.
+        """Return the row that the next renewal writes.
 
-        The first one after a handover is a lease of its own, above all that was reserved before.
+        The first renewal after a handover is a new lease, with fences above all reserved before.
         """
-        reserved = 0 if self.handed is None else 1 + RESERVED_FENCES
+        reserved = 0 if self.unconfirmed_handover is None else 1 + RESERVED_FENCES
         row = self.row
         return msgspec.structs.replace(row, renewal=row.renewal + 1, fence=row.fence + reserved)
 
     def resolved(self, row: PlacerRow, version: int) -> Tenure | None:
-        """Return the lease as the row is found instead; None if another box holds it."""
+        """Return the lease for a row found in a conflict; None if another box holds the lease."""
         if row.incarnation == self.row.incarnation:
             return Tenure.from_row(row, version)
-        if self.handed is None or not self.handed.follows(row):
+        if self.unconfirmed_handover is None or not self.unconfirmed_handover.follows(row):
             return None
-        # A late write of a box that held it before.
+        # A late write by a box that held the lease before.
         existing = msgspec.structs.replace(self.row, fence=row.fence)
         return self._replace(row=existing, version=version)
 
     def reclaimed(self, row: PlacerRow | None, version: int) -> Tenure | None:
-        """Return the lease in a store that came back from a copy; None if another box holds it.
+        """Return the lease in a store restored from a copy; None if another box holds it.
 
         Args:
             row: The row in the copy; None if there is none. It is older than this lease, unless a
-                box has taken the lease since, above all fences of before.
-            version: Its version there.
+                box has acquired the lease since the restore, with a fence above all earlier ones.
+            version: The row's version in the restored store.
         """
         if row is not None and row.fence > self.row.fence:
             return None
@@ -125,7 +127,9 @@
         """Return the handover to another box; None if no fence is left."""
         if self.fence >= self.row.fence:
             return None
-        before = [] if self.handed is None else self.handed.after
+        predecessors = (
+            [] if self.unconfirmed_handover is None else self.unconfirmed_handover.predecessors
+        )
         return Successor(
             box=handover_target.box,
             incarnation=handover_target.incarnation,
@@ -134,5 +138,5 @@
             last_fence=self.row.fence,
             version=number_of(self.version),
             era=era_of(self.version),
-            after=[*before, self.row.incarnation],
+            predecessors=[*predecessors, self.row.incarnation],
         )
--- a/tests/placement/test_placer_board.py
+++ b/tests/placement/test_placer_board.py
@@ -86,8 +86,8 @@
     assert board.boxes() == set()
 
 
-def successor(fence: int, *, last_fence: int, after: list[str]) -> Successor:
-    return Successor("box-2", "2", "127.0.0.1:2", fence, last_fence, 4, after)
+def successor(fence: int, *, last_fence: int, predecessors: list[str]) -> Successor:
+    return Successor("box-2", "2", "127.0.0.1:2", fence, last_fence, 4, predecessors)
 
 
 def test_who_placed_last_is_asked_for_a_link_however_old_the_news() -> None:
@@ -102,8 +102,8 @@
 def test_a_successor_counts_until_the_store_tells_of_a_later_holder() -> None:
     board = PlacerBoard(age_s=lambda: 60.0)
     board.replace([row(4)])
-    first = successor(2, last_fence=4, after=["1"])
-    second = successor(3, last_fence=4, after=["1", "2"])
+    first = successor(2, last_fence=4, predecessors=["1"])
+    second = successor(3, last_fence=4, predecessors=["1", "2"])
     board.record_successor(KEY, second)
     board.record_successor(KEY, first)
     assert board.holder(KEY) == second
--- a/tests/placement/test_succession.py
+++ b/tests/placement/test_succession.py
@@ -89,7 +89,7 @@
     assert store.row is not None
     assert store.row.version > handover.version, "it took effect unanswered"
     store.lose_answer = False
-    onwards = handover.after[0]
+    onwards = handover.predecessors[0]
     assert onwards == "one-1"
     assert two.adopt(handover)
     assert two.renew()
