--- a/springrock/placement/control.py
+++ b/springrock/placement/control.py
@@ -1,4 +1,4 @@
-"""What the placer needs of a model engine: a report of its state, and orders under a fence."""
+"""The placer's interface to a model engine: reports of its state, and orders with a fence."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 
 
 class ControlUnanswered(SpringrockError):
-    """An engine that gave no usable answer; an order may be carried out, even later."""
+    """An engine gave no usable answer. An order may still be carried out, even later."""
 
 
 class AnotherStart(ControlUnanswered):
-    """An engine under the same id that is another start of it than the one that was meant.
+    """The engine has restarted: its start time is not that of the engine that was addressed.
 
     Args:
-        born_ms: When it started, as it says; None if it does not say.
+        born_ms: The start time that the engine reports, in Unix milliseconds; None if it reports
+            none.
     """
 
     def __init__(self, born_ms: int | None) -> None:
@@ -28,18 +29,18 @@
 
 
 class EngineState(Struct, frozen=True, kw_only=True):
-    """What an engine reports, as it was a moment ago.
+    """An engine's report of its state.
 
     Attributes:
-        sequence: Moves with each order that it takes.
-        busy: Whether an order is under way.
-        models: Base models that it holds.
-        adapters: Adapters that requests can use.
-        coming: Adapters on their way to it.
-        at_hand: Adapters whose weights it keeps and can load again fast.
-        running: Requests in its batch.
-        queued: Requests that wait there.
-        born_ms: When it started, in Unix milliseconds; None if that is not told.
+        sequence: A number that changes with each order that the engine accepts.
+        busy: Whether an order is being carried out.
+        models: The base models that are loaded.
+        adapters: The adapters that are loaded and can serve requests.
+        coming: The adapters that are being loaded.
+        at_hand: The adapters that are not loaded but whose weights are kept for a fast load.
+        running: The number of requests in the engine's batch.
+        queued: The number of requests waiting at the engine.
+        born_ms: When the engine started, in Unix milliseconds; None if it does not report that.
     """
 
     sequence: int
@@ -54,7 +55,7 @@
 
 
 class OrderKind(Enum):
-    """What an order asks for."""
+    """The kind of an order."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -64,11 +65,12 @@
     """One order to an engine.
 
     Attributes:
-        key: The adapter, or a base model with an empty adapter.
+        key: The adapter, or a base model with an empty adapter name.
         version: The version to load; 0 for the newest.
-        expected_sequence: The engine's sequence as known; it refuses the order at another one.
-        holder: Who orders.
-        fence: The orderer's fence.
+        expected_sequence: The last known sequence of the engine, which refuses the order if it has
+            another one; None if any sequence will do.
+        holder: The name of the box that gives the order.
+        fence: The fence of that box's lease.
     """
 
     kind: OrderKind
@@ -80,42 +82,42 @@
 
 
 class OrderAnswer(Enum):
-    """What an engine answered to an order."""
+    """An engine's answer to an order."""
 
     TAKEN = "taken"
-    """It is being carried out."""
+    """The order was accepted and is being carried out."""
     DONE = "done"
-    """It holds already."""
+    """The engine is already in the requested state."""
     CONFLICT = "conflict"
-    """Another order is under way, or the sequence is another one."""
+    """Another order is being carried out, or the sequence does not match."""
     OLDER_FENCE = "older_fence"
-    """A higher fence was seen."""
+    """The engine has seen a higher fence."""
     REFUSED = "refused"
-    """There is no such order, or the engine cannot carry it out."""
+    """The order is unknown, or the engine cannot carry it out."""
     CHANGED = "changed"
-    """Another incarnation answers, or the model is not there."""
+    """Another incarnation of the engine answered, or the model is not loaded."""
 
 
 class EngineControl(Protocol):
-    """Speaks to engines."""
+    """Client of the control interface of engines."""
 
     def report(self, address: str, *, instance: str) -> EngineState:
         """Return an engine's state.
 
         Args:
-            address: Where it is.
-            instance: Its id, under which another start of it may answer.
+            address: The engine's address.
+            instance: The engine's id. A restarted engine may answer under the same id.
 
         Raises:
-            ControlUnanswered: If none came.
+            ControlUnanswered: If no answer came.
         """
 
     def order(self, address: str, *, instance: str, order: Order) -> OrderAnswer:
-        """Give an order.
+        """Send an order to an engine and return its answer.
 
         Args:
-            address: Where the engine is.
-            instance: Its id, under which another start of it may carry the order out.
+            address: The engine's address.
+            instance: The engine's id. A restarted engine may carry the order out under the same id.
             order: The order.
 
         Raises:
--- a/springrock/placement/errors.py
+++ b/springrock/placement/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong in placement."""
+"""Errors of placement."""
 
 from __future__ import annotations
 
@@ -6,4 +6,4 @@
 
 
 class PlacerSilent(SpringrockError):
-    """No placer of the zone tells when the adapter will be there."""
+    """No placer of the zone forecasts when the adapter will be loaded."""
--- a/springrock/placement/handover.py
+++ b/springrock/placement/handover.py
@@ -1,4 +1,4 @@
-"""What was asked for in an evacuated zone is brought to the zones that remain."""
+"""Prefetches the adapters requested in an evacuated zone into the remaining zones."""
 
 from __future__ import annotations
 
@@ -19,55 +19,56 @@
 from springrock.placement.residency import Residency
 from springrock.placement.zone_choice import ZoneView, choose_zone
 
-_TELL_EVERY_S = 0.5
-"""While an evacuation is announced its placer tells so often what was asked for: a box that became
-the placer of another zone meanwhile is told too."""
+_HANDOVER_INTERVAL_S = 0.5
+"""How often the placer of a zone with an announced evacuation sends the handover. It is repeated so
+that a box that becomes the placer of another zone during the announcement receives it too."""
 
-_PLACER_HEARD_S = 0.5
-"""A placer that told nothing for so long after its zone was evacuated is dead or cut off."""
+_HANDOVER_TIMEOUT_S = 0.5
+"""How long after its zone's evacuation a placer that sends no handover counts as unreachable."""
 
-_HANDED_AT_MOST = 400
-"""Adapters in one message: more than the remaining zones bring before the cut."""
+_MAX_HANDED_OVER = 400
+"""Most adapters in one handover message: more than the remaining zones can load before the cut."""
 
-_WANTED_AT_MOST = 40
-"""Adapters handed to one plan: as many as are ever under way at once. Each costs a look at every
-engine, several times a second."""
+_MAX_PLANNED = 40
+"""Most adapters passed to one plan: as many as are ever loaded at once. The planner checks every
+engine for each of them, several times a second."""
 
-_LEAST_ASKED = 0.25
-"""Asked for once within the last two half-lives."""
+_MIN_REQUEST_COUNT = 0.25
+"""Lowest decayed request count to hand over: one request within the last two half-lives."""
 
-_KEPT_S = 8.0
-"""So long adapters are brought that nobody asks for: through the announcement, which is some
-seconds, and for as long again and more. What was not asked for since is not worth a load."""
+_PREFETCH_DURATION_S = 8.0
+"""How long adapters of an evacuated zone are prefetched without a request in this zone: more than
+twice the announcement, which lasts a few seconds. An adapter not requested by then is not worth a
+load."""
 
 
 def handover_of(popularity: Popularity) -> Handover:
-    """Return what was asked for at a zone's placer, the most asked for first."""
-    ranked = popularity.ranked(least=_LEAST_ASKED)[:_HANDED_AT_MOST]
-    return Handover([AskedFor(*key, round(asked, 2)) for key, asked in ranked])
+    """Return the adapters requested in a zone, the most requested first."""
+    ranked = popularity.ranked(least=_MIN_REQUEST_COUNT)[:_MAX_HANDED_OVER]
+    return Handover([AskedFor(*key, round(count, 2)) for key, count in ranked])
 
 
-class _Taken(NamedTuple):
-    """What a zone took over of an evacuated one.
+class _ZonePrefetch(NamedTuple):
+    """The adapters that a zone prefetches on behalf of one evacuated zone.
 
     Attributes:
-        left: How often what is not here yet was asked for.
-        brought: What came, or was here already.
+        missing: The request counts of adapters that are not in this zone yet.
+        loaded: Adapters that were loaded, or were in this zone already.
     """
 
-    left: dict[AdapterKey, float]
-    brought: set[AdapterKey]
+    missing: dict[AdapterKey, float]
+    loaded: set[AdapterKey]
 
 
 class PrefetchWants:
-    """The adapters that one zone's placer brings although nobody asked for them here.
+    """The adapters that a zone's placer prefetches without a request in the zone.
 
     Args:
         zone: The zone.
-        popularity: How often adapters are asked for in the zone; learns of what is taken over.
+        popularity: The request counts of the zone; raised to those handed over.
         log: The log to write to.
-        metrics: The metrics to show what is left in.
-        on_update: Called when there is something new to bring.
+        metrics: The metrics that show the number of adapters still missing.
+        on_update: Called when there are new adapters to prefetch.
     """
 
     def __init__(
@@ -83,33 +84,35 @@
         self._zone = zone
         self._popularity = popularity
         self._log = log
-        self._left_gauge = metrics.ahead_adapters.labels(zone)
-        self._taken: dict[str, _Taken] = {}
+        self._missing_gauge = metrics.ahead_adapters.labels(zone)
+        self._by_zone: dict[str, _ZonePrefetch] = {}
         self._ends_at: dict[str, float] = {}
 
     @property
     def pending(self) -> bool:
-        """Whether there is something to bring."""
-        return any(taken.left for taken in self._taken.values())
+        """Whether any adapter is still missing."""
+        return any(prefetch.missing for prefetch in self._by_zone.values())
 
     def add(self, from_zone: str, asked_for: Iterable[AskedFor]) -> None:
-        """Take over what was asked for in an evacuated zone; what was taken before is passed over.
+        """Add adapters requested in an evacuated zone; those already loaded for it are skipped.
 
         Args:
             from_zone: The evacuated zone.
-            asked_for: What to bring, the most asked for first.
+            asked_for: The adapters to prefetch, the most requested first.
         """
-        taken = self._taken.get(from_zone, _Taken({}, set()))
-        missing = [item for item in asked_for if item.key not in taken.brought]
-        new = [item for item in missing if item.key not in taken.left]
+        prefetch = self._by_zone.get(from_zone, _ZonePrefetch({}, set()))
+        missing = [item for item in asked_for if item.key not in prefetch.loaded]
+        new = [item for item in missing if item.key not in prefetch.missing]
         for item in missing:
-            # Its placer may be heard only after what its engines held was taken.
-            taken.left[item.key] = max(item.asked, taken.left.get(item.key, 0.0))
-            self._popularity.raise_to(item.key, item.asked)
+            # The placer's handover may arrive after the engines' adapters were added with count 0.
+            prefetch.missing[item.key] = max(
+                item.request_count, prefetch.missing.get(item.key, 0.0)
+            )
+            self._popularity.raise_to(item.key, item.request_count)
         if not new:
             return
-        self._taken[from_zone] = taken
-        self._ends_at.setdefault(from_zone, monotonic() + _KEPT_S)
+        self._by_zone[from_zone] = prefetch
+        self._ends_at.setdefault(from_zone, monotonic() + _PREFETCH_DURATION_S)
         self._log.say(
             "Brings adapters of an evacuated zone.",
             zone=self._zone,
@@ -120,65 +123,69 @@
         self._on_update()
 
     def wants(self, is_there: Callable[[AdapterKey], bool], now: float) -> list[CombinedWant]:
-        """Return what is to be brought next, the most asked for first.
+        """Return the adapters to prefetch next, the most requested first.
 
         Args:
-            is_there: Whether an adapter stands in the zone, is on its way in or is at hand there.
+            is_there: Whether an engine of the zone holds an adapter, is loading it or keeps its
+                weights.
             now: The time on the local monotonic clock.
         """
         for from_zone in [zone for zone, ends_at in self._ends_at.items() if ends_at <= now]:
             self.drop(from_zone)
-        asked: dict[AdapterKey, float] = {}
-        for taken in self._taken.values():
-            for key in [key for key in taken.left if is_there(key)]:
-                del taken.left[key]
-                taken.brought.add(key)
-            asked.update(taken.left)
-        self._left_gauge.set(len(asked))
-        ranked = sorted(asked, key=lambda key: -asked[key])[:_WANTED_AT_MOST]
+        counts: dict[AdapterKey, float] = {}
+        for prefetch in self._by_zone.values():
+            for key in [key for key in prefetch.missing if is_there(key)]:
+                del prefetch.missing[key]
+                prefetch.loaded.add(key)
+            counts.update(prefetch.missing)
+        self._missing_gauge.set(len(counts))
+        ranked = sorted(counts, key=lambda key: -counts[key])[:_MAX_PLANNED]
         return [unasked(key, now) for key in ranked]
 
     def handle_cut(self, from_zone: str) -> None:
-        """Learn that an evacuated zone gets nothing any more."""
-        taken = self._taken.get(from_zone)
-        if taken is None:
+        """Log the progress of the prefetch when an evacuated zone is cut off from requests."""
+        prefetch = self._by_zone.get(from_zone)
+        if prefetch is None:
             return
         self._log.say(
             "Adapters of an evacuated zone at its cut.",
             zone=self._zone,
             from_zone=from_zone,
-            brought=len(taken.brought),
-            left=len(taken.left),
+            brought=len(prefetch.loaded),
+            left=len(prefetch.missing),
         )
 
     def drop(self, from_zone: str) -> None:
-        """Bring no more of a zone, as it was taken back or that was told long ago."""
+        """End the prefetch for a zone: its evacuation was withdrawn, or the prefetch period ended.
+
+        Does nothing if there is none.
+        """
         self._ends_at.pop(from_zone, None)
-        taken = self._taken.pop(from_zone, None)
-        if taken is None:
+        prefetch = self._by_zone.pop(from_zone, None)
+        if prefetch is None:
             return
-        self._left_gauge.set(sum(len(other.left) for other in self._taken.values()))
+        self._missing_gauge.set(sum(len(other.missing) for other in self._by_zone.values()))
         self._log.say(
-            "Brings no more adapters of an evacuated zone.",
+            "Stopped prefetching adapters of an evacuated zone.",
             zone=self._zone,
             from_zone=from_zone,
-            brought=len(taken.brought),
-            left=len(taken.left),
+            brought=len(prefetch.loaded),
+            left=len(prefetch.missing),
         )
 
     def clear(self) -> None:
-        """Forget all, as when the lease is lost."""
-        self._taken.clear()
+        """Drop all prefetches, as when the lease is lost."""
+        self._by_zone.clear()
         self._ends_at.clear()
-        self._left_gauge.set(0)
+        self._missing_gauge.set(0)
 
 
 class HandingZone(Protocol):
-    """A zone as one box sees it, as far as adapters are handed over.
+    """The part of a box's view of a zone that handovers need.
 
     Attributes:
-        prefetch: What the zone brings of evacuated ones, while this box places it.
-        demand: What this box wants and uses of the zone's engines.
+        prefetch: The adapters to prefetch into the zone while this box is its placer.
+        demand: This box's requests for the zone's engines, and its uses of them.
     """
 
     prefetch: PrefetchWants
@@ -189,18 +196,18 @@
         """Whether this box is the zone's placer now."""
 
     def send_handover(self, boxes: Collection[str]) -> None:
-        """Tell boxes what was asked for in the zone."""
+        """Send boxes the adapters requested in the zone."""
 
 
 class HandoverCoordinator:
-    """Hands over what was asked for in evacuated zones, for all zones of one box.
+    """Hands over the adapters requested in evacuated zones, for all zones of one box.
 
     Args:
-        zones: Returns the zones of this box.
+        zones: Returns the zones of this box, by name.
         views: Returns the zones with engines that requests may go to, as they are now.
-        placers: Returns the boxes that place a zone.
-        residency: What stands where.
-        world: Returns what is known beside the replicas.
+        placers: Returns the boxes that are placers of any zone.
+        residency: Which replicas hold which adapters.
+        world: Returns the topology, the evacuated zones, and the cold and limited replicas.
         log: The log to write to.
     """
 
@@ -220,77 +227,80 @@
         self._residency = residency
         self._world = world
         self._log = log
-        self._reported_at: dict[str, float] = {}
+        self._handover_at: dict[str, float] = {}
 
     def handle_change(self, zone: str, evacuated: bool) -> None:
-        """Learn that a zone is evacuated, or was taken back."""
+        """Handle the announcement of a zone's evacuation, or its withdrawal."""
         if evacuated:
-            self._move_requesters(zone, but_for=lambda key: self._stands_in(key, zone))
+            self._move_requesters(zone, but_for=lambda key: self._is_held_in(key, zone))
             gevent.spawn(self._send_while_announced, zone)
-            gevent.spawn_later(_PLACER_HEARD_S, self._hand_over_unreported, zone)
+            gevent.spawn_later(_HANDOVER_TIMEOUT_S, self._hand_over_unreported, zone)
             return
         for other in self._zones().values():
             other.prefetch.drop(zone)
 
     def handle_cut(self, zone: str) -> None:
-        """Learn that a zone gets nothing any more."""
+        """Handle the time from which an evacuated zone gets no requests."""
         self._move_requesters(zone, but_for=lambda key: False)
         for other in self._zones().values():
             other.prefetch.handle_cut(zone)
 
     def apply(self, zone: str, handover: Handover) -> None:
-        """Learn what was asked for in a zone; each zone that this box places takes its part.
+        """Distribute the adapters of an evacuated zone among the remaining zones.
 
-        The zone's placer may know of the evacuation before this box does.
+        Each zone that this box places prefetches its share. The handover may arrive before this
+        box knows of the evacuation.
         """
         known = self._world()
         world = known._replace(announced=known.announced | {zone})
-        self._reported_at[zone] = monotonic()
+        self._handover_at[zone] = monotonic()
         views = self._remaining(zone, world)
-        missing = [item for item in handover.adapters if not self._stands(item.key, world)]
+        missing = [item for item in handover.adapters if not self._is_held(item.key, world)]
         for name, other in self._zones().items():
             if other.placing and name not in world.announced:
-                mine = [item for item in missing if choose_zone(item.key, views) == name]
-                other.prefetch.add(zone, mine)
+                share = [item for item in missing if choose_zone(item.key, views) == name]
+                other.prefetch.add(zone, share)
 
     def _send_while_announced(self, zone: str) -> None:
         while True:
             placed = self._zones().get(zone)
             if placed is not None and placed.placing:
                 placed.send_handover(self._placers())
-            gevent.sleep(_TELL_EVERY_S)
+            gevent.sleep(_HANDOVER_INTERVAL_S)
             world = self._world()
             if zone not in world.announced or zone in world.evacuated:
                 return
 
     def _hand_over_unreported(self, zone: str) -> None:
-        """Go by what the engines of a zone were said to hold, if its placer told nothing."""
-        # Its placer may have told a little before this box learnt of the evacuation.
-        heard_s = monotonic() - self._reported_at.get(zone, float("-inf"))
-        if heard_s < 2 * _PLACER_HEARD_S or zone not in self._world().announced:
+        """Hand over the adapters that a zone's engines hold, if its placer sent no handover."""
+        # The handover may have arrived shortly before this box learned of the evacuation.
+        age_s = monotonic() - self._handover_at.get(zone, float("-inf"))
+        if age_s < 2 * _HANDOVER_TIMEOUT_S or zone not in self._world().announced:
             return
         keys = self._residency.held_in(zone)
-        self._log.say("Heard no placer of an evacuated zone.", zone=zone, held=len(keys))
-        held = [AskedFor(*key, 0.0) for key in keys[:_HANDED_AT_MOST]]
+        self._log.say(
+            "No handover from the placer of an evacuated zone.", zone=zone, held=len(keys)
+        )
+        held = [AskedFor(*key, 0.0) for key in keys[:_MAX_HANDED_OVER]]
         self.apply(zone, Handover(held))
 
     def _remaining(self, zone: str, world: World) -> list[ZoneView]:
-        """Return the zones among which what was asked for in a zone is divided.
+        """Return the zones that share the adapters of an evacuated zone.
 
-        They are those of its region, if there are any. All count as having room: boxes know of it
-        at different times, and are to divide alike.
+        Zones of the same region are preferred. All are treated as having room: boxes learn of room
+        at different times, but must all divide the adapters in the same way.
         """
         views = [view for view in self._views() if view.name not in world.announced]
         region = world.topology.region_of(zone)
         near = [view for view in views if world.topology.region_of(view.name) == region]
         return [view._replace(room=1) for view in near or views]
 
-    def _stands(self, key: AdapterKey, world: World) -> bool:
-        """Whether an adapter stands in a zone that remains."""
+    def _is_held(self, key: AdapterKey, world: World) -> bool:
+        """Whether a replica in a remaining zone holds an adapter."""
         holders = self._residency.holders(key)
         return any(may_be_loaded(replica.record, world=world) for replica in holders)
 
-    def _stands_in(self, key: AdapterKey, zone: str) -> bool:
+    def _is_held_in(self, key: AdapterKey, zone: str) -> bool:
         holders = self._residency.holders(key)
         return any(replica.record.zone == zone for replica in holders)
 
--- a/springrock/placement/handover_messages.py
+++ b/springrock/placement/handover_messages.py
@@ -1,4 +1,4 @@
-"""What the placer of an evacuated zone tells those who place the zones that remain."""
+"""The messages of the placer of an evacuated zone to the placers of the remaining zones."""
 
 from __future__ import annotations
 
@@ -8,19 +8,23 @@
 
 
 class AskedFor(Struct, frozen=True, array_like=True):
-    """How often an adapter was asked for in a zone, decayed with time."""
+    """An adapter requested in an evacuated zone.
+
+    Attributes:
+        request_count: The number of requests for it there, decayed with time.
+    """
 
     model: str
     adapter: str
-    asked: float
+    request_count: float
 
     @property
     def key(self) -> AdapterKey:
-        """The adapter."""
+        """The adapter's key."""
         return AdapterKey(self.model, self.adapter)
 
 
 class Handover(Struct, frozen=True, array_like=True, tag=10):
-    """What was asked for in an evacuated zone, the most asked for first."""
+    """The adapters requested in an evacuated zone, the most requested first."""
 
     adapters: list[AskedFor]
--- a/springrock/placement/link_client.py
+++ b/springrock/placement/link_client.py
@@ -1,4 +1,4 @@
-"""A box's link to the placer of a zone: one websocket, dialed by the box."""
+"""A box's link to the placer of a zone: one websocket that the box opens."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from springrock.log import Log
 from springrock.metrics import count_nothing
 from springrock.placement.demand import DemandBook
-from springrock.placement.dialing import DIAL_S, dial
+from springrock.placement.dialing import DIAL_TIMEOUT_S, dial
 from springrock.placement.link_server import LINK_FAILURES
 from springrock.placement.messages import Demand, Hello, Message, decode, encode
 from springrock.unknown_messages import UnknownKind, UnknownMessages
 
-_SILENCE_S = 1.3
-"""A placer that sends no heartbeat for so long is taken for unreachable."""
+_SILENCE_TIMEOUT_S = 1.3
+"""How long after its last message a placer counts as unreachable."""
 
 _MAX_REPORT_INTERVAL_S = 0.7
-"""Well under the silence after which a placer takes a box for gone."""
+"""Longest time between reports: well below the silence after which a placer drops a box."""
 
 
 class PlacerClient:
@@ -28,17 +28,20 @@
 
     Args:
         box: The name of this box.
-        home_zone: The zone in which this box stands.
-        zone: The zone whose placer is meant.
-        strength: The processor that this box has, in cores.
-        address: Where this box serves links.
-        process: This process.
-        demand: What this box asks and uses.
+        home_zone: The zone of this box.
+        zone: The zone whose placer to link to.
+        strength: The processor cores of this box.
+        address: The address at which this box accepts links; empty if it cannot take a lease over.
+        process: The id of this process; empty if it cannot take a lease over.
+        demand: This box's requests for engines of the zone, and its uses of them.
         on_message: Called with each message of the placer.
-        on_lost: Called when the link is gone.
+        on_lost: Called when the link is broken.
         log: The log to write to.
-        count_sent: Called with the bytes of each frame.
+        count_sent: Called with the number of bytes of each frame sent.
         count_unknown: Called with the kind of each message that this build does not know.
+
+    Attributes:
+        lost: Set when the link is broken, cleared when it is opened.
     """
 
     def __init__(
@@ -74,11 +77,16 @@
 
     @property
     def linked(self) -> bool:
-        """Whether the placer can be told."""
+        """Whether the link is open."""
         return self._connection is not None
 
     def link(self, address: str, *, incarnation: str) -> bool:
-        """Dial the placer; return whether it accepted this box."""
+        """Open the link; return whether the placer accepted this box.
+
+        Args:
+            address: The address at which the placer accepts links.
+            incarnation: The id of the placer's process; another one does not accept the link.
+        """
         try:
             connection = dial(address)
         except LINK_FAILURES as error:
@@ -88,7 +96,7 @@
             return False
         try:
             connection.send(encode(self._hello(incarnation)))
-            first = decode(connection.recv(timeout=DIAL_S))
+            first = decode(connection.recv(timeout=DIAL_TIMEOUT_S))
         except (*LINK_FAILURES, UnknownKind) as error:
             self._log.say(
                 "The placer did not accept this box.",
@@ -125,7 +133,7 @@
         unknown = UnknownMessages(address, log=self._log, count=self._count_unknown)
 
         def _receive() -> Message:
-            return decode(connection.recv(timeout=_SILENCE_S))
+            return decode(connection.recv(timeout=_SILENCE_TIMEOUT_S))
 
         self._log.say("Linked to the placer.", zone=self._zone, address=address)
         try:
--- a/springrock/placement/link_server.py
+++ b/springrock/placement/link_server.py
@@ -1,4 +1,4 @@
-"""The links of other boxes to the zones that this box places: one websocket a box and zone."""
+"""The links of other boxes to the zones that this box places: one websocket per box and zone."""
 
 from __future__ import annotations
 
@@ -31,50 +31,58 @@
 from springrock.settings import split_address
 from springrock.unknown_messages import UnknownKind, UnknownMessages
 
-CLOSE_S = 0.1
+CLOSE_TIMEOUT_S = 0.1
 FRAME_LIMIT_BYTES = 1_048_576
-_HELLO_S = 2.0
-_SILENCE_S = 2.0
-"""A box that tells no demand for so long is gone; it tells it twice a second."""
+_HELLO_TIMEOUT_S = 2.0
+_SILENCE_TIMEOUT_S = 2.0
+"""How long after its last message a linked box is dropped; it sends its demand at
+least every 0.7 s."""
 
 LINK_FAILURES = (OSError, WebSocketException, EOFError, TimeoutError, PeerRejected)
-"""What sending and receiving raise when a link is broken."""
+"""The errors that sending and receiving raise when a link is broken."""
 
 
 class Outbox:
-    """What is still to be sent to one box; a newer forecast replaces an older one of its matter."""
+    """The frames waiting to be sent to one box.
+
+    A newer heartbeat, or a newer forecast for the same adapter, replaces the older one.
+
+    Attributes:
+        filled: Set while frames are waiting.
+        sent: Set while all frames are sent.
+    """
 
     def __init__(self) -> None:
         self._frames: OrderedDict[tuple[object, ...], bytes] = OrderedDict()
-        self._count = 0
+        self._unique_keys = 0
         self.filled = Event()
         self.sent = Event()
         self.sent.set()
 
     def put(self, message: Message, frame: bytes) -> None:
-        """Add a message with its frame, which all boxes may share."""
-        matter: tuple[object, ...]
+        """Add a message with its encoded frame, which the outboxes of several boxes may share."""
+        replace_key: tuple[object, ...]
         match message:
             case Forecast(model=model, adapter=adapter):
-                matter = ("forecast", model, adapter)
+                replace_key = ("forecast", model, adapter)
             case Heartbeat():
-                matter = ("heartbeat",)
+                replace_key = ("heartbeat",)
             case _:
-                self._count += 1
-                matter = (self._count,)
-        self._frames[matter] = frame
+                self._unique_keys += 1
+                replace_key = (self._unique_keys,)
+        self._frames[replace_key] = frame
         self.sent.clear()
         self.filled.set()
 
     def drain(self) -> list[bytes]:
-        """Return all frames and be empty."""
+        """Remove and return all waiting frames."""
         frames = list(self._frames.values())
         self._frames.clear()
         self.filled.clear()
         return frames
 
     def record_sent(self) -> None:
-        """Learn that all frames that were taken are sent."""
+        """Record that all drained frames are sent."""
         if not self._frames:
             self.sent.set()
 
@@ -83,12 +91,12 @@
     """One linked box.
 
     Attributes:
-        home_zone: The zone in which the box stands.
-        strength: The processor that the box has, in cores.
-        handover_target: The box as one to which the role can be handed over; None if it cannot.
+        home_zone: The zone of the box.
+        strength: The processor cores of the box.
+        handover_target: The box as a target for a handover of the lease; None if it cannot be one.
         since: When it linked, on the local monotonic clock.
         stopping: Whether it is about to stop.
-        count_sent: Called with the bytes of each frame.
+        count_sent: Called with the number of bytes of each frame sent.
     """
 
     def __init__(
@@ -110,26 +118,26 @@
 
 
 class LinkHost(Protocol):
-    """Who is told what linked boxes send."""
+    """The placer that handles the messages of linked boxes."""
 
     def first_messages(self) -> list[Message]:
-        """Return what a newly linked box is told; the first message accepts it."""
+        """Return the messages for a newly linked box; the first of them accepts the link."""
 
     def apply_demand(self, box: str, demand: Demand) -> None:
-        """Take all that a box now wants and uses."""
+        """Apply a box's update of its requests for engines and its uses of them."""
 
     def forget_box(self, box: str) -> None:
-        """Drop what a box wanted and used."""
+        """Drop a box's requests for engines and its uses of them."""
 
 
 class BoxLinks:
     """The linked boxes of one zone's placer.
 
     Args:
-        host: Who is told what they send.
+        host: Handles the messages of linked boxes.
         log: The log to write to.
-        count_sent_to: Returns what counts the bytes of frames to the boxes of a zone.
-        is_far: Whether a box's zone is of another region.
+        count_sent_to: Returns the counter of bytes sent to the boxes of a zone.
+        is_far: Whether a box's zone is in another region.
         count_unknown: Called with the kind of each message that this build does not know.
     """
 
@@ -151,30 +159,30 @@
 
     @property
     def count(self) -> int:
-        """How many boxes are linked."""
+        """The number of linked boxes."""
         return len(self._links)
 
     def count_of(self, home_zone: str) -> int:
-        """How many of the linked boxes stand in a zone."""
+        """Return the number of linked boxes in a zone."""
         return sum(link.home_zone == home_zone for link in self._links.values())
 
     def home_zone(self, box: str) -> str | None:
-        """Return where a linked box stands; None if it is not linked or has not said so."""
+        """Return the zone of a linked box; None if it is not linked or named no zone."""
         link = self._links.get(box)
         return None if link is None else link.home_zone or None
 
     def sample_boxes(self, most: int) -> list[str]:
-        """Return some linked boxes that are to stay, by chance."""
+        """Return a random sample of the linked boxes that are not stopping."""
         staying = [box for box, link in self._links.items() if not link.stopping]
         return random.sample(staying, min(most, len(staying)))
 
     def has_linked_box(self, home_zone: str, *, for_s: float, strength: float = 0.0) -> bool:
-        """Whether a box that stands in a zone, and is to stay, has been linked for so long.
+        """Whether a box of a zone that is not stopping has been linked for some time.
 
         Args:
             home_zone: The zone.
-            for_s: How long.
-            strength: The processor that the box must have at least, in cores.
+            for_s: The least time since the box linked.
+            strength: The least number of processor cores of the box.
         """
         now = monotonic()
         return any(
@@ -186,13 +194,13 @@
         )
 
     def handover_target(self, home_zone: str, *, staying: bool = True) -> HandoverTarget | None:
-        """Return the box to which the role is best handed over; None if there is none.
+        """Return the best box to hand the lease over to; None if there is none.
 
-        One of the zone itself comes first, then the strongest, then the one linked for longest.
+        Boxes of the zone itself come first, then the strongest, then the one linked for longest.
 
         Args:
             home_zone: The zone.
-            staying: Whether it must not be about to stop itself.
+            staying: Whether to leave out boxes that are stopping.
         """
         links = [
             link
@@ -207,11 +215,11 @@
         return None if best is None else best.handover_target
 
     def flush(self, *, within_s: float) -> None:
-        """Wait until all messages are sent, as before the links are closed."""
+        """Wait until all messages are sent, before the links are closed."""
         gevent.wait([link.outbox.sent for link in self._links.values()], timeout=within_s)
 
     def notify(self, box: str, message: Message) -> None:
-        """Send a message to one box; one that is not linked has lost its placer."""
+        """Send a message to one box, if it is linked; it has lost its placer otherwise."""
         link = self._links.get(box)
         if link is not None:
             link.outbox.put(message, encode(message))
@@ -219,14 +227,20 @@
     def broadcast(
         self, message: Message, *, home_zone: str | None = None, also: Collection[str] = ()
     ) -> None:
-        """Send a message to every linked box, or to those that stand in one zone and some more."""
+        """Send a message to every linked box.
+
+        Args:
+            message: The message.
+            home_zone: If given, send only to boxes of this zone, and to those in `also`.
+            also: Names of further boxes.
+        """
         frame = encode(message)
         for box, link in self._links.items():
             if home_zone is None or link.home_zone == home_zone or box in also:
                 link.outbox.put(message, frame)
 
     def send_to_zones(self, message: Message, *, far: bool) -> None:
-        """Send a message to the linked boxes of the own region, or to those of other ones."""
+        """Send a message to the linked boxes of this region, or to those of all others."""
         links = [link for link in self._links.values() if self._is_far(link.home_zone) is far]
         if not links:
             return
@@ -235,12 +249,12 @@
             link.outbox.put(message, frame)
 
     def close_all(self) -> None:
-        """Close every link, as when the lease is lost."""
+        """Close every link, as after the lease was lost."""
         for link in self._links.values():
             gevent.spawn(link.connection.close)
 
     def serve(self, hello: Hello, connection: ServerConnection) -> None:
-        """Serve a box that said hello until its link breaks."""
+        """Serve a box whose `Hello` was received until its link breaks."""
         box = hello.box
         self._drop_older(box)
         link = _Link(connection, hello, self._count_sent_to(hello.home_zone))
@@ -260,7 +274,7 @@
                 self._host.forget_box(box)
 
     def _drop_older(self, box: str) -> None:
-        """Forget what an older link of a box told: it tells all that stands on the new one."""
+        """Drop an older link of a box, and its demand: the box sends all of it on the new link."""
         older = self._links.pop(box, None)
         if older is not None:
             self._host.forget_box(box)
@@ -270,12 +284,12 @@
         unknown = UnknownMessages(box, log=self._log, count=self._count_unknown)
 
         def _receive() -> Message:
-            return decode(link.connection.recv(timeout=_SILENCE_S))
+            return decode(link.connection.recv(timeout=_SILENCE_TIMEOUT_S))
 
         while True:
             message = unknown.next_known(_receive)
             if not isinstance(message, Demand):
-                raise PeerRejected(f"an unexpected {type(message).__name__}")
+                raise PeerRejected(f"unexpected {type(message).__name__} instead of a Demand")
             if self._links.get(box) is not link:
                 return
             link.stopping = message.stopping
@@ -283,13 +297,13 @@
 
 
 class LinkServer:
-    """Listens for links and hands each to the zone that it means.
+    """Accepts links and passes each to the zone that its `Hello` names.
 
     Args:
-        address: Where to listen.
-        incarnation: This process; a box that means another one is turned away.
-        links_of: Returns the links of a zone, if this box places it now.
-        state_for: Returns what a box that asks for it is told of what is known.
+        address: The address to listen at.
+        incarnation: The id of this process; a link meant for another one is closed.
+        links_of: Returns the links of a zone; None unless this box is its placer now.
+        state_for: Returns this box's state, for a box that asks for it.
         log: The log to write to.
     """
 
@@ -311,7 +325,7 @@
         self._task: gevent.Greenlet[..., Any] | None = None
 
     def start(self) -> None:
-        """Begin listening."""
+        """Start listening."""
         host, port = split_address(self._address)
         self._server = serve(
             self._serve_box,
@@ -320,7 +334,7 @@
             compression=None,
             max_size=FRAME_LIMIT_BYTES,
             ping_interval=None,
-            close_timeout=CLOSE_S,
+            close_timeout=CLOSE_TIMEOUT_S,
         )
         self._task = gevent.spawn(self._server.serve_forever)
 
@@ -331,7 +345,7 @@
 
     def _serve_box(self, connection: ServerConnection) -> None:
         try:
-            hello = decode(connection.recv(timeout=_HELLO_S))
+            hello = decode(connection.recv(timeout=_HELLO_TIMEOUT_S))
         except (*LINK_FAILURES, UnknownKind) as error:
             self._log.say("Rejected a link.", error=str(error))
             return
@@ -350,7 +364,7 @@
         try:
             connection.send(encode(self._state_for(hello)))
         except LINK_FAILURES as error:
-            self._log.say("Could not tell what is known.", peer=hello.box, error=str(error))
+            self._log.say("Could not send this box's state.", peer=hello.box, error=str(error))
 
 
 def _write_loop(link: _Link) -> None:
--- a/springrock/placement/placer_board.py
+++ b/springrock/placement/placer_board.py
@@ -1,4 +1,4 @@
-"""The placers' rows of all zones, as last read of the store or told by a box that reads it."""
+"""The placer rows of all zones, as last read from the store or received from another box."""
 
 from __future__ import annotations
 
@@ -12,16 +12,18 @@
 from springrock.rows import Row, RowStoreUnavailable
 
 _STALE_S = 3.0
-"""A reading older than this proves nothing any more: a read takes at most 2.6 s while the store
-answers, the wait for a change included, and leases are renewed more often than that."""
+"""Age from which a reading is not relied on. A read takes at most 2.6 s while the store answers,
+including the wait for a change, and leases are renewed more often than that."""
 
 
 class PlacerBoard:
-    """Implements `springrock.rows.TableListener`; the election of each zone goes by it.
+    """The last known placer rows, on which the election of each zone is based.
+
+    Implements `springrock.rows.TableListener`.
 
     Args:
         age_s: Returns the seconds since the rows were last known to be current.
-        version: Returns the version up to which they are known.
+        version: Returns the version of the store up to which the rows are known.
     """
 
     def __init__(
@@ -38,7 +40,7 @@
         """Return a row; None if there is none.
 
         Raises:
-            RowStoreUnavailable: If nothing current is known.
+            RowStoreUnavailable: If the rows were not read recently enough.
         """
         self._event(key).clear()
         age_s = self._age_s()
@@ -48,13 +50,13 @@
 
     @property
     def era(self) -> int:
-        """The store's era of the rows."""
+        """The era of the store that the rows were read in."""
         return era_of(self._version())
 
     def holder(self, key: str) -> PlacerRow | Successor | None:
-        """Return who was last known to place; None if nobody was.
+        """Return the last known placer of a row; None if there is none.
 
-        That may be long ago: whoever is asked for a link knows whether it still places.
+        The knowledge may be outdated: a box that is no longer the placer rejects links.
         """
         row = self._rows.get(key)
         existing = None if row is None else placer_row_from(row)
@@ -64,56 +66,56 @@
         return existing if existing is not None and existing.incarnation else None
 
     def record_successor(self, key: str, successor: Successor) -> None:
-        """Learn that a placer has handed its role over; what is older is passed over."""
+        """Record the handover of a placer's lease; an older handover is ignored."""
         known = self._successors.get(key)
         if known is None or successor.fence > known.fence:
             self._successors[key] = successor
             self._event(key).set()
 
     def successors(self) -> list[tuple[str, Successor]]:
-        """Return who goes on in the stead of a placer, each with the key of the placer's row."""
+        """Return the boxes to which leases were handed over, each with the key of the row."""
         return list(self._successors.items())
 
     def wait(self, key: str, *, timeout_s: float) -> None:
-        """Wait until a row changes that `current_row` has returned, or the time is over."""
+        """Wait until a row changes since `current_row` returned it, or until the timeout."""
         self._event(key).wait(timeout=timeout_s)
 
     @property
     def known(self) -> bool:
-        """Whether the rows were read at least once."""
+        """Whether the rows have been read at least once."""
         return self._known.is_set()
 
     def wait_known(self) -> None:
-        """Wait until the rows were read for the first time."""
+        """Wait until the rows have been read for the first time."""
         self._known.wait()
 
     def boxes(self) -> set[str]:
-        """Return the boxes that hold a lease, as far as is known."""
+        """Return the boxes that are known to hold a lease."""
         decoded = (placer_row_from(row) for row in self._rows.values())
         return {row.box for row in decoded if row is not None and row.incarnation}
 
     def record(self, row: Row) -> None:
-        """Learn of a row that is perhaps newer than what was read, as from a failed write."""
+        """Record a row that may be newer than the last reading, as from a failed write."""
         known = self._rows.get(row.key)
         if known is None or row.version > known.version:
             self._rows[row.key] = row
             self._event(row.key).set()
 
-    # What was read of the table.
+    # Implementation of `TableListener`.
 
     def replace(self, rows: Sequence[Row]) -> None:
-        """Take the whole table."""
+        """Replace all rows with those of a full reading."""
         self._rows = {row.key: row for row in rows}
         self._known.set()
         for event in self._updates.values():
             event.set()
 
     def change(self, row: Row) -> None:
-        """Take a new or changed row."""
+        """Apply a new or changed row."""
         self.record(row)
 
     def remove(self, key: str) -> None:
-        """Learn that a row is gone."""
+        """Apply the removal of a row."""
         self._rows.pop(key, None)
         self._event(key).set()
 
--- a/springrock/placement/placer_row.py
+++ b/springrock/placement/placer_row.py
@@ -1,4 +1,4 @@
-"""The row of a zone's placer in the store: who holds the lease, where, and under which fence."""
+"""The store's row of a zone's placer: the lease's holder, its address and its fence."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class PlacerRow(Struct, frozen=True, kw_only=True):
-    """What the row says.
+    """The content of a placer's row.
 
     Attributes:
-        incarnation: The process that holds the lease; empty when it was given up.
-        address: Where the placer's link is served.
-        fence: The holder's fence.
-        renewal: Counts the holder's renewals, so that each writes something new.
-        successor: Of one that was given up: whether a box of the zone itself can take it.
-        era: The store's era in which the fence was given; 0 if it is not known.
+        incarnation: The id of the process that holds the lease; empty once it was released.
+        address: The address at which the placer accepts links.
+        fence: The highest fence that the lease has reserved; the holder's own is below it.
+        renewal: The number of renewals by the holder, so that each one changes the row.
+        successor: In a released row: whether a box of the zone itself can acquire the lease.
+        era: The store's era in which the fence was issued; 0 if unknown.
     """
 
     box: str
@@ -38,7 +38,7 @@
 
 
 def placer_row_from(row: Row) -> PlacerRow | None:
-    """Return what a row says; None if it cannot be read, and so may be taken by nobody."""
+    """Return the content of a row; None if it cannot be decoded, so that no box acquires it."""
     try:
         return msgspec.json.decode(row.value, type=PlacerRow)
     except msgspec.DecodeError:
--- a/springrock/placement/relayed_writes.py
+++ b/springrock/placement/relayed_writes.py
@@ -1,9 +1,10 @@
-"""Writes of a placer's row by other boxes, for a placer that the store does not answer.
+"""Writes a placer's row through other boxes when the store does not answer the placer.
 
-A cut between one box and the store is no reason to change the placer: its links stand, and any box
-at their other end can write the row in its place. The write is under the same condition, so it does
-not matter which box writes or how many are asked. A write that took effect unanswered is a conflict
-for the next, as with the store itself: it took effect sooner than the next was sent.
+A network cut between one box and the store is no reason to change the placer: its links still work,
+and any linked box can write the row in its place. The write has the same condition, so it does not
+matter which box writes it or how many are asked. A relayed write that took effect without an answer
+makes the next write a conflict, as with the store itself, since it took effect before the next one
+was sent.
 """
 
 from __future__ import annotations
@@ -27,18 +28,18 @@
 )
 
 _HELPERS = 3
-"""Boxes that are asked at once: of a third that the store does not answer, so many are all cut off
-from it once in 27 times."""
+"""Number of boxes asked at once. If the store does not answer a third of all boxes, all three are
+cut off from it once in 27 times."""
 
-_ANSWERS_WITHIN_S = 0.5
+_ANSWER_TIMEOUT_S = 0.5
 
 
 class RelayedWrites:
-    """Has linked boxes write for the placer.
+    """Writes rows of the store through linked boxes.
 
     Args:
-        helpers: Returns some linked boxes, at most so many.
-        send: Sends a message to one of them.
+        helpers: Returns linked boxes to ask, at most as many as its argument says.
+        send: Sends a message to a linked box.
     """
 
     def __init__(
@@ -50,39 +51,39 @@
         self._helpers = helpers
         self._send = send
         self._numbers = count(1)
-        self._waiting: dict[int, _Round] = {}
+        self._pending: dict[int, _PendingWrite] = {}
 
     def write(self, table: str, key: str, value: bytes, *, expected: int) -> int:
-        """Write a row if it has the expected version; return its version, or a later of the store.
+        """Write a row if it has the expected version; return its version, or a later one.
 
         Args:
-            table: The table of the placers' rows; boxes write no other for a placer.
-            key: The row.
-            value: What it is to be.
-            expected: The version that it must have.
+            table: The table of the placers' rows; boxes write to no other one for a placer.
+            key: The key of the row.
+            value: The new value of the row.
+            expected: The version that the row must have.
 
         Raises:
-            RowConflict: If it has another version.
+            RowConflict: If the row has another version.
             HelpersSilent: If no box answered.
             RowStoreUnavailable: If no box could write.
         """
         assert table == TABLE
         helpers = self._helpers(_HELPERS)
         number = next(self._numbers)
-        waiting = self._waiting[number] = _Round(len(helpers))
+        pending = self._pending[number] = _PendingWrite(len(helpers))
         try:
             for box in helpers:
                 self._send(box, WriteFor(number, key, value, number_of(expected), era_of(expected)))
             if helpers:
-                waiting.over.wait(timeout=_ANSWERS_WITHIN_S)
+                pending.finished.wait(timeout=_ANSWER_TIMEOUT_S)
         finally:
-            del self._waiting[number]
-        written = waiting.best
-        if not waiting.answered:
+            del self._pending[number]
+        written = pending.best
+        if not pending.answered:
             raise HelpersSilent("no linked box answered")
         if written is None:
             raise RowStoreUnavailable("no linked box could write")
-        # A box of an earlier build does not tell the era.
+        # A box with an earlier build does not send the era.
         era = written.era or era_of(expected)
         try:
             version = peer_version(era, written.version)
@@ -96,43 +97,48 @@
         return version
 
     def record_written(self, written: Written) -> None:
-        """Learn what a box could do; what comes too late is passed over."""
-        waiting = self._waiting.get(written.number)
-        if waiting is not None:
-            waiting.handle_answer(written)
+        """Handle a box's answer to a write; an answer after the timeout is ignored."""
+        pending = self._pending.get(written.number)
+        if pending is not None:
+            pending.handle_answer(written)
 
 
-class _Round:
+class _PendingWrite:
     """The answers to one write that several boxes were asked for.
 
-    One of them writes; to the others the row then has another version.
+    The first box to write succeeds; the others then report a conflict.
+
+    Attributes:
+        answered: Whether any box answered.
+        best: The answer that counts: a success if there is one, else a conflict.
+        finished: Set when a box succeeded or all boxes have answered.
     """
 
-    def __init__(self, asked: int) -> None:
-        self._left = asked
+    def __init__(self, helper_count: int) -> None:
+        self._outstanding = helper_count
         self.answered = False
         self.best: Written | None = None
-        self.over = Event()
+        self.finished = Event()
 
     def handle_answer(self, written: Written) -> None:
-        """Take an answer; that of the box that wrote is the one."""
-        self._left -= 1
+        """Record an answer; a successful write takes precedence over a conflict."""
+        self._outstanding -= 1
         self.answered = True
         if written.answered and (self.best is None or self.best.conflict):
             self.best = written
-        if not self._left or (written.answered and not written.conflict):
-            self.over.set()
+        if not self._outstanding or (written.answered and not written.conflict):
+            self.finished.set()
 
 
-def write_for(store: RowStore, asked: WriteFor) -> Written:
-    """Write for a placer; return what came of it."""
+def write_for(store: RowStore, request: WriteFor) -> Written:
+    """Write a row for a placer; return the answer to send to it."""
     try:
-        expected = peer_version(asked.era, asked.expected)
-        version = store.write(TABLE, asked.key, asked.value, expected=expected)
+        expected = peer_version(request.era, request.expected)
+        version = store.write(TABLE, request.key, request.value, expected=expected)
     except RowConflict as conflict:
-        row = conflict.row or Row(asked.key, b"", 0)
+        row = conflict.row or Row(request.key, b"", 0)
         return Written(
-            asked.number,
+            request.number,
             answered=True,
             version=number_of(row.version),
             conflict=True,
@@ -142,5 +148,7 @@
     except WrittenInAnotherEra as written:
         version = written.version
     except (RowStoreUnavailable, PeerRejected):
-        return Written(asked.number)
-    return Written(asked.number, True, number_of(version), value=asked.value, era=era_of(version))
+        return Written(request.number)
+    return Written(
+        request.number, True, number_of(version), value=request.value, era=era_of(version)
+    )
--- a/springrock/placement/state_fetcher.py
+++ b/springrock/placement/state_fetcher.py
@@ -1,4 +1,4 @@
-"""Asks other boxes for what they know, while this one has just started and the store is silent."""
+"""Fetches tables from other boxes when a box starts while the store does not answer."""
 
 from __future__ import annotations
 
@@ -19,41 +19,41 @@
 from springrock.table_follower import TableFollower
 from springrock.unknown_messages import UnknownKind
 
-_STORE_FIRST_S = 0.25
-"""So long the store alone is asked: it answers in a few milliseconds, and a start in calm costs
-nothing more."""
+_STORE_ONLY_S = 0.25
+"""How long only the store is waited for. It normally answers in a few milliseconds, so that an
+ordinary start asks no other box."""
 
-_LOOK_S = 0.02
-_ANSWER_S = 1.0
-_AGAIN_S = 0.3
-"""So long after all seeds were asked in vain they are asked again, at first."""
+_POLL_INTERVAL_S = 0.02
+_ANSWER_TIMEOUT_S = 1.0
+_RETRY_DELAY_S = 0.3
+"""Initial delay before all seeds are asked again."""
 
-_AGAIN_GROWTH = 1.4
-_AGAIN_AT_MOST_S = 1.5
+_RETRY_DELAY_GROWTH = 1.4
+_MAX_RETRY_DELAY_S = 1.5
 
 FETCH_FAILURES = (*LINK_FAILURES, UnknownKind)
-"""What `fetch_state` raises when no state comes."""
+"""The errors that `fetch_state` raises if it gets no state."""
 
 
 def fetch_state(seed: str, hello: Hello) -> KnownState:
-    """Ask the box at an address for its state."""
+    """Return the state of the box at an address; raises one of `FETCH_FAILURES`."""
     connection = dial(seed)
     try:
         connection.send(encode(hello))
-        state = decode(connection.recv(timeout=_ANSWER_S))
+        state = decode(connection.recv(timeout=_ANSWER_TIMEOUT_S))
     finally:
         connection.close()
     if not isinstance(state, KnownState):
-        raise PeerRejected(f"an unexpected {type(state).__name__}")
+        raise PeerRejected(f"unexpected {type(state).__name__} instead of a KnownState")
     return state
 
 
 class StateUnknown(SpringrockError):
-    """Another box that told nothing of use.
+    """Another box that sent no usable state.
 
     Args:
-        seed: Its address.
-        why: What came instead.
+        seed: The address of that box.
+        why: Why its answer is of no use.
     """
 
     def __init__(self, seed: str, why: str) -> None:
@@ -61,18 +61,19 @@
 
 
 class StateFetcher:
-    """Takes over what other boxes know until this one knows all tables.
+    """Copies tables from other boxes until this box has all of them.
 
-    The store's word replaces it as soon as it comes. Each table keeps the age that it had at the
-    box that told it, so that whatever counts on fresh knowledge counts from then.
+    Readings of the store replace the copies as soon as they arrive. Each table keeps the age that
+    it had at the box it was copied from, so that checks of freshness still hold.
 
     Args:
-        seeds: Where other boxes may be asked; they may be gone, or be something else.
-        fetch: Asks a box at an address for its state; raises one of `FETCH_FAILURES`.
-        zones: All availability zones of the deployment, by which it is told from others.
+        seeds: The addresses to ask. A box may be down, or the address may belong to another
+            service.
+        fetch: Returns the state of the box at an address; raises one of `FETCH_FAILURES`.
+        zones: All availability zones of the deployment; a box with other zones is of another one.
         followers: The tables that this box follows.
-        board: Learns who places.
-        directory: Learns which replicas leave.
+        board: Gets the successors of placers.
+        directory: Gets the replicas that are leaving.
         log: The log to write to.
     """
 
@@ -94,30 +95,32 @@
         self._board = board
         self._directory = directory
         self._log = log
-        self._unknown = Condition(
-            log, begins="No other box tells what it knows.", ends="Another box told what it knows."
+        self._unanswered = Condition(
+            log,
+            begins="No other box provided its tables.",
+            ends="Another box provided its tables.",
         )
 
     def run(self) -> None:
-        """Ask until all tables are known, from the store or from others."""
+        """Ask other boxes until all tables are known, from them or from the store."""
         self._wait_for_store()
-        again_s = _AGAIN_S
+        retry_delay_s = _RETRY_DELAY_S
         while not self._knows_all:
             for seed in random.sample(self._seeds, len(self._seeds)):
                 self._ask(seed)
-            gevent.sleep(random.uniform(0.5, 1.0) * again_s)
-            again_s = min(_AGAIN_AT_MOST_S, again_s * _AGAIN_GROWTH)
+            gevent.sleep(random.uniform(0.5, 1.0) * retry_delay_s)
+            retry_delay_s = min(_MAX_RETRY_DELAY_S, retry_delay_s * _RETRY_DELAY_GROWTH)
 
     @property
     def _knows_all(self) -> bool:
         return all(follower.is_known for follower in self._followers)
 
     def _wait_for_store(self) -> None:
-        until = monotonic() + _STORE_FIRST_S
-        while monotonic() < until and not self._knows_all:
+        deadline = monotonic() + _STORE_ONLY_S
+        while monotonic() < deadline and not self._knows_all:
             if any(follower.unread for follower in self._followers):
                 return
-            gevent.sleep(_LOOK_S)
+            gevent.sleep(_POLL_INTERVAL_S)
 
     def _ask(self, seed: str) -> None:
         asked_at = monotonic()
@@ -125,25 +128,25 @@
             state = self._fetch(seed)
             self._check(seed, state)
         except (*FETCH_FAILURES, StateUnknown) as error:
-            self._unknown.begin(seed=seed, error=str(error))
+            self._unanswered.begin(seed=seed, error=str(error))
             return
         self._apply(state, asked_at)
-        self._unknown.end(seed=seed)
+        self._unanswered.end(seed=seed)
         self._log.say(
-            "Learnt from another box.",
+            "Copied the tables of another box.",
             seed=seed,
             ages_ms={table.updates.table: table.age_ms for table in state.tables},
             took_ms=round(1000 * (monotonic() - asked_at)),
         )
 
     def _check(self, seed: str, state: KnownState) -> None:
-        """Raise `StateUnknown` unless it is of use."""
+        """Raise `StateUnknown` unless the state is usable."""
         if state.zones != self._zones:
-            raise StateUnknown(seed, f"it is of another deployment, of the zones {state.zones}")
+            raise StateUnknown(seed, f"it is of another deployment, with the zones {state.zones}")
         if state.retry_after_ms:
-            raise StateUnknown(seed, f"too many ask it; again in {state.retry_after_ms} ms")
+            raise StateUnknown(seed, f"too many requests; retry after {state.retry_after_ms} ms")
         if not state.tables:
-            raise StateUnknown(seed, "it does not know all tables itself")
+            raise StateUnknown(seed, "it does not have all tables itself")
 
     def _apply(self, state: KnownState, asked_at: float) -> None:
         by_table = {table.updates.table: table for table in state.tables}
@@ -151,7 +154,7 @@
             reported = by_table.get(follower.table)
             if reported is None:
                 continue
-            # Counted from before the question, as the answer may have been long on its way.
+            # Measured from before the request, as the answer may have been delayed.
             age_s = float("inf") if reported.age_ms is None else reported.age_ms / 1000
             follower.apply_copy(reading_from(reported.updates), newest_at=asked_at - age_s)
         for key, successor in state.successors:
--- a/springrock/placement/state_provider.py
+++ b/springrock/placement/state_provider.py
@@ -1,4 +1,4 @@
-"""What a box knows of the store, for boxes that start while the store answers nobody."""
+"""Provides a box's copies of the store's tables to boxes that start while the store is down."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from springrock.placement.table_news import table_news_from
 from springrock.table_follower import TableFollower
 
-_ANSWERS = 8
+_MAX_ANSWERS = 8
 _WINDOW_S = 1.0
-"""A box tells so many others in this time: many that start at once ask the same few, which have
-their clients to serve."""
+"""At most `_MAX_ANSWERS` boxes are answered within this time. Many boxes that start at once ask the
+same few, which must go on serving their own clients."""
 
 
 class StateProvider:
-    """Answers boxes that ask for what this one knows.
+    """Answers the state requests of other boxes.
 
     Args:
-        zones: All availability zones of the deployment, by which it is told from others.
+        zones: All availability zones of the deployment, so that boxes of another one can tell.
         followers: The tables that this box follows.
-        board: Who places.
+        board: The last known placers and their successors.
         directory: The known replicas.
         log: The log to write to.
     """
@@ -45,14 +45,14 @@
         self._board = board
         self._directory = directory
         self._log = log
-        self._answered: deque[float] = deque(maxlen=_ANSWERS)
+        self._answered: deque[float] = deque(maxlen=_MAX_ANSWERS)
 
     def answer(self, hello: Hello) -> KnownState:
-        """Return what this box knows, or when to ask again if too many ask."""
+        """Return this box's tables, or when to retry if too many boxes ask."""
         now = monotonic()
-        if len(self._answered) == _ANSWERS and now - self._answered[0] < _WINDOW_S:
-            busy_ms = math.ceil(1000 * (self._answered[0] + _WINDOW_S - now))
-            return KnownState(self._zones, retry_after_ms=busy_ms)
+        if len(self._answered) == _MAX_ANSWERS and now - self._answered[0] < _WINDOW_S:
+            retry_after_ms = math.ceil(1000 * (self._answered[0] + _WINDOW_S - now))
+            return KnownState(self._zones, retry_after_ms=retry_after_ms)
         self._answered.append(now)
         state = KnownState(
             self._zones,
@@ -60,11 +60,11 @@
             successors=self._board.successors(),
             leaving=list(self._directory.leaving()),
         )
-        self._log.say("Told a box what is known.", peer=hello.box, tables=len(state.tables))
+        self._log.say("Provided tables to a box.", peer=hello.box, tables=len(state.tables))
         return state
 
     def _tables(self) -> list[KnownTable]:
-        """Return all tables; none if one of them is not known, as half of it may mislead."""
+        """Return all tables; none if one is not known, as an incomplete set may mislead a box."""
         tables = []
         for follower in self._followers:
             known = follower.known()
--- a/springrock/placement/table_news.py
+++ b/springrock/placement/table_news.py
@@ -1,4 +1,4 @@
-"""Readings of the store's tables as messages between boxes."""
+"""Conversion between readings of the store's tables and messages between boxes."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 def table_news_from(reading: TableReading) -> TableNews:
-    """Return the message that tells a reading."""
+    """Return the message for a reading."""
     rows = [
         TableRow(change.key, change.value, number_of(change.version))
         if isinstance(change, Row)
         else TableRow(change.key, b"", number_of(change.version), gone=True)
         for change in reading.changes
     ]
-    # Rounded down: a moment must never be told as later than it was.
+    # Rounded down, as the time must never be reported later than it was.
     as_of_ms = None if reading.as_of_s is None else math.floor(reading.as_of_s * 1000)
     return TableNews(
         reading.table,
@@ -31,10 +31,10 @@
 
 
 def reading_from(updates: TableNews) -> TableReading:
-    """Return the reading that a message tells.
+    """Return the reading that a message carries.
 
     Raises:
-        PeerRejected: If it names a version that no store can have.
+        PeerRejected: If the message has a version that no store can have.
     """
     as_of_s = None if updates.as_of_ms is None else updates.as_of_ms / 1000
     after = 0 if updates.whole else peer_version(updates.era, updates.after)
--- a/springrock/placement/zone_dependencies.py
+++ b/springrock/placement/zone_dependencies.py
@@ -1,4 +1,4 @@
-"""What the zones of one box share."""
+"""The objects that the zones of one box share."""
 
 from __future__ import annotations
 
@@ -24,30 +24,30 @@
 
 
 class ZoneDependencies(NamedTuple):
-    """What the zones of one box share.
+    """The objects and callbacks that the zones of one box share.
 
     Attributes:
-        incarnation: This process.
+        incarnation: The id of this process.
         store: The store with the placers' rows.
-        board: Those rows as far as they are known.
+        board: The last known placer rows.
         configuration: Returns the configuration in force.
         directory: The known replicas.
         versions: The newest versions of adapters.
-        world: Returns what is known beside the replicas.
-        residency: What stands where.
-        control: Speaks to engines.
-        quota_terms: Returns how strictly the quotas of teams are meant.
-        slow_start_terms: Returns how strictly the bound on cold replicas is meant.
+        world: Returns the topology, the evacuated zones, and the cold and limited replicas.
+        residency: Which replicas hold which adapters.
+        control: The client of the engines' control interface.
+        quota_terms: Returns the rules for applying the quotas of teams.
+        slow_start_terms: Returns the rules for the bound on requests to cold replicas.
         warmup: Which replicas are cold.
         limits: The limits that replicas have named.
-        on_table_news: Called with a zone and what its placer has read of the store's tables.
-        on_placer_contact: Called whenever a zone's placer is heard.
-        on_placer_lost: Called with a zone whose placer this box has lost.
+        on_table_news: Called with a zone and a reading of the store's tables by its placer.
+        on_placer_contact: Called after each heartbeat of a zone's placer.
+        on_placer_lost: Called with a zone when this box has lost its placer.
         on_copy_worthwhile: Called with a zone, an adapter that it holds, and the hundredths of a
             load that a copy near this box would save.
-        log_of: Returns the log of a part.
+        log_of: Returns the log of a component, by name.
         metrics: The metrics to count in.
-        on_handover: Called with an evacuated zone and what its placer tells was asked for there.
+        on_handover: Called with an evacuated zone and the adapters that its placer hands over.
     """
 
     incarnation: str
--- a/tests/placement/test_handover.py
+++ b/tests/placement/test_handover.py
@@ -54,8 +54,8 @@
 
 @pytest.fixture
 def quick(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(handover_module, "_TELL_EVERY_S", 0.02)
-    monkeypatch.setattr(handover_module, "_PLACER_HEARD_S", 0.05)
+    monkeypatch.setattr(handover_module, "_HANDOVER_INTERVAL_S", 0.02)
+    monkeypatch.setattr(handover_module, "_HANDOVER_TIMEOUT_S", 0.05)
 
 
 # What is told.
@@ -69,7 +69,7 @@
     reported = handover_of(popularity)
     assert len(reported.adapters) == 400
     assert reported.adapters[0].key == key("n599")
-    counts = [item.asked for item in reported.adapters]
+    counts = [item.request_count for item in reported.adapters]
     assert counts == sorted(counts, reverse=True)
     assert decode(encode(reported)) == reported
 
--- a/tests/placement/test_known_state.py
+++ b/tests/placement/test_known_state.py
@@ -87,7 +87,7 @@
 
 @pytest.fixture(autouse=True)
 def no_wait_for_the_store(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(state_fetcher, "_STORE_FIRST_S", 0.0)
+    monkeypatch.setattr(state_fetcher, "_STORE_ONLY_S", 0.0)
 
 
 @pytest.fixture
