--- a/springrock/placement/zone.py
+++ b/springrock/placement/zone.py
@@ -1,4 +1,4 @@
-"""Placement on the engines of one zone, as one box sees it: linked to its placer, or being it."""
+"""One box's part in the placement of one zone: it is the zone's placer or linked to the placer."""
 
 from __future__ import annotations
 
@@ -44,32 +44,33 @@
 from springrock.quotas.part_counter import PartCounter
 from springrock.topology import Distance
 
-_REPORT_INTERVAL_S = 0.2
-"""So long a placer that stops keeps its links open for its last word."""
+_FLUSH_TIMEOUT_S = 0.2
+"""How long a stopping placer keeps its links open to send its last messages."""
 
-_RESIDENTS_EVERY_S = 0.05
+_RESIDENTS_INTERVAL_S = 0.05
 _RESIDENTS_FRAMES_PER_S = 150
-"""How often boxes are told what engines hold: they choose a zone by it, and a placer with many
-boxes can tell each less often."""
+"""The interval and the highest rate of reports on the engines' adapters, by which boxes choose a
+zone. The rate counts the reports to all boxes together, so that with many boxes each gets fewer."""
 
 
 class ZonePlacement:
-    """Joins the election of a zone's placer, links to it, or is it.
+    """Takes part in the election of a zone's placer, and links to the placer or acts as it.
 
     Args:
         zone: The availability zone.
-        settings: What placement takes from the settings.
-        dependencies: What the zones of this box share.
+        settings: The settings of placement.
+        dependencies: The objects that the zones of this box share.
 
     Attributes:
-        demand: What this box wants and uses of the zone's engines.
-        prefetch: What the zone brings of evacuated ones, while this box places it.
+        demand: This box's requests for engines of the zone, and its uses of them.
+        prefetch: The adapters to prefetch into the zone while this box is its placer.
         links: The boxes linked to this one as the zone's placer.
-        room: How many more adapters the engines could take when the placer last told.
-        boxes: How many boxes the placer had linked when it last told, its own included.
-        home_boxes: How many of them stand in the zone; 0 if that was never told.
-        spread: Adapters, as MODEL/NAME, that each zone does better to serve itself, as last told.
-        wait_estimate: What awaits one more adapter and request there, as last told.
+        room: How many more adapters the engines could load, by the placer's last heartbeat.
+        boxes: How many boxes the placer had linked at its last heartbeat, its own included.
+        home_boxes: How many of them are in the zone; 0 before the first heartbeat.
+        spread: The adapters, as MODEL/NAME, that each zone should serve itself, by the last
+            heartbeat.
+        wait_estimate: The expected waits of one more adapter and request, by the last heartbeat.
     """
 
     def __init__(
@@ -104,11 +105,11 @@
         self.links = BoxLinks(
             self,
             log=dependencies.log_of("link"),
-            count_sent_to=self._counting_to,
+            count_sent_to=self._byte_counter_for,
             is_far=lambda home_zone: is_far(self._topology, zone, home_zone),
             count_unknown=dependencies.metrics.count_unknown_message,
         )
-        self._writes = RelayedWrites(helpers=self.links.sample_boxes, send=self._send)
+        self._relayed_writes = RelayedWrites(helpers=self.links.sample_boxes, send=self._send)
         self._lease = PlacerLease(
             dependencies.store,
             zone=zone,
@@ -118,7 +119,7 @@
             lease_s=settings.lease_s,
             checks_fence=settings.checks_fence,
             rows=dependencies.board,
-            relay=self._writes,
+            relay=self._relayed_writes,
             log=dependencies.log_of("lease"),
         )
         self._permits = PermitCounter(
@@ -160,9 +161,9 @@
             process=dependencies.incarnation if settings.checks_fence else "",
             demand=self.demand,
             on_message=self.handle,
-            on_lost=self._placer_lost,
+            on_lost=self._handle_placer_lost,
             log=dependencies.log_of("link"),
-            count_sent=self._counting_to(zone),
+            count_sent=self._byte_counter_for(zone),
             count_unknown=dependencies.metrics.count_unknown_message,
         )
         self._election = Election(
@@ -175,7 +176,7 @@
             incarnation=dependencies.incarnation,
             holder=self,
         )
-        self._part = PartCounter(
+        self._quota_counter = PartCounter(
             zone,
             configuration=dependencies.configuration,
             terms=dependencies.quota_terms,
@@ -188,17 +189,17 @@
         self._under_lease: list[gevent.Greenlet[..., Any]] = []
 
     def start(self) -> None:
-        """Begin to take part."""
+        """Start taking part in the election."""
         self._tasks.append(gevent.spawn(self._election.run))
 
     def hand_over(self) -> None:
-        """Let another box become the placer, as this one is about to stop."""
+        """Let another box become the placer before this one stops."""
         self.demand.stopping = True
         self.demand.changed.set()
         self._election.stop()
 
     def stop(self) -> None:
-        """End all tasks and links."""
+        """Stop all tasks and close all links."""
         self._election.end()
         for task in self._tasks:
             task.kill()
@@ -208,7 +209,7 @@
 
     @property
     def reachable(self) -> bool:
-        """Whether a placer hears what this box wants."""
+        """Whether this box's demand reaches a placer."""
         return self._client.linked or self._placer.active
 
     @property
@@ -218,47 +219,47 @@
 
     @property
     def takes_links(self) -> bool:
-        """Whether boxes may link here: to a placer, or to who goes on in the stead of one."""
-        goes_on = self._lease.held and not self._lease.confirmed
-        return self._placer.active and (goes_on or self._lease.holds)
+        """Whether boxes may link to this one: it is the placer, or is taking over from one."""
+        is_taking_over = self._lease.held and not self._lease.confirmed
+        return self._placer.active and (is_taking_over or self._lease.holds)
 
     def send_handover(self, boxes: Collection[str]) -> None:
-        """Tell boxes what was asked for in the zone."""
+        """Send boxes the adapters requested in the zone."""
         handover = self._placer.handover()
         for box in boxes:
             self._send(box, handover)
 
-    # What linked boxes send.
+    # Messages of linked boxes.
 
     def first_messages(self) -> list[Message]:
-        """Return what a newly linked box is told."""
+        """Return the messages for a newly linked box; the first of them accepts the link."""
         return [self._heartbeat(), self._placer.residents_snapshot()]
 
     def apply_demand(self, box: str, demand: Demand) -> None:
-        """Take all that a box now wants and uses."""
+        """Apply a box's update of its requests for engines and its uses of them."""
         if demand.charges or demand.given_back:
-            self._part.answer(box, demand.charges, demand.given_back)
+            self._quota_counter.answer(box, demand.charges, demand.given_back)
         if demand.permits:
             self._permits.answer(box, demand.permits)
         for observation in demand.observations:
             self._warmup.apply_observation(observation.instance, answered=observation.answered)
         for instance in demand.leaving:
             self._directory.record_leaving(instance, LeavingSign.BOX)
-        for word in demand.limits:
-            self._limits.apply_limit_report(word)
+        for report in demand.limits:
+            self._limits.apply_limit_report(report)
         for written in demand.written:
-            self._writes.record_written(written)
+            self._relayed_writes.record_written(written)
         self._placer.apply_demand(box, demand)
 
     def forget_box(self, box: str) -> None:
-        """Drop what a box wanted and used."""
-        self._part.forget_box(box)
+        """Drop a box's requests for engines and its uses of them."""
+        self._quota_counter.forget_box(box)
         self._placer.forget_box(box)
 
-    # What this box's requests ask of those who count their teams' quotas.
+    # Quotas and permits for this box's requests, counted by the zone's placer.
 
     def charge(self, team: str, units: int, *, request: str) -> tuple[Verdict, int]:
-        """Charge a request at the zone's placer.
+        """Charge a request to its team's quota at the zone's placer.
 
         Raises:
             CounterSilent: If no answer comes.
@@ -268,7 +269,7 @@
         return self.demand.charges.charge(team, units, request=request)
 
     def give_back(self, number: int) -> None:
-        """Undo a charge whose request did not run."""
+        """Refund the charge of a request that did not run."""
         self.demand.charges.give_back(number)
 
     def permit(self, adapter_request: PermitAsk) -> tuple[PermitVerdict, float]:
@@ -281,9 +282,9 @@
             raise PermitsUnheard()
         return self.demand.permits.ask(adapter_request)
 
-    # The placer's word.
+    # Messages of the placer.
 
-    def _counting_to(self, zone: str) -> Callable[[float], None]:
+    def _byte_counter_for(self, zone: str) -> Callable[[float], None]:
         distance = self._topology.distance(zone) if zone else Distance.OWN_ZONE
         return self._metrics.bytes_away(BytesKind.LINKS, distance)
 
@@ -312,12 +313,12 @@
         return [replica.instance for replica in self._directory.in_zone(self._zone)]
 
     def publish_table(self, updates: TableNews, *, also: Collection[str] = ()) -> None:
-        """Tell the boxes that stand in the zone, and some others, what was read of the store."""
+        """Send a reading of the store to the boxes of the zone, and to those in `also`."""
         self.links.broadcast(updates, home_zone=self._zone, also=also)
 
     @property
     def notifies_home_zone(self) -> bool:
-        """Whether boxes that stand in the zone go by what this one reads of the store."""
+        """Whether boxes of the zone rely on this one's readings of the store."""
         return self.placing and self.links.has_linked_box(self._zone, for_s=0.0)
 
     def _send(self, box: str, message: Message) -> None:
@@ -327,7 +328,7 @@
             self.links.notify(box, message)
 
     def handle(self, message: Message) -> None:
-        """Learn what the placer says."""
+        """Handle a message of the placer."""
         match message:
             case Grant():
                 self._handle_grant(message)
@@ -377,11 +378,11 @@
             self._directory.record_leaving(instance, LeavingSign.BOX)
         self._warmup.apply_suspected(self._zone, heartbeat.suspected)
         self._limits.apply_reported(self._zone, heartbeat.limits)
-        # A placer of an earlier build tells only how many there are in all.
+        # A placer with an earlier build sends only the number of all boxes.
         self.home_boxes = heartbeat.home_boxes or heartbeat.boxes
         self._on_placer_contact()
 
-    def _placer_lost(self) -> None:
+    def _handle_placer_lost(self) -> None:
         self.spread = frozenset()
         self._residency.forget_reported(self._zone)
         self.demand.forget_placer()
@@ -390,14 +391,14 @@
     def _publish_residents_loop(self) -> None:
         updates = ResidentsPublisher(self.links)
         while True:
-            gevent.sleep(max(_RESIDENTS_EVERY_S, self.links.count / _RESIDENTS_FRAMES_PER_S))
+            gevent.sleep(max(_RESIDENTS_INTERVAL_S, self.links.count / _RESIDENTS_FRAMES_PER_S))
             changed = self._placer.drain_changed()
             updates.notify(changed)
             if changed is not None:
                 self.handle(changed)
 
-    def _feed_own_demand(self) -> None:
-        """Tell this box's own placer what its link would tell another box's."""
+    def _apply_own_demand_loop(self) -> None:
+        """Pass this box's demand to its own placer, without a link."""
         box = self._settings.box
         self.apply_demand(box, self.demand.whole())
         while True:
@@ -407,33 +408,33 @@
     # While this box places.
 
     def begin_placing(self) -> None:
-        """Place the zone, as the lease was taken."""
-        self._part.begin()
+        """Start placing after the lease was acquired."""
+        self._quota_counter.begin()
         self._permits.begin()
         self._placer.start()
         self._under_lease = [
-            gevent.spawn(self._feed_own_demand),
+            gevent.spawn(self._apply_own_demand_loop),
             gevent.spawn(self._publish_residents_loop),
         ]
         self._metrics.placer.labels(self._zone).set(1)
 
     def end_placing(self) -> None:
-        """Place no more, as the lease was lost."""
+        """Stop placing after the lease was lost."""
         for task in self._under_lease:
             task.kill()
         self._placer.stop()
         self._metrics.placer.labels(self._zone).set(0)
         self.links.close_all()
-        self._placer_lost()
+        self._handle_placer_lost()
 
     def send_heartbeat(self) -> None:
-        """Tell all linked boxes, and this one, that the placer lives."""
+        """Send a heartbeat to all linked boxes, and handle it in this one."""
         heartbeat = self._heartbeat()
         self._record_heartbeat(heartbeat)
         self.links.broadcast(heartbeat)
 
     def send_successor(self, successor: Successor) -> None:
-        """Tell all linked boxes who goes on in this one's stead."""
+        """Announce to all linked boxes which box takes over from this one."""
         self._board.record_successor(key_of(self._zone), successor)
         heartbeat = msgspec.structs.replace(
             self._heartbeat(),
@@ -442,4 +443,4 @@
             successor=successor,
         )
         self.links.broadcast(heartbeat)
-        self.links.flush(within_s=_REPORT_INTERVAL_S)
+        self.links.flush(within_s=_FLUSH_TIMEOUT_S)
--- a/springrock/placement/zone_choice.py
+++ b/springrock/placement/zone_choice.py
@@ -1,4 +1,4 @@
-"""Which zone's placer is to bring an adapter: the same on every box that sees the same."""
+"""Chooses the zone that loads an adapter; boxes with the same view of zones choose the same one."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
 
 _SCORE_RANGE = 2.0**64
 
-_CROWDED_S = 0.15
-"""A zone where a first event waits so much longer than in another one is left for that: less than a
-load takes, and far more than the way to another zone of the region."""
+_MAX_EXTRA_WAIT_S = 0.15
+"""How much longer a first event may wait in a zone than in the best one before the zone is avoided:
+less than a load takes, and far more than the latency to another zone of the region."""
 
 
-_ABLE_PART = 0.5
-"""A zone with less than this part of the engines of a usual one leaves it to the hash, weighted by
-engines, who brings what its boxes ask for: what is told of its places is too old to hold them back
-when many new adapters are asked for at once."""
+_MIN_ENGINE_SHARE = 0.5
+"""A zone with less than this share of the average zone's engines does not prefer itself: the hash,
+weighted by engines, chooses the zone. When its boxes request many new adapters at once, reports of
+its full slots arrive too late to hold the requests back."""
 
 
 class ZoneView(NamedTuple):
     """A zone with engines as one box sees it.
 
     Attributes:
-        engines: How many engines stand there that do not leave.
+        engines: The number of engines in the zone that are not leaving.
         can_load: Whether one of them holds a base model, and so can load adapters.
-        reachable: Whether its placer hears what this box wants.
-        room: How many more adapters its engines could take.
-        distance: How far it is from the box.
-        pressure: How often the adapters are asked for that would next give up their places there,
-            decayed; 0 while places are open.
-        wait_s: How long a first event would wait at a usual engine there.
+        reachable: Whether this box's demand reaches the zone's placer.
+        room: How many more adapters the engines could load.
+        distance: The distance of the zone from the box.
+        pressure: The decayed request count of the adapters that would be evicted next; 0 while
+            slots are free.
+        wait_s: How long a first event would wait at a typical engine of the zone.
     """
 
     name: str
@@ -57,23 +57,23 @@
     at_hand: Collection[str] = (),
     home_advantage: float = 0.0,
 ) -> str | None:
-    """Return the zone that is to bring an adapter; None if there is none to ask.
+    """Return the zone that loads an adapter; None if no zone is a candidate.
 
-    The own region comes first while a zone of it has room, and in it the own zone while its places
-    are hardly more sought after than those of others. A crowded zone is left for another. Else a
-    hash gives each adapter a zone, weighted by engines. An engine that restarts keeps its weight:
-    otherwise adapters would move and be loaded again.
+    The box's own region comes first while one of its zones has room. Within the region the box's
+    own zone comes first while its pressure is little higher than elsewhere. Crowded zones are
+    avoided. Otherwise a hash that is weighted by engines assigns each adapter a zone. An engine
+    that restarts keeps its weight, as adapters would otherwise move and be loaded again.
 
     Args:
         key: The adapter.
         zones: The zones with engines.
-        prefer: Zones to be chosen if one of them can load adapters, the nearest first.
-        avoid: Zones to be chosen only if there is no other.
-        never: Zones not to be chosen.
-        at_hand: Zones where an engine loads the adapter without the weight store, to be chosen
-            among those with room.
-        home_advantage: How much more pressure than elsewhere the own zone may have and still
-            bring the adapter: what the ways of its requests are worth, in loads.
+        prefer: Zones to choose from, the nearest first, if one of them can load adapters.
+        avoid: Zones to choose only if there is no other.
+        never: Zones not to choose.
+        at_hand: Zones in which an engine keeps the adapter's weights and loads it without the
+            weight store; preferred among those with room.
+        home_advantage: How much higher the pressure of the own zone may be than elsewhere for it
+            to be chosen still: the cost of sending the requests to another zone, in loads.
     """
     candidates = [zone for zone in zones if zone.reachable and zone.name not in never]
     if not candidates:
@@ -91,27 +91,27 @@
     lowest = min(zone.pressure for zone in candidates)
     candidates = [zone for zone in candidates if zone.pressure <= lowest + home_advantage]
     home = [zone for zone in candidates if zone.distance is Distance.OWN_ZONE]
-    if home and _is_able(home[0], candidates):
+    if home and _has_enough_engines(home[0], candidates):
         return home[0].name
     return max(candidates, key=lambda zone: _preference(key, zone)).name
 
 
-def _is_able(home: ZoneView, zones: list[ZoneView]) -> bool:
-    """Whether the own zone has engines enough for what its boxes ask."""
-    usual = sum(zone.engines for zone in zones) / len(zones)
-    return home.engines >= usual * _ABLE_PART
+def _has_enough_engines(home: ZoneView, zones: list[ZoneView]) -> bool:
+    """Whether the box's own zone has enough engines for the requests of its boxes."""
+    average = sum(zone.engines for zone in zones) / len(zones)
+    return home.engines >= average * _MIN_ENGINE_SHARE
 
 
 def _nearest(zones: list[ZoneView]) -> list[ZoneView]:
-    """Return those zones that no other of them is nearer than."""
+    """Return the zones at the smallest distance."""
     nearest = min((zone.distance for zone in zones), default=Distance.OWN_ZONE)
     return [zone for zone in zones if zone.distance is nearest]
 
 
 def _uncrowded(zones: list[ZoneView]) -> list[ZoneView]:
-    """Return those zones where a first event waits hardly longer than in the best of them."""
+    """Return the zones where a first event waits little longer than in the best of them."""
     shortest_s = min(zone.wait_s for zone in zones)
-    return [zone for zone in zones if zone.wait_s <= shortest_s + _CROWDED_S]
+    return [zone for zone in zones if zone.wait_s <= shortest_s + _MAX_EXTRA_WAIT_S]
 
 
 def _of_own_region(zones: list[ZoneView]) -> list[ZoneView]:
@@ -119,6 +119,6 @@
 
 
 def _preference(key: AdapterKey, zone: ZoneView) -> float:
-    """Return a weighted rendezvous score, equal on every box."""
-    drawn = (rendezvous_score(str(key), zone.name) + 1) / (_SCORE_RANGE + 1)
-    return -zone.engines / math.log(drawn)
+    """Return a weighted rendezvous score, which is the same on every box."""
+    unit_score = (rendezvous_score(str(key), zone.name) + 1) / (_SCORE_RANGE + 1)
+    return -zone.engines / math.log(unit_score)
