--- a/springrock/placement/election.py
+++ b/springrock/placement/election.py
@@ -172,7 +172,7 @@
     def _leave(self, *, reason: str, handover_target: HandoverTarget | None) -> None:
         """Release the lease, or hand it over if the store does not answer."""
         successor = self._links.has_linked_box(self._zone, for_s=0.0)
-        handover = self._lease.give_up(
+        handover = self._lease.release(
             reason=reason, successor=successor, handover_target=handover_target
         )
         if handover is not None:
--- a/springrock/placement/lease.py
+++ b/springrock/placement/lease.py
@@ -227,7 +227,7 @@
         self._own = None
         self._held_until = 0.0
 
-    def give_up(
+    def release(
         self, *, reason: str, successor: bool, handover_target: HandoverTarget | None = None
     ) -> Successor | None:
         """Release the lease so that another box can acquire it at once.
--- a/tests/placement/conftest.py
+++ b/tests/placement/conftest.py
@@ -1,4 +1,4 @@
-"""A clock of the lease that tests move."""
+"""A fixture that replaces the lease's clock by one that tests advance."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Clock:
-    """A clock that tests move."""
+    """A clock that tests advance."""
 
     def __init__(self) -> None:
         self.now = 1000.0
--- a/tests/placement/test_lease.py
+++ b/tests/placement/test_lease.py
@@ -1,4 +1,4 @@
-"""The placer's lease on a store that loses, delays and refuses writes."""
+"""The placer's lease with a store that loses, delays and refuses writes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Store:
-    """One row; writes can be lost before or after they take effect."""
+    """A store of one row whose writes can fail, or succeed without an answer."""
 
     def __init__(self) -> None:
         self.row: Row | None = None
@@ -46,7 +46,7 @@
 
 
 class ReadRows:
-    """The placers' rows as the store has them at the moment; nothing while it is down."""
+    """Placer rows read from the store at each call; reading fails while the store is down."""
 
     def __init__(self, store: Store) -> None:
         self._store = store
@@ -60,7 +60,7 @@
         return next((row for row in rows if row.key == key), None)
 
     def record(self, row: Row) -> None:
-        """Read anew each time: nothing to keep."""
+        """Do nothing, as rows are read from the store each time."""
 
 
 def make_lease(
@@ -86,18 +86,18 @@
     )
 
 
-def test_the_first_to_write_holds_and_the_other_waits(clock: Clock) -> None:
+def test_the_first_box_to_write_holds_the_lease(clock: Clock) -> None:
     store = Store()
     one, two = make_lease(store, "one"), make_lease(store, "two")
-    nothing = one.known_row()
+    no_row = one.known_row()
     assert two.known_row() is None
-    assert one.challenge(nothing)
+    assert one.challenge(no_row)
     assert not two.challenge(None)
     assert one.holds
     assert not two.challenge(two.known_row())
 
 
-def test_a_lapsed_lease_is_taken_under_a_higher_fence(clock: Clock) -> None:
+def test_an_expired_lease_is_acquired_with_a_higher_fence(clock: Clock) -> None:
     store = Store()
     one, two = make_lease(store, "one"), make_lease(store, "two")
     assert one.challenge(one.known_row())
@@ -112,7 +112,7 @@
     assert not one.held
 
 
-def test_a_renewed_lease_is_not_taken(clock: Clock) -> None:
+def test_a_renewed_lease_is_not_acquired_by_another_box(clock: Clock) -> None:
     store = Store()
     one, two = make_lease(store, "one"), make_lease(store, "two")
     assert one.challenge(one.known_row())
@@ -123,7 +123,7 @@
         assert not two.challenge(two.known_row())
 
 
-def test_a_renewal_whose_answer_was_lost_is_found_by_the_next(clock: Clock) -> None:
+def test_a_renewal_succeeds_after_one_whose_answer_was_lost(clock: Clock) -> None:
     store = Store()
     one = make_lease(store, "one")
     assert one.challenge(one.known_row())
@@ -136,18 +136,18 @@
     assert one.holds
 
 
-def test_a_holder_cut_from_the_store_goes_on_where_fences_are_checked(clock: Clock) -> None:
+def test_a_holder_cut_off_from_the_store_continues_if_fences_are_checked(clock: Clock) -> None:
     store = Store()
     one = make_lease(store, "one")
     assert one.challenge(one.known_row())
     store.down = True
     clock.now += LEASE_S + 1
-    assert not one.holds, "nothing was tried yet: it may be this process that stood still"
+    assert not one.holds, "no renewal has failed yet: this process may have been paused"
     assert one.renew()
     assert one.holds
 
 
-def test_a_holder_cut_from_the_store_stops_where_fences_are_not_checked(clock: Clock) -> None:
+def test_a_holder_cut_off_from_the_store_stops_if_fences_are_not_checked(clock: Clock) -> None:
     store = Store()
     one = make_lease(store, "one", checks_fence=False)
     assert one.challenge(one.known_row())
@@ -157,7 +157,7 @@
     assert not one.holds
 
 
-def test_where_fences_are_not_checked_no_order_may_be_under_way_at_the_lease_s_end(
+def test_without_fence_checks_no_order_is_in_flight_when_the_lease_expires(
     clock: Clock,
 ) -> None:
     strict = make_lease(Store(), "one", checks_fence=False)
@@ -170,7 +170,7 @@
     assert checked.holds
 
 
-def test_where_fences_are_not_checked_a_lease_is_free_once_the_last_order_has_arrived(
+def test_without_fence_checks_a_release_waits_for_orders_in_flight(
     clock: Clock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     store = Store()
@@ -181,16 +181,16 @@
     def _sleep(seconds: float) -> None:
         waits.append(seconds)
         assert not one.holds
-        assert not two.challenge(two.known_row()), "it is not free while an order may be under way"
+        assert not two.challenge(two.known_row()), "it is not free while an order may be in flight"
 
     monkeypatch.setattr(lease_module.gevent, "sleep", _sleep)
-    one.give_up(reason="a test", successor=True)
+    one.release(reason="a test", successor=True)
     assert waits
     assert min(waits) >= 0.5
     assert two.challenge(two.known_row())
 
 
-def test_a_holder_that_woke_up_orders_nothing_before_it_has_renewed(clock: Clock) -> None:
+def test_a_holder_that_was_paused_may_not_order_before_it_has_renewed(clock: Clock) -> None:
     store = Store()
     one, two = make_lease(store, "one"), make_lease(store, "two")
     assert one.challenge(one.known_row())
@@ -202,30 +202,30 @@
     assert not one.holds
 
 
-def test_a_lease_given_up_is_free_at_once(clock: Clock) -> None:
+def test_a_released_lease_is_free_at_once(clock: Clock) -> None:
     store = Store()
     one, two = make_lease(store, "one"), make_lease(store, "two")
     assert one.challenge(one.known_row())
     reserved = one.last_fence
-    one.give_up(reason="a test", successor=True)
+    one.release(reason="a test", successor=True)
     assert not one.holds
     assert two.challenge(two.known_row())
     assert two.fence == reserved + 1
 
 
-def test_boxes_of_other_zones_leave_a_lease_given_up_to_a_successor(clock: Clock) -> None:
+def test_boxes_of_other_zones_leave_a_released_lease_to_a_box_of_the_zone(clock: Clock) -> None:
     store = Store()
     one, two = make_lease(store, "one"), make_lease(store, "two")
     assert one.challenge(one.known_row())
-    one.give_up(reason="a test", successor=True)
+    one.release(reason="a test", successor=True)
     assert not two.challenge(two.known_row(), takeover_delay_s=1.5)
     clock.now += 1.6
     assert two.challenge(two.known_row(), takeover_delay_s=1.5)
-    two.give_up(reason="a test", successor=False)
+    two.release(reason="a test", successor=False)
     assert one.challenge(one.known_row(), takeover_delay_s=1.5)
 
 
-def test_a_heartbeat_tells_how_long_the_lease_stands(clock: Clock) -> None:
+def test_a_heartbeat_states_the_remaining_time_of_the_lease(clock: Clock) -> None:
     store = Store()
     one, two = make_lease(store, "one"), make_lease(store, "two")
     assert one.challenge(one.known_row())
@@ -238,17 +238,17 @@
     assert two.challenge(two.known_row())
 
 
-def test_a_restarted_box_follows_itself_at_once(clock: Clock) -> None:
+def test_a_restarted_box_acquires_the_lease_of_its_earlier_process_at_once(clock: Clock) -> None:
     store = Store()
     before = make_lease(store, "one")
     assert before.challenge(before.known_row())
-    after = make_lease(store, "one", incarnation="one-2")
-    assert after.challenge(after.known_row())
-    assert after.fence == before.last_fence + 1
+    restarted = make_lease(store, "one", incarnation="one-2")
+    assert restarted.challenge(restarted.known_row())
+    assert restarted.fence == before.last_fence + 1
     assert not before.renew()
 
 
-def test_a_box_of_another_zone_leaves_a_lapsed_lease_to_the_zone_for_a_while(clock: Clock) -> None:
+def test_a_box_of_another_zone_waits_before_it_acquires_an_expired_lease(clock: Clock) -> None:
     store = Store()
     near, far = make_lease(store, "near"), make_lease(store, "far")
     far.known_row()
@@ -261,8 +261,8 @@
     assert far.challenge(far.known_row(), takeover_delay_s=1.5)
 
 
-class OlderRows(ReadRows):
-    """Rows that were read once and not again."""
+class OutdatedRows(ReadRows):
+    """Placer rows that were read once and are not read again."""
 
     def __init__(self, store: Store) -> None:
         super().__init__(store)
@@ -275,36 +275,38 @@
         self.kept = row
 
 
-def test_who_goes_by_rows_read_earlier_takes_no_lease_that_was_renewed_since(clock: Clock) -> None:
+def test_a_box_with_an_outdated_row_does_not_acquire_a_lease_renewed_since(clock: Clock) -> None:
     store = Store()
     one = make_lease(store, "one")
     assert one.challenge(one.known_row())
-    rows = OlderRows(store)
+    rows = OutdatedRows(store)
     two = make_lease(store, "two", rows=rows)
     two.known_row()
     clock.now += LEASE_S - 0.5
     assert one.renew()
     clock.now += LEASE_S - 0.5
     assert not two.challenge(two.known_row())
-    assert rows.kept == store.row, "the conflict has told of the newer row"
+    assert rows.kept == store.row, "the conflict supplied the newer row"
     assert one.holds
 
 
-def test_who_heard_of_a_newer_holder_does_not_follow_an_older_one(clock: Clock) -> None:
+def test_a_box_that_knows_of_a_newer_version_does_not_acquire_by_an_outdated_row(
+    clock: Clock,
+) -> None:
     store = Store()
     one, two = make_lease(store, "one"), make_lease(store, "two")
     assert one.challenge(one.known_row())
-    three = make_lease(store, "three", rows=OlderRows(store))
+    three = make_lease(store, "three", rows=OutdatedRows(store))
     three.known_row()
-    one.give_up(reason="a test", successor=True)
+    one.release(reason="a test", successor=True)
     assert two.challenge(two.known_row())
     three.record_heartbeat(two.version, two.left_s)
     clock.now += LEASE_S + 1.0
-    assert not three.challenge(three.known_row()), "its fence would not be above that of the holder"
+    assert not three.challenge(three.known_row()), "its fence would not be above the holder's"
 
 
-class NewestTellingStore(Store):
-    """Answers writes with its newest version, which a write of another row may have made."""
+class NewestVersionStore(Store):
+    """A store that answers a write with its newest version, which may be that of another row."""
 
     def write(self, table: str, key: str, value: bytes, *, expected: int) -> int:
         super().write(table, key, value, expected=expected)
@@ -312,12 +314,12 @@
         return self.version
 
 
-def test_a_dead_holder_that_told_a_version_above_its_row_is_followed(clock: Clock) -> None:
-    store = NewestTellingStore()
+def test_a_lease_whose_dead_holder_reported_too_high_a_version_is_acquired(clock: Clock) -> None:
+    store = NewestVersionStore()
     one, two = make_lease(store, "one"), make_lease(store, "two")
     assert one.challenge(one.known_row())
     two.record_heartbeat(one.version, one.left_s)
-    assert not two.challenge(two.known_row()), "the lease stands"
+    assert not two.challenge(two.known_row()), "the lease has not expired"
     clock.now += LEASE_S + 0.5
     assert two.challenge(two.known_row())
     assert two.fence == one.last_fence + 1
@@ -326,7 +328,7 @@
 def test_a_holder_that_learns_its_row_s_version_from_a_conflict_renews_at_once(
     clock: Clock,
 ) -> None:
-    store = NewestTellingStore()
+    store = NewestVersionStore()
     one = make_lease(store, "one")
     assert one.challenge(one.known_row())
     clock.now += LEASE_S - 0.5
@@ -334,25 +336,28 @@
     assert one.left_s == LEASE_S
 
 
-def test_an_attempt_under_way_while_the_holder_stood_still_is_no_outage(
+def test_a_renewal_in_flight_during_a_pause_of_the_holder_is_no_outage(
     clock: Clock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Two boxes ordered in one zone for 0.9 s, as an attempt that failed after a pause counted."""
+    """Guards against two boxes giving orders in one zone.
+
+    They did for 0.9 s when a renewal that failed after a pause of the holder counted as an outage.
+    """
     store = Store()
     one = make_lease(store, "one")
     assert one.challenge(one.known_row())
     clock.now += LEASE_S * 0.8
 
-    def _stand_still(*_: object, **__: object) -> int:
+    def _pause_and_fail(*_: object, **__: object) -> int:
         clock.now += LEASE_S * 0.5
         raise RowStoreUnavailable("timed out")
 
-    monkeypatch.setattr(store, "write", _stand_still)
+    monkeypatch.setattr(store, "write", _pause_and_fail)
     assert one.renew()
     assert not one.holds
 
 
-def test_an_attempt_that_took_far_longer_than_it_may_counts_for_what_it_may(
+def test_an_overlong_renewal_counts_only_for_the_longest_attempt(
     clock: Clock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     store = Store()
@@ -360,10 +365,10 @@
     assert one.challenge(one.known_row())
     clock.now += LEASE_S + 1
 
-    def _stand_still(*_: object, **__: object) -> int:
+    def _pause_and_fail(*_: object, **__: object) -> int:
         clock.now += LEASE_S * 2
         raise RowStoreUnavailable("timed out")
 
-    monkeypatch.setattr(store, "write", _stand_still)
+    monkeypatch.setattr(store, "write", _pause_and_fail)
     assert one.renew()
     assert not one.holds
--- a/tests/placement/test_lease_model.py
+++ b/tests/placement/test_lease_model.py
@@ -1,4 +1,4 @@
-"""The placer's lease as a model: boxes act in any order while the store fails and loses answers."""
+"""Stateful test of the placer's lease: boxes act in any order; the store fails or loses answers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Relay:
-    """Linked boxes that write for a placer; they may be out of reach, or their answers be lost."""
+    """Linked boxes that write for a placer; they may be unreachable, or their answers lost."""
 
     def __init__(self, store: Store) -> None:
         self.store = store
@@ -36,7 +36,7 @@
 
 
 class LeaseModel(RuleBasedStateMachine):
-    """Three boxes, one row; replicas check no fence, so that only time keeps holders apart."""
+    """Three boxes and one row. Replicas check no fences, so that only time keeps holders apart."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -47,9 +47,9 @@
         self.relay = Relay(self.store)
         self.starts = 0
         self.fences: list[int] = []
-        self.leases = {box: self.started(box) for box in BOXES}
+        self.leases = {box: self.start_lease(box) for box in BOXES}
 
-    def started(self, box: str) -> PlacerLease:
+    def start_lease(self, box: str) -> PlacerLease:
         """Return the lease of a new process of a box."""
         self.starts += 1
         return make_lease(
@@ -65,7 +65,7 @@
         self.now += seconds
 
     @rule(order=st.permutations(BOXES), takeover_delay_s=st.sampled_from((0.0, 1.5)))
-    def all_look(self, order: list[str], takeover_delay_s: float) -> None:
+    def all_challenge(self, order: list[str], takeover_delay_s: float) -> None:
         for lease in (self.leases[box] for box in order):
             if not lease.held and lease.challenge(
                 lease.known_row(), takeover_delay_s=takeover_delay_s
@@ -78,30 +78,30 @@
             self.leases[box].renew()
 
     @rule(box=boxes, successor=st.booleans())
-    def give_up(self, box: str, successor: bool) -> None:
+    def release(self, box: str, successor: bool) -> None:
         if self.leases[box].held:
-            self.leases[box].give_up(reason="a test", successor=successor)
+            self.leases[box].release(reason="a test", successor=successor)
 
     @rule(box=boxes)
     def restart(self, box: str) -> None:
-        self.leases[box] = self.started(box)
+        self.leases[box] = self.start_lease(box)
 
     @rule(holder=boxes, other=boxes)
-    def hear_heartbeat(self, holder: str, other: str) -> None:
-        reported, heard = self.leases[holder], self.leases[other]
-        if reported.holds and not heard.held:
-            heard.record_heartbeat(reported.version, reported.left_s)
+    def receive_heartbeat(self, holder: str, other: str) -> None:
+        sender, receiver = self.leases[holder], self.leases[other]
+        if sender.holds and not receiver.held:
+            receiver.record_heartbeat(sender.version, sender.left_s)
 
     @rule(down=st.booleans())
-    def store_fails_or_heals(self, down: bool) -> None:
+    def set_store_down(self, down: bool) -> None:
         self.store.down = down
 
     @rule(lose=st.booleans())
-    def answers_are_lost_or_not(self, lose: bool) -> None:
+    def set_answers_lost(self, lose: bool) -> None:
         self.store.lose_answer = lose
 
     @rule(down=st.booleans(), lose=st.booleans())
-    def linked_boxes_reach_the_store_or_not(self, down: bool, lose: bool) -> None:
+    def set_relay(self, down: bool, lose: bool) -> None:
         self.relay.down, self.relay.lose_answer = down, lose
 
     @invariant()
--- a/tests/placement/test_lease_relayed.py
+++ b/tests/placement/test_lease_relayed.py
@@ -1,4 +1,4 @@
-"""The lease of a placer that the store does not answer, renewed by linked boxes."""
+"""Renewal of the placer's lease through linked boxes while the store does not answer."""
 
 from __future__ import annotations
 
@@ -8,33 +8,35 @@
 from tests.placement.test_lease_model import Relay
 
 
-def reached(store: Store) -> Relay:
-    """Return linked boxes that reach the store."""
+def make_reachable_relay(store: Store) -> Relay:
+    """Return a relay whose boxes reach the store."""
     relay = Relay(store)
     relay.down = False
     return relay
 
 
-def test_a_placer_that_the_store_does_not_answer_is_renewed_by_a_linked_box(clock: Clock) -> None:
+def test_a_lease_is_renewed_through_linked_boxes_while_the_store_does_not_answer(
+    clock: Clock,
+) -> None:
     store = Store()
-    lease = make_lease(store, "one", relay=reached(store))
+    lease = make_lease(store, "one", relay=make_reachable_relay(store))
     assert lease.challenge(lease.known_row())
     store.down = True
     clock.now += LEASE_S / 3
     assert lease.renew()
-    assert lease.left_s == LEASE_S * 2 / 3, "the store is tried first, and alone"
+    assert lease.left_s == LEASE_S * 2 / 3, "the first attempt goes to the store only"
     for _ in range(30):
         clock.now += LEASE_S / 3
         assert lease.renew()
         assert lease.left_s >= LEASE_S * 2 / 3
 
 
-def test_linked_boxes_that_do_not_reach_the_store_either_are_not_asked_each_time(
+def test_the_relay_is_not_used_after_it_failed_too(
     clock: Clock,
 ) -> None:
-    store, unreached = Store(), Store()
-    unreached.down = True
-    lease = make_lease(store, "one", relay=unreached)
+    store, unreachable = Store(), Store()
+    unreachable.down = True
+    lease = make_lease(store, "one", relay=unreachable)
     assert lease.challenge(lease.known_row())
     store.down = True
     for _ in range(2):
@@ -46,9 +48,11 @@
     assert lease.left_s == LEASE_S
 
 
-def test_a_renewal_that_took_effect_unanswered_counts_from_when_it_was_sent(clock: Clock) -> None:
+def test_a_renewal_that_took_effect_without_an_answer_does_not_extend_the_lease(
+    clock: Clock,
+) -> None:
     store = Store()
-    lease = make_lease(store, "one", relay=reached(store))
+    lease = make_lease(store, "one", relay=make_reachable_relay(store))
     assert lease.challenge(lease.known_row())
     store.lose_answer = True
     lease.renew()
@@ -56,21 +60,21 @@
     assert lease.left_s == LEASE_S / 2
     store.down, store.lose_answer = True, False
     assert lease.renew()
-    assert lease.left_s == LEASE_S, "written anew by a linked box"
+    assert lease.left_s == LEASE_S, "renewed by a linked box"
     assert store.row is not None
     assert lease.version == store.row.version
 
 
-class Silent:
-    """Linked boxes that do not answer, or none at all."""
+class SilentRelay:
+    """A relay whose boxes do not answer, or that has none."""
 
     def write(self, table: str, key: str, value: bytes, *, expected: int) -> int:
         raise HelpersSilent("no linked box answered")
 
 
-def test_that_no_linked_box_answers_is_no_outage_of_the_store(clock: Clock) -> None:
+def test_silent_linked_boxes_are_no_outage_of_the_store(clock: Clock) -> None:
     store = Store()
-    one, two = make_lease(store, "one", relay=Silent()), make_lease(store, "two")
+    one, two = make_lease(store, "one", relay=SilentRelay()), make_lease(store, "two")
     assert one.challenge(one.known_row())
     store.down = True
     assert one.renew()
@@ -79,12 +83,12 @@
     clock.now += LEASE_S + 1
     assert two.challenge(two.known_row())
     one.renew()
-    assert not one.holds, "linked boxes that are silent tell nothing of the store"
+    assert not one.holds, "silent linked boxes say nothing about the store"
     assert not one.renew(), "the store is asked next"
 
 
-class Round:
-    """A renewal that waits for whoever does not answer, as long as each of them is waited for."""
+class Renewal:
+    """One renewal in which several writes wait for their timeouts at the same time."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -94,40 +98,43 @@
         self._clock.now = max(self._clock.now, self.began_at + seconds)
 
 
-class SlowToFail(Store):
-    """A store that is waited for in vain while it is down."""
+class TimingOutStore(Store):
+    """A store whose writes time out while it is down."""
 
-    def __init__(self, round_: Round) -> None:
+    def __init__(self, renewal: Renewal) -> None:
         super().__init__()
-        self._round = round_
+        self._renewal = renewal
 
     def write(self, table: str, key: str, value: bytes, *, expected: int) -> int:
         if self.down:
-            self._round.wait(0.8)
+            self._renewal.wait(0.8)
         return super().write(table, key, value, expected=expected)
 
 
-class SlowSilent(Silent):
-    """Linked boxes that are waited for in vain."""
+class TimingOutRelay(SilentRelay):
+    """A relay whose writes time out."""
 
-    def __init__(self, round_: Round) -> None:
-        self._round = round_
+    def __init__(self, renewal: Renewal) -> None:
+        self._renewal = renewal
 
     def write(self, table: str, key: str, value: bytes, *, expected: int) -> int:
-        self._round.wait(0.5)
+        self._renewal.wait(0.5)
         return super().write(table, key, value, expected=expected)
 
 
-def test_a_placer_goes_on_all_the_time_while_nobody_answers(clock: Clock) -> None:
-    """It stood still in every second renewal, as linked boxes that are silent prove nothing."""
-    round_ = Round(clock)
-    store = SlowToFail(round_)
-    lease = make_lease(store, "one", relay=SlowSilent(round_))
+def test_a_placer_continues_while_neither_store_nor_linked_boxes_answer(clock: Clock) -> None:
+    """Guards against a placer that stops in every second renewal.
+
+    Silent linked boxes do not prove an outage, so each renewal must also write to the store.
+    """
+    renewal = Renewal(clock)
+    store = TimingOutStore(renewal)
+    lease = make_lease(store, "one", relay=TimingOutRelay(renewal))
     assert lease.challenge(lease.known_row())
     store.down = True
-    # The lease lapses between two renewals: one that is under way then proves nothing.
-    round_.began_at -= LEASE_S * 0.1
+    # The lease expires between two renewals, as one in flight at the expiry proves no outage.
+    renewal.began_at -= LEASE_S * 0.1
     for _ in range(30):
-        clock.now = round_.began_at = round_.began_at + LEASE_S * 0.4
+        clock.now = renewal.began_at = renewal.began_at + LEASE_S * 0.4
         assert lease.holds
         assert lease.renew()
--- a/tests/placement/test_lease_return.py
+++ b/tests/placement/test_lease_return.py
@@ -1,4 +1,4 @@
-"""The placer's lease where the store comes back from a copy that knows less of it."""
+"""The placer's lease when the store is restored from an older copy."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from springrock.placement.succession import HandoverTarget, Successor
 from tests.placement.conftest import Clock
 from tests.placement.test_lease import LEASE_S, ReadRows, make_lease
-from tests.placement.test_return_model import Client, ReturningStore
+from tests.placement.test_return_model import Client, RestorableStore
 
 EMPTY = 0
-"""The copy of before the first lease."""
+"""Index of the copy from before the first lease."""
 
 
 class Boxes:
-    """Three boxes, of which the first holds the lease."""
+    """Three boxes; the first holds the lease."""
 
     def __init__(self) -> None:
-        self.store = ReturningStore()
+        self.store = RestorableStore()
         self.one, self.two, self.three = (self._lease(box) for box in ("one", "two", "three"))
         for lease in (self.one, self.two, self.three):
             lease.challenge(lease.known_row())
@@ -30,11 +30,11 @@
         return make_lease(client, box, rows=ReadRows(client))
 
     def hand_over_in_an_outage(self) -> Successor:
-        """Let the second box go on in the stead of the first, and the store answer again."""
+        """Hand the lease over from the first box to the second, then end the store's outage."""
         self.store.down = True
         self.one.renew()
         handover_target = HandoverTarget("two", "two-1", "127.0.0.1:1")
-        handover = self.one.give_up(
+        handover = self.one.release(
             reason="a test", successor=True, handover_target=handover_target
         )
         assert handover is not None
@@ -50,74 +50,76 @@
 
 
 @pytest.fixture
-def at(clock: Clock) -> Boxes:
+def boxes(clock: Clock) -> Boxes:
     return Boxes()
 
 
-def test_a_holder_writes_its_lost_lease_again_and_holds_it_all_the_while(at: Boxes) -> None:
-    fence = at.one.fence
-    at.store.return_from(EMPTY)
-    assert at.one.renew()
-    assert at.one.holds
-    assert at.one.fence == fence
-    assert at.holder == "one"
+def test_a_holder_rewrites_its_lost_lease_and_holds_it_throughout(boxes: Boxes) -> None:
+    fence = boxes.one.fence
+    boxes.store.restore(EMPTY)
+    assert boxes.one.renew()
+    assert boxes.one.holds
+    assert boxes.one.fence == fence
+    assert boxes.holder == "one"
 
 
-def test_nobody_takes_a_lease_that_the_copy_lacks_before_its_holder_could_write_it_again(
-    at: Boxes, clock: Clock
+def test_a_lease_missing_in_the_copy_is_not_acquired_before_its_holder_could_rewrite_it(
+    boxes: Boxes, clock: Clock
 ) -> None:
-    at.store.return_from(EMPTY)
-    assert not at.two.challenge(at.two.known_row())
+    boxes.store.restore(EMPTY)
+    assert not boxes.two.challenge(boxes.two.known_row())
     clock.now += LEASE_S
-    assert not at.two.challenge(at.two.known_row())
+    assert not boxes.two.challenge(boxes.two.known_row())
     clock.now += 0.5
-    at.store.pass_over()
-    assert at.two.challenge(at.two.known_row())
-    assert not at.one.holds
-    assert at.two.fence > at.one.last_fence, "also above what the lost row had reserved"
-    assert not at.one.renew()
+    boxes.store.skip_number()
+    assert boxes.two.challenge(boxes.two.known_row())
+    assert not boxes.one.holds
+    assert boxes.two.fence > boxes.one.last_fence, (
+        "also above the fences that the lost row had reserved"
+    )
+    assert not boxes.one.renew()
 
 
-def test_a_stale_renewal_that_meets_its_number_again_leaves_nobody_with_the_lease(
-    at: Boxes, clock: Clock
+def test_a_stale_renewal_that_meets_a_reused_version_leaves_no_holder(
+    boxes: Boxes, clock: Clock
 ) -> None:
-    at.store.return_from(EMPTY)
-    at.two.known_row()
+    boxes.store.restore(EMPTY)
+    boxes.two.known_row()
     clock.now += LEASE_S + 0.5
-    assert at.two.challenge(at.two.known_row())
-    at.one.renew()
-    assert at.holder == "one", "its number was given out to the row of two"
-    assert not at.one.holds
-    assert not at.two.renew()
-    assert not at.one.renew()
+    assert boxes.two.challenge(boxes.two.known_row())
+    boxes.one.renew()
+    assert boxes.holder == "one", "its version number was reused for the row of two"
+    assert not boxes.one.holds
+    assert not boxes.two.renew()
+    assert not boxes.one.renew()
 
 
-def test_a_holder_that_stood_still_does_not_write_its_lost_lease_again(
-    at: Boxes, clock: Clock
+def test_a_holder_that_was_paused_does_not_rewrite_its_lost_lease(
+    boxes: Boxes, clock: Clock
 ) -> None:
-    at.store.return_from(EMPTY)
+    boxes.store.restore(EMPTY)
     clock.now += LEASE_S + 0.1
-    at.one.renew()
-    assert not at.one.held
+    boxes.one.renew()
+    assert not boxes.one.held
 
 
-def test_a_successor_yields_to_who_took_the_lease_in_the_returned_store(
-    at: Boxes, clock: Clock
+def test_a_successor_yields_to_a_box_that_acquired_the_lease_in_the_restored_store(
+    boxes: Boxes, clock: Clock
 ) -> None:
-    at.hand_over_in_an_outage()
-    at.store.return_from(EMPTY)
-    at.store.pass_over()
-    at.three.known_row()
+    boxes.hand_over_in_an_outage()
+    boxes.store.restore(EMPTY)
+    boxes.store.skip_number()
+    boxes.three.known_row()
     clock.now += LEASE_S + 0.5
-    assert at.three.challenge(at.three.known_row())
-    at.two.renew()
-    assert not at.two.held
-    assert at.holder == "three"
-
-
-def test_a_successor_confirms_its_role_in_the_returned_store(at: Boxes, clock: Clock) -> None:
-    handover = at.hand_over_in_an_outage()
-    at.store.return_from(EMPTY)
-    assert at.two.renew()
-    assert at.two.confirmed
-    assert at.two.fence > handover.last_fence
+    assert boxes.three.challenge(boxes.three.known_row())
+    boxes.two.renew()
+    assert not boxes.two.held
+    assert boxes.holder == "three"
+
+
+def test_a_successor_confirms_its_lease_in_the_restored_store(boxes: Boxes, clock: Clock) -> None:
+    handover = boxes.hand_over_in_an_outage()
+    boxes.store.restore(EMPTY)
+    assert boxes.two.renew()
+    assert boxes.two.confirmed
+    assert boxes.two.fence > handover.last_fence
--- a/tests/placement/test_return_model.py
+++ b/tests/placement/test_return_model.py
@@ -1,4 +1,4 @@
-"""Leases in a store that comes back from copies, as a model: any order of everything."""
+"""Stateful test of leases in a store that is restored from copies at any time."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 boxes = st.sampled_from(BOXES)
 
 
-class ReturningStore:
-    """One row under a condition; it can become again what it was."""
+class RestorableStore:
+    """A store of one row with conditional writes that can be restored from an earlier copy."""
 
     def __init__(self) -> None:
         self.era = 1
@@ -36,10 +36,10 @@
         self.row: tuple[str, bytes, int] | None = None
         self.copies: list[tuple[int, tuple[str, bytes, int] | None]] = [(0, None)]
         self.down = False
-        self.late: list[tuple[str, bytes, int]] = []
+        self.delayed: list[tuple[str, bytes, int]] = []
 
     def write(self, key: str, value: bytes, number: int) -> bool:
-        """Write if the row has a number as its version; return whether it did."""
+        """Write if the row's version has the given number; return whether it did."""
         if (self.row[2] if self.row else 0) != number:
             return False
         self.number += 1
@@ -47,25 +47,25 @@
         self.copies.append((self.number, self.row))
         return True
 
-    def pass_over(self) -> None:
-        """Let another transaction take a number."""
+    def skip_number(self) -> None:
+        """Use up one version number, as another transaction would."""
         self.number += 1
         self.copies.append((self.number, self.row))
 
-    def return_from(self, copy: int) -> None:
+    def restore(self, copy: int) -> None:
         self.number, self.row = self.copies[copy]
         del self.copies[copy + 1 :]
         self.era += 1
 
 
 class Client:
-    """What `PlatformStore` does with eras, for one box."""
+    """One box's client of the store; handles eras as `PlatformStore` does."""
 
-    def __init__(self, store: ReturningStore) -> None:
+    def __init__(self, store: RestorableStore) -> None:
         self._store = store
         self._era = 0
-        self.loses = False
-        self.does_late = False
+        self.loses_answers = False
+        self.delays_writes = False
 
     @property
     def row(self) -> Row | None:
@@ -88,13 +88,13 @@
         if 0 < era_of(expected) < self._era:
             self._answer()
             raise RowConflict(self.row, version=newest)
-        if self.does_late:
-            self._store.late.append((key, value, number_of(expected)))
-            raise RowStoreUnavailable("perhaps later")
+        if self.delays_writes:
+            self._store.delayed.append((key, value, number_of(expected)))
+            raise RowStoreUnavailable("the write may take effect later")
         if self._store.down:
             raise RowStoreUnavailable("down")
         written = self._store.write(key, value, number_of(expected))
-        if self.loses:
+        if self.loses_answers:
             raise RowStoreUnavailable("the answer is lost")
         self._answer()
         if not written:
@@ -110,20 +110,20 @@
 
 
 class ReturnModel(RuleBasedStateMachine):
-    """Three boxes that know the rows since before the first return, one row, one engine."""
+    """Three boxes, one row and one engine. The boxes read the row before the first restore."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 1000.0
         self.patch = pytest.MonkeyPatch()
         self.patch.setattr(lease_module, "monotonic", lambda: self.now)
-        self.store = ReturningStore()
+        self.store = RestorableStore()
         self.engine = Engine()
-        self.reported: list[Successor] = []
+        self.handovers: list[Successor] = []
         self.clients = {box: Client(self.store) for box in BOXES}
         self.leases = {box: self._lease(box) for box in BOXES}
         for box in BOXES:
-            self.look(box)
+            self.challenge_lease(box)
 
     def _lease(self, box: str) -> PlacerLease:
         client = self.clients[box]
@@ -134,7 +134,7 @@
         self.now += seconds
 
     @rule(box=boxes)
-    def look(self, box: str) -> None:
+    def challenge_lease(self, box: str) -> None:
         lease = self.leases[box]
         if not lease.held:
             lease.challenge(lease.known_row())
@@ -145,102 +145,100 @@
             self.leases[box].renew()
 
     @rule(box=boxes)
-    def give_up(self, box: str) -> None:
+    def release(self, box: str) -> None:
         if self.leases[box].held:
-            self.leases[box].give_up(reason="a test", successor=True)
+            self.leases[box].release(reason="a test", successor=True)
 
     @rule(box=boxes, handover_target=boxes)
     def hand_over(self, box: str, handover_target: str) -> None:
         if self.leases[box].held and box != handover_target:
             chosen = HandoverTarget(handover_target, f"{handover_target}-1", "127.0.0.1:1")
-            handover = self.leases[box].give_up(
+            handover = self.leases[box].release(
                 reason="a test", successor=True, handover_target=chosen
             )
             if handover is not None:
-                self.reported.append(handover)
+                self.handovers.append(handover)
 
-    @precondition(lambda self: self.reported)
+    @precondition(lambda self: self.handovers)
     @rule(data=st.data())
-    def hear_of_a_handover(self, data: st.DataObject) -> None:
-        handover = data.draw(st.sampled_from(self.reported))
+    def receive_handover(self, data: st.DataObject) -> None:
+        handover = data.draw(st.sampled_from(self.handovers))
         self.leases[handover.box].adopt(handover)
 
     @rule(order=st.permutations(BOXES))
     def order(self, order: list[str]) -> None:
         for box in order:
             lease = self.leases[box]
-            if lease.holds and not self.engine.takes(lease.fence, by=box):
+            if lease.holds and not self.engine.accepts(lease.fence, by=box):
                 lease.lose(reason="an engine saw a newer fence")
 
     @rule(down=st.booleans())
-    def store_fails_or_heals(self, down: bool) -> None:
+    def set_store_down(self, down: bool) -> None:
         self.store.down = down
 
-    @rule(box=boxes, loses=st.booleans(), late=st.booleans())
-    def answers_are_lost(self, box: str, loses: bool, late: bool) -> None:
-        self.clients[box].loses, self.clients[box].does_late = loses, late
+    @rule(box=boxes, loses_answers=st.booleans(), delayed=st.booleans())
+    def set_faults(self, box: str, loses_answers: bool, delayed: bool) -> None:
+        self.clients[box].loses_answers, self.clients[box].delays_writes = loses_answers, delayed
 
     @rule()
-    def another_transaction(self) -> None:
-        self.store.pass_over()
+    def skip_a_number(self) -> None:
+        self.store.skip_number()
 
     @rule(data=st.data(), order=st.permutations(BOXES))
-    def the_store_returns(self, data: st.DataObject, order: list[str]) -> None:
-        """It comes back from a copy; some boxes look and renew before others know of it."""
+    def restore_store(self, data: st.DataObject, order: list[str]) -> None:
+        """Restore the store; some boxes challenge and renew before the others learn of it."""
         self.store.down = False
-        self.store.return_from(data.draw(st.integers(0, len(self.store.copies) - 1)))
+        self.store.restore(data.draw(st.integers(0, len(self.store.copies) - 1)))
         for box in order[: data.draw(st.integers(0, len(BOXES)))]:
-            self.look(box)
+            self.challenge_lease(box)
             self.renew(box)
         self.order(order)
 
     @rule(data=st.data(), order=st.permutations(BOXES), renews=st.booleans())
-    def the_store_returns_and_others_follow(
-        self, data: st.DataObject, order: list[str], renews: bool
-    ) -> None:
-        """Who holds the lease orders, and renews it after the return or not before it lapses."""
+    def restore_store_and_expire(self, data: st.DataObject, order: list[str], renews: bool) -> None:
+        """Restore the store; the holder renews after the restore, or not before the expiry."""
         self.order(order)
         self.store.down = False
-        self.store.return_from(data.draw(st.integers(0, len(self.store.copies) - 1)))
+        self.store.restore(data.draw(st.integers(0, len(self.store.copies) - 1)))
         for _ in range(2):
             for box in order:
-                self.look(box)
+                self.challenge_lease(box)
                 if renews:
                     self.renew(box)
-                self.one_box_has_time_on_the_lease()
+                self.at_most_one_lease_is_unexpired()
             self.pass_time(LEASE_S * 1.15)
         for box in order:
-            self.look(box)
+            self.challenge_lease(box)
             self.renew(box)
-            self.one_box_has_time_on_the_lease()
+            self.at_most_one_lease_is_unexpired()
         self.order(order)
 
     @rule(box=boxes, handover_target=boxes, order=st.permutations(BOXES))
     def hand_over_in_an_outage(self, box: str, handover_target: str, order: list[str]) -> None:
-        """The usual case, which the rules above reach seldom: the heir hears of it and goes on."""
+        """Hand over in an outage, which the other rules seldom do; the target adopts the lease."""
         self.store.down = True
         self.renew(box)
-        before = len(self.reported)
+        before = len(self.handovers)
         self.hand_over(box, handover_target)
-        for handover in self.reported[before:]:
+        for handover in self.handovers[before:]:
             self.leases[handover.box].adopt(handover)
         self.renew(handover_target)
         self.order(order)
 
-    @precondition(lambda self: self.store.late)
+    @precondition(lambda self: self.store.delayed)
     @rule(data=st.data())
-    def do_a_late_write(self, data: st.DataObject) -> None:
-        late = data.draw(st.sampled_from(self.store.late))
-        self.store.late.remove(late)
-        self.store.write(*late)
+    def apply_delayed_write(self, data: st.DataObject) -> None:
+        delayed = data.draw(st.sampled_from(self.store.delayed))
+        self.store.delayed.remove(delayed)
+        self.store.write(*delayed)
 
     @invariant()
-    def nobody_has_the_fence_of_another(self) -> None:
+    def held_fences_differ(self) -> None:
         held = [lease.fence for lease in self.leases.values() if lease.held]
         assert len(held) == len(set(held))
 
     @invariant()
-    def one_box_has_time_on_the_lease(self) -> None:
+    def at_most_one_lease_is_unexpired(self) -> None:
         assert sum(lease.left_s > 0 for lease in self.leases.values() if lease.held) <= 1
 
     def teardown(self) -> None:
--- a/tests/placement/test_succession.py
+++ b/tests/placement/test_succession.py
@@ -23,7 +23,7 @@
     """What a box tells that stops while the store is silent."""
     store.down = True
     lease.renew()
-    handover = lease.give_up(reason="a test", successor=True, handover_target=handover_target)
+    handover = lease.release(reason="a test", successor=True, handover_target=handover_target)
     assert handover is not None
     return handover
 
@@ -31,7 +31,7 @@
 def test_a_role_is_given_back_to_a_store_that_answers(clock: Clock) -> None:
     store = Store()
     one, two = held(store, "one"), make_lease(store, "two")
-    assert one.give_up(reason="a test", successor=True, handover_target=HANDOVER_TARGET) is None
+    assert one.release(reason="a test", successor=True, handover_target=HANDOVER_TARGET) is None
     assert two.challenge(two.known_row())
 
 
@@ -74,7 +74,7 @@
     assert fences[-1] <= lease.last_fence
     lease.renew()
     assert (
-        lease.give_up(reason="a test", successor=True, handover_target=HANDOVER_TARGET) is None
+        lease.release(reason="a test", successor=True, handover_target=HANDOVER_TARGET) is None
     ), "none is left"
 
 
@@ -116,4 +116,4 @@
     assert one.challenge(one.known_row())
     store.down = True
     one.renew()
-    assert one.give_up(reason="a test", successor=True, handover_target=HANDOVER_TARGET) is None
+    assert one.release(reason="a test", successor=True, handover_target=HANDOVER_TARGET) is None
--- a/tests/placement/test_succession_model.py
+++ b/tests/placement/test_succession_model.py
@@ -1,4 +1,4 @@
-"""Roles handed over as a model: stops, starts and outages of the store in any order."""
+"""Stateful test of handovers: stops, starts and outages of the store in any order."""
 
 from __future__ import annotations
 
@@ -17,31 +17,31 @@
 boxes = st.sampled_from(BOXES)
 
 
-class LateStore(Store):
-    """Does some writes later, after it did not answer them."""
+class DelayingStore(Store):
+    """A store that can leave writes unanswered and apply them later."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.does_late = False
-        self.late: list[tuple[str, str, bytes, int]] = []
+        self.delays_writes = False
+        self.delayed: list[tuple[str, str, bytes, int]] = []
 
     def write(self, table: str, key: str, value: bytes, *, expected: int) -> int:
-        if self.does_late:
-            self.late.append((table, key, value, expected))
-            raise RowStoreUnavailable("perhaps later")
+        if self.delays_writes:
+            self.delayed.append((table, key, value, expected))
+            raise RowStoreUnavailable("the write may take effect later")
         return super().write(table, key, value, expected=expected)
 
 
 class Engine:
-    """Refuses orders with an older fence, and remembers who ordered under which."""
+    """An engine that refuses orders with an older fence, and records which box used which fence."""
 
     def __init__(self) -> None:
         self.newest = 0
         self.ordered_by: dict[int, str] = {}
 
-    def takes(self, fence: int, *, by: str) -> bool:
+    def accepts(self, fence: int, *, by: str) -> bool:
         known = self.ordered_by.setdefault(fence, by)
-        assert known == by, f"{known} and {by} both ordered under {fence}"
+        assert known == by, f"{known} and {by} both ordered with fence {fence}"
         if fence < self.newest:
             return False
         self.newest = fence
@@ -49,22 +49,22 @@
 
 
 class SuccessionModel(RuleBasedStateMachine):
-    """Three boxes, one row, one engine; what is handed over arrives late, twice or never."""
+    """Three boxes, one row and one engine; handovers arrive late, twice or never."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 1000.0
         self.patch = pytest.MonkeyPatch()
         self.patch.setattr(lease_module, "monotonic", lambda: self.now)
-        self.store = LateStore()
+        self.store = DelayingStore()
         self.engine = Engine()
         self.starts = 0
-        self.reported: list[Successor] = []
+        self.handovers: list[Successor] = []
         self.incarnations: dict[str, str] = {}
-        self.leases = {box: self.started(box) for box in BOXES}
-        self.look("one")
+        self.leases = {box: self.start_lease(box) for box in BOXES}
+        self.challenge_lease("one")
 
-    def started(self, box: str) -> PlacerLease:
+    def start_lease(self, box: str) -> PlacerLease:
         """Return the lease of a new process of a box."""
         self.starts += 1
         self.incarnations[box] = f"{box}-{self.starts}"
@@ -75,7 +75,7 @@
         self.now += seconds
 
     @rule(box=boxes)
-    def look(self, box: str) -> None:
+    def challenge_lease(self, box: str) -> None:
         lease = self.leases[box]
         if not lease.held:
             lease.challenge(lease.known_row())
@@ -88,32 +88,32 @@
 
     @rule(handover_target=boxes, stays=st.booleans())
     def stop(self, handover_target: str, stays: bool) -> None:
-        """A holder stops as planned and starts anew, or gives its role to one that does better."""
+        """Stop and restart a holder as planned, or let it hand over to a better placer."""
         held = [box for box, lease in self.leases.items() if lease.held]
         if held:
             self._stop(held[0], handover_target, stays)
 
     @rule(handover_target=boxes, stays=st.booleans())
     def stop_in_an_outage(self, handover_target: str, stays: bool) -> None:
-        """The usual case, which the rules above reach seldom: the heir hears of it and goes on."""
+        """Stop in an outage, which the other rules seldom do; the target adopts the lease."""
         self.store.down = True
         self.renew()
-        before = len(self.reported)
+        before = len(self.handovers)
         self.stop(handover_target, stays)
-        for handover in self.reported[before:]:
-            self._hear(handover)
+        for handover in self.handovers[before:]:
+            self._receive(handover)
         self.renew()
         self.order(list(BOXES))
 
     @rule(order=st.permutations(BOXES), renews=st.booleans())
-    def the_store_returns(self, order: list[str], renews: bool) -> None:
-        """Whoever knew of no holder may take the lease, also before one renews it that goes on."""
-        self.store_changes(down=False, does_late=False, lose=False)
+    def end_outage(self, order: list[str], renews: bool) -> None:
+        """End the outage; any box may acquire the lease before the box that continues renews it."""
+        self.set_store_faults(down=False, delays_writes=False, lose=False)
         if renews:
             self.renew()
         for _ in range(2):
             for box in order:
-                self.look(box)
+                self.challenge_lease(box)
             self.pass_time(LEASE_S * 1.15)
         self.order(order)
 
@@ -123,25 +123,25 @@
             if handover_target != box
             else None
         )
-        handover = self.leases[box].give_up(reason="a test", successor=True, handover_target=chosen)
+        handover = self.leases[box].release(reason="a test", successor=True, handover_target=chosen)
         if handover is not None:
-            self.reported.append(handover)
+            self.handovers.append(handover)
         if not stays:
-            self.leases[box] = self.started(box)
+            self.leases[box] = self.start_lease(box)
 
     @rule(box=boxes)
     def kill(self, box: str) -> None:
-        self.leases[box] = self.started(box)
+        self.leases[box] = self.start_lease(box)
 
-    @precondition(lambda self: self.reported)
+    @precondition(lambda self: self.handovers)
     @rule(data=st.data(), again=st.booleans())
-    def hear_of_a_handover(self, data: st.DataObject, again: bool) -> None:
-        handover = data.draw(st.sampled_from(self.reported))
+    def receive_handover(self, data: st.DataObject, again: bool) -> None:
+        handover = data.draw(st.sampled_from(self.handovers))
         if not again:
-            self.reported.remove(handover)
-        self._hear(handover)
+            self.handovers.remove(handover)
+        self._receive(handover)
 
-    def _hear(self, handover: Successor) -> None:
+    def _receive(self, handover: Successor) -> None:
         if self.incarnations[handover.box] == handover.incarnation:
             self.leases[handover.box].adopt(handover)
 
@@ -149,34 +149,42 @@
     def order(self, order: list[str]) -> None:
         for box in order:
             lease = self.leases[box]
-            if lease.holds and not self.engine.takes(lease.fence, by=self.incarnations[box]):
+            if lease.holds and not self.engine.accepts(lease.fence, by=self.incarnations[box]):
                 lease.lose(reason="an engine saw a newer fence")
 
-    @rule(down=st.booleans(), does_late=st.booleans(), lose=st.booleans())
-    def store_changes(self, down: bool, does_late: bool, lose: bool) -> None:
-        self.store.down, self.store.does_late, self.store.lose_answer = down, does_late, lose
+    @rule(down=st.booleans(), delays_writes=st.booleans(), lose=st.booleans())
+    def set_store_faults(self, down: bool, delays_writes: bool, lose: bool) -> None:
+        self.store.down, self.store.delays_writes, self.store.lose_answer = (
+            down,
+            delays_writes,
+            lose,
+        )
 
-    @precondition(lambda self: self.store.late)
+    @precondition(lambda self: self.store.delayed)
     @rule(data=st.data())
-    def do_a_late_write(self, data: st.DataObject) -> None:
-        late = data.draw(st.sampled_from(self.store.late))
-        self.store.late.remove(late)
-        table, key, value, expected = late
+    def apply_delayed_write(self, data: st.DataObject) -> None:
+        delayed = data.draw(st.sampled_from(self.store.delayed))
+        self.store.delayed.remove(delayed)
+        table, key, value, expected = delayed
         existing = self.store.row.version if self.store.row else 0
         if existing == expected:
             down, self.store.down = self.store.down, False
-            does_late, self.store.does_late = self.store.does_late, False
+            delays_writes, self.store.delays_writes = self.store.delays_writes, False
             lose, self.store.lose_answer = self.store.lose_answer, False
             self.store.write(table, key, value, expected=expected)
-            self.store.down, self.store.does_late, self.store.lose_answer = down, does_late, lose
+            self.store.down, self.store.delays_writes, self.store.lose_answer = (
+                down,
+                delays_writes,
+                lose,
+            )
 
     @invariant()
-    def nobody_has_the_fence_of_another(self) -> None:
+    def held_fences_differ(self) -> None:
         held = [lease.fence for lease in self.leases.values() if lease.held]
         assert len(held) == len(set(held))
 
     @invariant()
-    def what_was_handed_over_counts_for_nothing_until_it_is_confirmed(self) -> None:
+    def unconfirmed_leases_have_no_time_left(self) -> None:
         for lease in self.leases.values():
             assert lease.confirmed or lease.left_s == 0.0
 
