--- a/springrock/placement/election.py
+++ b/springrock/placement/election.py
@@ -131,7 +131,7 @@
         """Hand the lease over if this box still holds it; the target may itself be stopping."""
         handover_target = self._links.handover_target(self._zone, staying=False)
         if self._lease.held and handover_target is not None:
-            self._leave(reason="shutdown", handover_target=handover_target)
+            self._leave(reason="the process is ending", handover_target=handover_target)
 
     def adopt(self, handover: Successor) -> None:
         """Take over from a placer that hands its lease over to this box."""
@@ -160,7 +160,7 @@
         return takeover_delay_s + weakness * _WEAKNESS_S
 
     def _leave_unless_irreplaceable(self) -> None:
-        """Leave the role as this box stops, unless no other box could take over.
+        """Leave the lease as this box stops, unless no other box could take over.
 
         No box could if the store does not answer and there is no handover target.
         """
--- a/tests/placement/test_backoffs.py
+++ b/tests/placement/test_backoffs.py
@@ -1,4 +1,4 @@
-"""Which engines want nothing from a box, as the placer knows it."""
+"""The back-offs that engines have requested from boxes, as the placer records them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from springrock.placement.backoffs import Backoffs
 
 
-def test_a_rest_binds_its_engine_and_its_box_until_it_is_over(
+def test_a_backoff_applies_to_its_engine_and_box_until_it_expires(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     now = 100.0
--- a/tests/placement/test_election.py
+++ b/tests/placement/test_election.py
@@ -1,4 +1,4 @@
-"""Which box takes a free lease, and how often boxes that start together ask for it."""
+"""Which box acquires a free lease, and how often boxes that start together write for it."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class CountingStore(Store):
-    """Tells all boards of each row a little later, as a followed table does."""
+    """A store that counts writes and passes each row to all boards a few ms later."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -42,8 +42,8 @@
             board.change(row)
 
 
-class Linkless:
-    """A box without any links, whose placer accepts it."""
+class NoLinks:
+    """The client and links of a box that no box is linked to; any placer accepts it."""
 
     def __init__(self) -> None:
         self.linked = False
@@ -60,8 +60,8 @@
         return None
 
 
-class Recorder:
-    """Notes who places."""
+class RecordingHolder:
+    """A holder that records which boxes place."""
 
     def __init__(self, box: str, placing: list[str]) -> None:
         self._box = box
@@ -71,20 +71,20 @@
         self._placing.append(self._box)
 
     def end_placing(self) -> None:
-        """Nothing to end."""
+        """Do nothing."""
 
     def send_heartbeat(self) -> None:
-        """Nobody to tell."""
+        """Do nothing, as no box is linked."""
 
     def send_successor(self, successor: Successor) -> None:
-        """Nobody to tell."""
+        """Do nothing, as no box is linked."""
 
 
 def start_box(store: CountingStore, box: str, placing: list[str], *, strength: float = 2.0) -> None:
-    """Start a box's part in the election, the rows still unread."""
+    """Start a box's part in the election before it has read the rows."""
     board = PlacerBoard(age_s=lambda: 0.0)
     store.boards.append(board)
-    links = Linkless()
+    links = NoLinks()
     election = Election(
         ZONE,
         settings=PlacementSettings(box, ZONE, "127.0.0.1:1", 3.0, True, 1.0, 2.0, strength),
@@ -103,20 +103,20 @@
         client=links,  # type: ignore[arg-type]
         links=links,  # type: ignore[arg-type]
         incarnation=box,
-        holder=Recorder(box, placing),
+        holder=RecordingHolder(box, placing),
     )
     gevent.spawn(election.run)
 
 
 def wait_until(condition: Callable[[], bool]) -> None:
-    """Let the boxes run until a condition holds."""
+    """Run the boxes until a condition holds."""
     with gevent.Timeout(10):
         while not condition():
             gevent.sleep(0.01)
 
 
-class HeldSleeps:
-    """Sleeps that last until a test ends them, one by one."""
+class ControlledSleeps:
+    """Replaces `gevent` by sleeps that each last until a test ends them."""
 
     def __init__(self) -> None:
         self.pending: list[Event] = []
@@ -127,10 +127,10 @@
         event.wait()
 
 
-def test_of_many_boxes_that_start_together_one_writes_for_the_lease(
+def test_only_one_of_many_boxes_that_start_together_writes_for_the_lease(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    sleeps = HeldSleeps()
+    sleeps = ControlledSleeps()
     monkeypatch.setattr(election_module, "gevent", sleeps)
     store = CountingStore()
     placing: list[str] = []
@@ -150,7 +150,7 @@
     assert store.writes == 1
 
 
-def test_nobody_takes_a_lease_before_the_rows_were_read() -> None:
+def test_no_box_acquires_a_lease_before_it_has_read_the_rows() -> None:
     store = CountingStore()
     placing: list[str] = []
     start_box(store, "one", placing)
--- a/tests/placement/test_handover.py
+++ b/tests/placement/test_handover.py
@@ -1,4 +1,4 @@
-"""What was asked for in an evacuated zone is divided among those that remain, and brought."""
+"""Prefetch of the adapters requested in an evacuated zone, divided among the remaining zones."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 ADAPTERS = tuple(f"a{number}" for number in range(12))
 
 
-def nothing_is_here(key: AdapterKey) -> bool:
+def is_nowhere(key: AdapterKey) -> bool:
     return False
 
 
@@ -37,8 +37,8 @@
     return AdapterKey("m", name)
 
 
-def asked(*names: str) -> list[AskedFor]:
-    """Return adapters as asked for, the first the most."""
+def asked_for(*names: str) -> list[AskedFor]:
+    """Return adapters with descending request counts."""
     return [AskedFor("m", name, float(len(names) - at)) for at, name in enumerate(names)]
 
 
@@ -53,36 +53,36 @@
 
 
 @pytest.fixture
-def quick(monkeypatch: pytest.MonkeyPatch) -> None:
+def short_intervals(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(handover_module, "_HANDOVER_INTERVAL_S", 0.02)
     monkeypatch.setattr(handover_module, "_HANDOVER_TIMEOUT_S", 0.05)
 
 
-# What is told.
+# The handover message.
 
 
-def test_a_placer_tells_what_was_asked_for_the_most_first_and_a_bounded_number() -> None:
+def test_a_handover_names_a_bounded_number_of_adapters_the_most_requested_first() -> None:
     popularity = Popularity()
     for number in range(600):
         popularity.record(key(f"n{number}"), 1 + number)
     popularity.record(key("rare"), 0)
-    reported = handover_of(popularity)
-    assert len(reported.adapters) == 400
-    assert reported.adapters[0].key == key("n599")
-    counts = [item.request_count for item in reported.adapters]
+    sent_to = handover_of(popularity)
+    assert len(sent_to.adapters) == 400
+    assert sent_to.adapters[0].key == key("n599")
+    counts = [item.request_count for item in sent_to.adapters]
     assert counts == sorted(counts, reverse=True)
-    assert decode(encode(reported)) == reported
+    assert decode(encode(sent_to)) == sent_to
 
 
-# What one zone brings.
+# The prefetch of one zone.
 
 
-def test_adapters_are_brought_in_the_order_in_which_they_were_asked_for() -> None:
+def test_adapters_are_prefetched_in_the_order_of_their_request_counts() -> None:
     popularity = Popularity()
     prefetch = make_wants(popularity)
-    prefetch.add("zone-1", asked("a", "b", "c", "d"))
+    prefetch.add("zone-1", asked_for("a", "b", "c", "d"))
     now = monotonic()
-    wants = prefetch.wants(nothing_is_here, now)
+    wants = prefetch.wants(is_nowhere, now)
     assert [want.key.adapter for want in wants] == ["a", "b", "c", "d"]
     assert not any(want.waiting or want.promised for want in wants)
     engines = [make_engine("i-1", slots=4)]
@@ -92,19 +92,19 @@
     assert [item.key.adapter for item in plan.assignments] == ["a", "b"]
 
 
-def test_what_somebody_waits_for_goes_first() -> None:
+def test_adapters_with_waiting_requests_come_before_prefetched_ones() -> None:
     popularity = Popularity()
     prefetch = make_wants(popularity)
-    prefetch.add("zone-1", asked("a"))
+    prefetch.add("zone-1", asked_for("a"))
     now = monotonic()
     planner = make_planner(popularity)
     planner.loads.at_once = 1.0
-    wants = [*prefetch.wants(nothing_is_here, now), want("waited", worth=3.0)]
+    wants = [*prefetch.wants(is_nowhere, now), want("waited", worth=3.0)]
     plan = planner.plan(wants, [make_engine("i-1")], used={}, now=now)
     assert [item.key.adapter for item in plan.assignments] == ["waited"]
 
 
-def test_only_what_is_asked_for_far_less_gives_way() -> None:
+def test_a_prefetch_evicts_only_adapters_that_are_requested_far_less() -> None:
     popularity = Popularity()
     for name, count in (("x", 4), ("y", 0)):
         popularity.record(key(name), count)
@@ -113,75 +113,75 @@
     now = monotonic()
     engine = make_engine("i-1", "x", "y")
     plan = make_planner(popularity).plan(
-        prefetch.wants(nothing_is_here, now), [engine], used={}, now=now
+        prefetch.wants(is_nowhere, now), [engine], used={}, now=now
     )
     assert [item.key.adapter for item in plan.assignments] == ["a"]
 
 
-def test_what_stands_is_done_and_what_is_told_again_is_not_brought_again() -> None:
+def test_adapters_already_in_the_zone_are_not_prefetched_again() -> None:
     prefetch = make_wants(Popularity())
-    prefetch.add("zone-1", asked("a", "b"))
+    prefetch.add("zone-1", asked_for("a", "b"))
     assert [want.key.adapter for want in prefetch.wants({key("a")}.__contains__, monotonic())] == [
         "b"
     ]
-    prefetch.add("zone-1", asked("a", "b", "c"))
-    assert [want.key.adapter for want in prefetch.wants(nothing_is_here, monotonic())] == ["b", "c"]
+    prefetch.add("zone-1", asked_for("a", "b", "c"))
+    assert [want.key.adapter for want in prefetch.wants(is_nowhere, monotonic())] == ["b", "c"]
     assert prefetch.wants({key("b"), key("c")}.__contains__, monotonic()) == []
     assert not prefetch.pending
 
 
-def test_a_placer_that_tells_late_puts_in_order_what_its_engines_held() -> None:
+def test_a_late_handover_orders_the_adapters_that_the_engines_held() -> None:
     popularity = Popularity()
     prefetch = make_wants(popularity)
     prefetch.add("zone-1", [AskedFor("m", name, 0.0) for name in ("a", "b", "c")])
-    prefetch.add("zone-1", asked("c", "a"))
-    wants = prefetch.wants(nothing_is_here, monotonic())
+    prefetch.add("zone-1", asked_for("c", "a"))
+    wants = prefetch.wants(is_nowhere, monotonic())
     assert [want.key.adapter for want in wants] == ["c", "a", "b"]
     assert popularity.of(key("c")) > popularity.of(key("a")) > 0
 
 
-def test_a_plan_is_given_no_more_than_can_be_under_way() -> None:
+def test_a_plan_gets_a_bounded_number_of_prefetches() -> None:
     prefetch = make_wants(Popularity())
-    prefetch.add("zone-1", asked(*(f"n{number}" for number in range(300))))
-    wants = prefetch.wants(nothing_is_here, monotonic())
+    prefetch.add("zone-1", asked_for(*(f"n{number}" for number in range(300))))
+    wants = prefetch.wants(is_nowhere, monotonic())
     assert [want.key.adapter for want in wants] == [f"n{number}" for number in range(40)]
     here = {want.key for want in wants}
     wants = prefetch.wants(here.__contains__, monotonic())
     assert wants[0].key.adapter == "n40"
 
 
-def test_nothing_is_brought_for_a_zone_that_was_taken_back_or_told_long_ago() -> None:
+def test_a_prefetch_ends_when_the_evacuation_is_withdrawn_or_after_a_time() -> None:
     prefetch = make_wants(Popularity())
-    prefetch.add("zone-1", asked("a"))
-    prefetch.add("zone-3", asked("b"))
+    prefetch.add("zone-1", asked_for("a"))
+    prefetch.add("zone-3", asked_for("b"))
     prefetch.drop("zone-1")
-    assert [want.key.adapter for want in prefetch.wants(nothing_is_here, monotonic())] == ["b"]
-    assert prefetch.wants(nothing_is_here, monotonic() + 60) == []
+    assert [want.key.adapter for want in prefetch.wants(is_nowhere, monotonic())] == ["b"]
+    assert prefetch.wants(is_nowhere, monotonic() + 60) == []
     assert not prefetch.pending
 
 
-# How it is divided among zones.
+# The division among zones.
 
 
 class ScriptedZone:
-    """A zone that this box places or not."""
+    """A zone that this box may be the placer of."""
 
     def __init__(self, name: str, *, placing: bool) -> None:
         self.placing = placing
         self.demand = DemandBook(has_placer=lambda: True)
         self.prefetch = make_wants(Popularity(), zone=name)
-        self.reported: list[Collection[str]] = []
+        self.sent_to: list[Collection[str]] = []
 
     def send_handover(self, boxes: Collection[str]) -> None:
-        self.reported.append(boxes)
+        self.sent_to.append(boxes)
 
     @property
-    def brings(self) -> set[str]:
-        return {want.key.adapter for want in self.prefetch.wants(nothing_is_here, monotonic())}
+    def prefetched(self) -> set[str]:
+        return {want.key.adapter for want in self.prefetch.wants(is_nowhere, monotonic())}
 
 
 class Box(NamedTuple):
-    """One box with its zones and what it knows."""
+    """One box with its zones, and the replicas and evacuations it knows."""
 
     zones: dict[str, ScriptedZone]
     directory: Directory
@@ -195,7 +195,7 @@
     directory = Directory(LOG)
     announced: set[str] = set()
     evacuated: set[str] = set()
-    # Told of the engines in any order, with any room.
+    # The division must not depend on the order of zones nor on their room.
     views = [ZoneView(name, 1, True, True, room) for room, name in enumerate(ZONES)]
     coordinator = HandoverCoordinator(
         zones=lambda: zones,
@@ -210,8 +210,8 @@
     return Box(zones, directory, coordinator, announced, evacuated)
 
 
-def has_linked_box(directory: Directory, zone: str, *names: str) -> None:
-    """Let the engine of a zone say what it holds."""
+def add_replica_with(directory: Directory, zone: str, *names: str) -> None:
+    """Add a replica of a zone that holds adapters to the directory."""
     held = tuple(HeldAdapter("m", name, 1) for name in names)
     directory.update(
         ReplicaRecord(
@@ -220,47 +220,50 @@
     )
 
 
-def test_the_zones_that_remain_divide_what_was_asked_for() -> None:
+def test_the_remaining_zones_divide_the_adapters() -> None:
     boxes = {name: make_box(name) for name in ("zone-2", "zone-3")}
-    brings = {}
+    prefetched = {}
     for name, box in boxes.items():
         box.announced.add("zone-1")
-        box.coordinator.apply("zone-1", Handover(asked(*ADAPTERS)))
-        brings[name] = box.zones[name].brings
-        assert not any(other.brings for zone, other in box.zones.items() if zone != name)
-    assert brings["zone-2"] | brings["zone-3"] == set(ADAPTERS)
-    assert not brings["zone-2"] & brings["zone-3"]
-    assert all(brings.values())
+        box.coordinator.apply("zone-1", Handover(asked_for(*ADAPTERS)))
+        prefetched[name] = box.zones[name].prefetched
+        assert not any(other.prefetched for zone, other in box.zones.items() if zone != name)
+    assert prefetched["zone-2"] | prefetched["zone-3"] == set(ADAPTERS)
+    assert not prefetched["zone-2"] & prefetched["zone-3"]
+    assert all(prefetched.values())
 
 
-def test_what_stands_in_a_zone_that_remains_is_not_brought() -> None:
+def test_adapters_held_in_a_remaining_zone_are_not_prefetched() -> None:
     box = make_box("zone-2", "zone-3")
-    has_linked_box(box.directory, "zone-1", *ADAPTERS)
-    has_linked_box(box.directory, "zone-3", "a0", "a1")
-    box.coordinator.apply("zone-1", Handover(asked(*ADAPTERS)))
-    assert box.zones["zone-2"].brings | box.zones["zone-3"].brings == set(ADAPTERS) - {"a0", "a1"}
+    add_replica_with(box.directory, "zone-1", *ADAPTERS)
+    add_replica_with(box.directory, "zone-3", "a0", "a1")
+    box.coordinator.apply("zone-1", Handover(asked_for(*ADAPTERS)))
+    assert box.zones["zone-2"].prefetched | box.zones["zone-3"].prefetched == set(ADAPTERS) - {
+        "a0",
+        "a1",
+    }
 
 
-def test_nothing_is_brought_to_another_zone_that_is_evacuated() -> None:
+def test_nothing_is_prefetched_into_another_evacuated_zone() -> None:
     box = make_box("zone-2", "zone-3")
     box.announced.update(("zone-1", "zone-2"))
-    box.coordinator.apply("zone-1", Handover(asked(*ADAPTERS)))
-    assert box.zones["zone-2"].brings == set()
-    assert box.zones["zone-3"].brings == set(ADAPTERS)
+    box.coordinator.apply("zone-1", Handover(asked_for(*ADAPTERS)))
+    assert box.zones["zone-2"].prefetched == set()
+    assert box.zones["zone-3"].prefetched == set(ADAPTERS)
 
 
-def test_what_was_asked_for_stays_in_its_region() -> None:
+def test_adapters_are_prefetched_within_their_region_if_it_has_a_remaining_zone() -> None:
     regions = {"zone-1": "a", "zone-2": "b", "zone-3": "a"}
     box = make_box("zone-2", "zone-3", regions=regions)
-    box.coordinator.apply("zone-1", Handover(asked(*ADAPTERS)))
-    assert box.zones["zone-3"].brings == set(ADAPTERS)
+    box.coordinator.apply("zone-1", Handover(asked_for(*ADAPTERS)))
+    assert box.zones["zone-3"].prefetched == set(ADAPTERS)
     box.announced.add("zone-3")
-    box.coordinator.apply("zone-1", Handover(asked("more")))
-    assert box.zones["zone-2"].brings == {"more"}, "none remains in the region"
+    box.coordinator.apply("zone-1", Handover(asked_for("more")))
+    assert box.zones["zone-2"].prefetched == {"more"}, "no zone remains in the region"
 
 
 @pytest.fixture
-def placing_box(quick: None) -> Iterator[Box]:
+def placing_box(short_intervals: None) -> Iterator[Box]:
     box = make_box("zone-1")
     yield box
     box.announced.clear()
@@ -272,47 +275,49 @@
             gevent.sleep(0.005)
 
 
-def test_the_placer_of_the_zone_tells_until_the_cut(placing_box: Box) -> None:
+def test_the_placer_of_the_zone_sends_the_handover_until_the_cut(placing_box: Box) -> None:
     zone = placing_box.zones["zone-1"]
     placing_box.announced.add("zone-1")
     placing_box.coordinator.handle_change("zone-1", True)
-    wait_for(lambda: len(zone.reported) >= 3)
-    assert zone.reported[0] == {"box-1", "box-2"}
+    wait_for(lambda: len(zone.sent_to) >= 3)
+    assert zone.sent_to[0] == {"box-1", "box-2"}
     placing_box.evacuated.add("zone-1")
     gevent.sleep(0.05)
-    reported = len(zone.reported)
+    sent_to = len(zone.sent_to)
     gevent.sleep(0.1)
-    assert len(zone.reported) == reported
+    assert len(zone.sent_to) == sent_to
 
 
-def test_a_zone_that_is_cut_when_its_placer_learns_of_it_is_told_all_the_same(
+def test_a_zone_already_cut_when_its_placer_learns_of_it_is_handed_over_too(
     placing_box: Box,
 ) -> None:
     placing_box.announced.add("zone-1")
     placing_box.evacuated.add("zone-1")
     placing_box.coordinator.handle_change("zone-1", True)
-    wait_for(lambda: placing_box.zones["zone-1"].reported)
+    wait_for(lambda: placing_box.zones["zone-1"].sent_to)
 
 
-def test_where_no_placer_tells_what_the_engines_held_is_brought(quick: None) -> None:
+def test_without_a_handover_the_adapters_that_the_engines_held_are_prefetched(
+    short_intervals: None,
+) -> None:
     box = make_box("zone-2", "zone-3")
-    has_linked_box(box.directory, "zone-1", "a0", "a1")
+    add_replica_with(box.directory, "zone-1", "a0", "a1")
     box.announced.add("zone-1")
     box.coordinator.handle_change("zone-1", True)
     wait_for(lambda: box.zones["zone-2"].prefetch.pending or box.zones["zone-3"].prefetch.pending)
-    assert box.zones["zone-2"].brings | box.zones["zone-3"].brings == {"a0", "a1"}
+    assert box.zones["zone-2"].prefetched | box.zones["zone-3"].prefetched == {"a0", "a1"}
     box.announced.clear()
     box.coordinator.handle_change("zone-1", False)
     assert not box.zones["zone-2"].prefetch.pending and not box.zones["zone-3"].prefetch.pending
 
 
-def test_a_placer_that_tells_before_this_box_knows_of_the_evacuation_is_heard(
-    quick: None,
+def test_a_handover_before_this_box_knows_of_the_evacuation_is_applied(
+    short_intervals: None,
 ) -> None:
     box = make_box("zone-2", "zone-3")
-    has_linked_box(box.directory, "zone-1", "held", "asked")
-    box.coordinator.apply("zone-1", Handover(asked("asked")))
+    add_replica_with(box.directory, "zone-1", "held", "asked")
+    box.coordinator.apply("zone-1", Handover(asked_for("asked")))
     box.announced.add("zone-1")
     box.coordinator.handle_change("zone-1", True)
     gevent.sleep(0.15)
-    assert box.zones["zone-2"].brings | box.zones["zone-3"].brings == {"asked"}
+    assert box.zones["zone-2"].prefetched | box.zones["zone-3"].prefetched == {"asked"}
--- a/tests/placement/test_known_state.py
+++ b/tests/placement/test_known_state.py
@@ -1,4 +1,4 @@
-"""What a box knows, told to one that starts while the store answers nobody."""
+"""Copies of tables that a box provides to one that starts while the store does not answer."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Box:
-    """What one box knows, told to who asks, and learnt from others."""
+    """A box that provides its tables to others and can copy theirs."""
 
     def __init__(self, zones: Sequence[str] = ZONES) -> None:
         log = Log("state", "test")
@@ -44,7 +44,7 @@
         self.board = PlacerBoard(age_s=lambda: 0.0)
         self.directory = Directory(log)
         self.zones = zones
-        self.source_zone = StateProvider(
+        self.provider = StateProvider(
             zones=zones,
             followers=self.followers,
             board=self.board,
@@ -52,24 +52,24 @@
             log=log,
         )
 
-    def learn(self, version: int, *, age_s: float = 0.0, value: bytes = b"1") -> None:
+    def apply_tables(self, version: int, *, age_s: float = 0.0, value: bytes = b"1") -> None:
         for follower in self.followers:
             reported = reading(follower.table, version, value)
             follower.apply_copy(reported, newest_at=monotonic() - age_s)
 
-    def ask(self, *others: Box | Exception) -> None:
-        """Ask other boxes, by frames as they go over a link, until all is known."""
+    def fetch_from(self, *others: Box | Exception) -> None:
+        """Ask other boxes, with encoded messages as on a link, until all tables are known."""
         seeds = {f"seed-{number}": other for number, other in enumerate(others)}
 
         def _fetch(seed: str) -> KnownState:
-            asked = seeds[seed]
-            if isinstance(asked, Exception):
-                raise asked
-            state = decode(encode(asked.source_zone.answer(HELLO)))
+            source = seeds[seed]
+            if isinstance(source, Exception):
+                raise source
+            state = decode(encode(source.provider.answer(HELLO)))
             assert isinstance(state, KnownState)
             return state
 
-        requester = StateFetcher(
+        fetcher = StateFetcher(
             list(seeds),
             fetch=_fetch,
             zones=self.zones,
@@ -79,19 +79,19 @@
             log=Log("state", "test"),
         )
         with gevent.Timeout(5.0):
-            requester.run()
+            fetcher.run()
 
     def values(self) -> list[dict[str, bytes]]:
         return [listener.rows for listener in self.listeners.values()]
 
 
 @pytest.fixture(autouse=True)
-def no_wait_for_the_store(monkeypatch: pytest.MonkeyPatch) -> None:
+def skip_store_wait(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(state_fetcher, "_STORE_ONLY_S", 0.0)
 
 
 @pytest.fixture
-def knowing() -> Box:
+def informed() -> Box:
     return Box()
 
 
@@ -100,70 +100,68 @@
     return Box()
 
 
-def test_a_box_learns_all_tables_and_how_old_they_are(knowing: Box) -> None:
-    knowing.learn(7, age_s=2.0)
-    knowing.board.record_successor("placer/zone-1", SUCCESSOR)
+def test_a_box_copies_all_tables_with_their_ages(informed: Box) -> None:
+    informed.apply_tables(7, age_s=2.0)
+    informed.board.record_successor("placer/zone-1", SUCCESSOR)
     fresh = Box()
-    fresh.ask(knowing)
+    fresh.fetch_from(informed)
     assert fresh.values() == [{"a": b"1"}, {"a": b"1"}]
     assert all(2.0 <= follower.staleness_s < 4.0 for follower in fresh.followers)
     assert all(2.0 <= follower.age_s < 4.0 for follower in fresh.followers)
     assert fresh.board.successors() == [("placer/zone-1", SUCCESSOR)]
 
 
-def test_what_was_learnt_from_another_box_grows_no_younger_when_it_is_told_on(
-    knowing: Box, other: Box
-) -> None:
-    knowing.learn(7, age_s=2.0)
-    other.ask(knowing)
+def test_a_copied_table_keeps_its_age_when_it_is_copied_again(informed: Box, other: Box) -> None:
+    informed.apply_tables(7, age_s=2.0)
+    other.fetch_from(informed)
     fresh = Box()
-    fresh.ask(other)
+    fresh.fetch_from(other)
     assert all(follower.staleness_s >= 2.0 for follower in fresh.followers)
 
 
-def test_the_newest_of_what_several_tell_counts(knowing: Box, other: Box) -> None:
-    knowing.learn(7, age_s=9.0, value=b"old")
-    other.learn(8, age_s=1.0, value=b"new")
-    for others in ((knowing, other), (other, knowing)):
+def test_the_newest_of_several_copies_is_kept(informed: Box, other: Box) -> None:
+    informed.apply_tables(7, age_s=9.0, value=b"old")
+    other.apply_tables(8, age_s=1.0, value=b"new")
+    for others in ((informed, other), (other, informed)):
         fresh = Box()
-        fresh.ask(*others)
+        fresh.fetch_from(*others)
         assert fresh.values() == [{"a": b"new"}, {"a": b"new"}]
         assert all(follower.staleness_s < 4.0 for follower in fresh.followers)
 
 
-def test_a_copy_never_replaces_what_is_newer() -> None:
+def test_a_copy_never_replaces_a_newer_table() -> None:
     box = Box()
-    box.learn(8, age_s=1.0, value=b"new")
-    box.learn(7, age_s=0.0, value=b"old")
+    box.apply_tables(8, age_s=1.0, value=b"new")
+    box.apply_tables(7, age_s=0.0, value=b"old")
     assert box.values() == [{"a": b"new"}, {"a": b"new"}]
     assert all(follower.staleness_s >= 1.0 for follower in box.followers)
 
 
-def test_who_does_not_know_all_tables_tells_none(knowing: Box) -> None:
-    follower = knowing.followers[0]
+def test_a_box_without_all_tables_provides_none(informed: Box) -> None:
+    follower = informed.followers[0]
     follower.apply_copy(reading(follower.table, 7), newest_at=monotonic())
-    assert knowing.source_zone.answer(HELLO).tables == []
+    assert informed.provider.answer(HELLO).tables == []
 
 
-def test_a_box_of_other_zones_is_not_believed(knowing: Box, other: Box) -> None:
+def test_the_tables_of_a_box_of_another_deployment_are_rejected(informed: Box, other: Box) -> None:
     stranger = Box(zones=("zone-1", "elsewhere"))
-    stranger.learn(9, value=b"strange")
-    knowing.learn(7)
+    stranger.apply_tables(9, value=b"strange")
+    informed.apply_tables(7)
     fresh = Box()
-    fresh.ask(stranger, knowing)
+    fresh.fetch_from(stranger, informed)
     assert fresh.values() == [{"a": b"1"}, {"a": b"1"}]
 
 
-def test_seeds_that_are_gone_or_something_else_are_passed_over(knowing: Box) -> None:
-    knowing.learn(7)
+def test_seeds_that_are_down_or_not_a_box_are_skipped(informed: Box) -> None:
+    informed.apply_tables(7)
     fresh = Box()
-    fresh.ask(ConnectionRefusedError("gone"), PeerRejected("a text frame"), knowing)
+    fresh.fetch_from(ConnectionRefusedError("gone"), PeerRejected("a text frame"), informed)
     assert fresh.values() == [{"a": b"1"}, {"a": b"1"}]
 
 
-def test_a_box_tells_only_so_many_a_second(knowing: Box) -> None:
-    knowing.learn(7)
-    states = [knowing.source_zone.answer(HELLO) for _ in range(20)]
+def test_a_box_answers_a_bounded_number_of_requests_a_second(informed: Box) -> None:
+    informed.apply_tables(7)
+    states = [informed.provider.answer(HELLO) for _ in range(20)]
     refused = [state for state in states if state.retry_after_ms]
     assert 0 < len(states) - len(refused) <= 10
     assert all(not state.tables and 0 < state.retry_after_ms <= 1000 for state in refused)
@@ -177,6 +175,6 @@
             for number in range(4000)
         ]
         follower.apply_copy(TableReading(follower.table, 0, 1, rows, whole=True), newest_at=0.0)
-    frame = encode(box.source_zone.answer(HELLO))
+    frame = encode(box.provider.answer(HELLO))
     assert len(frame) < 1_048_576
     assert isinstance(decode(frame), KnownState)
--- a/tests/placement/test_link_server.py
+++ b/tests/placement/test_link_server.py
@@ -1,4 +1,4 @@
-"""The links of boxes to a placer: what becomes of an older one, and what goes out."""
+"""The links of boxes to a placer: replaced links, handover targets and the messages sent."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Connection:
-    """A connection whose frames a test puts in; closing it ends the reader."""
+    """A connection that receives the frames a test queues; closing it ends the reader."""
 
     def __init__(self) -> None:
         self.frames: Queue[bytes | None] = Queue()
@@ -47,52 +47,52 @@
 
 
 class Host:
-    """Notes what it is told."""
+    """A host that records the demands and departures of boxes."""
 
     def __init__(self) -> None:
-        self.reported: list[Any] = []
+        self.events: list[Any] = []
 
     def first_messages(self) -> list[Message]:
         return []
 
     def apply_demand(self, box: str, demand: Demand) -> None:
-        self.reported.append((box, [ask.number for ask in demand.asks]))
+        self.events.append((box, [ask.number for ask in demand.asks]))
 
     def forget_box(self, box: str) -> None:
-        self.reported.append(f"forget {box}")
+        self.events.append(f"forget {box}")
 
 
-def asking(number: int) -> bytes:
+def demand_frame(number: int) -> bytes:
     return encode(Demand(asks=[Ask(number, "r", "m", "a", 1.0, 500)]))
 
 
-def wait_for(host: Host, count: int) -> list[Any]:
+def wait_for_events(host: Host, count: int) -> list[Any]:
     with gevent.Timeout(10):
-        while len(host.reported) < count:
+        while len(host.events) < count:
             gevent.sleep(0.01)
-    return host.reported
+    return host.events
 
 
-def test_a_box_that_links_again_is_forgotten_first_and_its_older_link_not_heard() -> None:
+def test_a_new_link_of_a_box_replaces_its_older_link_and_demand() -> None:
     host, older, newer = Host(), Connection(), Connection()
     links = BoxLinks(host, log=Log("link", "test"))
     hello = Hello("box-1", "1", "zone-1", "zone-1")
     gevent.spawn(links.serve, hello, older)
-    older.frames.put(asking(1))
-    assert wait_for(host, 1) == [("box-1", [1])]
+    older.frames.put(demand_frame(1))
+    assert wait_for_events(host, 1) == [("box-1", [1])]
     gevent.spawn(links.serve, hello, newer)
     gevent.sleep(0)
-    older.frames.put(asking(2))
-    newer.frames.put(asking(1))
-    assert wait_for(host, 3) == [("box-1", [1]), "forget box-1", ("box-1", [1])]
+    older.frames.put(demand_frame(2))
+    newer.frames.put(demand_frame(1))
+    assert wait_for_events(host, 3) == [("box-1", [1]), "forget box-1", ("box-1", [1])]
     assert older.closed.wait(timeout=10)
     assert links.count == 1
     newer.close()
-    assert wait_for(host, 4)[-1] == "forget box-1"
+    assert wait_for_events(host, 4)[-1] == "forget box-1"
     assert links.count == 0
 
 
-def test_frames_are_counted_for_the_zone_of_the_box_that_gets_them() -> None:
+def test_frames_are_counted_by_the_zone_of_the_receiving_box() -> None:
     sent: dict[str, float] = {}
 
     def count_sent_to(zone: str) -> Callable[[float], None]:
@@ -119,7 +119,7 @@
         connection.close()
 
 
-def test_boxes_of_the_region_and_of_others_are_told_apart() -> None:
+def test_messages_can_be_sent_to_the_boxes_of_one_region_only() -> None:
     host = Host()
     links = BoxLinks(host, log=Log("link", "test"), is_far=lambda zone: zone == "far")
     connections = {zone: Connection() for zone in ("near", "far")}
@@ -139,7 +139,7 @@
         connection.close()
 
 
-def test_a_role_goes_to_a_box_of_the_zone_that_can_take_it_and_its_last_word_is_sent() -> None:
+def test_the_handover_target_is_the_strongest_box_of_the_zone_and_flush_sends_all() -> None:
     links = BoxLinks(Host(), log=Log("link", "test"))
     hellos = [
         Hello("earlier", "1", "zone-1", "zone-1", 9.0),
@@ -166,7 +166,7 @@
         connection.close()
 
 
-def test_only_the_newest_forecast_of_an_adapter_goes_out_and_every_grant() -> None:
+def test_an_outbox_keeps_every_grant_and_the_newest_forecast_of_each_adapter() -> None:
     outbox = Outbox()
     messages: list[Message] = [
         Forecast("m", "a", 300),
@@ -181,17 +181,17 @@
     assert outbox.drain() == []
 
 
-def test_a_message_of_an_unknown_kind_is_counted_and_the_link_stays() -> None:
+def test_a_message_of_an_unknown_kind_is_counted_and_the_link_stays_open() -> None:
     counted: list[int] = []
     host, connection = Host(), Connection()
     links = BoxLinks(host, log=Log("link", "test"), count_unknown=counted.append)
     gevent.spawn(links.serve, Hello("box-1", "1", "zone-1", "zone-1"), connection)
     for _ in range(2):
-        connection.frames.put(cbor2.dumps([200, "what a later build tells"]))
-    connection.frames.put(asking(1))
-    assert wait_for(host, 1) == [("box-1", [1])]
+        connection.frames.put(cbor2.dumps([200, "a message of a later build"]))
+    connection.frames.put(demand_frame(1))
+    assert wait_for_events(host, 1) == [("box-1", [1])]
     assert counted == [200, 200]
     assert links.count == 1
-    connection.frames.put(cbor2.dumps([2, "no list of asks"]))
-    assert wait_for(host, 2)[-1] == "forget box-1", "a malformed frame cuts the link"
+    connection.frames.put(cbor2.dumps([2, "not a list of asks"]))
+    assert wait_for_events(host, 2)[-1] == "forget box-1", "a malformed frame cuts the link"
     connection.close()
--- a/tests/placement/test_placer_board.py
+++ b/tests/placement/test_placer_board.py
@@ -1,4 +1,4 @@
-"""What a box knows of the leases of all zones without asking the store for each."""
+"""The board of the last known placer rows of all zones."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 def row(version: int, *, box: str = "box-1", incarnation: str = "1") -> Row:
-    said = PlacerRow(box=box, incarnation=incarnation, address="127.0.0.1:1", fence=version)
-    return Row(KEY, msgspec.json.encode(said), version)
+    content = PlacerRow(box=box, incarnation=incarnation, address="127.0.0.1:1", fence=version)
+    return Row(KEY, msgspec.json.encode(content), version)
 
 
-def test_rows_are_known_as_long_as_they_are_current() -> None:
+def test_rows_are_returned_only_while_they_are_current() -> None:
     age_s = 0.0
     board = PlacerBoard(age_s=lambda: age_s)
     assert board.current_row(KEY) is None
@@ -39,7 +39,7 @@
     assert board.current_row(KEY) is None
 
 
-def test_who_waits_for_a_row_is_woken_by_its_change_and_not_by_others() -> None:
+def test_waiting_for_a_row_ends_with_its_change_and_not_with_others() -> None:
     board = PlacerBoard(age_s=lambda: 0.0)
     board.current_row(KEY)
     waiter = gevent.spawn(board.wait, KEY, timeout_s=60.0)
@@ -52,7 +52,7 @@
     assert waiter.ready()
 
 
-def test_an_election_begins_once_the_rows_were_read() -> None:
+def test_waiting_for_the_rows_ends_with_their_first_reading() -> None:
     board = PlacerBoard(age_s=lambda: 0.0)
     waiter = gevent.spawn(board.wait_known)
     gevent.sleep(0.01)
@@ -62,7 +62,7 @@
     assert waiter.ready()
 
 
-def test_a_change_between_the_look_and_the_wait_is_not_missed() -> None:
+def test_a_change_between_reading_a_row_and_waiting_is_not_missed() -> None:
     board = PlacerBoard(age_s=lambda: 0.0)
     board.current_row(KEY)
     board.change(row(2))
@@ -70,7 +70,7 @@
         board.wait(KEY, timeout_s=60.0)
 
 
-def test_the_boxes_that_hold_a_lease_are_those_that_have_not_given_it_up() -> None:
+def test_a_box_that_released_its_lease_is_not_among_the_holders() -> None:
     board = PlacerBoard(age_s=lambda: 0.0)
     board.change(row(1, box="box-7"))
     assert board.boxes() == {"box-7"}
@@ -90,16 +90,16 @@
     return Successor("box-2", "2", "127.0.0.1:2", fence, last_fence, 4, predecessors)
 
 
-def test_who_placed_last_is_asked_for_a_link_however_old_the_news() -> None:
+def test_the_last_known_placer_is_returned_however_old_the_reading() -> None:
     board = PlacerBoard(age_s=lambda: 60.0)
     assert board.holder(KEY) is None
     board.replace([row(4)])
     assert board.holder(KEY) == placer_row_from(row(4))
     board.change(row(5, incarnation=""))
-    assert board.holder(KEY) is None, "it was given up"
+    assert board.holder(KEY) is None, "the lease was released"
 
 
-def test_a_successor_counts_until_the_store_tells_of_a_later_holder() -> None:
+def test_a_successor_counts_until_the_store_has_a_later_holder() -> None:
     board = PlacerBoard(age_s=lambda: 60.0)
     board.replace([row(4)])
     first = successor(2, last_fence=4, predecessors=["1"])
@@ -108,6 +108,6 @@
     board.record_successor(KEY, first)
     assert board.holder(KEY) == second
     board.change(row(5, incarnation="2"))
-    assert board.holder(KEY) == second, "a late write of who went before"
+    assert board.holder(KEY) == second, "a late write of a predecessor"
     board.change(row(6, incarnation="3"))
     assert board.holder(KEY) == placer_row_from(row(6, incarnation="3"))
--- a/tests/placement/test_succession.py
+++ b/tests/placement/test_succession.py
@@ -1,4 +1,4 @@
-"""A placer that stops while the store is silent hands its role over by a link."""
+"""Handover of a lease over a link by a placer that stops while the store does not answer."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 HANDOVER_TARGET = HandoverTarget("two", "two-1", "127.0.0.1:1")
 
 
-def held(store: Store, box: str) -> PlacerLease:
-    """A lease that a box has just taken."""
+def make_held_lease(store: Store, box: str) -> PlacerLease:
+    """Return a lease that a box has just acquired."""
     lease = make_lease(store, box)
     assert lease.challenge(lease.known_row())
     return lease
 
 
-def handed_over(
+def hand_over_in_outage(
     store: Store, lease: PlacerLease, handover_target: HandoverTarget = HANDOVER_TARGET
 ) -> Successor:
-    """What a box tells that stops while the store is silent."""
+    """Return the handover of a box that stops while the store does not answer."""
     store.down = True
     lease.renew()
     handover = lease.release(reason="a test", successor=True, handover_target=handover_target)
@@ -28,31 +28,31 @@
     return handover
 
 
-def test_a_role_is_given_back_to_a_store_that_answers(clock: Clock) -> None:
+def test_a_lease_is_released_in_a_store_that_answers(clock: Clock) -> None:
     store = Store()
-    one, two = held(store, "one"), make_lease(store, "two")
+    one, two = make_held_lease(store, "one"), make_lease(store, "two")
     assert one.release(reason="a test", successor=True, handover_target=HANDOVER_TARGET) is None
     assert two.challenge(two.known_row())
 
 
-def test_who_takes_over_orders_once_the_store_has_not_answered_it(clock: Clock) -> None:
+def test_a_successor_may_order_once_the_store_has_not_answered_its_renewal(clock: Clock) -> None:
     store = Store()
-    one, two = held(store, "one"), make_lease(store, "two")
+    one, two = make_held_lease(store, "one"), make_lease(store, "two")
     first = one.fence
-    assert two.adopt(handed_over(store, one))
+    assert two.adopt(hand_over_in_outage(store, one))
     assert not one.holds
-    assert not two.holds, "the store may answer this box"
+    assert not two.holds, "the store may still answer this box"
     assert two.renew()
     assert two.holds
     assert two.fence == first + 1
-    assert two.left_s == 0.0, "quotas and permits are counted under a lease that surely stands"
+    assert two.left_s == 0.0, "quotas and permits are counted only under a confirmed lease"
 
 
-def test_who_takes_over_holds_the_lease_as_soon_as_the_store_answers(clock: Clock) -> None:
+def test_a_successor_holds_the_lease_as_soon_as_the_store_answers(clock: Clock) -> None:
     store = Store()
-    one, two = held(store, "one"), make_lease(store, "two")
+    one, two = make_held_lease(store, "one"), make_lease(store, "two")
     reserved = one.last_fence
-    assert two.adopt(handed_over(store, one))
+    assert two.adopt(hand_over_in_outage(store, one))
     store.down = False
     assert two.renew()
     assert two.confirmed
@@ -60,13 +60,15 @@
     assert two.fence == reserved + 1
 
 
-def test_a_role_handed_over_again_and_again_has_a_new_fence_each_time(clock: Clock) -> None:
+def test_each_repeated_handover_of_a_lease_has_a_new_fence(clock: Clock) -> None:
     store = Store()
-    lease = held(store, "box-0")
+    lease = make_held_lease(store, "box-0")
     fences = [lease.fence]
     for number in range(1, RESERVED_FENCES + 1):
         name = f"box-{number}"
-        handover = handed_over(store, lease, HandoverTarget(name, f"{name}-1", "127.0.0.1:1"))
+        handover = hand_over_in_outage(
+            store, lease, HandoverTarget(name, f"{name}-1", "127.0.0.1:1")
+        )
         lease = make_lease(store, name)
         assert lease.adopt(handover)
         fences.append(lease.fence)
@@ -75,31 +77,35 @@
     lease.renew()
     assert (
         lease.release(reason="a test", successor=True, handover_target=HANDOVER_TARGET) is None
-    ), "none is left"
+    ), "no reserved fence is left"
 
 
-def test_a_late_write_of_who_went_before_is_no_other_holder(clock: Clock) -> None:
+def test_a_late_write_of_a_predecessor_is_not_another_holder(clock: Clock) -> None:
     store = Store()
-    one, two = held(store, "one"), make_lease(store, "two")
-    handover = handed_over(store, one)
+    one, two = make_held_lease(store, "one"), make_lease(store, "two")
+    handover = hand_over_in_outage(store, one)
     store.down, store.lose_answer = False, True
     before = make_lease(store, "one")
     assert before.adopt(handover)
     before.renew()
     assert store.row is not None
-    assert store.row.version > handover.version, "it took effect unanswered"
+    assert store.row.version > handover.version, "the write took effect without an answer"
     store.lose_answer = False
-    onwards = handover.predecessors[0]
-    assert onwards == "one-1"
+    first_holder = handover.predecessors[0]
+    assert first_holder == "one-1"
     assert two.adopt(handover)
     assert two.renew()
     assert two.confirmed
 
 
-def test_who_took_the_lease_by_the_store_meanwhile_has_it(clock: Clock) -> None:
+def test_a_box_that_acquired_the_lease_in_the_store_keeps_it(clock: Clock) -> None:
     store = Store()
-    one, two, three = held(store, "one"), make_lease(store, "two"), make_lease(store, "three")
-    handover = handed_over(store, one)
+    one, two, three = (
+        make_held_lease(store, "one"),
+        make_lease(store, "two"),
+        make_lease(store, "three"),
+    )
+    handover = hand_over_in_outage(store, one)
     store.down = False
     three.known_row()
     clock.now += LEASE_S + 0.5
@@ -110,7 +116,7 @@
     assert three.fence > handover.last_fence
 
 
-def test_where_engines_check_no_fence_nothing_is_handed_over(clock: Clock) -> None:
+def test_without_fence_checks_no_lease_is_handed_over(clock: Clock) -> None:
     store = Store()
     one = make_lease(store, "one", checks_fence=False)
     assert one.challenge(one.known_row())
--- a/tests/placement/test_zone.py
+++ b/tests/placement/test_zone.py
@@ -1,4 +1,4 @@
-"""What a box learns from the heartbeats of a zone's placer."""
+"""How a box handles the messages of a zone's placer and, as the placer, those of other boxes."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 def make_zone(directory: Directory, updates: list[TableNews] | None = None) -> ZonePlacement:
     versions = Versions()
-    around = ZoneDependencies(
+    dependencies = ZoneDependencies(
         incarnation="1",
         store=Store(),
         board=PlacerBoard(age_s=lambda: 0.0),
@@ -48,10 +48,10 @@
         metrics=ForwardingMetrics(),
     )
     settings = PlacementSettings("box-1", "zone-1", "127.0.0.1:0", 3.0, True, 1.0, 2.0)
-    return ZonePlacement("zone-2", settings, around)
+    return ZonePlacement("zone-2", settings, dependencies)
 
 
-def test_a_heartbeat_tells_what_leaves_how_many_boxes_there_are_and_what_is_spread() -> None:
+def test_a_heartbeat_updates_the_zone_and_its_leaving_replicas() -> None:
     directory = Directory(Log("directory", "box-1"))
     directory.update(RECORD)
     zone = make_zone(directory)
@@ -73,7 +73,7 @@
     assert directory.leaving() == ("i-1", "i-2")
 
 
-def test_what_the_placer_has_read_of_a_table_is_handed_on_as_it_was() -> None:
+def test_the_placer_s_reading_of_a_table_is_passed_on_unchanged() -> None:
     updates: list[TableNews] = []
     zone = make_zone(Directory(Log("directory", "box-1")), updates)
     rows = [TableRow("config", b"\x00{}", 8), TableRow("i-1", b"", 9, gone=True)]
@@ -82,7 +82,7 @@
     assert updates == [reported]
 
 
-def test_a_box_tells_the_placer_what_leaves_and_the_placer_tells_all_boxes() -> None:
+def test_the_placer_passes_leaving_replicas_of_a_box_on_to_all_boxes() -> None:
     directory = Directory(Log("directory", "box-1"))
     directory.update(RECORD)
     zone = make_zone(directory)
