--- a/springrock/placement/lease.py
+++ b/springrock/placement/lease.py
@@ -127,7 +127,7 @@
         self._seen_at = 0.0
         self._read_version = -1
         self._read_era: int | None = None
-        self._returned_at = float("-inf")
+        self._restored_at = float("-inf")
 
     @property
     def fence(self) -> int:
@@ -181,9 +181,10 @@
         return self._unanswered_at > renewed_at and silent_s < self._lease_s / 2
 
     def record_heartbeat(self, version: int, left_s: float) -> None:
-        """Record the remaining time of the holder's lease, as stated by the holder.
+        """Record the remaining time of another box's lease, as stated in its heartbeat.
 
-        The expiry depends on when the holder sent its last renewal, not on when it was first seen.
+        The holder counts the lease from when it sent its last renewal, so that the expiry recorded
+        here may be earlier than one lease after the renewal was first seen.
 
         Args:
             version: The version of the holder's row.
@@ -326,14 +327,17 @@
             version = self._write(own, expected=self._read_version, writer=self._store)
         except (RowStoreUnavailable, RowConflict) as error:
             self._log.say(
-                "Did not get the placer's lease.", row=self._key, fence=fence, error=str(error)
+                "Could not acquire the placer's lease.",
+                row=self._key,
+                fence=fence,
+                error=str(error),
             )
             if isinstance(error, RowConflict) and error.row is not None:
                 self._rows.record(error.row)
             return False
         self._own = Tenure.from_row(own, version)
         self._held_until = sent_at + self._lease_s
-        self._log.say("Took the placer's lease.", row=self._key, fence=fence)
+        self._log.say("Acquired the placer's lease.", row=self._key, fence=fence)
         return True
 
     def free_in_s(self, existing: PlacerRow | None) -> float:
@@ -351,13 +355,13 @@
     def _record_era(self, era: int) -> None:
         """Record the store's era; a higher one means that it was restored from a copy."""
         if self._read_era is not None and era > self._read_era:
-            self._returned_at = monotonic()
+            self._restored_at = monotonic()
         self._read_era = era
 
     def _is_free(self, existing: PlacerRow | None, takeover_delay_s: float) -> bool:
         if self._seen_version < 0 or self._read_version < 0:
             return False
-        if monotonic() - self._returned_at <= self._lease_s + _MARGIN_S:
+        if monotonic() - self._restored_at <= self._lease_s + _MARGIN_S:
             # The restore may have lost the holder's row; the holder then writes it again.
             return False
         unchanged_s = monotonic() - self._seen_at
--- a/springrock/placement/placer_board.py
+++ b/springrock/placement/placer_board.py
@@ -42,7 +42,7 @@
         Raises:
             RowStoreUnavailable: If the rows were not read recently enough.
         """
-        self._event(key).clear()
+        self._update_event(key).clear()
         age_s = self._age_s()
         if age_s > _STALE_S:
             raise RowStoreUnavailable(f"the placers' rows were last read {age_s:.1f} s ago")
@@ -70,7 +70,7 @@
         known = self._successors.get(key)
         if known is None or successor.fence > known.fence:
             self._successors[key] = successor
-            self._event(key).set()
+            self._update_event(key).set()
 
     def successors(self) -> list[tuple[str, Successor]]:
         """Return the boxes to which leases were handed over, each with the key of the row."""
@@ -78,7 +78,7 @@
 
     def wait(self, key: str, *, timeout_s: float) -> None:
         """Wait until a row changes since `current_row` returned it, or until the timeout."""
-        self._event(key).wait(timeout=timeout_s)
+        self._update_event(key).wait(timeout=timeout_s)
 
     @property
     def known(self) -> bool:
@@ -99,7 +99,7 @@
         known = self._rows.get(row.key)
         if known is None or row.version > known.version:
             self._rows[row.key] = row
-            self._event(row.key).set()
+            self._update_event(row.key).set()
 
     # Implementation of `TableListener`.
 
@@ -117,7 +117,7 @@
     def remove(self, key: str) -> None:
         """Apply the removal of a row."""
         self._rows.pop(key, None)
-        self._event(key).set()
+        self._update_event(key).set()
 
-    def _event(self, key: str) -> Event:
+    def _update_event(self, key: str) -> Event:
         return self._updates.setdefault(key, Event())
--- a/tests/placement/test_lease_relayed.py
+++ b/tests/placement/test_lease_relayed.py
@@ -31,9 +31,7 @@
         assert lease.left_s >= LEASE_S * 2 / 3
 
 
-def test_the_relay_is_not_used_after_it_failed_too(
-    clock: Clock,
-) -> None:
+def test_the_relay_is_not_used_after_it_failed_too(clock: Clock) -> None:
     store, unreachable = Store(), Store()
     unreachable.down = True
     lease = make_lease(store, "one", relay=unreachable)
