--- a/springrock/permits/__init__.py
+++ b/springrock/permits/__init__.py
@@ -1,1 +1,1 @@
-"""What one replica gets from all boxes together: while it is cold, and within a limit it names."""
+"""Permits that bound what all boxes together send to a cold replica or one that names a limit."""
--- a/springrock/permits/choice.py
+++ b/springrock/permits/choice.py
@@ -1,4 +1,7 @@
-"""The choice between replicas that need a permit, as cold or limited ones do, and others."""
+"""Selects a replica for a request, obtaining a permit if the replica needs one.
+
+A replica that needs a permit is called metered: it is cold, or it has named a rate limit.
+"""
 
 from __future__ import annotations
 
@@ -10,19 +13,20 @@
 from springrock.forwarding.errors import NoReplica
 from springrock.permits.permits import Permit
 
-_ASKS_AT_MOST = 2
-"""For how many replicas a request asks in turn; each may take a round trip in a zone."""
+_MAX_ASKS = 2
+"""Metered replicas for which one request asks for a permit, in sequence. Each ask may take a round
+trip within the zone."""
 
 
 class AsksPermits(Protocol):
-    """Asks whether requests may be sent to cold or limited replicas."""
+    """Asks for permits to send requests to metered replicas."""
 
     def ask(self, record: ReplicaRecord, *, request: str, returns: bool, grant: int = 0) -> Permit:
-        """Ask to send a request to such a replica."""
+        """Ask for a permit to send a request to a metered replica."""
 
 
 class NoPermits:
-    """Permits nothing, as where nobody counts."""
+    """Implements `AsksPermits`; refuses everything, for boxes without a permit counter."""
 
     def ask(self, record: ReplicaRecord, *, request: str, returns: bool, grant: int = 0) -> Permit:
         """Refuse."""
@@ -30,18 +34,23 @@
 
 
 class Choosing(Protocol):
-    """Chooses among the replicas that could run a request."""
+    """Selects the best of the replicas that could run a request."""
 
     def __call__(self, *, even_metered: bool, but: frozenset[str] = frozenset()) -> Replica | None:
-        """Return the best one; None if there is none."""
+        """Return the best replica; None if there is none.
+
+        Args:
+            even_metered: Whether metered replicas are candidates.
+            but: Instances that are no candidates.
+        """
 
 
 class Pick(NamedTuple):
-    """A replica to send to.
+    """The replica selected for a request.
 
     Attributes:
-        send_by: Until when, on the local monotonic clock, it may be sent there although the
-            replica is metered; None if it is not.
+        send_by: When the permit expires, on the local monotonic clock; None if the replica needs
+            no permit.
     """
 
     replica: Replica
@@ -55,15 +64,24 @@
     permits: AsksPermits,
     request: str,
 ) -> Pick | None:
-    """Return the best replica, one that needs a permit only with it; None if there is none at all.
+    """Select the best replica for which no permit is needed or one was granted.
+
+    Args:
+        choose: Selects among the replicas that could run the request.
+        metered: Returns why a replica needs a permit; None if it needs none.
+        permits: Where permits are asked for.
+        request: The client's id of the request, for logs.
+
+    Returns:
+        The replica; None if no replica could run the request at all.
 
     Raises:
-        NoReplica: If there are only such, and no permit.
+        NoReplica: If only metered replicas could run the request and no permit was granted.
     """
     refused: frozenset[str] = frozenset()
-    back_in_s: list[float] = []
+    retry_delays_s: list[float] = []
     reason = Obstacle.COLD
-    while len(back_in_s) < _ASKS_AT_MOST:
+    while len(retry_delays_s) < _MAX_ASKS:
         best = choose(even_metered=True, but=refused)
         if best is None:
             break
@@ -75,12 +93,12 @@
         if permit.good_until is not None:
             return Pick(best, permit.good_until)
         refused |= {best.instance}
-        if permit.back_in_s < min(back_in_s, default=float("inf")):
+        if permit.retry_after_s < min(retry_delays_s, default=float("inf")):
             reason = obstacle
-        back_in_s.append(permit.back_in_s)
-    free = choose(even_metered=False)
-    if free is not None:
-        return Pick(free)
-    if back_in_s:
-        raise NoReplica(reason, min(back_in_s))
+        retry_delays_s.append(permit.retry_after_s)
+    unmetered = choose(even_metered=False)
+    if unmetered is not None:
+        return Pick(unmetered)
+    if retry_delays_s:
+        raise NoReplica(reason, min(retry_delays_s))
     return None
--- a/springrock/permits/counter.py
+++ b/springrock/permits/counter.py
@@ -1,4 +1,4 @@
-"""Counts out what cold and limited replicas of one zone may get, as the box that places it."""
+"""Issues the permits for the metered replicas of one zone; runs on the zone's placer."""
 
 from __future__ import annotations
 
@@ -14,62 +14,72 @@
 from springrock.log import Log
 from springrock.permits.messages import PermitAsk, Permitted, PermitVerdict
 from springrock.permits.named_limits import NamedLimits
-from springrock.permits.terms import SlowStartTerms, limits_of, limits_of_named, stricter
+from springrock.permits.terms import (
+    SlowStartTerms,
+    cold_start_limits,
+    intersection,
+    named_limit_limits,
+)
 from springrock.quotas.bucket import BucketLimits, TokenBucket
 
-_LONGEST_RETURN_S = 5.0
-"""Nobody is told to come back later than so; by then a replica may be warm."""
+_MAX_RETRY_AFTER_S = 5.0
+"""The longest retry delay given to a caller; after it the replica may be warm."""
 
-_SHORTEST_RETURN_S = 0.1
+_MIN_RETRY_AFTER_S = 0.1
 
-_LONGEST_PAUSE_S = 0.5
-"""For how long a box with other replicas is kept from asking: where 80 boxes ask for one that bears
-20 a second, fewer than 200 asks a second come. Longer, and what it bears is not used."""
+_MAX_PAUSE_S = 0.5
+"""The longest delay before a box that has other replicas asks again. With 80 boxes asking for a
+replica that bears 20 requests a second, this keeps the asks below 200 a second; a longer delay
+would leave capacity of the replica unused."""
 
-_REMEMBER_S = 1.0
-"""How long a permit that was taken with a grant may be undone: a box asks anew as soon as it has
-the grant."""
+_REFUND_WINDOW_S = 1.0
+"""How long a permit taken along with an engine grant can be refunded. A box whose permit expired
+while it waited for the grant asks for a new one as soon as it has the grant."""
 
-_ACCOUNTS_AT_MOST = 1000
-"""Beyond it those that are full are dropped: one made anew would be full as well."""
+_MAX_ACCOUNTS = 1000
+"""Beyond this number accounts with a full bucket are dropped; when created again, their bucket is
+full as well."""
 
 
 class GrantsPermits(Protocol):
-    """Counts out permits for requests that a placer grants."""
+    """Issues permits for requests to which a placer grants an engine."""
 
     def room_in_s(self, record: ReplicaRecord, *, cold: bool) -> float:
-        """Return the seconds until a request may be sent to a cold or limited replica.
+        """Return the seconds until a request may be sent to a metered replica.
 
-        0 if it may be now; infinite if this box may not count.
+        0 if a permit is available now; infinite if this box may not issue permits.
         """
 
     def grant(
         self, box: str, number: int, request: str, record: ReplicaRecord, *, cold: bool
     ) -> bool:
-        """Take a permit with the grant of a cold or limited engine; return whether there was one.
+        """Take a permit for a request that is granted a metered engine.
 
         Args:
-            box: Who asked.
-            number: Its own number of the ask.
+            box: The box that asked for the engine.
+            number: The box's own number of that ask.
             request: The client's id of the request, for logs.
             record: The engine.
-            cold: Whether it is cold.
+            cold: Whether the engine is cold.
+
+        Returns:
+            Whether a permit was available.
         """
 
 
-class _Taken(NamedTuple):
-    """A permit that was taken with a grant."""
+class _GrantedPermit(NamedTuple):
+    """A permit that was taken along with an engine grant."""
 
     instance: str
     at: float
 
 
 class _Bound(NamedTuple):
-    """What binds a replica.
+    """The limits in force for a replica.
 
     Attributes:
-        limits: What it may get; None for anything.
-        limited: Whether the limit that it may have named was looked at.
+        limits: Rate and depth of its bucket; None if nothing limits it.
+        limited: Whether a limit that the replica may have named was taken into account.
     """
 
     limits: BucketLimits | None
@@ -80,8 +90,8 @@
     """The permits of one replica.
 
     Attributes:
-        promised_until: Until when callers were told to come back for them.
-        refused: Asks that found no room since the last that did, of boxes that have other replicas.
+        promised_until: When the last retry slot given to a caller ends.
+        refused: Asks refused since the last granted one, from boxes that have other replicas.
     """
 
     bucket: TokenBucket
@@ -90,19 +100,21 @@
 
 
 class PermitCounter:
-    """Answers asks for permits while this box may count for the zone.
+    """Answers asks for permits while this box is authorized to count for the zone.
 
-    For cold replicas that is while it surely holds the lease; for limits, also while it goes on.
+    For cold replicas this requires a lease that is certainly valid. For named limits it is enough
+    that this box continues as the placer while the store is unavailable.
 
     Args:
         zone: The availability zone.
         configuration: Returns the configuration in force.
-        terms: Returns how strictly the bound on cold replicas is meant.
+        terms: Returns the tolerances of the bound on cold replicas.
         limits: The limits that replicas have named.
-        lease_left_s: Returns how much longer the lease surely stands.
-        goes_on: Whether this box places on, as the store answers nobody who could take the lease.
+        lease_left_s: Returns how much longer the lease is certainly valid, in seconds.
+        goes_on: Returns whether this box continues as the placer without a confirmed lease, because
+            the store answers no box that could take the lease over.
         answer: Sends an answer to one box.
-        on_counted: Called with whether there was room.
+        on_counted: Called for each ask with whether it was granted.
         log: The log to write to.
     """
 
@@ -131,28 +143,31 @@
         self.begin()
 
     def begin(self) -> None:
-        """Begin with nothing, as the lease was taken: another may have just granted all."""
+        """Start with empty buckets after taking the lease.
+
+        The previous placer may have issued all available permits just before.
+        """
         self._began_at = monotonic()
         self._accounts: dict[str, _Account] = {}
-        self._taken: OrderedDict[tuple[str, int], _Taken] = OrderedDict()
+        self._granted: OrderedDict[tuple[str, int], _GrantedPermit] = OrderedDict()
 
     def answer(self, box: str, asks: Iterable[PermitAsk]) -> None:
-        """Answer a box's asks."""
+        """Answer the asks of a box."""
         for ask in asks:
             if ask.grant:
-                self._undo(box, ask.grant)
-            verdict = self._judge(ask)
+                self._refund_grant(box, ask.grant)
+            verdict = self._decide(ask)
             if verdict is None:
                 self._answer(box, Permitted(ask.number, counts=False))
                 continue
             self._record(box, ask, verdict)
             self._answer(box, Permitted.from_verdict(ask.number, verdict))
 
-    # What the placer asks for requests that it grants an engine.
+    # Implements `GrantsPermits` for the placer.
 
     def room_in_s(self, record: ReplicaRecord, *, cold: bool) -> float:
-        """Return the seconds until a request may be sent to a cold or limited replica."""
-        bound = self._bound_of(record.service, record.instance, cold=cold)
+        """Return the seconds until a request may be sent to a metered replica."""
+        bound = self._bound_for(record.service, record.instance, cold=cold)
         if bound is None:
             return float("inf")
         if bound.limits is None:
@@ -164,33 +179,35 @@
     def grant(
         self, box: str, number: int, request: str, record: ReplicaRecord, *, cold: bool
     ) -> bool:
-        """Take a permit with the grant of such an engine; return whether there was one."""
+        """Take a permit for a request that is granted a metered engine; return whether it was."""
         ask = PermitAsk(0, request, record.service, record.instance, cold=cold)
-        verdict = self._judge(ask)
+        verdict = self._decide(ask)
         if verdict is None:
             return False
         self._record(box, ask, verdict)
         if verdict.granted:
-            self._taken[box, number] = _Taken(record.instance, monotonic())
+            self._granted[box, number] = _GrantedPermit(record.instance, monotonic())
         return verdict.granted
 
-    def _undo(self, box: str, number: int) -> None:
-        """Undo a permit taken with a grant that came too late to be used."""
+    def _refund_grant(self, box: str, number: int) -> None:
+        """Refund the permit taken along with a grant, as it expired before the grant arrived."""
         now = monotonic()
-        while self._taken and now - next(iter(self._taken.values())).at > _REMEMBER_S:
-            self._taken.popitem(last=False)
-        taken = self._taken.pop((box, number), None)
-        account = None if taken is None else self._accounts.get(taken.instance)
-        if taken is not None and account is not None:
-            account.bucket.give_back(1.0, taken_at=taken.at, now=now)
-
-    def _judge(self, ask: PermitAsk) -> PermitVerdict | None:
-        """Return the verdict on one request; None if this box may not count."""
-        bound = self._bound_of(ask.service, ask.instance, cold=ask.cold, said_per_s=ask.limit_per_s)
+        while self._granted and now - next(iter(self._granted.values())).at > _REFUND_WINDOW_S:
+            self._granted.popitem(last=False)
+        expired = self._granted.pop((box, number), None)
+        account = None if expired is None else self._accounts.get(expired.instance)
+        if expired is not None and account is not None:
+            account.bucket.give_back(1.0, taken_at=expired.at, now=now)
+
+    def _decide(self, ask: PermitAsk) -> PermitVerdict | None:
+        """Return the verdict on one ask; None if this box is not authorized to count."""
+        bound = self._bound_for(
+            ask.service, ask.instance, cold=ask.cold, reported_per_s=ask.limit_per_s
+        )
         if bound is None:
             return None
         if bound.limits is None:
-            # It names its limit no more; should it name one again, it begins anew.
+            # The replica no longer names a limit. A limit named later gets a new account.
             self._accounts.pop(ask.instance, None)
             return PermitVerdict(True, limited=True)
         account = self._account(ask.instance, bound)
@@ -199,74 +216,85 @@
         if not room_in_s:
             account.refused = 0
             return PermitVerdict(True, limited=bound.limited)
-        room_in_s = min(room_in_s, _LONGEST_RETURN_S)
-        back_in_s = (
-            self._turn(account, room_in_s, now) if ask.returns else self._spread(account, room_in_s)
+        room_in_s = min(room_in_s, _MAX_RETRY_AFTER_S)
+        retry_after_s = (
+            self._reserve_retry(account, room_in_s, now)
+            if ask.returns
+            else self._staggered_retry(account, room_in_s)
         )
         return PermitVerdict(
-            False, room_in_s if ask.returns else back_in_s, back_in_s, limited=bound.limited
+            False,
+            room_in_s if ask.returns else retry_after_s,
+            retry_after_s,
+            limited=bound.limited,
         )
 
-    def _spread(self, account: _Account, room_in_s: float) -> float:
-        """Return when a box that has other replicas should ask again: not all at once."""
+    def _staggered_retry(self, account: _Account, room_in_s: float) -> float:
+        """Return after how many seconds a box that has other replicas should ask again.
+
+        The delay grows with the number of refused asks, so that boxes do not all ask at once.
+        """
         rate = account.bucket.limits.rate
         behind_s = account.refused / rate if rate else 0.0
         account.refused += 1
-        return max(room_in_s, min(room_in_s + behind_s, _LONGEST_PAUSE_S))
+        return max(room_in_s, min(room_in_s + behind_s, _MAX_PAUSE_S))
 
-    def _turn(self, account: _Account, room_in_s: float, now: float) -> float:
-        """Return when a caller should come back: one after the other, as the bucket fills."""
+    def _reserve_retry(self, account: _Account, room_in_s: float, now: float) -> float:
+        """Return after how many seconds a caller should retry.
+
+        Successive callers get successive slots, at the rate at which the bucket fills.
+        """
         rate = account.bucket.limits.rate
-        turn_at = min(max(now + room_in_s, account.promised_until), now + _LONGEST_RETURN_S)
-        account.promised_until = turn_at + (1 / rate if rate else 0.0)
-        return max(_SHORTEST_RETURN_S, turn_at - now)
+        slot_at = min(max(now + room_in_s, account.promised_until), now + _MAX_RETRY_AFTER_S)
+        account.promised_until = slot_at + (1 / rate if rate else 0.0)
+        return max(_MIN_RETRY_AFTER_S, slot_at - now)
 
-    def _bound_of(
-        self, service: str, instance: str, *, cold: bool, said_per_s: float | None = None
+    def _bound_for(
+        self, service: str, instance: str, *, cold: bool, reported_per_s: float | None = None
     ) -> _Bound | None:
-        """Return what binds a replica; None if this box may not count.
+        """Return the limits in force for a replica; None if this box is not authorized to count.
 
         Args:
-            service: Its service.
-            instance: Its incarnation.
-            cold: Whether it counts as cold.
-            said_per_s: The limit that who asks knows of; what this box has learnt goes first, as
-                it has heard other boxes too.
+            service: The replica's service.
+            instance: The replica's incarnation.
+            cold: Whether the replica is to be treated as cold.
+            reported_per_s: The named limit that the asking box knows. A limit that this box knows
+                takes precedence, as it includes what other boxes reported.
         """
         per_s = self._limits.per_s(instance)
         if per_s is None and not self._limits.knows(instance):
-            per_s = said_per_s
-        limited = None if per_s is None else limits_of_named(per_s)
+            per_s = reported_per_s
+        limited = None if per_s is None else named_limit_limits(per_s)
         if not cold:
-            # Whoever else may count for the zone meanwhile began with nothing.
+            # Another box that starts counting for the zone meanwhile starts with empty buckets.
             counts = self._lease_left_s() > 0 or self._goes_on()
             return _Bound(limited, limited=True) if counts else None
         known = self._configuration().services.get(service)
         if known is None or known.slow_start is None or self._lease_left_s() <= 0:
             return None
-        warming = limits_of(known.slow_start, self._terms())
+        warming = cold_start_limits(known.slow_start, self._terms())
         if limited is None:
-            return _Bound(warming, limited=said_per_s is not None)
-        return _Bound(stricter(warming, limited), limited=True)
+            return _Bound(warming, limited=reported_per_s is not None)
+        return _Bound(intersection(warming, limited), limited=True)
 
     def _account(self, instance: str, bound: _Bound) -> _Account:
-        """Return the account of a replica that something binds."""
+        """Return the account of a replica that has limits, creating it if needed."""
         limits = bound.limits
         assert limits is not None
         now = monotonic()
         account = self._accounts.get(instance)
         if account is None:
             self._drop_full(now)
-            # What was sent before a limit was named is not known.
+            # Requests sent before the limit was named are unknown, so the bucket starts empty.
             began_at = now if bound.limited else self._began_at
-            account = _Account(TokenBucket(limits, now=began_at, remember_s=_REMEMBER_S))
+            account = _Account(TokenBucket(limits, now=began_at, remember_s=_REFUND_WINDOW_S))
             self._accounts[instance] = account
         elif account.bucket.limits != limits:
             account.bucket.change(limits, now=now)
         return account
 
     def _drop_full(self, now: float) -> None:
-        if len(self._accounts) < _ACCOUNTS_AT_MOST:
+        if len(self._accounts) < _MAX_ACCOUNTS:
             return
         self._accounts = {
             instance: account
@@ -295,5 +323,5 @@
             rate=round(bucket.limits.rate, 2),
             depth=round(bucket.limits.depth, 2),
             room_in_ms=round(verdict.room_in_s * 1000),
-            back_in_ms=round(verdict.back_in_s * 1000),
+            back_in_ms=round(verdict.retry_after_s * 1000),
         )
--- a/springrock/permits/messages.py
+++ b/springrock/permits/messages.py
@@ -1,4 +1,4 @@
-"""What boxes and placers tell each other of cold and limited replicas; parts of their messages."""
+"""The parts of the messages between boxes and placers that concern cold and limited replicas."""
 
 from __future__ import annotations
 
@@ -8,18 +8,17 @@
 
 
 class PermitAsk(Struct, frozen=True, array_like=True):
-    """A request that is to be sent to a replica that is cold or has named a limit.
+    """Asks for a permit to send a request to a replica that is cold or has named a limit.
 
     Attributes:
-        number: The box's own number for it.
+        number: The asking box's own number of the ask.
         request: The client's id of the request, for logs.
         service: The replica's service.
         instance: The replica's incarnation.
-        returns: Whether the caller is told when to come back if there is no room.
-        grant: The box's number of the grant with which a permit was taken that is too old by now;
-            0 if there was none.
-        cold: Whether the box takes the replica for cold.
-        limit_per_s: The limit that it knows the replica to have named; None if none.
+        returns: Whether to reserve a retry time for the caller if no permit is available.
+        grant: The box's number of the engine grant whose permit has expired; 0 if there was none.
+        cold: Whether the box treats the replica as cold.
+        limit_per_s: The named limit that the box knows of; None if it knows none.
     """
 
     number: int
@@ -33,13 +32,14 @@
 
 
 class LimitReport(Struct, frozen=True, array_like=True):
-    """What an answer told of its replica's limit.
+    """What an answer of a replica said about its limit.
 
     Attributes:
         instance: The replica's incarnation.
-        per_s: Requests a second that it takes from all boxes; None if it names no limit any more.
-        age_ms: How long ago the answer came that named it; of one that named none any more, how
-            long ago its request was sent.
+        per_s: Requests a second that the replica accepts from all boxes; None if it no longer names
+            a limit.
+        age_ms: The age of the report in milliseconds. Counted from the arrival of the answer that
+            named the limit, or from the sending of the request whose answer named none.
     """
 
     instance: str
@@ -48,17 +48,17 @@
 
 
 class NamedLimit(Struct, frozen=True, array_like=True):
-    """A limit that stands, as the placer of the replica's zone knows it."""
+    """A limit in force, as the placer of the replica's zone knows it."""
 
     instance: str
     per_s: float
 
 
 class ReplicaObservation(Struct, frozen=True, array_like=True):
-    """What a box has seen of a replica that may have started anew.
+    """What a box observed of a replica that may have restarted.
 
     Attributes:
-        answered: Whether it answered, after it had refused connections.
+        answered: True if it answered after refusing connections; False if it refuses them.
     """
 
     instance: str
@@ -66,18 +66,19 @@
 
 
 class PermitVerdict(NamedTuple):
-    """The placer's word on an ask.
+    """The placer's decision on an ask.
 
     Attributes:
         granted: Whether the request may be sent.
-        room_in_s: If not, when the bucket has room.
-        back_in_s: If not, when the caller should come back, one after the other.
-        limited: Whether the limit that the replica has named was looked at as well.
+        room_in_s: If not granted, the seconds until the bucket holds a permit.
+        retry_after_s: If not granted, the seconds until the caller should retry; successive callers
+            get successive times.
+        limited: Whether a limit that the replica named was taken into account.
     """
 
     granted: bool
     room_in_s: float = 0.0
-    back_in_s: float = 0.0
+    retry_after_s: float = 0.0
     limited: bool = False
 
 
@@ -85,37 +86,37 @@
     """The placer's answer to an ask.
 
     Attributes:
-        counts: Whether the placer may count for its zone now.
+        counts: Whether the placer is authorized to count for its zone now.
         granted: Whether the request may be sent.
-        room_in_ms: If not, when the bucket has room.
-        back_in_ms: If not, when the caller should come back.
-        limited: Whether the limit that the replica has named was looked at as well. A placer of an
-            earlier build knows of none.
+        room_in_ms: If not granted, the milliseconds until the bucket holds a permit.
+        retry_after_ms: If not granted, the milliseconds until the caller should retry.
+        limited: Whether a limit that the replica named was taken into account. A placer of an
+            earlier build does not send this field, as it knows no named limits.
     """
 
     number: int
     counts: bool
     granted: bool = False
     room_in_ms: int = 0
-    back_in_ms: int = 0
+    retry_after_ms: int = 0
     limited: bool = False
 
     @classmethod
     def from_verdict(cls, number: int, verdict: PermitVerdict) -> Permitted:
-        """Build the answer that tells a verdict."""
+        """Build the answer for a verdict."""
         return cls(
             number,
             counts=True,
             granted=verdict.granted,
             room_in_ms=round(verdict.room_in_s * 1000),
-            back_in_ms=round(verdict.back_in_s * 1000),
+            retry_after_ms=round(verdict.retry_after_s * 1000),
             limited=verdict.limited,
         )
 
     @property
     def verdict(self) -> PermitVerdict | None:
-        """What it tells; None if the placer may not count now."""
+        """The verdict; None if the placer is not authorized to count now."""
         if not self.counts:
             return None
-        room_in_s, back_in_s = self.room_in_ms / 1000, self.back_in_ms / 1000
-        return PermitVerdict(self.granted, room_in_s, back_in_s, self.limited)
+        room_in_s, retry_after_s = self.room_in_ms / 1000, self.retry_after_ms / 1000
+        return PermitVerdict(self.granted, room_in_s, retry_after_s, self.limited)
--- a/springrock/permits/own_shares.py
+++ b/springrock/permits/own_shares.py
@@ -6,7 +6,7 @@
 
 from springrock.clock import monotonic
 from springrock.forwarding.directory import ReplicaRecord
-from springrock.permits.terms import share_of_named
+from springrock.permits.terms import uncounted_share
 from springrock.quotas.bucket import TokenBucket
 from springrock.remembered import Remembered
 
@@ -37,7 +37,7 @@
         """
         if record.zone != self._home_zone:
             return None
-        limits = share_of_named(per_s, boxes=self._boxes())
+        limits = uncounted_share(per_s, boxes=self._boxes())
         if limits is None:
             return None
         now = monotonic()
--- a/springrock/permits/permits.py
+++ b/springrock/permits/permits.py
@@ -41,11 +41,11 @@
     Attributes:
         good_until: Until when the request may be sent, on the local monotonic clock; None if it
             may not.
-        back_in_s: If not, when to come back.
+        retry_after_s: If not, when to come back.
     """
 
     good_until: float | None
-    back_in_s: float = UNANSWERED_RETRY_S
+    retry_after_s: float = UNANSWERED_RETRY_S
 
 
 class Permits:
@@ -113,7 +113,7 @@
             return self._uncounted(record, cold=cold, limit_per_s=limit_per_s)
         if not verdict.granted:
             self._record_no_room(record.instance, verdict.room_in_s)
-            return Permit(None, verdict.back_in_s)
+            return Permit(None, verdict.retry_after_s)
         if limit_per_s is not None and not verdict.limited:
             # A placer of an earlier build has counted the cold start alone.
             return self._uncounted(record, cold=False, limit_per_s=limit_per_s)
--- a/springrock/permits/terms.py
+++ b/springrock/permits/terms.py
@@ -1,4 +1,4 @@
-"""What a cold or limited replica may get, and the rate at which its permits are counted out."""
+"""The request rates allowed to cold and limited replicas, and the token buckets that keep them."""
 
 from __future__ import annotations
 
@@ -9,108 +9,114 @@
 from springrock.quotas.bucket import BucketLimits
 
 PERMIT_LIFE_S = 0.15
-"""How long after the ask a permit is good. What was permitted within a second and this may be sent
-within one second, so a longer life costs rate; a shorter one loses permits of boxes that are
-busy. An ask and its answer take some milliseconds within a zone."""
+"""How long a permit is valid, counted from before the ask. Permits issued within a second plus this
+lifetime may all be used within one second, so a longer lifetime lowers the usable rate. A shorter
+one wastes permits of busy boxes. An ask and its answer take a few milliseconds within a zone."""
 
 LEAST_PERMIT_S = 0.05
-"""With less of it left another permit is asked: the connection to the replica takes time."""
+"""The remaining validity below which a new permit is asked for, as connecting to the replica takes
+time."""
 
 WINDOW_S = 1.0
-"""The span over which the bound holds; the platform's rule."""
+"""The window of the bound on cold replicas; set by the platform."""
 
-_AT_ONCE_S = 0.25
-"""So much of a second's worth may be saved up: a replica that is slow yet is not helped by more at
-once, and boxes ask in no even rhythm."""
+_BURST_S = 0.25
+"""Seconds' worth of permits that a bucket may hold. More would not help a replica that is still
+slow, but some are needed because asks arrive unevenly."""
 
-_LEAST_AT_ONCE = 2.0
-"""Where the bound is tight, so much may be saved up all the same: with less, half of what comes
-at random finds no room."""
+_MIN_BURST = 2.0
+"""The depth of a bucket even under a tight bound. With less, half of the requests that arrive at
+random find no permit."""
 
-_LEAST_PART = 0.1
-"""Of what a second may see, no more than this is saved up at the cost of the rate."""
+_MAX_BURST_PART = 0.1
+"""The part of a window's bound to which `_MIN_BURST` is capped, as depth reduces the rate."""
 
-_UNDER_ONE_MORE = 0.99
-"""Requests are whole: a bucket that gives less than one more than the bound in a second's span
-gives no more than the bound."""
+_BELOW_NEXT_WHOLE = 0.99
+"""Added to the bound rounded down. Requests are whole, so a bucket that gives less than one more
+than the bound within a second never gives more than the bound."""
 
 
 class SlowStartTerms(NamedTuple):
-    """How strictly the bound is meant.
+    """The tolerances of the bound on cold replicas.
 
     Attributes:
-        overage: How many times the stated rate a cold replica may get in a second.
-        slack: Requests that it may get beside that.
+        overage: How many times the configured rate a cold replica may receive in a second.
+        slack: Requests that it may receive in addition.
     """
 
     overage: float
     slack: float
 
 
-def bound_of(slow_start: SlowStart, terms: SlowStartTerms) -> float:
-    """Return how many requests a cold replica may get within a second, from all boxes."""
+def cold_start_bound(slow_start: SlowStart, terms: SlowStartTerms) -> float:
+    """Return how many requests a cold replica may receive within a second from all boxes."""
     return slow_start.per_s * terms.overage + terms.slack
 
 
-def limits_of(slow_start: SlowStart, terms: SlowStartTerms) -> BucketLimits:
-    """Return the rate and the depth at which permits for one replica are counted out.
+def cold_start_limits(slow_start: SlowStart, terms: SlowStartTerms) -> BucketLimits:
+    """Return the rate and depth of the bucket for a cold replica's permits.
 
-    A request is sent at most `PERMIT_LIFE_S` after its permit was taken from the bucket, so what is
-    sent within a second was taken within a second and that life: at most the depth and what flows
-    in meanwhile, which together stay within the bound.
+    A request is sent at most `PERMIT_LIFE_S` after its permit was taken. The requests sent within a
+    second therefore hold permits taken within a second plus that lifetime: at most the depth and
+    what flows in meanwhile. The returned limits keep this sum within the bound.
     """
     span_s = WINDOW_S + PERMIT_LIFE_S
-    usable = math.floor(bound_of(slow_start, terms)) + _UNDER_ONE_MORE
-    least = max(1.0, min(_LEAST_AT_ONCE, usable * _LEAST_PART))
-    rate = max(0.0, min(slow_start.per_s, (usable - least) / span_s))
-    at_once = max(least, slow_start.per_s * _AT_ONCE_S)
-    return BucketLimits(rate, min(at_once, usable - rate * span_s))
+    usable = math.floor(cold_start_bound(slow_start, terms)) + _BELOW_NEXT_WHOLE
+    min_depth = max(1.0, min(_MIN_BURST, usable * _MAX_BURST_PART))
+    rate = max(0.0, min(slow_start.per_s, (usable - min_depth) / span_s))
+    depth = max(min_depth, slow_start.per_s * _BURST_S)
+    return BucketLimits(rate, min(depth, usable - rate * span_s))
 
 
 LIMIT_WINDOW_S = 4.0
-"""The span over which a limit that a replica names is judged; the platform's rule."""
+"""The window over which a limit that a replica names is enforced; set by the platform."""
 
-_BORNE_TIMES = 1.5
-_BORNE_BESIDE = 5.0
-"""What it bears within the span: so many times its limit, and so many requests; the same rule."""
+_TOLERATED_TIMES = 1.5
+_TOLERATED_EXTRA = 5.0
+"""A replica tolerates, within the window, this multiple of its limit plus this many requests; set
+by the platform."""
 
-_LEAST_OF_LIMIT = 0.25
-"""Requests a second that a replica gets whatever it names: one that gets nothing answers nothing,
-so nobody would learn that its limit is no more."""
+_MIN_LIMIT_RATE = 0.25
+"""Requests a second that a replica receives whatever limit it names. A replica that receives none
+also answers none, so the end of its limit would never be noticed."""
 
-_AT_ONCE_OF_LIMIT = 2.0
-"""So many may be saved up below a limit: with one, half of what comes at random finds no room."""
+_MIN_LIMIT_BURST = 2.0
+"""The minimum depth of the bucket for a named limit. With 1, half of the requests that arrive at
+random find no permit."""
 
 
-def borne_of(per_s: float) -> float:
-    """Return how many requests a replica that names a limit bears within `LIMIT_WINDOW_S`."""
-    return per_s * LIMIT_WINDOW_S * _BORNE_TIMES + _BORNE_BESIDE
+def tolerated_in_window(per_s: float) -> float:
+    """Return how many requests a replica that names a limit tolerates in `LIMIT_WINDOW_S`."""
+    return per_s * LIMIT_WINDOW_S * _TOLERATED_TIMES + _TOLERATED_EXTRA
 
 
-def limits_of_named(per_s: float) -> BucketLimits:
-    """Return the rate and the depth at which permits below a limit are counted out.
+def named_limit_limits(per_s: float) -> BucketLimits:
+    """Return the rate and depth of the bucket for permits under a named limit.
 
-    What is sent within the window and was counted is at most the depth and what flows in within
-    the window and the life of a permit, which leaves over a quarter of what the replica bears for
-    what nobody counts.
+    The counted requests sent within the window are at most the depth plus what flows in during the
+    window and a permit's lifetime. This leaves over a quarter of what the replica tolerates for
+    uncounted requests.
     """
-    rate = max(_LEAST_OF_LIMIT, per_s)
-    return BucketLimits(rate, max(_AT_ONCE_OF_LIMIT, rate * _AT_ONCE_S))
+    rate = max(_MIN_LIMIT_RATE, per_s)
+    return BucketLimits(rate, max(_MIN_LIMIT_BURST, rate * _BURST_S))
 
 
-def share_of_named(per_s: float, *, boxes: int) -> BucketLimits | None:
-    """Return what one of some boxes sends below a limit while nobody counts; None for nothing.
+def uncounted_share(per_s: float, *, boxes: int) -> BucketLimits | None:
+    """Return what each of some boxes may send under a named limit while no placer counts.
 
-    They share the rate, and each may have saved up one request: as many as the replica bears beside
-    what was counted out just before.
+    The boxes divide the rate, and each may start with one request. The number of boxes is bounded
+    by what the replica tolerates in addition to requests counted just before.
+
+    Returns:
+        The share of one box; None if it may send nothing.
     """
-    counted = limits_of_named(per_s)
+    counted = named_limit_limits(per_s)
     within = counted.depth + counted.rate * (LIMIT_WINDOW_S + PERMIT_LIFE_S)
-    if not boxes or boxes > borne_of(per_s) - within:
+    if not boxes or boxes > tolerated_in_window(per_s) - within:
         return None
     return BucketLimits(counted.rate / boxes, 1.0)
 
 
-def stricter(one: BucketLimits, other: BucketLimits) -> BucketLimits:
-    """Return limits that keep within both."""
+def intersection(one: BucketLimits, other: BucketLimits) -> BucketLimits:
+    """Return the limits that satisfy both."""
     return BucketLimits(min(one.rate, other.rate), min(one.depth, other.depth))
--- a/tests/permits/limit_world.py
+++ b/tests/permits/limit_world.py
@@ -18,7 +18,12 @@
 from springrock.permits.own_shares import OwnShares
 from springrock.permits.permit_book import PermitsUnheard
 from springrock.permits.permits import Permits
-from springrock.permits.terms import LIMIT_WINDOW_S, PERMIT_LIFE_S, SlowStartTerms, borne_of
+from springrock.permits.terms import (
+    LIMIT_WINDOW_S,
+    PERMIT_LIFE_S,
+    SlowStartTerms,
+    tolerated_in_window,
+)
 from tests.worlds import make_limits
 
 ZONE = "zone-1"
@@ -199,7 +204,7 @@
         ticks = int(LIMIT_WINDOW_S / STEP_S)
         limits = {self.limit_of(end - tick * STEP_S) for tick in range(ticks + 1)}
         [*others, limit] = limits
-        return None if others or limit is None else borne_of(limit)
+        return None if others or limit is None else tolerated_in_window(limit)
 
 
 def quiet_and_virtual(patch: pytest.MonkeyPatch, world: LimitWorld) -> None:
--- a/tests/permits/test_bound.py
+++ b/tests/permits/test_bound.py
@@ -16,7 +16,7 @@
 from springrock.permits import counter as module
 from springrock.permits.counter import PermitCounter
 from springrock.permits.messages import PermitAsk, Permitted
-from springrock.permits.terms import PERMIT_LIFE_S, SlowStartTerms, bound_of
+from springrock.permits.terms import PERMIT_LIFE_S, SlowStartTerms, cold_start_bound
 from tests.worlds import make_limits
 
 LENGTH_S = 6.0
@@ -136,7 +136,7 @@
     slow_start = SlowStart(lasts_s=5.0, per_s=per_s)
     terms = SlowStartTerms(overage, float(slack))
     sent = play(slow_start, terms, sorted(ends), asked)
-    assert most_in_a_second(sent) <= bound_of(slow_start, terms)
+    assert most_in_a_second(sent) <= cold_start_bound(slow_start, terms)
 
 
 def pressing(seed: int, *, held_s: Callable[[float], float]) -> list[Trip]:
@@ -162,7 +162,7 @@
         return max(0.0, 3.0 - asked_at - 0.04)
 
     sent = play(STATED, terms, [2.0, 3.1], pressing(seed, held_s=_until_the_moment))
-    assert 0 < most_in_a_second(sent) <= bound_of(STATED, terms)
+    assert 0 < most_in_a_second(sent) <= cold_start_bound(STATED, terms)
 
 
 @pytest.mark.parametrize(
@@ -177,7 +177,7 @@
     ]
     sent = play(STATED, terms, [], asked)
     assert len(sent) >= 0.7 * STATED.per_s * LENGTH_S
-    assert most_in_a_second(sent) <= bound_of(STATED, terms)
+    assert most_in_a_second(sent) <= cold_start_bound(STATED, terms)
 
 
 @pytest.mark.parametrize(("per_s", "most"), [(1.0, 1), (2.5, 2), (0.4, 0)])
--- a/tests/permits/test_counter.py
+++ b/tests/permits/test_counter.py
@@ -55,7 +55,7 @@
 
 
 def test_a_new_placer_grants_nothing_before_its_bucket_has_filled(counting: Counting) -> None:
-    assert counting.ask() == Permitted(7, counts=True, room_in_ms=250, back_in_ms=250)
+    assert counting.ask() == Permitted(7, counts=True, room_in_ms=250, retry_after_ms=250)
     counting.now += 0.25
     assert counting.ask() == Permitted(7, counts=True, granted=True)
     assert counting.counted == [False, True]
@@ -85,10 +85,10 @@
 
 
 def test_those_who_come_back_get_turns_and_others_take_none(counting: Counting) -> None:
-    back = [counting.ask(returns=True).back_in_ms for _ in range(3)]
+    back = [counting.ask(returns=True).retry_after_ms for _ in range(3)]
     assert back == [250, 500, 750]
-    assert counting.ask().back_in_ms == 250
-    assert counting.ask(returns=True).back_in_ms == 1000
+    assert counting.ask().retry_after_ms == 250
+    assert counting.ask(returns=True).retry_after_ms == 1000
 
 
 def test_a_grant_takes_a_permit_and_there_is_room_only_as_it_fills(counting: Counting) -> None:
@@ -128,7 +128,7 @@
     ask = PermitAsk(7, "r", "plain", "i-9", cold=False, limit_per_s=2.0)
     counting.counter.answer("box-2", [ask])
     assert counting.answers[-1] == Permitted(
-        7, counts=True, room_in_ms=500, back_in_ms=500, limited=True
+        7, counts=True, room_in_ms=500, retry_after_ms=500, limited=True
     )
     counting.now += 9.0
     counting.counter.answer("box-2", [ask] * 4)
@@ -152,7 +152,7 @@
     counting.limits.apply_limit_report(LimitReport("i-1", 0.5))
     counting.now += 9.0
     assert counting.ask() == Permitted(
-        7, counts=True, room_in_ms=2000, back_in_ms=2000, limited=True
+        7, counts=True, room_in_ms=2000, retry_after_ms=2000, limited=True
     )
     counting.limits.apply_limit_report(LimitReport("i-2", 50.0))
     counting.ask(instance="i-2")
--- a/tests/permits/test_limit_ways.py
+++ b/tests/permits/test_limit_ways.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from springrock.permits.terms import limits_of_named
+from springrock.permits.terms import named_limit_limits
 from springrock.quotas.bucket import BucketLimits, TokenBucket
 from tests.permits.limit_world import LimitWorld, press, quiet_and_virtual
 
@@ -45,7 +45,7 @@
     """The same where each box takes an equal part of the limit, and asks nobody."""
     world = LimitWorld(boxes, lambda at: per_s)
     quiet_and_virtual(monkeypatch, world)
-    part = BucketLimits(limits_of_named(per_s).rate / boxes, 1.0)
+    part = BucketLimits(named_limit_limits(per_s).rate / boxes, 1.0)
     buckets = [TokenBucket(part, now=0.0, level=1.0) for _ in range(boxes)]
     for box in world.boxes:
         bucket = buckets[box.number]
--- a/tests/permits/test_permits.py
+++ b/tests/permits/test_permits.py
@@ -149,7 +149,7 @@
     assert permits.ask(COLD.record, request="r", returns=True).good_until is not None
     refused = permits.ask(COLD.record, request="r", returns=True)
     assert refused.good_until is None
-    assert 1.5 < refused.back_in_s <= 2.0
+    assert 1.5 < refused.retry_after_s <= 2.0
 
 
 def test_what_is_cold_as_well_gets_nothing_uncounted() -> None:
--- a/tests/permits/test_returns.py
+++ b/tests/permits/test_returns.py
@@ -20,7 +20,7 @@
 from springrock.permits import warmup as warmup_module
 from springrock.permits.counter import PermitCounter
 from springrock.permits.messages import PermitAsk, Permitted
-from springrock.permits.terms import SlowStartTerms, bound_of
+from springrock.permits.terms import SlowStartTerms, cold_start_bound
 from springrock.permits.warmup import WarmupTracker
 from tests.permits.test_bound import most_in_a_second
 from tests.worlds import make_limits
@@ -223,7 +223,7 @@
 @example(UNTRIED)
 @given(days)
 def test_no_second_of_a_cold_return_sees_more_than_the_bound(day: Day) -> None:
-    assert most_in_a_second(play(day).arrivals) <= bound_of(SLOW_START, TERMS)
+    assert most_in_a_second(play(day).arrivals) <= cold_start_bound(SLOW_START, TERMS)
 
 
 @pytest.mark.parametrize("evacuated", [False, True])
--- a/tests/quotas/test_charging.py
+++ b/tests/quotas/test_charging.py
@@ -96,7 +96,7 @@
     book = ChargeBook(on_update=urgent.append)
     task = asking(book)
     assert book.drain_updates() == ([Charge(1, "r", "one", 7)], [])
-    book.record_charged(Charged(1, counts=True, taken=False, back_in_ms=250))
+    book.record_charged(Charged(1, counts=True, taken=False, retry_after_ms=250))
     assert task.get(timeout=10) == (Verdict(False, 0.25), 1)
     book.give_back(1)
     assert book.drain_updates() == ([], [GiveBack(1)])
