--- a/springrock/permits/own_shares.py
+++ b/springrock/permits/own_shares.py
@@ -1,4 +1,4 @@
-"""What this box sends to replicas that named a limit while no placer is heard that counts."""
+"""Requests this box may send to limited replicas by itself while no placer counts permits."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class OwnShares:
-    """This box's equal share of the limits of its own zone's replicas.
+    """This box's equal share of the named limits of replicas in its own zone.
 
     Only boxes of a replica's zone send to it uncounted: they are few, and a zone that is cut off
-    serves on. Others have replicas of their own, or are told to come back.
+    keeps serving. Boxes of other zones use their own replicas, or their callers are told to retry.
 
     Args:
-        home_zone: Where this box stands.
-        boxes: Returns how many boxes stand there; 0 if that is not known.
+        home_zone: The zone of this box.
+        boxes: Returns how many boxes are in that zone; 0 if unknown.
     """
 
     def __init__(self, *, home_zone: str, boxes: Callable[[], int]) -> None:
@@ -30,10 +30,15 @@
         self._buckets: Remembered[TokenBucket] = Remembered(at_most=_REPLICAS_KEPT)
 
     def take(self, record: ReplicaRecord, per_s: float) -> float | None:
-        """Take one request of the share; return 0, the seconds until there is one, or None.
+        """Take one request of the share for a replica.
+
+        Args:
+            record: The replica.
+            per_s: The limit that it named, in requests a second.
 
         Returns:
-            0 if it may be sent now; None if this box may send nothing uncounted.
+            0 if the request may be sent now, else the seconds until one may; None if this box may
+            send nothing uncounted.
         """
         if record.zone != self._home_zone:
             return None
--- a/springrock/permits/permit_book.py
+++ b/springrock/permits/permit_book.py
@@ -1,4 +1,4 @@
-"""The permits that this box asks of one zone's placer, and what it has not been told."""
+"""The asks for permits that this box has pending at one zone's placer."""
 
 from __future__ import annotations
 
@@ -13,74 +13,79 @@
 from springrock.permits.messages import PermitAsk, Permitted, PermitVerdict, ReplicaObservation
 from springrock.permits.terms import PERMIT_LIFE_S
 
-_NO_ANSWER_S = 0.05
-"""How long a request waits for the placer's word: a third of a permit's life, of which the rest is
-for the connection to the replica."""
+_ANSWER_TIMEOUT_S = 0.05
+"""How long a request waits for the placer's answer: a third of a permit's lifetime. The rest is
+left for connecting to the replica."""
 
 
 class PermitsUnheard(SpringrockError):
-    """Nobody tells whether a request may be sent to a cold or limited replica."""
+    """No placer answered whether a request may be sent to a metered replica."""
 
 
 class PermitBook:
-    """The asks of one box at one zone's placer.
+    """The asks of one box at one zone's placer, and what has not been sent to it yet.
 
     Args:
-        on_update: Called when the placer is to be told something; whether somebody waits for it.
+        on_update: Called when there is something to send to the placer, with whether a request
+            waits for the answer.
     """
 
     def __init__(self, *, on_update: Callable[[bool], None]) -> None:
         self._on_update = on_update
         self._numbers = count(1)
-        self._asked: dict[int, AsyncResult[PermitVerdict | None]] = {}
-        self._new: list[PermitAsk] = []
-        self._seen: list[ReplicaObservation] = []
+        self._pending: dict[int, AsyncResult[PermitVerdict | None]] = {}
+        self._unsent_asks: list[PermitAsk] = []
+        self._unsent_observations: list[ReplicaObservation] = []
 
     def ask(self, permit_ask: PermitAsk) -> tuple[PermitVerdict, float]:
-        """Ask for a permit; return the answer and until when it is good, on the local clock.
+        """Ask for a permit and wait for the answer.
 
-        It is good for its life from before the ask, so that no delay on the way lengthens it.
+        The permit's lifetime is counted from before the ask, so that no delay of messages extends
+        it.
+
+        Returns:
+            The verdict, and when the permit expires on the local monotonic clock.
 
         Raises:
-            PermitsUnheard: If no answer comes. What the placer may have taken out is lost.
+            PermitsUnheard: If no answer comes. A permit that the placer may have issued is lost.
         """
         good_until = monotonic() + PERMIT_LIFE_S
         ask = msgspec.structs.replace(permit_ask, number=next(self._numbers))
-        answer = self._asked[ask.number] = AsyncResult()
-        self._new.append(ask)
+        answer = self._pending[ask.number] = AsyncResult()
+        self._unsent_asks.append(ask)
         self._on_update(True)
         try:
-            verdict = answer.wait(timeout=_NO_ANSWER_S)
+            verdict = answer.wait(timeout=_ANSWER_TIMEOUT_S)
         finally:
-            del self._asked[ask.number]
-            if ask in self._new:
-                self._new.remove(ask)
+            del self._pending[ask.number]
+            if ask in self._unsent_asks:
+                self._unsent_asks.remove(ask)
         if verdict is None:
             raise PermitsUnheard()
         return verdict, good_until
 
     def record_observation(self, instance: str, *, answered: bool) -> None:
-        """Tell the placer what this box saw of a replica."""
+        """Queue an observation of a replica for the placer, unless the same one is queued."""
         observation = ReplicaObservation(instance, answered)
-        if observation not in self._seen:
-            self._seen.append(observation)
+        if observation not in self._unsent_observations:
+            self._unsent_observations.append(observation)
         self._on_update(False)
 
     def record_permitted(self, permitted: Permitted) -> None:
-        """Learn the placer's answer; who has left does without."""
-        answer = self._asked.get(permitted.number)
+        """Pass the placer's answer on to the request that waits for it, if it still does."""
+        answer = self._pending.get(permitted.number)
         if answer is not None:
             answer.set(permitted.verdict)
 
     def forget_placer(self) -> None:
-        """Lose the placer, and with it all that was asked."""
-        self._new.clear()
-        self._seen.clear()
-        for answer in self._asked.values():
+        """End all asks without an answer, as the placer is lost; drop what was not sent."""
+        self._unsent_asks.clear()
+        self._unsent_observations.clear()
+        for answer in self._pending.values():
             answer.set(None)
 
     def drain_updates(self) -> tuple[list[PermitAsk], list[ReplicaObservation]]:
-        """Return what the placer has not been told."""
-        new, self._new = self._new, []
-        seen, self._seen = self._seen, []
-        return new, seen
+        """Return the asks and observations to send to the placer, and clear them."""
+        asks, self._unsent_asks = self._unsent_asks, []
+        observations, self._unsent_observations = self._unsent_observations, []
+        return asks, observations
--- a/springrock/permits/permits.py
+++ b/springrock/permits/permits.py
@@ -1,4 +1,4 @@
-"""Permits for this box's requests, asked of whoever counts for the replica's zone."""
+"""Obtains permits for this box's requests from the placer of the replica's zone."""
 
 from __future__ import annotations
 
@@ -13,22 +13,23 @@
 from springrock.permits.permit_book import PermitsUnheard
 from springrock.permits.terms import PERMIT_LIFE_S
 
-_LEFT_ALONE_S = 0.3
-"""How long a zone whose placer did not answer an ask is not asked again: each ask in vain holds a
-request up."""
+_SKIP_ZONE_S = 0.3
+"""How long no permit is asked of a zone whose placer did not answer, as each unanswered ask delays
+a request."""
 
 UNANSWERED_RETRY_S = 0.5
-"""When to come back if nobody counts: a placer that was killed is followed within a lease."""
+"""The retry delay given to callers if no placer counts. A placer that was killed is replaced within
+the duration of a lease."""
 
 
-class Permitting(Protocol):
-    """Counts out the permits of one zone."""
+class ZonePermits(Protocol):
+    """Issues the permits of one zone."""
 
     def permit(self, permit_ask: PermitAsk) -> tuple[PermitVerdict, float]:
-        """Ask for a permit; return the answer and until when it is good.
+        """Ask for a permit; return the verdict and when the permit expires.
 
         Args:
-            permit_ask: What is asked, with no number yet.
+            permit_ask: The ask, without a number yet.
 
         Raises:
             PermitsUnheard: If no answer comes.
@@ -39,9 +40,8 @@
     """The outcome of an ask.
 
     Attributes:
-        good_until: Until when the request may be sent, on the local monotonic clock; None if it
-            may not.
-        retry_after_s: If not, when to come back.
+        good_until: When the permit expires, on the local monotonic clock; None if none was granted.
+        retry_after_s: If none was granted, the seconds until the caller should retry.
     """
 
     good_until: float | None
@@ -52,17 +52,17 @@
     """Asks for permits on behalf of one box.
 
     Args:
-        counter: Returns who counts for a zone.
-        on_unanswered: Called when nobody answered.
-        is_cold: Whether a replica is not known to be warm.
+        counter: Returns what issues the permits of a zone.
+        on_unanswered: Called when a placer did not answer.
+        is_cold: Returns whether a replica is not known to be warm.
         limits: The limits that replicas have named.
-        shares: What this box may send below them while nobody counts.
+        shares: What this box may send under named limits while no placer counts.
     """
 
     def __init__(
         self,
         *,
-        counter: Callable[[str], Permitting],
+        counter: Callable[[str], ZonePermits],
         on_unanswered: Callable[[], None],
         is_cold: Callable[[ReplicaRecord], bool],
         limits: NamedLimits,
@@ -77,15 +77,14 @@
         self._no_room_until: dict[str, float] = {}
 
     def ask(self, record: ReplicaRecord, *, request: str, returns: bool, grant: int = 0) -> Permit:
-        """Ask to send a request to a replica that is cold or has named a limit.
+        """Ask for a permit to send a request to a metered replica.
 
         Args:
             record: The replica.
             request: The client's id of the request, for logs.
-            returns: Whether the caller is told when to come back if there is no room; if not, a
-                replica that had no room a moment ago is passed over without asking.
-            grant: The number of the grant with which a permit was taken that is too old by now;
-                0 if there was none.
+            returns: Whether to reserve a retry time for the caller if no permit is available. If
+                not, a replica that had no permits a moment ago is refused without asking.
+            grant: The number of the engine grant whose permit has expired; 0 if there was none.
         """
         now = monotonic()
         cold = self._is_cold(record)
@@ -109,18 +108,18 @@
             verdict, good_until = self._counter(record.zone).permit(permit_ask)
         except PermitsUnheard:
             self._on_unanswered()
-            self._skipped_until[record.zone] = monotonic() + _LEFT_ALONE_S
+            self._skipped_until[record.zone] = monotonic() + _SKIP_ZONE_S
             return self._uncounted(record, cold=cold, limit_per_s=limit_per_s)
         if not verdict.granted:
             self._record_no_room(record.instance, verdict.room_in_s)
             return Permit(None, verdict.retry_after_s)
         if limit_per_s is not None and not verdict.limited:
-            # A placer of an earlier build has counted the cold start alone.
+            # A placer of an earlier build took only the cold start into account.
             return self._uncounted(record, cold=False, limit_per_s=limit_per_s)
         return Permit(good_until)
 
     def _uncounted(self, record: ReplicaRecord, *, cold: bool, limit_per_s: float | None) -> Permit:
-        """Return what this box may send by itself: to a cold replica nothing."""
+        """Return what this box may send without a placer: nothing to a cold replica."""
         if cold or limit_per_s is None:
             return Permit(None)
         room_in_s = self._shares.take(record, limit_per_s)
