--- a/springrock/permits/warmup.py
+++ b/springrock/permits/warmup.py
@@ -12,31 +12,31 @@
 from springrock.log import Log
 
 _HEARTBEAT_S = 1.2
-"""How far apart replicas write their rows, about; the platform's figure."""
+"""The approximate interval at which replicas write their rows; set by the platform."""
 
 _ROW_LAG_S = 0.8
-"""How much older a row is than what can be read of the store; the platform's figure."""
+"""How long after its write a row becomes readable; set by the platform."""
 
 _ROW_MARGIN_S = 0.5
 """A heartbeat may be late, and a write of it take its time."""
 
 ROW_DELAY_S = _HEARTBEAT_S + _ROW_LAG_S + _ROW_MARGIN_S
-"""Who has read the rows as they stood so long after a start has read what they say of it. A row
-that did not change says so too, as one that turns cold is written anew."""
+"""How long after a restart the rows that can be read reflect it. An unchanged row shows that the
+replica is not cold, as a replica that turns cold writes a new row."""
 
 _CLOCK_MARGIN_S = 0.5
-"""How much longer than is said a start may take by this box's clock."""
+"""How much longer than configured a slow start may last on this box's clock."""
 
 _REPORT_VALID_S = 1.5
-"""How long a placer's word on doubts holds after its last heartbeat."""
+"""How long the suspicions that a placer reports remain valid after its last heartbeat."""
 
 
 class _Suspicion(Struct):
-    """Why a replica may have started anew without this box having read of it.
+    """A reason why a replica may have restarted although this box has read no row that says so.
 
     Attributes:
-        began_at: When this box last had a reason for it.
-        answered_at: When it answered after that, and so had come back; None if it has not.
+        began_at: When this box last had such a reason.
+        answered_at: When the replica answered after that, and so was up again; None if it has not.
         known_to_all: Whether other boxes are to learn of it.
     """
 
@@ -46,11 +46,11 @@
 
 
 class _Reported(Struct):
-    """What the placer of a zone last told of doubts.
+    """The suspicions in the last heartbeat of a zone's placer.
 
     Attributes:
-        since: When each replica was first told to be in doubt.
-        at: When it was last told.
+        since: When each replica was first reported as suspected without a pause since.
+        at: When the heartbeat arrived.
     """
 
     since: dict[str, float]
@@ -58,17 +58,20 @@
 
 
 class WarmupTracker:
-    """What is known of the replicas of services with slow start; others cost nothing.
+    """Decides which replicas are to be treated as cold: those that are not known to be warm.
+
+    Replicas of services without slow start are never cold.
 
     Args:
         configuration: Returns the configuration in force.
-        rows_as_of: Returns the local time at which what is known of replicas was surely the
-            newest that could be read.
+        rows_as_of: Returns the latest local time at which the known rows were certainly the newest
+            that could be read.
         ended_at: Returns when a zone was taken back from an evacuation; None if never.
         log: The log to write to.
 
     Attributes:
-        on_observation: Called with a replica that refuses connections, or that answered after that.
+        on_observation: Called with a replica and False when it refuses connections, and with True
+            when it answers after that.
     """
 
     def __init__(
@@ -122,24 +125,24 @@
         return suspicion is not None and self._is_open(suspicion, slow_start, now)
 
     def _reported_since(self, record: ReplicaRecord, now: float) -> float | None:
-        """Return when the zone's placer first told the doubt that it tells; None if it does not."""
+        """Return since when the zone's placer reports a replica as suspected; else None."""
         reported = self._reported.get(record.zone)
         if reported is None or now >= reported.at + _REPORT_VALID_S:
             return None
         return reported.since.get(record.instance)
 
     def _is_open(self, suspicion: _Suspicion, slow_start: SlowStart, now: float) -> bool:
-        """Whether a doubt stands; time alone ends none about a replica that may be down yet."""
+        """Whether a suspicion holds; a replica that has not answered yet remains suspected."""
         if suspicion.answered_at is None:
             return True
         if now >= suspicion.answered_at + slow_start.lasts_s + _CLOCK_MARGIN_S:
             return False
         return self._rows_as_of() < suspicion.answered_at + ROW_DELAY_S
 
-    # What rows say.
+    # From the rows of replicas.
 
     def apply_record(self, record: ReplicaRecord | None, instance: str) -> None:
-        """Learn what a replica says of itself; None if it is gone."""
+        """Apply a replica's row; None if the row is gone."""
         if record is None:
             self._records.pop(instance, None)
             self._cold_until.pop(instance, None)
@@ -148,23 +151,25 @@
         known = self._records.get(instance)
         self._records[instance] = record
         if known is not None and (known.cold_s, known.sequence) == (record.cold_s, record.sequence):
-            # The same word again, whatever else is new: its time runs since it was first read.
+            # The cold time is unchanged, whatever else is new: it runs since it was first read.
             return
         now = monotonic()
         was_cold = now < self._cold_until.get(instance, 0.0)
         self._cold_until[instance] = now + record.cold_s
         if was_cold != (record.cold_s > 0):
-            self._say("A replica says how warm it is.", record, cold_s=round(record.cold_s, 2))
+            self._say(
+                "A replica reports whether it is cold.", record, cold_s=round(record.cold_s, 2)
+            )
 
-    # What requests see.
+    # From the outcomes of requests.
 
     def record_failed(self, record: ReplicaRecord, *, refused: bool) -> None:
-        """Learn that a replica could not be reached, or broke off before an answer.
+        """Record that a replica could not be reached, or broke off before an answer.
 
         Args:
             record: The replica.
-            refused: Whether it refused connections, and so was down; anything else may be the
-                trouble of this box's own link, and other boxes are not told.
+            refused: Whether it refused connections, and so was down. Any other failure may be that
+                of this box's own link, and is not reported to other boxes.
         """
         if self.slow_start(record.service) is None or record.instance not in self._records:
             return
@@ -173,7 +178,7 @@
             self._notify(record, answered=False)
 
     def record_answered(self, record: ReplicaRecord, *, sent_at: float) -> None:
-        """Learn that a replica answered a request that was sent at a time."""
+        """Record that a replica answered a request that was sent at a given time."""
         reported_since = self._reported_since(record, monotonic()) if self._reported else None
         if reported_since is not None and sent_at >= reported_since:
             self._notify(record, answered=True)
@@ -181,7 +186,7 @@
         if suspicion is None or suspicion.answered_at is not None or sent_at < suspicion.began_at:
             return
         suspicion.answered_at = monotonic()
-        self._say("A doubted replica answers.", record)
+        self._say("A suspected replica answered.", record)
         if suspicion.known_to_all:
             self._notify(record, answered=True)
 
@@ -196,10 +201,10 @@
         for listener in self.on_observation:
             listener(record, answered)
 
-    # What boxes tell each other, by the placer of the replica's zone.
+    # From other boxes, through the placer of the replica's zone.
 
     def apply_observation(self, instance: str, *, answered: bool) -> None:
-        """Learn what another box saw of a replica."""
+        """Apply what another box observed of a replica."""
         record = self._records.get(instance)
         if record is None:
             return
@@ -211,7 +216,7 @@
             suspicion.answered_at = monotonic()
 
     def suspected(self, zone: str) -> tuple[str, ...]:
-        """Return the replicas of a zone that all boxes are to doubt."""
+        """Return the replicas of a zone that all boxes are to suspect; drop expired suspicions."""
         now = monotonic()
         found = []
         for instance, suspicion in list(self._suspicions.items()):
@@ -228,7 +233,7 @@
         return tuple(found)
 
     def apply_suspected(self, zone: str, instances: Collection[str]) -> None:
-        """Learn from a zone's placer which of its replicas are doubted."""
+        """Replace the suspicions that a zone's placer reports by those of its new heartbeat."""
         now = monotonic()
         known = self._reported.get(zone, _Reported({}, now)).since
         if instances:
