--- a/springrock/quarantine/__init__.py
+++ b/springrock/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that crash the replicas that run them: found over all boxes, and sent to no more."""
+"""Detects requests that crash the replicas running them, and stops sending them to any replica."""
--- a/springrock/quarantine/book.py
+++ b/springrock/quarantine/book.py
@@ -1,4 +1,4 @@
-"""Which requests were at which crashes, as all boxes have reported, and which are quarantined."""
+"""Which requests ran at which crashes, as all boxes report them, and which are quarantined."""
 
 from __future__ import annotations
 
@@ -13,22 +13,24 @@
 from springrock.remembered import Remembered
 from springrock.rows import Row
 
-REPORTS_AT_MOST = 1_000
-"""So many reports are kept, the newest; of a usual crash each takes under 2 KB."""
+MAX_REPORTS = 1_000
+"""The most reports kept in the store, the newest ones. A report of an ordinary crash takes less
+than 2 KB."""
 
-_HELD_AT_MOST = 2 * REPORTS_AT_MOST
-"""What a box holds itself while nobody removes rows, as when the store is out."""
+_MAX_HELD = 2 * MAX_REPORTS
+"""The most reports that a box holds itself, as rows are not removed while the store is down."""
 
-_RUN_WELL_KEPT = 2_000
-"""Of so many requests it is remembered that they have run well here: those that come often."""
+_COMPLETIONS_KEPT = 2_000
+"""How many requests with a completed run on this box are remembered; frequent requests stay among
+them."""
 
 
-class _Held(NamedTuple):
-    """A report that is held against its requests.
+class _HeldReport(NamedTuple):
+    """A report that counts against its requests.
 
     Attributes:
-        version: Of its row; 0 as long as it was not read.
-        learned_at: When this box learnt of it, on the local monotonic clock.
+        version: The version of its row; 0 until the row is read.
+        learned_at: When this box learned of the report, on the local monotonic clock.
     """
 
     report: CrashReport
@@ -37,7 +39,7 @@
 
 
 class StaleReport(NamedTuple):
-    """A row that says nothing any more, or is one too many."""
+    """A row to be removed: its report is too old, or there are too many."""
 
     key: str
     version: int
@@ -46,21 +48,22 @@
 class CrashBook:
     """Implements `springrock.rows.TableListener` for the rows of crash reports.
 
-    A crash accuses all that ran at the replica, most of it wrongly; who is accused by as many
-    crashes as the terms say, of different incarnations, is quarantined. A run to a good end takes
-    back all that was held against a request here, as such a request does not crash what runs it.
+    A crash counts against all requests that ran at the replica, though most of them did not cause
+    it. A request is quarantined once as many crashes of different incarnations count against it as
+    the terms require. A completed run on this box clears all crashes counted against a request, as
+    a request that crashes replicas does not complete.
 
     Args:
-        terms: Returns what convicts a request.
+        terms: Returns what leads to the quarantine of a request.
         log: The log to write to.
     """
 
     def __init__(self, *, terms: Callable[[], QuarantineTerms], log: Log) -> None:
         self._terms = terms
         self._log = log
-        self._held: dict[str, _Held] = {}
-        self._naming: dict[Fingerprint, set[str]] = {}
-        self._ran_well: Remembered[None] = Remembered(at_most=_RUN_WELL_KEPT)
+        self._held: dict[str, _HeldReport] = {}
+        self._keys_by_request: dict[Fingerprint, set[str]] = {}
+        self._completed: Remembered[None] = Remembered(at_most=_COMPLETIONS_KEPT)
         self._quarantined: set[Fingerprint] = set()
 
     @property
@@ -69,61 +72,63 @@
         return sum(self.quarantined_for_s(item) is not None for item in set(self._quarantined))
 
     def quarantined_for_s(self, fingerprint: Fingerprint) -> float | None:
-        """Return for how long a request is sent to no replica; None if it may be sent.
+        """Return for how many more seconds a request is quarantined; None if it is not.
 
-        That a quarantine is over is noted, and logged, when the request comes again.
+        The end of a quarantine is detected, and logged, when the request comes again.
         """
-        if fingerprint not in self._naming:
+        if fingerprint not in self._keys_by_request:
             return None
         terms = self._terms()
         ends = sorted(at + terms.for_s for at in self._crashes_of(fingerprint).values())
         if len(ends) < terms.crashes:
-            self._record_released(fingerprint)
+            self._release(fingerprint)
             return None
-        # It is over when so many have lapsed that the others no longer suffice.
+        # The quarantine ends when so many crashes have expired that the others are too few.
         return ends[len(ends) - terms.crashes] - monotonic()
 
     def may_be_retried(self, fingerprint: Fingerprint) -> bool:
-        """Whether a request that may have run may run again in the same try.
+        """Return whether a request that may have run may be sent to another replica at once.
 
-        Not if one more crash would convict it: its client may come again, later and alone, while a
-        retry moves on at once together with what broke beside it, and is accused with it.
+        It may not if one more crash would quarantine it. An immediate retry runs together with the
+        other requests that failed at the same crash, so they would all be counted at the next one.
+        The client may send the request again later, by itself.
         """
-        if fingerprint not in self._naming:
+        if fingerprint not in self._keys_by_request:
             return True
         return len(self._crashes_of(fingerprint)) < max(1, self._terms().crashes - 1)
 
-    # What this box has seen itself.
+    # What this box observed itself.
 
     def hold(self, key: str, report: CrashReport) -> None:
-        """Hold a report of this box's own against its requests; it may grow until it is written."""
+        """Count one of this box's own reports; it may be replaced by a longer one until written."""
         self._hold(key, report, version=0)
 
     def withdraw(self, key: str) -> None:
-        """Take a report back, as the replica has not crashed."""
+        """Remove one of this box's own reports, as the replica has not crashed."""
         self._drop(key)
 
-    def is_exempt(self, fingerprint: Fingerprint) -> bool:
-        """Whether a crash is not held against a request, as it has run well here since the last.
+    def consume_completion(self, fingerprint: Fingerprint) -> bool:
+        """Return whether a crash is not counted against a request, as it completed here recently.
 
-        It comes often then, and was there by chance; so was it hardly twice without a good end
-        between, so that one good end is good for one crash.
+        A request that comes often was probably running at the crash by chance, but hardly twice
+        without completing in between. So one completion exempts it from one crash only, and is
+        consumed by this call.
         """
-        if fingerprint not in self._ran_well:
+        if fingerprint not in self._completed:
             return False
-        del self._ran_well[fingerprint]
+        del self._completed[fingerprint]
         return True
 
     def record_completion(self, fingerprint: Fingerprint) -> None:
-        """Learn that a request ran to a good end."""
-        self._ran_well.record(fingerprint, None)
-        if self._naming.pop(fingerprint, None) is not None:
-            self._record_released(fingerprint)
+        """Record that a request completed, and clear the crashes counted against it."""
+        self._completed.record(fingerprint, None)
+        if self._keys_by_request.pop(fingerprint, None) is not None:
+            self._release(fingerprint)
 
-    # What boxes have reported.
+    # What boxes have reported in the store.
 
     def replace(self, rows: Sequence[Row]) -> None:
-        """Take all reports; of what was read before, that which is gone is forgotten."""
+        """Apply a read of the whole table; drop reports that were read before and are gone now."""
         present = {row.key for row in rows}
         for key in [key for key, held in self._held.items() if held.version]:
             if key not in present:
@@ -132,71 +137,72 @@
             self.change(row)
 
     def change(self, row: Row) -> None:
-        """Take a new report; none changes, and one that is known is not held twice."""
+        """Apply a new row. Reports never change, and a known one is not counted again."""
         known = self._held.get(row.key)
         if known is not None:
             self._held[row.key] = known._replace(version=row.version)
             return
         report = report_from(row)
         if report is None:
-            self._log.say("Passed over a malformed crash report.", key=row.key)
+            self._log.say("Ignored a malformed crash report.", key=row.key)
             return
         self._hold(row.key, report, version=row.version)
 
     def version(self, key: str) -> int:
-        """Return the version of the row of a report as it was last read; 0 if it was not."""
+        """Return the version of a report's row as last read; 0 if it was not read."""
         held = self._held.get(key)
         return 0 if held is None else held.version
 
     def remove(self, key: str) -> None:
-        """Learn that a report is gone."""
+        """Drop a report, as its row is gone."""
         self._drop(key)
 
     def stale(self, *, older_than_s: float) -> list[StaleReport]:
-        """Return the rows that may go: those that are old, and the oldest of too many."""
+        """Return the rows that may be removed: those too old, and the oldest of too many."""
         horizon = monotonic() - older_than_s
         read = sorted(
             (held.version, key, held.learned_at) for key, held in self._held.items() if held.version
         )
-        too_many = len(read) - REPORTS_AT_MOST
+        excess = len(read) - MAX_REPORTS
         return [
             StaleReport(key, version)
             for number, (version, key, learned_at) in enumerate(read)
-            if number < too_many or learned_at < horizon
+            if number < excess or learned_at < horizon
         ]
 
     def _hold(self, key: str, report: CrashReport, *, version: int) -> None:
-        self._held[key] = _Held(report, version, monotonic())
-        if len(self._held) > _HELD_AT_MOST:
+        self._held[key] = _HeldReport(report, version, monotonic())
+        if len(self._held) > _MAX_HELD:
             self._drop(next(iter(self._held)))
         for fingerprint in report.fingerprints:
-            self._naming.setdefault(fingerprint, set()).add(key)
-            self._record_accused(fingerprint)
+            self._keys_by_request.setdefault(fingerprint, set()).add(key)
+            self._quarantine_if_due(fingerprint)
 
     def _drop(self, key: str) -> None:
         held = self._held.pop(key, None)
         if held is None:
             return
         for fingerprint in held.report.fingerprints:
-            naming = self._naming.get(fingerprint, set())
-            naming.discard(key)
-            if not naming:
-                self._naming.pop(fingerprint, None)
+            keys = self._keys_by_request.get(fingerprint, set())
+            keys.discard(key)
+            if not keys:
+                self._keys_by_request.pop(fingerprint, None)
             if fingerprint in self._quarantined and self.quarantined_for_s(fingerprint) is None:
-                self._record_released(fingerprint)
+                self._release(fingerprint)
 
     def _crashes_of(self, fingerprint: Fingerprint) -> dict[str, float]:
-        """Return the incarnations that crashed under a request, and when that was learnt last."""
+        """Return the incarnations whose crashes count against a request, and when last learned."""
         horizon = monotonic() - self._terms().for_s
         found: dict[str, float] = {}
-        for key in self._naming.get(fingerprint, ()):
+        for key in self._keys_by_request.get(fingerprint, ()):
             held = self._held[key]
             if held.learned_at > horizon:
                 instance = held.report.instance
                 found[instance] = max(held.learned_at, found.get(instance, 0.0))
         return found
 
-    def _record_accused(self, fingerprint: Fingerprint) -> None:
+    def _quarantine_if_due(self, fingerprint: Fingerprint) -> None:
+        """Quarantine a request if enough crashes count against it now."""
         crashes = self._crashes_of(fingerprint)
         if fingerprint in self._quarantined or len(crashes) < self._terms().crashes:
             return
@@ -208,7 +214,7 @@
             for_s=round(self._terms().for_s),
         )
 
-    def _record_released(self, fingerprint: Fingerprint) -> None:
+    def _release(self, fingerprint: Fingerprint) -> None:
         if fingerprint in self._quarantined:
             self._quarantined.discard(fingerprint)
             self._log.say("A request is no longer quarantined.", fingerprint=fingerprint.shown)
--- a/springrock/quarantine/crash_detector.py
+++ b/springrock/quarantine/crash_detector.py
@@ -1,4 +1,4 @@
-"""What a box sees of crashes: which replicas ended under which of its requests."""
+"""Detects which replicas crashed while running this box's requests."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from springrock.forwarding.fingerprint import Fingerprint
 from springrock.log import Log
 from springrock.quarantine.book import CrashBook
-from springrock.quarantine.report import MOST_REQUESTS, CrashReport, new_key
+from springrock.quarantine.report import MAX_REQUESTS, CrashReport, new_key
 
-_SIGNS_OF_LIFE_S = 0.2
-"""So long a replica at which requests broke may show that it lives. A busy one that only reset
-some connections answers another request within a few tens of ms; one that crashed takes longer
-than this to come back."""
+_CRASH_CONFIRMATION_S = 0.2
+"""How long a replica at which requests failed has to answer another one before it is reported as
+crashed. A busy replica that only reset some connections answers within a few tens of milliseconds;
+one that crashed takes longer than this to come back."""
 
-_SHOWN_AT_MOST = 8
+_MAX_LOGGED_FINGERPRINTS = 8
 
 
-class _Break(Struct):
-    """Requests that broke at a replica, as long as it may yet show that it lives.
+class _SuspectedCrash(Struct):
+    """A replica at which requests failed, until it is known whether it crashed.
 
     Attributes:
-        key: Of the report that they would make.
-        began_at: When the first of them broke, on the local monotonic clock.
+        key: The key of the report to be published if it crashed.
+        began_at: When the first request failed, on the local monotonic clock.
     """
 
     key: str
@@ -37,24 +37,24 @@
 
 
 class Publishes(Protocol):
-    """Makes reports known to all boxes."""
+    """Publishes crash reports to all boxes."""
 
     def publish(self, key: str, report: CrashReport) -> None:
-        """Make a report known; returns at once."""
+        """Queue a report for publishing; return at once."""
 
 
 class CrashDetector:
-    """Tells crashes from other breaks, and reports them.
+    """Distinguishes crashes from other failures, and reports them.
 
-    A connection that broke is no proof: replicas reset connections, and cuts break them. It is
-    held against the requests at once, as the next try may come at any moment, and taken back if
-    the replica answers a later request, or turns out to be out of this box's reach. The end of a
-    replica that was leaving speaks against nobody.
+    A broken connection does not prove a crash: replicas reset connections, and network cuts break
+    them. The failure is counted against the requests at once, as the next try may come at any
+    moment. It is withdrawn if the replica answers a later request, or turns out to be unreachable
+    for this box. The end of a replica that was leaving counts against no request.
 
     Args:
         box: The name of this box.
-        book: What is held against requests.
-        reports: Makes it known to the other boxes.
+        book: Counts crashes against requests.
+        reports: Publishes them to the other boxes.
         log: The log to write to.
     """
 
@@ -63,61 +63,61 @@
         self._book = book
         self._reports = reports
         self._log = log
-        self._breaks: dict[str, _Break] = {}
+        self._suspected: dict[str, _SuspectedCrash] = {}
 
     def record_break(self, fingerprint: Fingerprint, record: ReplicaRecord) -> None:
-        """Learn that a request broke at a replica that had got it."""
-        if record.leaving or self._book.is_exempt(fingerprint):
+        """Record that the connection broke after a request was sent to a replica."""
+        if record.leaving or self._book.consume_completion(fingerprint):
             return
-        existing = self._breaks.get(record.instance)
-        if existing is None:
-            existing = _Break(new_key(), monotonic(), record, [])
-            self._breaks[record.instance] = existing
-            gevent.spawn_later(_SIGNS_OF_LIFE_S, self._publish_report, existing)
-        if fingerprint not in existing.requests:
-            existing.requests.append(fingerprint)
-            self._book.hold(existing.key, self._report(existing))
+        crash = self._suspected.get(record.instance)
+        if crash is None:
+            crash = _SuspectedCrash(new_key(), monotonic(), record, [])
+            self._suspected[record.instance] = crash
+            gevent.spawn_later(_CRASH_CONFIRMATION_S, self._publish_report, crash)
+        if fingerprint not in crash.requests:
+            crash.requests.append(fingerprint)
+            self._book.hold(crash.key, self._report(crash))
 
     def record_answered(self, instance: str, *, sent_at: float) -> None:
-        """Learn that a replica answered a request that was sent at a time."""
-        existing = self._breaks.get(instance)
-        if existing is not None and sent_at > existing.began_at:
-            self._withdraw(existing, "it answers")
+        """Record that a replica answered a request that was sent at a given time."""
+        crash = self._suspected.get(instance)
+        if crash is not None and sent_at > crash.began_at:
+            self._withdraw(crash, "it answered a later request")
 
     def record_unreachable(self, instance: str) -> None:
-        """Learn that a replica does not even refuse connections: the way to it may be cut."""
-        existing = self._breaks.get(instance)
-        if existing is not None:
-            self._withdraw(existing, "it is out of reach")
+        """Record that a replica does not even refuse connections: the network may be cut."""
+        crash = self._suspected.get(instance)
+        if crash is not None:
+            self._withdraw(crash, "it is unreachable")
 
     def record_completion(self, fingerprint: Fingerprint) -> None:
-        """Learn that a request ran to a good end."""
+        """Record that a request completed."""
         self._book.record_completion(fingerprint)
 
-    def _report(self, existing: _Break) -> CrashReport:
-        # The codec of rows writes plain texts alone.
-        requests = [str(item) for item in existing.requests[-MOST_REQUESTS:]]
-        return CrashReport(self._box, existing.record.instance, requests)
+    def _report(self, crash: _SuspectedCrash) -> CrashReport:
+        # The codec of rows encodes plain strings only, not subclasses such as `Fingerprint`.
+        requests = [str(item) for item in crash.requests[-MAX_REQUESTS:]]
+        return CrashReport(self._box, crash.record.instance, requests)
 
-    def _withdraw(self, existing: _Break, why: str) -> None:
-        del self._breaks[existing.record.instance]
-        self._book.withdraw(existing.key)
-        self._say("Requests broke at a replica that has not crashed.", existing, why=why)
+    def _withdraw(self, crash: _SuspectedCrash, why: str) -> None:
+        del self._suspected[crash.record.instance]
+        self._book.withdraw(crash.key)
+        self._say("Requests broke at a replica that has not crashed.", crash, why=why)
 
-    def _publish_report(self, existing: _Break) -> None:
-        instance = existing.record.instance
-        if self._breaks.get(instance) is not existing:
+    def _publish_report(self, crash: _SuspectedCrash) -> None:
+        instance = crash.record.instance
+        if self._suspected.get(instance) is not crash:
             return
-        del self._breaks[instance]
-        self._reports.publish(existing.key, self._report(existing))
-        self._say("A replica crashed under requests.", existing)
+        del self._suspected[instance]
+        self._reports.publish(crash.key, self._report(crash))
+        self._say("A replica crashed under requests.", crash)
 
-    def _say(self, sentence: str, existing: _Break, **more: object) -> None:
+    def _say(self, sentence: str, crash: _SuspectedCrash, **more: object) -> None:
         self._log.say(
             sentence,
-            instance=existing.record.instance,
-            service=existing.record.service,
-            count=len(existing.requests),
-            fingerprints=[item.shown for item in existing.requests[:_SHOWN_AT_MOST]],
+            instance=crash.record.instance,
+            service=crash.record.service,
+            count=len(crash.requests),
+            fingerprints=[item.shown for item in crash.requests[:_MAX_LOGGED_FINGERPRINTS]],
             **more,
         )
--- a/springrock/quarantine/quarantine.py
+++ b/springrock/quarantine/quarantine.py
@@ -1,4 +1,4 @@
-"""The quarantine of one box: what it sees, holds and reports, put together."""
+"""The quarantine of one box: crash detection, the crash book and the reporter."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 class Quarantine:
-    """Knows which requests crash replicas, and keeps what it sees of that in the store.
+    """Tracks which requests crash replicas, and writes the crashes that it observes to the store.
 
     Args:
         box: The name of this box.
         store: The store.
         table: The table that all boxes follow.
-        terms: Returns what convicts a request.
-        metrics: The metrics to show it in.
+        terms: Returns what leads to the quarantine of a request.
+        metrics: The metrics in which the number of quarantined requests is shown.
         log: The log to write to.
 
     Attributes:
-        book: What is held against requests; it listens to the rows of crash reports.
-        crash_detector: Learns how requests end at replicas.
+        book: The crashes counted against requests; it listens to the rows of crash reports.
+        crash_detector: Receives the outcomes of requests at replicas.
     """
 
     def __init__(
@@ -47,13 +47,13 @@
         )
 
     def write_again(self, rows: Sequence[Row]) -> None:
-        """Have the reports among some rows written that a store lacks after its return."""
+        """Write again those crash reports among some rows that a restored store has lost."""
         self._reporter.write_again(rows)
 
     def start(self) -> None:
-        """Begin to report."""
+        """Start the reporter's tasks."""
         self._reporter.start()
 
     def stop(self) -> None:
-        """End reporting."""
+        """Stop the reporter's tasks."""
         self._reporter.stop()
--- a/springrock/quarantine/report.py
+++ b/springrock/quarantine/report.py
@@ -1,4 +1,4 @@
-"""The row in which a box reports a crash: the replica, and which of its requests were there."""
+"""The row in which a box reports a crash: the replica, and the box's requests that ran there."""
 
 from __future__ import annotations
 
@@ -13,38 +13,38 @@
 
 KEY_PREFIX = "crash/"
 
-MOST_REQUESTS = 256
-"""A box with more at one replica reports those that came last: a row of 10 KB."""
+MAX_REQUESTS = 256
+"""The most requests in one report, the latest ones; bounds a row at 10 KB."""
 
 _Digest = Annotated[str, Meta(pattern=f"^[0-9a-f]{{{DIGITS}}}$")]
 
 
 class CrashReport(Struct, frozen=True):
-    """What a box saw of one crash.
+    """One crash as one box observed it.
 
     Attributes:
-        box: Who saw it.
+        box: The box that reports it.
         instance: The incarnation of the replica.
-        requests: The fingerprints of the box's requests that broke there.
+        requests: The fingerprints of the box's requests that failed there.
     """
 
     box: str
     instance: str
-    requests: Annotated[list[_Digest], Meta(max_length=MOST_REQUESTS)]
+    requests: Annotated[list[_Digest], Meta(max_length=MAX_REQUESTS)]
 
     @property
     def fingerprints(self) -> list[Fingerprint]:
-        """The requests that broke there."""
+        """The requests that failed there."""
         return [Fingerprint(digest) for digest in self.requests]
 
 
 def new_key() -> str:
-    """Return the key of a new report; no other has it, so that it is written once."""
+    """Return a unique key for a new report, so that no two reports are written to one row."""
     return f"{KEY_PREFIX}{new_id()}"
 
 
 def report_from(row: Row) -> CrashReport | None:
-    """Return what a row says; None if it is no report."""
+    """Decode the report in a row; return None if it is malformed."""
     try:
         return msgspec.json.decode(row.value, type=CrashReport)
     except msgspec.DecodeError:
--- a/springrock/quarantine/reporter.py
+++ b/springrock/quarantine/reporter.py
@@ -1,4 +1,4 @@
-"""Keeps the crash reports of this box in the store, and removes those that say nothing any more."""
+"""Writes the crash reports of this box to the store, and removes stale ones."""
 
 from __future__ import annotations
 
@@ -18,35 +18,36 @@
 from springrock.remembered import Remembered
 from springrock.rows import Row, RowConflict, RowKeeper, RowStoreUnavailable
 
-_WAITING_AT_MOST = 200
-"""Reports that wait for a store that does not answer; of more the oldest are given up."""
+_MAX_WAITING = 200
+"""The most reports that wait while the store does not answer; beyond it the oldest are dropped."""
 
 _FIRST_RETRY_S = 0.25
-_LONGEST_RETRY_S = 2.0
+_MAX_RETRY_S = 2.0
 
-_OTHERS_AFTER_S = 1.0
-_OTHERS_WITHIN_S = 4.0
-"""Over this time boxes write reports of others again: the first of them is read by the rest."""
+_MIN_REWRITE_DELAY_S = 1.0
+_MAX_REWRITE_DELAY_S = 4.0
+"""Bounds of the random delay before a box writes the lost reports of other boxes again. The other
+boxes read what the first one wrote, and do not write it themselves."""
 
-_SWEEP_EVERY_S = 30.0
-_SWEEP_LATENESS = 2.0
-"""Each box leaves old rows to others up to so many times their life: the most eager one removes
-them, and the others read that they are gone."""
+_SWEEP_INTERVAL_S = 30.0
+_MAX_AGE_FACTOR = 2.0
+"""A box removes rows older than their lifetime times a random factor from 1 to this. The box with
+the lowest factor usually removes them, and the others read that they are gone."""
 
 
 class Reporter:
     """Implements `springrock.quarantine.crash_detector.Publishes`.
 
-    Reports are written to the store, and not only told over links: a box that starts must know
-    them before it sends anything, and whoever gathered them may die between two crashes. Each box
-    writes rows of its own, so that there is nothing to agree on.
+    Reports are written to the store instead of being sent over links only: a box that starts must
+    know them before it sends any request, and a box that collected them could die between two
+    crashes. Each box writes rows of its own, so that writes need no coordination.
 
     Args:
         store: The store.
         box: The name of this box.
         table: The table that all boxes follow.
-        book: Knows which rows are old.
-        terms: Returns how long reports count.
+        book: Knows the versions of rows that were read, and which are stale.
+        terms: Returns how long a crash counts against a request.
         log: The log to write to.
     """
 
@@ -67,39 +68,43 @@
         self._terms = terms
         self._log = log
         self._waiting: OrderedDict[str, CrashReport] = OrderedDict()
-        self._unread: Remembered[CrashReport] = Remembered(at_most=_WAITING_AT_MOST)
-        self._filled = Event()
-        self._unwritten = Condition(
+        self._sent: Remembered[CrashReport] = Remembered(at_most=_MAX_WAITING)
+        self._has_waiting = Event()
+        self._store_outage = Condition(
             log,
             begins="Crash reports wait for the store.",
             ends="Crash reports are written again.",
         )
-        self._lateness = random.uniform(1.0, _SWEEP_LATENESS)
+        self._age_factor = random.uniform(1.0, _MAX_AGE_FACTOR)
         self._tasks: list[gevent.Greenlet[..., Any]] = []
 
     def start(self) -> None:
-        """Begin to write and to sweep."""
+        """Start the tasks that write reports and remove stale rows."""
         self._tasks = [gevent.spawn(self._write_loop), gevent.spawn(self._sweep_loop)]
 
     def stop(self) -> None:
-        """End both."""
+        """Stop both tasks."""
         for task in self._tasks:
             task.kill()
 
     def publish(self, key: str, report: CrashReport) -> None:
-        """Have a report written; returns at once."""
+        """Queue a report for writing; return at once."""
         self._waiting[key] = report
-        if len(self._waiting) > _WAITING_AT_MOST:
-            given_up, _ = self._waiting.popitem(last=False)
-            self._log.say("Gave a crash report up.", key=given_up)
-        self._filled.set()
+        if len(self._waiting) > _MAX_WAITING:
+            dropped, _ = self._waiting.popitem(last=False)
+            self._log.say("Dropped a crash report, as too many wait for the store.", key=dropped)
+        self._has_waiting.set()
 
     def write_again(self, rows: Sequence[Row]) -> None:
-        """Have reports written that a store lacks which came back from a copy.
+        """Write again the reports that a store restored from a copy has lost.
 
-        Each box writes its own at once, and those of others, which may be gone, a little later.
+        Each box writes its own reports at once. Those of other boxes, which may be gone, follow
+        after a random delay unless another box has written them by then.
+
+        Args:
+            rows: The known rows of all kinds that the restored store lacks.
         """
-        for key, report in self._unread.items():
+        for key, report in self._sent.items():
             if not self._book.version(key):
                 self.publish(key, report)
         for row in rows:
@@ -109,7 +114,7 @@
             if lost.box == self._box:
                 self.publish(row.key, lost)
             else:
-                later_s = random.uniform(_OTHERS_AFTER_S, _OTHERS_WITHIN_S)
+                later_s = random.uniform(_MIN_REWRITE_DELAY_S, _MAX_REWRITE_DELAY_S)
                 gevent.spawn_later(later_s, self._write_if_lost, row, lost)
 
     def _write_if_lost(self, row: Row, report: CrashReport) -> None:
@@ -117,42 +122,42 @@
             self.publish(row.key, report)
 
     def sweep(self) -> None:
-        """Remove the rows that may go; what is not removed now is tried again later."""
-        for row in self._book.stale(older_than_s=self._terms().for_s * self._lateness):
+        """Remove stale rows; those that could not be removed are retried at the next sweep."""
+        for row in self._book.stale(older_than_s=self._terms().for_s * self._age_factor):
             try:
                 self._store.remove(self._table, row.key, expected=row.version)
             except RowConflict:
-                pass  # Another box was first.
+                pass  # Another box removed it first.
             except RowStoreUnavailable as error:
                 self._log.say("Did not remove old crash reports.", error=str(error))
                 return
 
     def _sweep_loop(self) -> None:
         while True:
-            gevent.sleep(_SWEEP_EVERY_S * random.uniform(0.5, 1.0))
+            gevent.sleep(_SWEEP_INTERVAL_S * random.uniform(0.5, 1.0))
             self.sweep()
 
     def _write_loop(self) -> None:
         retry_s = _FIRST_RETRY_S
         while True:
-            self._filled.wait()
+            self._has_waiting.wait()
             if not self._waiting:
-                self._filled.clear()
+                self._has_waiting.clear()
                 continue
             key, report = next(iter(self._waiting.items()))
             try:
                 self._write(key, report)
                 self._waiting.pop(key, None)
-                self._unwritten.end()
+                self._store_outage.end()
                 retry_s = _FIRST_RETRY_S
             except RowStoreUnavailable as error:
-                self._unwritten.begin(error=str(error), count=len(self._waiting))
+                self._store_outage.begin(error=str(error), count=len(self._waiting))
                 gevent.sleep(retry_s * random.uniform(0.8, 1.0))
-                retry_s = min(_LONGEST_RETRY_S, retry_s * 1.5)
+                retry_s = min(_MAX_RETRY_S, retry_s * 1.5)
 
     def _write(self, key: str, report: CrashReport) -> None:
-        self._unread.record(key, report)
+        self._sent.record(key, report)
         try:
             self._store.write(self._table, key, msgspec.json.encode(report), expected=0)
         except RowConflict:
-            pass  # An earlier write took effect, though its answer was lost.
+            pass  # An earlier write succeeded, but its answer was lost.
--- a/springrock/quarantine/terms.py
+++ b/springrock/quarantine/terms.py
@@ -1,4 +1,4 @@
-"""When a request is sent to no more replicas, and for how long."""
+"""When a request is quarantined, and for how long."""
 
 from __future__ import annotations
 
@@ -6,11 +6,13 @@
 
 
 class QuarantineTerms(NamedTuple):
-    """What convicts a request.
+    """What leads to the quarantine of a request.
 
     Attributes:
-        crashes: So many replicas must have crashed under it, without a run to a good end since.
-        for_s: So long a crash is held against it: what it needs to run well may have been mended.
+        crashes: How many replicas must have crashed while running it, without a completed run
+            since.
+        for_s: For how many seconds a crash counts against it. After that the cause may have been
+            repaired.
     """
 
     crashes: int = 3
--- a/tests/quarantine/test_book.py
+++ b/tests/quarantine/test_book.py
@@ -8,7 +8,7 @@
 from springrock.forwarding.fingerprint import Fingerprint
 from springrock.log import Log
 from springrock.quarantine import book as book_module
-from springrock.quarantine.book import REPORTS_AT_MOST, CrashBook
+from springrock.quarantine.book import MAX_REPORTS, CrashBook
 from springrock.quarantine.report import CrashReport
 from springrock.quarantine.terms import QuarantineTerms
 from springrock.rows import Row
@@ -120,10 +120,10 @@
     book: CrashBook,
 ) -> None:
     book.record_completion(OTHER)
-    assert [book.is_exempt(OTHER), book.is_exempt(GUILTY)] == [True, False]
-    assert [book.is_exempt(OTHER), book.is_exempt(GUILTY)] == [False, False]
+    assert [book.consume_completion(OTHER), book.consume_completion(GUILTY)] == [True, False]
+    assert [book.consume_completion(OTHER), book.consume_completion(GUILTY)] == [False, False]
     book.record_completion(OTHER)
-    assert book.is_exempt(OTHER)
+    assert book.consume_completion(OTHER)
 
 
 def test_a_row_that_an_operator_removes_releases_its_requests(book: CrashBook) -> None:
@@ -157,7 +157,7 @@
 def test_a_box_holds_no_more_than_so_many_reports(
     book: CrashBook, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(book_module, "_HELD_AT_MOST", 3)
+    monkeypatch.setattr(book_module, "_MAX_HELD", 3)
     for number in range(3):
         book.hold(f"crash/{number}", report(f"i-{number}", GUILTY))
     assert book.quarantined_for_s(GUILTY) is not None
@@ -168,7 +168,7 @@
 def test_old_rows_and_those_beyond_the_bound_may_go(book: CrashBook, clock: Clock) -> None:
     book.change(row(0, GUILTY))
     clock.now += 50.0
-    for number in range(1, REPORTS_AT_MOST + 3):
+    for number in range(1, MAX_REPORTS + 3):
         book.change(row(number, OTHER))
     book.hold("crash/unwritten", report("i", GUILTY))
     assert [item.key for item in book.stale(older_than_s=100.0)] == [
@@ -178,4 +178,4 @@
     [first, *_] = book.stale(older_than_s=100.0)
     assert (first.key, first.version) == ("crash/0", 100)
     clock.now += 50.0
-    assert len(book.stale(older_than_s=100.0)) == REPORTS_AT_MOST + 3
+    assert len(book.stale(older_than_s=100.0)) == MAX_REPORTS + 3
--- a/tests/quarantine/test_crash_detector.py
+++ b/tests/quarantine/test_crash_detector.py
@@ -15,14 +15,14 @@
 from springrock.quarantine import crash_detector as crash_detector_module
 from springrock.quarantine.book import CrashBook
 from springrock.quarantine.crash_detector import CrashDetector
-from springrock.quarantine.report import MOST_REQUESTS
+from springrock.quarantine.report import MAX_REQUESTS
 from springrock.quarantine.terms import QuarantineTerms
 from tests.worlds import NoReports, make_crash_detector
 
 RECORD = ReplicaRecord(instance="i-1", service="s", address="127.0.0.1:1", zone="zone-1")
 GUILTY = Fingerprint("a" * 32)
 OTHER = Fingerprint("b" * 32)
-SIGNS_OF_LIFE_S = 0.02
+CONFIRMATION_S = 0.02
 
 
 class Scene:
@@ -38,13 +38,13 @@
         return self.book.quarantined_for_s(fingerprint) is not None
 
     def settle(self) -> list[list[str]]:
-        gevent.sleep(2 * SIGNS_OF_LIFE_S)
+        gevent.sleep(2 * CONFIRMATION_S)
         return [item.requests for item in self.reports.published]
 
 
 @pytest.fixture
 def scene(monkeypatch: pytest.MonkeyPatch) -> Iterator[Scene]:
-    monkeypatch.setattr(crash_detector_module, "_SIGNS_OF_LIFE_S", SIGNS_OF_LIFE_S)
+    monkeypatch.setattr(crash_detector_module, "_CRASH_CONFIRMATION_S", CONFIRMATION_S)
     yield Scene()
 
 
@@ -93,8 +93,8 @@
 
 
 def test_a_report_holds_no_more_than_the_last_so_many(scene: Scene) -> None:
-    for number in range(MOST_REQUESTS + 5):
+    for number in range(MAX_REQUESTS + 5):
         scene.crash_detector.record_break(Fingerprint(f"{number:032x}"), RECORD)
     [requests] = scene.settle()
-    assert len(requests) == MOST_REQUESTS
-    assert requests[-1] == f"{MOST_REQUESTS + 4:032x}"
+    assert len(requests) == MAX_REQUESTS
+    assert requests[-1] == f"{MAX_REQUESTS + 4:032x}"
--- a/tests/quarantine/test_quarantine_model.py
+++ b/tests/quarantine/test_quarantine_model.py
@@ -114,7 +114,7 @@
         """See a replica crash under some requests of this box."""
         for fingerprint in requests:
             self.world.crashes_of.setdefault(fingerprint, set()).add(instance)
-        accused = [str(item) for item in requests if not self.book.is_exempt(item)]
+        accused = [str(item) for item in requests if not self.book.consume_completion(item)]
         key = new_key()
         self.unwritten[key] = CrashReport("box", instance, accused)
         self.book.hold(key, self.unwritten[key])
--- a/tests/quarantine/test_report.py
+++ b/tests/quarantine/test_report.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from springrock.forwarding.fingerprint import DIGITS
-from springrock.quarantine.report import MOST_REQUESTS, CrashReport, new_key, report_from
+from springrock.quarantine.report import MAX_REQUESTS, CrashReport, new_key, report_from
 from springrock.rows import Row
 
 texts = st.text(max_size=40)
@@ -29,7 +29,7 @@
 
 
 def test_a_report_of_too_many_requests_is_none() -> None:
-    report = CrashReport("box-1", "i-1", ["a" * DIGITS] * (MOST_REQUESTS + 1))
+    report = CrashReport("box-1", "i-1", ["a" * DIGITS] * (MAX_REQUESTS + 1))
     assert report_from(Row("crash/1", msgspec.json.encode(report), 1)) is None
 
 
--- a/tests/quarantine/test_reporter.py
+++ b/tests/quarantine/test_reporter.py
@@ -107,7 +107,7 @@
 def test_of_too_many_that_wait_the_oldest_are_given_up(
     scene: Scene, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(reporter_module, "_WAITING_AT_MOST", 2)
+    monkeypatch.setattr(reporter_module, "_MAX_WAITING", 2)
     for number in range(4):
         scene.reporter.publish(f"crash/{number}", REPORT)
     settled(scene, 2)
@@ -127,8 +127,8 @@
 def test_reports_of_a_box_that_is_gone_are_written_again_by_another(
     scene: Scene, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(reporter_module, "_OTHERS_AFTER_S", 0.1)
-    monkeypatch.setattr(reporter_module, "_OTHERS_WITHIN_S", 0.2)
+    monkeypatch.setattr(reporter_module, "_MIN_REWRITE_DELAY_S", 0.1)
+    monkeypatch.setattr(reporter_module, "_MAX_REWRITE_DELAY_S", 0.2)
     value = msgspec.json.encode(CrashReport("box-gone", "i-2", []))
     lost = [Row(f"crash/{number}", value, number) for number in (1, 2)]
     scene.book.replace(lost)
--- a/tests/quarantine/test_ways.py
+++ b/tests/quarantine/test_ways.py
@@ -185,7 +185,7 @@
         broke, engine.running = engine.running, {}
         for book in set(broke.values()):
             own = [item for item, seen_by in broke.items() if seen_by is book]
-            accused = [str(item) for item in own if not book.is_exempt(item)]
+            accused = [str(item) for item in own if not book.consume_completion(item)]
             key = f"crash/{self.books.index(book)}/{engine.instance}"
             self._report(key, CrashReport("b", engine.instance, accused), book)
         ended, engine.ended = engine.ended, self.environment.event()
