--- a/springrock/permits/counter.py
+++ b/springrock/permits/counter.py
@@ -197,7 +197,7 @@
         expired = self._granted.pop((box, number), None)
         account = None if expired is None else self._accounts.get(expired.instance)
         if expired is not None and account is not None:
-            account.bucket.give_back(1.0, taken_at=expired.at, now=now)
+            account.bucket.refund(1.0, taken_at=expired.at, now=now)
 
     def _decide(self, ask: PermitAsk) -> PermitVerdict | None:
         """Return the verdict on one ask; None if this box is not authorized to count."""
@@ -287,7 +287,7 @@
             self._drop_full(now)
             # Requests sent before the limit was named are unknown, so the bucket starts empty.
             began_at = now if bound.limited else self._began_at
-            account = _Account(TokenBucket(limits, now=began_at, remember_s=_REFUND_WINDOW_S))
+            account = _Account(TokenBucket(limits, now=began_at, refund_window_s=_REFUND_WINDOW_S))
             self._accounts[instance] = account
         elif account.bucket.limits != limits:
             account.bucket.change(limits, now=now)
--- a/springrock/quotas/__init__.py
+++ b/springrock/quotas/__init__.py
@@ -1,1 +1,1 @@
-"""Quotas of teams over all boxes: who counts what a team uses, and who is asked."""
+"""Token and request quotas of teams, enforced over all boxes by the placer of each zone."""
--- a/springrock/quotas/bucket.py
+++ b/springrock/quotas/bucket.py
@@ -1,8 +1,8 @@
-"""A token bucket whose takings may be given back, without ever letting more through than it may.
+"""A token bucket with refunds, which never lets more through than its limits allow.
 
-In any span of time no more is taken and kept than the depth and what flows in during the span. What
-is given back counts as never taken: the bucket becomes what it would then be. A taking that the
-bucket has meanwhile made up for, by being full, is worth nothing any more.
+In any span of time, what is taken and not refunded is at most the depth plus what flows in during
+the span. A refund restores the state that the bucket would have without the take. If the bucket has
+been full since, the take made no difference any more, and nothing is restored.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 
 class BucketLimits(NamedTuple):
-    """What a bucket lets through.
+    """The limits of a bucket.
 
     Attributes:
         rate: What flows in, in units a second.
-        depth: What it holds at most, in units.
+        depth: The most that it holds, in units.
     """
 
     rate: float
@@ -25,52 +25,53 @@
 
 
 class _Peak(NamedTuple):
-    """A level that the bucket had, before some was taken."""
+    """The level of the bucket just before a take."""
 
     at: float
     level: float
 
 
 class TokenBucket:
-    """One bucket; times are on any one monotonic clock.
+    """One bucket; all times are on the same monotonic clock.
 
     Args:
-        limits: What it lets through.
-        now: When it begins.
-        level: What it holds then.
-        remember_s: How long takings may be given back.
+        limits: Rate and depth.
+        now: When the bucket starts.
+        level: What it holds at that time.
+        refund_window_s: How long after a take it can be refunded.
     """
 
     def __init__(
-        self, limits: BucketLimits, *, now: float, level: float = 0.0, remember_s: float = 0.0
+        self, limits: BucketLimits, *, now: float, level: float = 0.0, refund_window_s: float = 0.0
     ) -> None:
         self._limits = limits
         self._level = min(level, limits.depth)
-        self._at = now
-        self._remember_s = remember_s
+        self._refilled_at = now
+        self._refund_window_s = refund_window_s
         self._peaks: list[_Peak] = []
 
     @property
     def limits(self) -> BucketLimits:
-        """What it lets through."""
+        """The limits in force."""
         return self._limits
 
     def level(self, now: float) -> float:
-        """Return what it holds."""
-        flowed = max(0.0, now - self._at) * self._limits.rate
+        """Return what the bucket holds."""
+        flowed = max(0.0, now - self._refilled_at) * self._limits.rate
         return min(self._limits.depth, self._level + flowed)
 
     def change(self, limits: BucketLimits, *, now: float) -> None:
-        """Let more or less through from now on; it holds no more for it at once."""
+        """Change the limits from now on; a greater depth does not raise the level at once."""
         self._refill(now)
         self._limits = limits
         self._level = min(self._level, limits.depth)
 
     def take(self, units: float, *, now: float) -> float:
-        """Take some if it holds so much; return 0, or the seconds until it does.
+        """Take units if the bucket holds as many.
 
         Returns:
-            0 if it was taken; infinite if the bucket never holds so much.
+            0 if they were taken, else the seconds until the bucket holds them; infinite if it
+            never does.
         """
         self._refill(now)
         if units <= self._level:
@@ -81,38 +82,42 @@
             return _NEVER
         return (units - self._level) / self._limits.rate
 
-    def give_back(self, units: float, *, taken_at: float, now: float) -> float:
-        """Undo a taking; return what of it the bucket holds again.
+    def refund(self, units: float, *, taken_at: float, now: float) -> float:
+        """Undo a take.
 
         Args:
-            units: What was taken.
-            taken_at: When.
-            now: The time.
+            units: The units that were taken.
+            taken_at: When they were taken.
+            now: The current time.
+
+        Returns:
+            The units by which the level rises: fewer than were taken if the bucket has been full,
+            or nearly full, since.
         """
         self._refill(now)
-        if now - taken_at > self._remember_s:
+        if now - taken_at > self._refund_window_s:
             return 0.0
         later = [peak.level for peak in self._peaks if peak.at > taken_at]
         room = self._limits.depth - max(self._level, *later, 0.0)
-        back = max(0.0, min(units, room))
-        self._level += back
-        # Whatever else is given back finds the bucket as it now was all along.
+        restored = max(0.0, min(units, room))
+        self._level += restored
+        # For later refunds the bucket has held the restored units all along.
         self._peaks = [
-            _Peak(peak.at, peak.level + back) if peak.at > taken_at else peak
+            _Peak(peak.at, peak.level + restored) if peak.at > taken_at else peak
             for peak in self._peaks
         ]
-        return back
+        return restored
 
     def _refill(self, now: float) -> None:
         self._level = self.level(now)
-        self._at = max(self._at, now)
+        self._refilled_at = max(self._refilled_at, now)
 
     def _record_peak(self, now: float) -> None:
-        """Remember the highest levels since any time that may still be asked about."""
-        if not self._remember_s:
+        """Record the level, keeping the highest one since each time a refund may go back to."""
+        if not self._refund_window_s:
             return
         while self._peaks and self._peaks[-1].level <= self._level:
             self._peaks.pop()
         self._peaks.append(_Peak(now, self._level))
-        if self._peaks[0].at < now - self._remember_s:
-            self._peaks = [peak for peak in self._peaks if peak.at >= now - self._remember_s]
+        if self._peaks[0].at < now - self._refund_window_s:
+            self._peaks = [peak for peak in self._peaks if peak.at >= now - self._refund_window_s]
--- a/springrock/quotas/charging.py
+++ b/springrock/quotas/charging.py
@@ -1,4 +1,4 @@
-"""Where a request's cost is charged: at the own zone first, then wherever there is room."""
+"""Charges requests to their team's quota: in this box's own zone first, then in the others."""
 
 from __future__ import annotations
 
@@ -11,16 +11,17 @@
 from springrock.quotas.charge_book import CounterSilent
 from springrock.quotas.messages import Verdict
 
-_LEFT_ALONE_S = 0.5
-"""How long a zone whose placer did not answer a charge is asked last."""
+_SKIP_ZONE_S = 0.5
+"""How long a zone whose placer did not answer a charge is skipped while other zones answer."""
 
 _UNANSWERED_RETRY_S = 0.5
-"""When to come back if no zone counts: boxes that had all lost power had placers again 0.2 s after
-their start, and a placer that was killed is followed within a lease."""
+"""The retry delay given to callers if no zone answers. Boxes restarted after a power loss had
+placers again 0.2 s after their start, and a placer that was killed is replaced within the duration
+of a lease."""
 
 
-class Counter(Protocol):
-    """Counts the quotas of one zone."""
+class ZoneQuota(Protocol):
+    """Counts the use of quotas in one zone."""
 
     def charge(self, team: str, units: int, *, request: str) -> tuple[Verdict, int]:
         """Charge a request; return the answer and the charge's number.
@@ -30,17 +31,17 @@
         """
 
     def give_back(self, number: int) -> None:
-        """Undo a charge whose request did not run."""
+        """Refund a charge whose request did not run."""
 
 
 class Receipt(NamedTuple):
-    """A charge that was taken, or nothing to pay."""
+    """An accepted charge; without a counter if nothing was charged."""
 
-    counter: Counter | None = None
+    counter: ZoneQuota | None = None
     number: int = 0
 
     def give_back(self) -> None:
-        """Undo it, as its request did not run."""
+        """Refund the charge, as its request did not run."""
         if self.counter is not None:
             self.counter.give_back(self.number)
 
@@ -49,49 +50,49 @@
     """Charges the requests of one box.
 
     Args:
-        zones: Returns the zones in which quotas are counted, the own one first.
-        counter: Returns who counts for a zone.
+        zones: Returns the zones in which quotas are counted, this box's own zone first.
+        counter: Returns what counts the quotas of a zone.
     """
 
     def __init__(
-        self, *, zones: Callable[[], Sequence[str]], counter: Callable[[str], Counter]
+        self, *, zones: Callable[[], Sequence[str]], counter: Callable[[str], ZoneQuota]
     ) -> None:
         self._zones = zones
         self._counter = counter
         self._skipped_until: dict[str, float] = {}
 
     def charge(self, team: Team | None, *, tokens: int | None, request: str) -> Receipt:
-        """Charge a request once for all that is done for it.
+        """Charge a request once, whatever number of attempts it takes.
 
         Args:
-            team: Whose it is; None if nobody's.
-            tokens: What it states; None if it states nothing.
+            team: The request's team; None if it has none.
+            tokens: The token count that the request states; None if it states none.
             request: The client's id of the request, for logs.
 
         Raises:
             OverQuota: If the team has used up its quota.
-            QuotaUnheard: If nobody who counts can be reached.
+            QuotaUnheard: If no zone answers.
         """
         if team is None or not team.limited:
             return Receipt()
         units = team.cost(tokens)
-        returns_in_s: list[float | None] = []
-        for zone in self._order():
+        retry_delays_s: list[float | None] = []
+        for zone in self._zones_in_order():
             counter = self._counter(zone)
             try:
                 verdict, number = counter.charge(team.name, units, request=request)
             except CounterSilent:
-                self._skipped_until[zone] = monotonic() + _LEFT_ALONE_S
+                self._skipped_until[zone] = monotonic() + _SKIP_ZONE_S
                 continue
             if verdict.charged:
                 return Receipt(counter, number)
-            returns_in_s.append(verdict.back_in_s)
-        if not returns_in_s:
+            retry_delays_s.append(verdict.retry_after_s)
+        if not retry_delays_s:
             raise QuotaUnheard(_UNANSWERED_RETRY_S)
-        raise OverQuota(min((back for back in returns_in_s if back is not None), default=None))
+        raise OverQuota(min((delay for delay in retry_delays_s if delay is not None), default=None))
 
-    def _order(self) -> list[str]:
-        """Return the zones in the order in which they are asked."""
+    def _zones_in_order(self) -> list[str]:
+        """Return the zones to ask, in order; all of them if none has answered lately."""
         now = monotonic()
         zones = self._zones()
         answering = [zone for zone in zones if self._skipped_until.get(zone, 0.0) <= now]
--- a/springrock/quotas/ledger.py
+++ b/springrock/quotas/ledger.py
@@ -1,6 +1,7 @@
-"""The account of one zone's part of all quotas, kept by the zone's placer.
+"""Accounts for the use of one zone's share of all quotas; kept by the zone's placer.
 
-It begins with nothing: whoever placed the zone before may have let the whole part through.
+A new ledger starts with empty buckets, as the previous placer of the zone may have just let the
+whole share through.
 """
 
 from __future__ import annotations
@@ -14,13 +15,13 @@
 from springrock.quotas.messages import Verdict
 from springrock.quotas.shares import QuotaTerms, limits_of_zone
 
-_REMEMBER_S = 20.0
-"""How long a charge may be given back: longer than clients wait for their answers."""
+_REFUND_WINDOW_S = 20.0
+"""How long a charge can be refunded: longer than clients wait for their answers."""
 
-_LONGEST_RETURN_S = 5.0
-"""Nobody is told to come back later than so; by then a share may have grown."""
+_MAX_RETRY_AFTER_S = 5.0
+"""The longest retry delay given to a caller; by then a share may have grown."""
 
-_SHORTEST_RETURN_S = 0.1
+_MIN_RETRY_AFTER_S = 0.1
 
 
 class _Charge(NamedTuple):
@@ -30,12 +31,12 @@
 
 
 class Ledger:
-    """Counts what the teams use of one zone's part.
+    """Counts what each team uses of one zone's share.
 
     Args:
         configuration: Returns the configuration in force.
-        terms: Returns how strictly quotas are meant.
-        now: When it begins, on the clock of all times given to it.
+        terms: Returns the tolerances and the window of quotas.
+        now: When the ledger starts, on the clock of all times passed to it.
     """
 
     def __init__(
@@ -54,47 +55,48 @@
         self._teams: dict[str, Team] = {}
         self._buckets: dict[str, TokenBucket] = {}
         self._charges: dict[str, OrderedDict[int, _Charge]] = {}
-        self._promised_until: dict[str, float] = {}
+        self._next_slot_at: dict[str, float] = {}
 
     def charge(self, box: str, number: int, *, team: str, units: float, now: float) -> Verdict:
-        """Take a request's cost out of its team's part.
+        """Charge a request's cost to its team's share.
 
         Args:
-            box: Who asks.
-            number: Its own number of the charge, by which it is given back.
+            box: The box that charges.
+            number: The box's own number of the charge, used for a refund.
             team: The team.
             units: The cost.
-            now: The time.
+            now: The current time.
         """
         self._refresh_configuration(now)
         bucket = self._buckets.get(team)
         if bucket is None:
             known = team in self._teams
-            # A team that this box does not know yet has no part here.
-            return Verdict(known, None if known else _SHORTEST_RETURN_S)
+            # A known team without a bucket has no limit. One that this box does not know yet has
+            # no share here.
+            return Verdict(known, None if known else _MIN_RETRY_AFTER_S)
         room_in_s = bucket.take(units, now=now)
         if room_in_s:
-            return Verdict(False, self._return_in_s(team, units, room_in_s, now))
+            return Verdict(False, self._reserve_retry(team, units, room_in_s, now))
         charges = self._charges.setdefault(box, OrderedDict())
         charges[number] = _Charge(team, units, now)
-        while now - next(iter(charges.values())).at > _REMEMBER_S:
+        while now - next(iter(charges.values())).at > _REFUND_WINDOW_S:
             charges.popitem(last=False)
         return Verdict(True)
 
-    def give_back(self, box: str, number: int, *, now: float) -> None:
-        """Undo a charge, as its request did not run; unknown ones are passed over."""
+    def refund(self, box: str, number: int, *, now: float) -> None:
+        """Undo a charge, as its request did not run; unknown charges are ignored."""
         charges = self._charges.get(box)
         charge = None if charges is None else charges.pop(number, None)
         bucket = None if charge is None else self._buckets.get(charge.team)
         if charge is not None and bucket is not None:
-            bucket.give_back(charge.units, taken_at=charge.at, now=now)
+            bucket.refund(charge.units, taken_at=charge.at, now=now)
 
     def forget_box(self, box: str) -> None:
-        """Take no charge of a box back any more: a new process of it counts anew from one."""
+        """Forget a box's charges, as a new process of it numbers its charges from one again."""
         self._charges.pop(box, None)
 
     def state(self, team: str, now: float) -> dict[str, float]:
-        """Return a team's part as logs show it."""
+        """Return the state of a team's share for logs."""
         bucket = self._buckets.get(team)
         if bucket is None:
             return {}
@@ -106,18 +108,21 @@
             "share_version": self._version,
         }
 
-    def _return_in_s(self, team: str, units: float, room_in_s: float, now: float) -> float | None:
-        """Return when to come back: one after the other, as the part fills."""
+    def _reserve_retry(self, team: str, units: float, room_in_s: float, now: float) -> float | None:
+        """Return after how many seconds a caller should retry; None if retrying is useless.
+
+        Successive callers get successive slots, at the rate at which the bucket fills.
+        """
         if room_in_s == float("inf"):
             return None
-        turn_at = max(now + room_in_s, self._promised_until.get(team, 0.0))
-        back_in_s = min(_LONGEST_RETURN_S, turn_at - now)
+        slot_at = max(now + room_in_s, self._next_slot_at.get(team, 0.0))
+        retry_after_s = min(_MAX_RETRY_AFTER_S, slot_at - now)
         rate = self._buckets[team].limits.rate
-        self._promised_until[team] = min(turn_at + units / rate, now + _LONGEST_RETURN_S)
-        return max(_SHORTEST_RETURN_S, back_in_s)
+        self._next_slot_at[team] = min(slot_at + units / rate, now + _MAX_RETRY_AFTER_S)
+        return max(_MIN_RETRY_AFTER_S, retry_after_s)
 
     def _refresh_configuration(self, now: float) -> None:
-        """Take a changed configuration."""
+        """Apply the configuration and the terms if they have changed."""
         configuration, terms = self._configuration(), self._terms()
         if (configuration.version, terms) != (self._version, self._current_terms):
             self._version, self._current_terms = configuration.version, terms
@@ -134,8 +139,9 @@
             limits = limits_of_zone(team, terms)
             bucket = self._buckets.get(team.name)
             if bucket is None:
+                # A limit that returns starts where it ended, so that no burst is granted twice.
                 began_at = self._ended_at.get(team.name, self._began_at)
-                bucket = TokenBucket(limits, now=began_at, remember_s=_REMEMBER_S)
+                bucket = TokenBucket(limits, now=began_at, refund_window_s=_REFUND_WINDOW_S)
                 self._buckets[team.name] = bucket
             else:
                 bucket.change(limits, now=now)
--- a/springrock/quotas/messages.py
+++ b/springrock/quotas/messages.py
@@ -1,4 +1,4 @@
-"""What boxes and placers tell each other of quotas; parts of the messages of a placer's link."""
+"""The parts of the messages between boxes and placers that concern quotas."""
 
 from __future__ import annotations
 
@@ -8,22 +8,23 @@
 
 
 class Verdict(NamedTuple):
-    """The answer to a charge.
+    """The decision on a charge.
 
     Attributes:
-        charged: Whether the request may run.
-        back_in_s: If not, when there is likely room for it; None if there never is.
+        charged: Whether the charge is accepted, so that the request may run.
+        retry_after_s: If not, the seconds until the caller should retry; None if retrying is
+            useless, as the cost exceeds what the share can ever hold.
     """
 
     charged: bool
-    back_in_s: float | None = None
+    retry_after_s: float | None = None
 
 
 class Charge(Struct, frozen=True, array_like=True):
-    """A request whose cost is to be taken out of its team's part.
+    """Charges the cost of a request to its team's share in a zone.
 
     Attributes:
-        number: The box's own number for it.
+        number: The charging box's own number of the charge.
         request: The client's id of the request, for logs.
         team: The team.
         units: The cost.
@@ -36,7 +37,7 @@
 
 
 class GiveBack(Struct, frozen=True, array_like=True):
-    """A charge whose request did not run."""
+    """Refunds a charge whose request did not run."""
 
     number: int
 
@@ -45,26 +46,29 @@
     """The placer's answer to a charge.
 
     Attributes:
-        counts: Whether the placer may count for its zone now.
-        taken: Whether the request may run.
-        back_in_ms: If not, when there is likely room for it; None if there never is.
+        counts: Whether the placer is authorized to count for its zone now.
+        taken: Whether the charge is accepted, so that the request may run.
+        retry_after_ms: If not, the milliseconds until the caller should retry; None if retrying is
+            useless.
     """
 
     number: int
     counts: bool
     taken: bool = False
-    back_in_ms: int | None = None
+    retry_after_ms: int | None = None
 
     @classmethod
     def from_verdict(cls, number: int, verdict: Verdict) -> Charged:
-        """Build the answer that tells a verdict."""
-        back_in_ms = None if verdict.back_in_s is None else round(verdict.back_in_s * 1000)
-        return cls(number, counts=True, taken=verdict.charged, back_in_ms=back_in_ms)
+        """Build the answer for a verdict."""
+        retry_after_ms = (
+            None if verdict.retry_after_s is None else round(verdict.retry_after_s * 1000)
+        )
+        return cls(number, counts=True, taken=verdict.charged, retry_after_ms=retry_after_ms)
 
     @property
     def verdict(self) -> Verdict | None:
-        """What it tells; None if the placer may not count now."""
+        """The verdict; None if the placer is not authorized to count now."""
         if not self.counts:
             return None
-        back_in_s = None if self.back_in_ms is None else self.back_in_ms / 1000
-        return Verdict(self.taken, back_in_s)
+        retry_after_s = None if self.retry_after_ms is None else self.retry_after_ms / 1000
+        return Verdict(self.taken, retry_after_s)
--- a/springrock/quotas/part_counter.py
+++ b/springrock/quotas/part_counter.py
@@ -1,4 +1,4 @@
-"""Counts out one zone's part of all quotas, as the box that places the zone."""
+"""Answers charges to one zone's share of all quotas; runs on the zone's placer."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 class PartCounter:
-    """Answers charges while this box surely holds the zone's lease.
+    """Answers charges while this box certainly holds the zone's lease.
 
     Args:
         zone: The availability zone.
         configuration: Returns the configuration in force.
-        terms: Returns how strictly quotas are meant.
-        lease_left_s: Returns how much longer the lease surely stands.
+        terms: Returns the tolerances and the window of quotas.
+        lease_left_s: Returns how much longer the lease is certainly valid, in seconds.
         answer: Sends an answer to one box.
-        on_counted: Called with a team and whether there was room.
+        on_counted: Called for each charge with the team and whether it was accepted.
         log: The log to write to.
     """
 
@@ -46,15 +46,15 @@
         self.begin()
 
     def begin(self) -> None:
-        """Begin with nothing, as the lease was taken."""
+        """Start with empty buckets after taking the lease."""
         self._ledger = Ledger(configuration=self._configuration, terms=self._terms, now=monotonic())
 
     def forget_box(self, box: str) -> None:
-        """Take no charge of a box back any more."""
+        """Refund no charges of a box any more, as its process has changed."""
         self._ledger.forget_box(box)
 
-    def answer(self, box: str, charges: Iterable[Charge], given_back: Iterable[GiveBack]) -> None:
-        """Answer a box's charges, and undo those whose requests did not run."""
+    def answer(self, box: str, charges: Iterable[Charge], refunds: Iterable[GiveBack]) -> None:
+        """Answer a box's charges, then refund those whose requests did not run."""
         now = monotonic()
         counts = self._lease_left_s() > 0
         for charge in charges:
@@ -66,20 +66,22 @@
                 self._record(box, charge, verdict, now)
                 charged = Charged.from_verdict(charge.number, verdict)
             self._answer(box, charged)
-        for charge_undone in given_back:
-            self._ledger.give_back(box, charge_undone.number, now=now)
+        for refund in refunds:
+            self._ledger.refund(box, refund.number, now=now)
 
     def _record(self, box: str, charge: Charge, verdict: Verdict, now: float) -> None:
         self._on_counted(charge.team, verdict.charged)
         if verdict.charged:
             return
         self._log.say(
-            "A team's part is used up.",
+            "A team's share of its quota is used up.",
             request=charge.request,
             team=charge.team,
             units=charge.units,
             peer=box,
             zone=self._zone,
-            back_in_ms=None if verdict.back_in_s is None else round(verdict.back_in_s * 1000),
+            back_in_ms=None
+            if verdict.retry_after_s is None
+            else round(verdict.retry_after_s * 1000),
             **self._ledger.state(charge.team, now),
         )
--- a/springrock/quotas/shares.py
+++ b/springrock/quotas/shares.py
@@ -1,8 +1,8 @@
-"""How a team's quota is divided, so that all parts together never exceed it.
+"""Divides a team's quota into shares that together never exceed it.
 
-Each availability zone has an equal part of its own, which its placer counts out to whoever asks,
-boxes of other zones too. No part moves between zones, so no message that is lost or late, and no
-cut, can let more through than the quota; who needs more than the own zone has asks the others.
+Each availability zone has an equal, fixed share. Its placer counts it out to all boxes that ask,
+including those of other zones; a box whose own zone has nothing left asks the others. As no share
+moves between zones, no lost or late message and no network cut can let more through than the quota.
 """
 
 from __future__ import annotations
@@ -12,25 +12,25 @@
 from springrock.forwarding.configuration import Team
 from springrock.quotas.bucket import BucketLimits
 
-_SPARE_PART = 0.5
-"""Of what the operator tolerates beyond rate and burst this part is let through, so that an uneven
-spread over the zones refuses nobody; the rest covers what no box sees."""
+_TOLERANCE_USED = 0.5
+"""The part of the tolerance beyond rate and burst that the shares let through, so that an uneven
+distribution over the zones causes no refusals. The rest covers requests that no box counts."""
 
-_AT_ONCE_PART = 0.12
-"""Of what a window may hold, the part that may come at once; the rest flows in evenly. It is the
-burst where that is a second of the rate. With the whole burst at once and only the rate flowing in,
-a team whose limit was lowered to 35,000 tokens a second and a burst of 124,000 got 35,000 a second
-for good, of 50,000 that every window of 8 s may hold."""
+_BURST_PART = 0.12
+"""The part of a window's units that may be used at once; the rest flows in evenly. For a team whose
+burst is one second of its rate this is about the burst. Were the depth the whole burst and the
+inflow the rate alone, the burst would be usable only once: a team lowered to 35,000 tokens a second
+and a burst of 124,000 got 35,000 a second for good, though every window of 8 s allows 50,000."""
 
 
 class QuotaTerms(NamedTuple):
-    """How strictly quotas are meant.
+    """The window and the tolerances of quotas.
 
     Attributes:
-        window_s: The span over which use is judged.
-        overage: The part by which it may exceed rate and burst.
-        slack: Units by which it may exceed them beside that.
-        zones: In how many zones quotas are counted.
+        window_s: The window over which use is measured, in seconds.
+        overage: The fraction by which use may exceed rate and burst.
+        slack: Units by which it may exceed them in addition.
+        zones: How many zones have a share.
     """
 
     window_s: float
@@ -40,13 +40,12 @@
 
 
 def limits_of_zone(team: Team, terms: QuotaTerms) -> BucketLimits:
-    """Return what one zone may let through of a team's requests.
+    """Return the rate and depth of one zone's share of a team's quota.
 
-    Over any window, all zones together let through the rate and the burst and a part of what is
-    tolerated beyond.
+    Over any window, all zones together let through the rate, the burst and a part of the tolerance.
     """
     limit = team.rate * terms.window_s + team.burst
-    spare = terms.overage * limit + terms.slack
-    in_window = (limit + _SPARE_PART * spare) / terms.zones
-    at_once = _AT_ONCE_PART * in_window
-    return BucketLimits((in_window - at_once) / terms.window_s, at_once)
+    tolerance = terms.overage * limit + terms.slack
+    in_window = (limit + _TOLERANCE_USED * tolerance) / terms.zones
+    burst = _BURST_PART * in_window
+    return BucketLimits((in_window - burst) / terms.window_s, burst)
--- a/tests/quotas/test_bucket.py
+++ b/tests/quotas/test_bucket.py
@@ -34,26 +34,26 @@
 
 
 def test_what_is_given_back_can_be_taken_again() -> None:
-    bucket = TokenBucket(LIMITS, now=0.0, remember_s=20.0)
+    bucket = TokenBucket(LIMITS, now=0.0, refund_window_s=20.0)
     assert bucket.take(8.0, now=5.0) == 0.0
-    assert bucket.give_back(8.0, taken_at=5.0, now=5.5) == 7.0, "it was full, and is again"
+    assert bucket.refund(8.0, taken_at=5.0, now=5.5) == 7.0, "it was full, and is again"
     assert bucket.take(10.0, now=5.5) == 0.0
 
 
 def test_what_the_bucket_has_made_up_for_is_not_given_back_twice() -> None:
-    bucket = TokenBucket(LIMITS, now=0.0, remember_s=20.0)
+    bucket = TokenBucket(LIMITS, now=0.0, refund_window_s=20.0)
     assert bucket.take(8.0, now=5.0) == 0.0
     assert bucket.take(10.0, now=9.0) == 0.0, "it is full again"
-    assert bucket.give_back(8.0, taken_at=5.0, now=9.1) == 0.0
+    assert bucket.refund(8.0, taken_at=5.0, now=9.1) == 0.0
 
 
 def test_two_that_are_given_back_do_not_count_the_same_room_twice() -> None:
-    bucket = TokenBucket(LIMITS, now=0.0, remember_s=20.0)
+    bucket = TokenBucket(LIMITS, now=0.0, refund_window_s=20.0)
     bucket.take(4.0, now=5.0)
     bucket.take(4.0, now=5.1)
     bucket.take(5.0, now=6.6)
-    back = bucket.give_back(4.0, taken_at=5.0, now=6.7)
-    back += bucket.give_back(4.0, taken_at=5.1, now=6.7)
+    back = bucket.refund(4.0, taken_at=5.0, now=6.7)
+    back += bucket.refund(4.0, taken_at=5.1, now=6.7)
     assert back == pytest.approx(10.0 - 5.2)
 
 
@@ -81,7 +81,7 @@
 @settings(max_examples=2000, deadline=None, derandomize=True)
 @given(OPS)
 def test_no_span_of_time_lets_through_more_than_depth_and_rate(ops: list[_Op]) -> None:
-    bucket = TokenBucket(LIMITS, now=0.0, remember_s=20.0)
+    bucket = TokenBucket(LIMITS, now=0.0, refund_window_s=20.0)
     now = 0.0
     taken: list[tuple[float, float]] = []
     kept: list[bool] = []
@@ -94,7 +94,7 @@
         elif op.undoes < len(taken) and kept[op.undoes]:
             kept[op.undoes] = False
             at, units = taken[op.undoes]
-            bucket.give_back(units, taken_at=at, now=now)
+            bucket.refund(units, taken_at=at, now=now)
     ran = [item for item, stays in zip(taken, kept, strict=True) if stays]
     for first, (began, _) in enumerate(ran):
         sums = accumulate(units for _, units in ran[first:])
@@ -105,12 +105,12 @@
 @settings(max_examples=500, deadline=None, derandomize=True)
 @given(st.lists(st.sampled_from([0.1, 0.5, 2.0]), min_size=1, max_size=20))
 def test_what_is_all_given_back_at_once_leaves_the_bucket_as_it_was(pauses: list[float]) -> None:
-    bucket, untouched = (TokenBucket(LIMITS, now=0.0, remember_s=60.0) for _ in range(2))
+    bucket, untouched = (TokenBucket(LIMITS, now=0.0, refund_window_s=60.0) for _ in range(2))
     now, taken = 0.0, []
     for pause in pauses:
         now += pause
         if bucket.take(1.0, now=now) == 0.0:
             taken.append(now)
     for at in reversed(taken):
-        bucket.give_back(1.0, taken_at=at, now=now)
+        bucket.refund(1.0, taken_at=at, now=now)
     assert bucket.level(now) == pytest.approx(untouched.level(now))
--- a/tests/quotas/test_ledger.py
+++ b/tests/quotas/test_ledger.py
@@ -81,7 +81,7 @@
 def test_those_who_are_told_to_come_back_come_one_after_the_other() -> None:
     account = Account(TEAM)
     account.charge(now=1.0, units=A_SECOND)
-    returns = [account.charge(now=1.0, units=25).back_in_s for _ in range(3)]
+    returns = [account.charge(now=1.0, units=25).retry_after_s for _ in range(3)]
     assert returns == [pytest.approx(turn * 25 / PART.rate) for turn in (1, 2, 3)]
 
 
@@ -93,8 +93,8 @@
     account = Account(TEAM)
     account.charge(now=1.0, units=A_SECOND)
     number = account.numbers
-    account.ledger.give_back("box", number, now=1.0)
-    account.ledger.give_back("box", number, now=1.0)
+    account.ledger.refund("box", number, now=1.0)
+    account.ledger.refund("box", number, now=1.0)
     assert account.charge(now=1.0, units=A_SECOND).charged
     assert not account.charge(now=1.0, units=1).charged
 
@@ -103,7 +103,7 @@
     account = Account(TEAM)
     account.charge(now=1.0, units=A_SECOND)
     account.ledger.forget_box("box")
-    account.ledger.give_back("box", account.numbers, now=1.0)
+    account.ledger.refund("box", account.numbers, now=1.0)
     assert not account.charge(now=1.0, units=1).charged
 
 
--- a/tests/quotas/test_part_counter.py
+++ b/tests/quotas/test_part_counter.py
@@ -34,9 +34,9 @@
             log=Log("quotas", "box-1"),
         )
 
-    def charge(self, number: int, *, units: int = 1, given_back: tuple[int, ...] = ()) -> Charged:
+    def charge(self, number: int, *, units: int = 1, refunds: tuple[int, ...] = ()) -> Charged:
         charges = [Charge(number, "r", "one", units)]
-        self.counter.answer("box-2", charges, [GiveBack(undone) for undone in given_back])
+        self.counter.answer("box-2", charges, [GiveBack(refunded) for refunded in refunds])
         box, charged = self.answers[-1]
         assert box == "box-2"
         return charged
@@ -61,7 +61,7 @@
 def test_a_charge_that_is_told_with_its_undoing_is_undone(monkeypatch: pytest.MonkeyPatch) -> None:
     counting = Counting(monkeypatch)
     counting.now += 2.0
-    assert counting.charge(1, units=10, given_back=(1,)).taken
+    assert counting.charge(1, units=10, refunds=(1,)).taken
     assert counting.charge(2, units=10).taken
 
 
