--- a/tests/permits/limit_world.py
+++ b/tests/permits/limit_world.py
@@ -1,4 +1,4 @@
-"""Boxes, the placers of a zone and one replica that names a limit, in virtual time."""
+"""Simulates boxes, the placers of a zone and one replica that names a limit, in virtual time."""
 
 from __future__ import annotations
 
@@ -30,19 +30,19 @@
 RECORD = ReplicaRecord(instance="i-1", service="s", address="127.0.0.1:1", zone=ZONE)
 
 HEARTBEAT_S = 0.25
-TRAVEL_S = 0.005
-ANSWERED_S = 0.05
+REQUEST_DELAY_S = 0.005
+ANSWER_DELAY_S = 0.05
 STEP_S = 0.01
 
-KNOWN_AFTER_S = 3.0
-"""From so long after a replica first named its limit it is to get no more than it bears."""
+ENFORCED_AFTER_S = 3.0
+"""How long after a replica first named its limit it must not receive more than it tolerates."""
 
-TOLD_AFTER_S = 0.5
-"""A box counts from so long after it passed on an answer that names the limit."""
+JUDGED_AFTER_S = 0.5
+"""How long after a box first read an answer that names the limit its requests are judged."""
 
 
 class Answer(NamedTuple):
-    """An answer on its way back: what it names was settled when its request arrived."""
+    """An answer in transit; the limit it names is that at the arrival of its request."""
 
     at: float
     box: int
@@ -58,13 +58,13 @@
 
 
 class Box:
-    """One box: what it knows, and how it asks."""
+    """One box, with its real `NamedLimits` and `Permits`."""
 
     def __init__(self, number: int, world: LimitWorld) -> None:
         self.number = number
         self.world = world
         self.linked = True
-        self.reported_at: float | None = None
+        self.first_named_at: float | None = None
         self.limits = make_limits()
         self.limits.on_limit_report.append(self._notify)
         self.permits = Permits(
@@ -75,21 +75,21 @@
             shares=OwnShares(home_zone=ZONE, boxes=lambda: world.home_boxes),
         )
 
-    def _notify(self, word: LimitReport) -> None:
+    def _notify(self, report: LimitReport) -> None:
         if self.linked and self.world.placer is not None:
-            self.world.placer.limits.apply_limit_report(word)
+            self.world.placer.limits.apply_limit_report(report)
 
-    def permit(self, adapter_request: PermitAsk) -> tuple[PermitVerdict, float]:
+    def permit(self, permit_ask: PermitAsk) -> tuple[PermitVerdict, float]:
         placer = self.world.placer
         if not self.linked or placer is None:
             raise PermitsUnheard()
-        verdict = placer.ask(adapter_request)
+        verdict = placer.ask(permit_ask)
         if verdict is None:
             raise PermitsUnheard()
         return verdict, self.world.now + PERMIT_LIFE_S
 
     def try_send(self) -> bool:
-        """Send a request if that is allowed."""
+        """Send a request if that is allowed; return whether it was sent."""
         limited = self.limits.per_s(RECORD.instance) is not None
         if limited and self.permits.ask(RECORD, request="r", returns=False).good_until is None:
             return False
@@ -98,7 +98,7 @@
 
 
 class Placer:
-    """The box that places the zone, beside the others."""
+    """The placer of the zone; it is a box of its own, in addition to the others."""
 
     def __init__(self) -> None:
         self.limits: NamedLimits = make_limits()
@@ -121,10 +121,10 @@
 
 
 class LimitWorld:
-    """All of them; time passes by steps.
+    """The replica, the boxes and the current placer; time passes in steps.
 
     Args:
-        boxes: How many boxes stand in the zone, beside the placer's.
+        boxes: How many boxes are in the zone, in addition to the placer.
         limit_of: Returns the limit that the replica names at a time; None for none.
     """
 
@@ -140,97 +140,97 @@
         self._heartbeat_at = 0.0
 
     def replace_placer(self) -> None:
-        """Let another box place from now on; it is told by the linked ones what they know."""
+        """Replace the placer by a new one, to which the linked boxes report what they know."""
         self.placer = Placer()
         for box in self.boxes:
             if box.linked:
                 self.broadcast(box)
 
     def broadcast(self, box: Box) -> None:
-        """Let a box tell a placer that is new to it."""
+        """Let a box report what it knows to a placer to which it was not linked before."""
         if self.placer is not None:
-            for word in box.limits.arguments([RECORD.instance]):
-                self.placer.limits.apply_limit_report(word)
+            for report in box.limits.arguments([RECORD.instance]):
+                self.placer.limits.apply_limit_report(report)
 
     def send(self, box: int) -> None:
-        """Let a request of a box arrive, and its answer be on its way."""
-        at = self.now + TRAVEL_S
+        """Send a request of a box, and schedule its answer."""
+        at = self.now + REQUEST_DELAY_S
         per_s = self.limit_of(at)
         self.arrivals.append(Arrival(at, box))
-        self._answers.append(Answer(at + ANSWERED_S, box, self.now, per_s))
+        self._answers.append(Answer(at + ANSWER_DELAY_S, box, self.now, per_s))
 
     def step(self) -> None:
-        """Let time pass."""
+        """Advance the time by one step."""
         self.now += STEP_S
         for answer in [answer for answer in self._answers if answer.at <= self.now]:
             self._answers.remove(answer)
-            self._take(answer)
+            self._deliver(answer)
         if self.placer is not None and self.now >= self._heartbeat_at + HEARTBEAT_S:
             self._heartbeat_at = self.now
             for box in self.boxes:
                 if box.linked:
                     box.limits.apply_reported(ZONE, self.placer.limits.named([RECORD.instance]))
 
-    def _take(self, answer: Answer) -> None:
+    def _deliver(self, answer: Answer) -> None:
         box = self.boxes[answer.box]
         if answer.per_s is None:
             box.limits.record_silent(RECORD.instance, sent_at=answer.sent_at)
             return
         box.limits.record_limit_named(RECORD.instance, answer.per_s, sent_at=answer.sent_at)
         self.first_named_at = self.now if self.first_named_at is None else self.first_named_at
-        box.reported_at = self.now if box.reported_at is None else box.reported_at
+        box.first_named_at = self.now if box.first_named_at is None else box.first_named_at
 
     def excess(self) -> float:
-        """Return by how many requests the replica got more than it bears in the worst window."""
+        """Return by how many requests the worst window exceeds what the replica tolerates."""
         if self.first_named_at is None:
             return 0.0
-        counted = [arrival.at for arrival in self.arrivals if self._counts(arrival)]
+        judged = [arrival.at for arrival in self.arrivals if self._is_judged(arrival)]
         worst = 0.0
-        for end, at in enumerate(counted):
-            if at < self.first_named_at + KNOWN_AFTER_S:
+        for end, at in enumerate(judged):
+            if at < self.first_named_at + ENFORCED_AFTER_S:
                 continue
-            within = [then for then in counted[: end + 1] if then > at - LIMIT_WINDOW_S]
-            borne = self._borne(at)
-            if borne is not None:
-                worst = max(worst, len(within) - borne)
+            within = [then for then in judged[: end + 1] if then > at - LIMIT_WINDOW_S]
+            tolerated = self._tolerated(at)
+            if tolerated is not None:
+                worst = max(worst, len(within) - tolerated)
         return worst
 
-    def _counts(self, arrival: Arrival) -> bool:
-        reported_at = self.boxes[arrival.box].reported_at
-        return reported_at is not None and arrival.at >= reported_at + TOLD_AFTER_S
+    def _is_judged(self, arrival: Arrival) -> bool:
+        named_at = self.boxes[arrival.box].first_named_at
+        return named_at is not None and arrival.at >= named_at + JUDGED_AFTER_S
 
-    def _borne(self, end: float) -> float | None:
-        """Return what a window bears in which one limit stood all along; else None."""
+    def _tolerated(self, end: float) -> float | None:
+        """Return what the replica tolerates in a window; None if its limit changed within it."""
         ticks = int(LIMIT_WINDOW_S / STEP_S)
         limits = {self.limit_of(end - tick * STEP_S) for tick in range(ticks + 1)}
         [*others, limit] = limits
         return None if others or limit is None else tolerated_in_window(limit)
 
 
-def quiet_and_virtual(patch: pytest.MonkeyPatch, world: LimitWorld) -> None:
-    """Let all parts go by the world's clock, and write no logs."""
+def use_virtual_clock(patch: pytest.MonkeyPatch, world: LimitWorld) -> None:
+    """Let the code under test use the world's clock, and write no logs."""
     for module in (counter, named_limits, own_shares, permits):
         patch.setattr(module, "monotonic", lambda: world.now)
     patch.setattr(Log, "say", lambda self, sentence, **fields: None)
 
 
-class Pressed(NamedTuple):
-    """How many requests clients wanted to be sent, and how many were."""
+class LoadResult(NamedTuple):
+    """How many requests clients made, and how many were sent."""
 
-    wanted: int
+    requested: int
     sent: int
 
 
-def press(
+def apply_load(
     world: LimitWorld, *, seconds: float, per_s: Callable[[int], float], seed: int = 1
-) -> Pressed:
-    """Let each box have requests at random, some a second."""
+) -> LoadResult:
+    """Give each box requests at random times, at a rate that depends on its number."""
     chance = random.Random(seed)
-    wanted = sent = 0
+    requested = sent = 0
     for _ in range(round(seconds / STEP_S)):
         world.step()
         for box in chance.sample(world.boxes, len(world.boxes)):
             if chance.random() < per_s(box.number) * STEP_S:
-                wanted += 1
+                requested += 1
                 sent += box.try_send()
-    return Pressed(wanted, sent)
+    return LoadResult(requested, sent)
