--- a/tests/permits/test_choosing.py
+++ b/tests/permits/test_choosing.py
@@ -1,4 +1,4 @@
-"""Which replica a request is tried at where some are cold, and until when it may be sent there."""
+"""Which replica is chosen for a request when some are cold, and when its permit expires."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from tests.forwarding.test_values import make_request, make_route
 from tests.worlds import make_world
 
-NEVER = Permit(None, 0.7)
+REFUSED = Permit(None, 0.7)
 
 
 class ScriptedPermits:
-    """Gives one answer to all asks, which it keeps."""
+    """Answers all asks with the same permit, and records them."""
 
     def __init__(self, permit: Permit) -> None:
         self.permit = permit
@@ -35,10 +35,10 @@
         return self.permit
 
 
-class Choosing:
-    """A chooser among replicas of a plain service and of one of engines, some of them cold."""
+class Setup:
+    """A chooser over replicas of a plain and of an engine service, some of them cold."""
 
-    def __init__(self, *instances: str, permit: Permit = NEVER) -> None:
+    def __init__(self, *instances: str, permit: Permit = REFUSED) -> None:
         self.cold: set[str] = set()
         self.permits = ScriptedPermits(permit)
         self.adapters = ScriptedAdapters(waits=0)
@@ -75,92 +75,92 @@
         self.progress = RequestProgress(request, make_route(), service)
         return self.chooser.next_replica(self.progress, until=monotonic() + 1.0)
 
-    def run(self, instance: str, running: int) -> None:
+    def set_running(self, instance: str, running: int) -> None:
         replica = self.directory.find(instance)
         assert replica is not None
         replica.running = running
 
 
-def test_a_warm_replica_that_rests_is_taken_without_asking() -> None:
-    choosing = Choosing("1", "2", permit=Permit(monotonic() + 9))
-    choosing.cold = {"plain-1"}
-    assert choosing.choose().replica.instance == "plain-2"
-    assert choosing.permits.asked == []
+def test_an_idle_warm_replica_is_chosen_without_asking() -> None:
+    setup = Setup("1", "2", permit=Permit(monotonic() + 9))
+    setup.cold = {"plain-1"}
+    assert setup.choose().replica.instance == "plain-2"
+    assert setup.permits.asked == []
 
 
-def test_a_cold_one_is_used_when_the_warm_ones_are_busy() -> None:
-    choosing = Choosing("1", "2", permit=Permit(monotonic() + 9))
-    choosing.cold = {"plain-1"}
-    choosing.run("plain-2", 1)
-    chosen = choosing.choose()
+def test_a_cold_replica_is_chosen_when_the_warm_ones_are_busy() -> None:
+    setup = Setup("1", "2", permit=Permit(monotonic() + 9))
+    setup.cold = {"plain-1"}
+    setup.set_running("plain-2", 1)
+    chosen = setup.choose()
     assert (chosen.replica.instance, chosen.permitted) == ("plain-1", True)
-    assert choosing.permits.asked == [("plain-1", False, 0)]
+    assert setup.permits.asked == [("plain-1", False, 0)]
 
 
-def test_without_a_permit_the_busy_warm_one_is_taken() -> None:
-    choosing = Choosing("1", "2")
-    choosing.cold = {"plain-1"}
-    choosing.run("plain-2", 5)
-    assert choosing.choose().replica.instance == "plain-2"
+def test_without_a_permit_the_busy_warm_replica_is_chosen() -> None:
+    setup = Setup("1", "2")
+    setup.cold = {"plain-1"}
+    setup.set_running("plain-2", 5)
+    assert setup.choose().replica.instance == "plain-2"
 
 
-def test_where_all_are_cold_and_nobody_permits_the_caller_is_told_when_to_come_back() -> None:
-    choosing = Choosing("1")
-    choosing.cold = {"plain-1"}
+def test_if_all_are_cold_and_no_permit_is_granted_the_refusal_has_a_retry_delay() -> None:
+    setup = Setup("1")
+    setup.cold = {"plain-1"}
     with pytest.raises(NoReplica) as refusal:
-        choosing.choose()
+        setup.choose()
     assert (refusal.value.reason, refusal.value.retry_after_s) == ("cold", 0.7)
-    assert choosing.permits.asked == [("plain-1", True, 0)]
+    assert setup.permits.asked == [("plain-1", True, 0)]
 
 
-def test_a_permit_that_has_run_out_by_the_time_of_the_send_is_none() -> None:
-    choosing = Choosing("1", permit=Permit(monotonic() - 0.01))
-    choosing.cold = {"plain-1"}
+def test_a_permit_that_expired_before_the_send_is_not_used() -> None:
+    setup = Setup("1", permit=Permit(monotonic() - 0.01))
+    setup.cold = {"plain-1"}
     with pytest.raises(NoReplica) as refusal:
-        choosing.choose()
+        setup.choose()
     assert refusal.value.reason == "cold"
 
 
-def test_what_turns_cold_while_its_connection_comes_up_is_not_sent_to() -> None:
-    choosing = Choosing("1")
-    chosen = choosing.choose()
-    assert choosing.chooser.may_send(choosing.progress, chosen)
-    choosing.cold = {"plain-1"}
-    assert not choosing.chooser.may_send(choosing.progress, chosen)
+def test_nothing_is_sent_to_a_replica_that_turned_cold_while_connecting() -> None:
+    setup = Setup("1")
+    chosen = setup.choose()
+    assert setup.chooser.may_send(setup.progress, chosen)
+    setup.cold = {"plain-1"}
+    assert not setup.chooser.may_send(setup.progress, chosen)
 
 
-def test_a_grant_with_a_fresh_permit_is_sent_without_asking(
+def test_a_grant_with_a_valid_permit_is_used_without_asking(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    choosing = Choosing("i-1")
-    choosing.cold = {"i-1"}
+    setup = Setup("i-1")
+    setup.cold = {"i-1"}
     monkeypatch.setattr(ScriptedUse, "permit_until", monotonic() + 5)
-    assert choosing.choose("s").permitted
-    assert choosing.permits.asked == []
+    assert setup.choose("s").permitted
+    assert setup.permits.asked == []
 
 
 @pytest.mark.parametrize("left_s", [None, 0.01, -1.0])
-def test_a_grant_without_one_asks_anew_and_names_itself(
+def test_a_grant_without_a_valid_permit_asks_for_one_with_its_number(
     monkeypatch: pytest.MonkeyPatch, left_s: float | None
 ) -> None:
-    choosing = Choosing("i-1", permit=Permit(monotonic() + 9))
-    choosing.cold = {"i-1"}
+    setup = Setup("i-1", permit=Permit(monotonic() + 9))
+    setup.cold = {"i-1"}
     until = None if left_s is None else monotonic() + left_s
     monkeypatch.setattr(ScriptedUse, "permit_until", until)
-    assert choosing.choose("s").permitted
-    assert choosing.permits.asked == [("i-1", False, 1)]
+    assert setup.choose("s").permitted
+    assert setup.permits.asked == [("i-1", False, 1)]
 
 
 def test_a_warm_engine_that_is_granted_needs_no_permit() -> None:
-    choosing = Choosing("i-1")
-    chosen = choosing.choose("s")
+    setup = Setup("i-1")
+    chosen = setup.choose("s")
     assert (chosen.replica.instance, chosen.permit_until) == ("i-1", None)
-    assert choosing.permits.asked == []
+    assert setup.permits.asked == []
 
 
 def test_a_granted_engine_without_a_permit_is_refused_as_cold() -> None:
-    choosing = Choosing("i-1")
-    choosing.cold = {"i-1"}
+    setup = Setup("i-1")
+    setup.cold = {"i-1"}
     with pytest.raises(NoReplica) as refusal:
-        choosing.choose("s")
+        setup.choose("s")
     assert refusal.value.reason == "cold"
--- a/tests/permits/test_counter.py
+++ b/tests/permits/test_counter.py
@@ -1,4 +1,4 @@
-"""Permits are counted out only under the lease, from nothing, and callers get turns."""
+"""Permits are issued only under the lease, from an empty bucket, and retries are spread out."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 PLAIN = ReplicaRecord(instance="i-9", service="plain", address="127.0.0.1:1", zone="zone-1")
 
 
-class Counting:
-    """A counter whose lease and clock are set by hand: 4 a second, one at once."""
+class Setup:
+    """A counter with a lease and a clock set by hand, and a bucket of rate 4 and depth 1."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.now = 100.0
@@ -50,121 +50,123 @@
 
 
 @pytest.fixture
-def counting(monkeypatch: pytest.MonkeyPatch) -> Counting:
-    return Counting(monkeypatch)
+def setup(monkeypatch: pytest.MonkeyPatch) -> Setup:
+    return Setup(monkeypatch)
 
 
-def test_a_new_placer_grants_nothing_before_its_bucket_has_filled(counting: Counting) -> None:
-    assert counting.ask() == Permitted(7, counts=True, room_in_ms=250, retry_after_ms=250)
-    counting.now += 0.25
-    assert counting.ask() == Permitted(7, counts=True, granted=True)
-    assert counting.counted == [False, True]
+def test_a_new_placer_grants_nothing_until_its_bucket_has_filled(setup: Setup) -> None:
+    assert setup.ask() == Permitted(7, counts=True, room_in_ms=250, retry_after_ms=250)
+    setup.now += 0.25
+    assert setup.ask() == Permitted(7, counts=True, granted=True)
+    assert setup.counted == [False, True]
 
 
-def test_each_incarnation_has_its_own_permits(counting: Counting) -> None:
-    counting.now += 0.25
-    assert counting.ask().granted
-    assert not counting.ask().granted
-    assert counting.ask(instance="i-2").granted
+def test_each_incarnation_has_its_own_permits(setup: Setup) -> None:
+    setup.now += 0.25
+    assert setup.ask().granted
+    assert not setup.ask().granted
+    assert setup.ask(instance="i-2").granted
 
 
-def test_without_a_sure_lease_or_a_slow_start_nothing_is_counted(counting: Counting) -> None:
-    counting.now += 2.0
-    assert counting.ask(service="plain") == Permitted(7, counts=False)
-    counting.lease_left_s = 0.0
-    assert counting.ask() == Permitted(7, counts=False)
-    assert counting.counter.room_in_s(RECORD, cold=True)
-    assert not counting.counter.grant("box-2", 5, "r", RECORD, cold=True)
-    assert counting.counted == []
+def test_without_a_valid_lease_or_a_slow_start_nothing_is_counted(setup: Setup) -> None:
+    setup.now += 2.0
+    assert setup.ask(service="plain") == Permitted(7, counts=False)
+    setup.lease_left_s = 0.0
+    assert setup.ask() == Permitted(7, counts=False)
+    assert setup.counter.room_in_s(RECORD, cold=True)
+    assert not setup.counter.grant("box-2", 5, "r", RECORD, cold=True)
+    assert setup.counted == []
 
 
-def test_a_lease_that_is_taken_anew_begins_with_nothing(counting: Counting) -> None:
-    counting.now += 2.0
-    counting.counter.begin()
-    assert not counting.ask().granted
+def test_after_taking_the_lease_the_buckets_are_empty(setup: Setup) -> None:
+    setup.now += 2.0
+    setup.counter.begin()
+    assert not setup.ask().granted
 
 
-def test_those_who_come_back_get_turns_and_others_take_none(counting: Counting) -> None:
-    back = [counting.ask(returns=True).retry_after_ms for _ in range(3)]
+def test_callers_get_successive_retry_slots_and_boxes_with_other_replicas_none(
+    setup: Setup,
+) -> None:
+    back = [setup.ask(returns=True).retry_after_ms for _ in range(3)]
     assert back == [250, 500, 750]
-    assert counting.ask().retry_after_ms == 250
-    assert counting.ask(returns=True).retry_after_ms == 1000
+    assert setup.ask().retry_after_ms == 250
+    assert setup.ask(returns=True).retry_after_ms == 1000
 
 
-def test_a_grant_takes_a_permit_and_there_is_room_only_as_it_fills(counting: Counting) -> None:
-    assert counting.counter.room_in_s(RECORD, cold=True)
-    counting.now += 0.25
-    assert not counting.counter.room_in_s(RECORD, cold=True)
-    assert counting.counter.grant("box-2", 5, "r", RECORD, cold=True)
-    assert counting.counter.room_in_s(RECORD, cold=True)
-    assert counting.counter.room_in_s(PLAIN, cold=True)
+def test_a_grant_takes_a_permit_and_the_next_is_available_after_a_refill(setup: Setup) -> None:
+    assert setup.counter.room_in_s(RECORD, cold=True)
+    setup.now += 0.25
+    assert not setup.counter.room_in_s(RECORD, cold=True)
+    assert setup.counter.grant("box-2", 5, "r", RECORD, cold=True)
+    assert setup.counter.room_in_s(RECORD, cold=True)
+    assert setup.counter.room_in_s(PLAIN, cold=True)
 
 
-def test_a_permit_taken_with_a_grant_that_was_waited_for_is_taken_anew(counting: Counting) -> None:
-    counting.now += 0.25
-    assert counting.counter.grant("box-2", 5, "r", RECORD, cold=True)
-    counting.now += 0.05
-    anew = PermitAsk(7, "r", "s", "i-1", grant=5)
-    counting.counter.answer("box-2", [anew, anew])
-    assert [permitted.granted for permitted in counting.answers] == [True, False]
-    counting.now += 0.2
-    assert not counting.ask().granted
-    counting.now += 0.05
-    assert counting.ask().granted
+def test_the_expired_permit_of_a_grant_is_refunded_when_a_new_one_is_asked(setup: Setup) -> None:
+    setup.now += 0.25
+    assert setup.counter.grant("box-2", 5, "r", RECORD, cold=True)
+    setup.now += 0.05
+    ask = PermitAsk(7, "r", "s", "i-1", grant=5)
+    setup.counter.answer("box-2", [ask, ask])
+    assert [permitted.granted for permitted in setup.answers] == [True, False]
+    setup.now += 0.2
+    assert not setup.ask().granted
+    setup.now += 0.05
+    assert setup.ask().granted
 
 
-def test_boxes_that_have_other_replicas_ask_again_one_after_the_other(counting: Counting) -> None:
-    assert [counting.ask().room_in_ms for _ in range(4)] == [250, 500, 500, 500]
-    counting.now += 0.25
-    assert counting.ask().granted
-    assert counting.ask().room_in_ms == 250
+def test_boxes_that_have_other_replicas_get_staggered_retry_delays(setup: Setup) -> None:
+    assert [setup.ask().room_in_ms for _ in range(4)] == [250, 500, 500, 500]
+    setup.now += 0.25
+    assert setup.ask().granted
+    assert setup.ask().room_in_ms == 250
 
 
 # Limits that replicas name.
 
 
-def test_a_limit_is_counted_out_where_nothing_is_cold(counting: Counting) -> None:
-    counting.limits.apply_limit_report(LimitReport("i-9", 2.0))
+def test_a_named_limit_is_enforced_for_a_warm_replica(setup: Setup) -> None:
+    setup.limits.apply_limit_report(LimitReport("i-9", 2.0))
     ask = PermitAsk(7, "r", "plain", "i-9", cold=False, limit_per_s=2.0)
-    counting.counter.answer("box-2", [ask])
-    assert counting.answers[-1] == Permitted(
+    setup.counter.answer("box-2", [ask])
+    assert setup.answers[-1] == Permitted(
         7, counts=True, room_in_ms=500, retry_after_ms=500, limited=True
     )
-    counting.now += 9.0
-    counting.counter.answer("box-2", [ask] * 4)
-    assert [answer.granted for answer in counting.answers[1:]] == [True, True, False, False]
-    assert counting.counter.room_in_s(PLAIN, cold=False) == pytest.approx(0.5)
+    setup.now += 9.0
+    setup.counter.answer("box-2", [ask] * 4)
+    assert [answer.granted for answer in setup.answers[1:]] == [True, True, False, False]
+    assert setup.counter.room_in_s(PLAIN, cold=False) == pytest.approx(0.5)
 
 
-def test_a_placer_that_goes_on_without_a_lease_counts_limits_and_no_cold_start(
-    counting: Counting,
+def test_a_placer_that_continues_without_a_lease_counts_limits_but_no_cold_starts(
+    setup: Setup,
 ) -> None:
-    counting.limits.apply_limit_report(LimitReport("i-1", 2.0))
-    counting.lease_left_s = 0.0
-    counting.now += 9.0
-    assert counting.counter.room_in_s(RECORD, cold=False) == float("inf")
-    counting.goes_on = True
-    assert counting.counter.room_in_s(RECORD, cold=False) < float("inf")
-    assert counting.counter.room_in_s(RECORD, cold=True) == float("inf")
-
-
-def test_a_cold_replica_with_a_limit_gets_the_stricter_of_both(counting: Counting) -> None:
-    counting.limits.apply_limit_report(LimitReport("i-1", 0.5))
-    counting.now += 9.0
-    assert counting.ask() == Permitted(
+    setup.limits.apply_limit_report(LimitReport("i-1", 2.0))
+    setup.lease_left_s = 0.0
+    setup.now += 9.0
+    assert setup.counter.room_in_s(RECORD, cold=False) == float("inf")
+    setup.goes_on = True
+    assert setup.counter.room_in_s(RECORD, cold=False) < float("inf")
+    assert setup.counter.room_in_s(RECORD, cold=True) == float("inf")
+
+
+def test_for_a_cold_replica_with_a_limit_the_stricter_bound_applies(setup: Setup) -> None:
+    setup.limits.apply_limit_report(LimitReport("i-1", 0.5))
+    setup.now += 9.0
+    assert setup.ask() == Permitted(
         7, counts=True, room_in_ms=2000, retry_after_ms=2000, limited=True
     )
-    counting.limits.apply_limit_report(LimitReport("i-2", 50.0))
-    counting.ask(instance="i-2")
-    assert counting.answers[-1].room_in_ms == 250
+    setup.limits.apply_limit_report(LimitReport("i-2", 50.0))
+    setup.ask(instance="i-2")
+    assert setup.answers[-1].room_in_ms == 250
 
 
-def test_a_limit_that_only_the_asker_knows_is_taken_from_the_ask(counting: Counting) -> None:
+def test_a_limit_that_only_the_asking_box_knows_is_read_from_the_ask(setup: Setup) -> None:
     ask = PermitAsk(7, "r", "plain", "i-9", cold=False, limit_per_s=2.0)
-    counting.counter.answer("box-2", [ask])
-    assert not counting.answers[-1].granted
-    counting.limits.apply_limit_report(LimitReport("i-9", 2.0))
-    counting.now += 1.0
-    counting.limits.apply_limit_report(LimitReport("i-9", None))
-    counting.counter.answer("box-2", [ask])
-    assert counting.answers[-1] == Permitted(7, counts=True, granted=True, limited=True)
+    setup.counter.answer("box-2", [ask])
+    assert not setup.answers[-1].granted
+    setup.limits.apply_limit_report(LimitReport("i-9", 2.0))
+    setup.now += 1.0
+    setup.limits.apply_limit_report(LimitReport("i-9", None))
+    setup.counter.answer("box-2", [ask])
+    assert setup.answers[-1] == Permitted(7, counts=True, granted=True, limited=True)
--- a/tests/permits/test_permits.py
+++ b/tests/permits/test_permits.py
@@ -1,4 +1,4 @@
-"""What a box asks for before it sends a request to a cold replica, and what it makes of answers."""
+"""How a box asks for permits to send to metered replicas, and how it handles the answers."""
 
 from __future__ import annotations
 
@@ -28,47 +28,49 @@
 COLD, COLDER, WARM = replica("cold"), replica("colder"), replica("warm")
 
 
-# The book.
+# The book of pending asks.
 
 
-def test_a_permit_is_good_from_before_the_ask() -> None:
+def test_a_permit_is_valid_from_before_the_ask() -> None:
     urgent: list[bool] = []
     book = PermitBook(on_update=urgent.append)
     asked_at = monotonic()
-    asking = gevent.spawn(book.ask, PermitAsk(0, "r", "s", "i-1", True))
+    task = gevent.spawn(book.ask, PermitAsk(0, "r", "s", "i-1", True))
     gevent.sleep(0.02)
     assert (book.drain_updates(), urgent) == (([PermitAsk(1, "r", "s", "i-1", True)], []), [True])
     book.record_permitted(Permitted(1, counts=True, granted=True))
-    verdict, good_until = asking.get(timeout=5)
+    verdict, good_until = task.get(timeout=5)
     assert verdict == PermitVerdict(True)
     assert asked_at + PERMIT_LIFE_S <= good_until < asked_at + 0.02 + PERMIT_LIFE_S
 
 
 @pytest.mark.parametrize("permitted", [None, Permitted(1, counts=False)])
-def test_who_hears_nobody_that_counts_has_no_permit(permitted: Permitted | None) -> None:
+def test_without_an_answer_of_an_authorized_placer_there_is_no_permit(
+    permitted: Permitted | None,
+) -> None:
     book = PermitBook(on_update=lambda urgent: None)
-    asking = gevent.spawn(book.ask, PermitAsk(0, "r", "s", "i-1", False))
+    task = gevent.spawn(book.ask, PermitAsk(0, "r", "s", "i-1", False))
     gevent.sleep(0)
     if permitted is not None:
         book.record_permitted(permitted)
     with pytest.raises(PermitsUnheard):
-        asking.get(timeout=5)
+        task.get(timeout=5)
     assert book.drain_updates() == ([], [])
     book.record_permitted(Permitted(1, counts=True, granted=True))
 
 
-def test_a_placer_that_is_lost_ends_all_asks_at_once() -> None:
+def test_losing_the_placer_ends_all_asks_at_once() -> None:
     book = PermitBook(on_update=lambda urgent: None)
     book.record_observation("i-1", answered=False)
-    asking = gevent.spawn(book.ask, PermitAsk(0, "r", "s", "i-1", False))
+    task = gevent.spawn(book.ask, PermitAsk(0, "r", "s", "i-1", False))
     gevent.sleep(0)
     book.forget_placer()
     with pytest.raises(PermitsUnheard):
-        asking.get(timeout=5)
+        task.get(timeout=5)
     assert book.drain_updates() == ([], [])
 
 
-def test_sightings_are_told_in_order() -> None:
+def test_observations_are_sent_in_order_without_duplicates() -> None:
     book = PermitBook(on_update=lambda urgent: None)
     for answered in (False, False, True):
         book.record_observation("i-1", answered=answered)
@@ -78,17 +80,17 @@
     ]
 
 
-# Who is asked.
+# The box.
 
 
 class ScriptedCounter:
-    """Gives the next of its verdicts; none left is silence."""
+    """Returns its verdicts in turn, and does not answer when none is left."""
 
     def __init__(self, *verdicts: PermitVerdict) -> None:
         self.verdicts = list(verdicts)
         self.asked = 0
 
-    def permit(self, adapter_request: PermitAsk) -> tuple[PermitVerdict, float]:
+    def permit(self, permit_ask: PermitAsk) -> tuple[PermitVerdict, float]:
         self.asked += 1
         if not self.verdicts:
             raise PermitsUnheard()
@@ -103,22 +105,22 @@
     limits: NamedLimits | None = None,
     boxes: int = 1,
 ) -> Permits:
-    heard_of = [] if unanswered_permits is None else unanswered_permits
+    calls = [] if unanswered_permits is None else unanswered_permits
     return Permits(
         counter=lambda zone: counter,
-        on_unanswered=lambda: heard_of.append(1),
+        on_unanswered=lambda: calls.append(1),
         is_cold=lambda record: cold,
         limits=limits or make_limits(),
         shares=OwnShares(home_zone="zone-1", boxes=lambda: boxes),
     )
 
 
-def test_a_granted_ask_is_a_permit() -> None:
+def test_a_granted_ask_returns_a_permit() -> None:
     permits = make_permits(ScriptedCounter(PermitVerdict(True)))
     assert permits.ask(COLD.record, request="r", returns=False) == Permit(77.0)
 
 
-def test_a_replica_without_room_is_passed_over_but_callers_get_their_turns() -> None:
+def test_a_replica_without_room_is_not_asked_again_unless_a_caller_needs_a_retry_slot() -> None:
     counter = ScriptedCounter(PermitVerdict(False, 60.0, 60.0), PermitVerdict(False, 60.0, 61.0))
     permits = make_permits(counter)
     assert permits.ask(COLD.record, request="r", returns=False) == Permit(None, 60.0)
@@ -127,7 +129,7 @@
     assert permits.ask(COLD.record, request="r", returns=True) == Permit(None, 61.0)
 
 
-def test_a_zone_that_does_not_answer_is_left_alone() -> None:
+def test_a_zone_that_does_not_answer_is_skipped_for_a_while() -> None:
     counter, unanswered_permits = ScriptedCounter(), list[int]()
     permits = make_permits(counter, unanswered_permits)
     for _ in range(3):
@@ -144,7 +146,7 @@
     return limits
 
 
-def test_a_box_that_hears_no_placer_sends_its_share_to_its_own_zone() -> None:
+def test_without_a_placer_a_box_sends_its_share_to_its_own_zone() -> None:
     permits = make_permits(ScriptedCounter(), cold=False, limits=limited_to(1.0), boxes=2)
     assert permits.ask(COLD.record, request="r", returns=True).good_until is not None
     refused = permits.ask(COLD.record, request="r", returns=True)
@@ -152,30 +154,30 @@
     assert 1.5 < refused.retry_after_s <= 2.0
 
 
-def test_what_is_cold_as_well_gets_nothing_uncounted() -> None:
+def test_nothing_is_sent_uncounted_to_a_limited_replica_that_is_cold() -> None:
     permits = make_permits(ScriptedCounter(), cold=True, limits=limited_to(1.0))
     assert permits.ask(COLD.record, request="r", returns=True).good_until is None
 
 
 @pytest.mark.parametrize(("boxes", "sends"), [(0, False), (4, True), (5, False)])
-def test_more_boxes_than_the_replica_bears_uncounted_send_nothing(boxes: int, sends: bool) -> None:
+def test_if_there_are_too_many_boxes_none_sends_uncounted(boxes: int, sends: bool) -> None:
     permits = make_permits(ScriptedCounter(), cold=False, limits=limited_to(1.0), boxes=boxes)
     permit = permits.ask(COLD.record, request="r", returns=True)
     assert (permit.good_until is not None) is sends
 
 
-def test_a_permit_of_a_placer_that_knows_of_no_limit_takes_of_the_share() -> None:
+def test_a_permit_from_a_placer_without_named_limits_is_charged_to_the_share() -> None:
     counter = ScriptedCounter(PermitVerdict(True), PermitVerdict(True))
     permits = make_permits(counter, cold=True, limits=limited_to(1.0))
     assert permits.ask(COLD.record, request="r", returns=True).good_until is not None
     assert permits.ask(COLD.record, request="r", returns=True).good_until is None
 
 
-# The choice.
+# The choice of a replica.
 
 
 class Candidates:
-    """Replicas in the order of their cost, cold ones last to be chosen without a permit."""
+    """Selects the first replica that is not excluded; only `WARM` needs no permit."""
 
     def __init__(self, *replicas: Replica) -> None:
         self.replicas = replicas
@@ -189,7 +191,7 @@
         return fitting[0] if fitting else None
 
 
-def picked(*candidates: Replica, verdicts: tuple[PermitVerdict, ...] = ()) -> tuple[str, bool]:
+def pick_among(*candidates: Replica, verdicts: tuple[PermitVerdict, ...] = ()) -> tuple[str, bool]:
     found = pick(
         Candidates(*candidates),
         metered=lambda item: None if item is WARM else Obstacle.COLD,
@@ -200,29 +202,29 @@
     return found.replica.instance, found.send_by is not None
 
 
-def test_a_warm_replica_that_costs_least_is_taken_without_asking() -> None:
-    assert picked(WARM, COLD) == ("warm", False)
+def test_a_warm_replica_that_is_best_is_chosen_without_asking() -> None:
+    assert pick_among(WARM, COLD) == ("warm", False)
 
 
-def test_a_cold_one_that_costs_less_is_taken_with_a_permit_and_else_the_warm_one() -> None:
-    assert picked(COLD, WARM, verdicts=(PermitVerdict(True),)) == ("cold", True)
-    assert picked(COLD, WARM, verdicts=(PermitVerdict(False, 1.0, 1.0),)) == ("warm", False)
-    assert picked(COLD, WARM) == ("warm", False)
+def test_a_better_cold_replica_is_chosen_with_a_permit_and_the_warm_one_without() -> None:
+    assert pick_among(COLD, WARM, verdicts=(PermitVerdict(True),)) == ("cold", True)
+    assert pick_among(COLD, WARM, verdicts=(PermitVerdict(False, 1.0, 1.0),)) == ("warm", False)
+    assert pick_among(COLD, WARM) == ("warm", False)
 
 
-def test_another_cold_one_may_have_room() -> None:
+def test_a_second_cold_replica_is_asked_for() -> None:
     verdicts = (PermitVerdict(False, 1.0, 1.0), PermitVerdict(True))
-    assert picked(COLD, COLDER, verdicts=verdicts) == ("colder", True)
+    assert pick_among(COLD, COLDER, verdicts=verdicts) == ("colder", True)
 
 
-def test_without_a_permit_nothing_is_sent_and_the_caller_learns_when_there_is_room() -> None:
+def test_without_a_permit_the_refusal_has_the_shortest_retry_delay() -> None:
     verdicts = (PermitVerdict(False, 1.0, 2.0), PermitVerdict(False, 1.0, 1.5))
     with pytest.raises(NoReplica) as refusal:
-        picked(COLD, COLDER, verdicts=verdicts)
+        pick_among(COLD, COLDER, verdicts=verdicts)
     assert (refusal.value.reason, refusal.value.retry_after_s) == ("cold", 1.5)
 
 
-def test_without_any_replica_there_is_nothing_to_pick() -> None:
+def test_without_any_replica_none_is_picked() -> None:
     nothing = pick(
         Candidates(),
         metered=lambda item: None,
--- a/tests/permits/test_returns.py
+++ b/tests/permits/test_returns.py
@@ -1,7 +1,7 @@
-"""A replica comes back cold, played in virtual time: rows are late, boxes and placers are cut off.
+"""Simulates a replica that returns cold while rows are late and boxes and placers are cut off.
 
-Boxes press all the while, each with what it knows of its own: the real `WarmupTracker`, and permits
-of the real counter. The replica counts what it gets while it is cold.
+Boxes send more than the replica bears all the time, each with its own real `WarmupTracker` and with
+permits of the real counter. The test counts what the replica receives while it is cold.
 """
 
 from __future__ import annotations
@@ -35,53 +35,54 @@
 RECORD = ReplicaRecord(instance="i-1", service="s", address="127.0.0.1:1", zone="zone-1")
 BOXES = 3
 PER_BOX_S = 25.0
-"""Each box sends far more than the cold replica bears, and so sees at once that it is down."""
+"""Requests a second of each box: far more than the cold replica bears, so that each box detects at
+once that the replica is down."""
 
 
 class Span(NamedTuple):
-    """A span of time, and the box that it is about."""
+    """A time span during which one box is cut off."""
 
     box: int
     begin: float
     length: float
 
-    def holds(self, box: int, now: float) -> bool:
+    def includes(self, box: int, now: float) -> bool:
         return box == self.box and self.begin <= now < self.begin + self.length
 
 
-class Day(NamedTuple):
-    """What happens.
+class Scenario(NamedTuple):
+    """The events of one simulation.
 
     Attributes:
-        evacuated: The replica turns cold without going down, while its zone is evacuated.
-        gone_at: When it goes down, or its zone is evacuated.
-        gone_s: For how long.
-        beat_s: When in its rhythm it writes its row.
-        storeless: Who reads no rows when.
-        linkless: Who hears no placer when.
-        takeover_at: When another placer begins to count.
+        evacuated: Whether the replica turns cold without going down, while its zone is evacuated.
+        gone_at: When it goes down, or the evacuation of its zone begins.
+        gone_s: How long that lasts.
+        heartbeat_offset_s: The offset of its row writes within the heartbeat interval.
+        store_cuts: When which box cannot read rows.
+        link_cuts: When which box is not linked to the placer.
+        takeover_at: When another placer starts to count.
     """
 
     seed: int
     evacuated: bool
     gone_at: float
     gone_s: float
-    beat_s: float
-    storeless: list[Span]
-    linkless: list[Span]
+    heartbeat_offset_s: float
+    store_cuts: list[Span]
+    link_cuts: list[Span]
     takeover_at: float
 
 
-class Play:
-    """One replica, some boxes, the first of which places; time moves in ticks."""
+class Simulation:
+    """One replica and some boxes, the first of which is the placer; time advances in ticks."""
 
-    def __init__(self, day: Day) -> None:
-        self.day = day
+    def __init__(self, scenario: Scenario) -> None:
+        self.scenario = scenario
         self.now = 0.0
-        self.chance = random.Random(day.seed)
-        self.back_at = day.gone_at + day.gone_s
-        # While its zone is evacuated it may turn cold shortly before that ends.
-        before_s = self.chance.uniform(0, min(1.5, day.gone_s)) if day.evacuated else 0.0
+        self.chance = random.Random(scenario.seed)
+        self.back_at = scenario.gone_at + scenario.gone_s
+        # In an evacuated zone it may turn cold shortly before the evacuation ends.
+        before_s = self.chance.uniform(0, min(1.5, scenario.gone_s)) if scenario.evacuated else 0.0
         self.cold_from = self.back_at - before_s
         self.arrivals: list[float] = []
         self.served = 0
@@ -111,46 +112,52 @@
         )
         warmup.apply_record(RECORD, "i-1")
         warmup.on_observation.append(
-            lambda record, answered: self._tell_placer(number, answered=answered)
+            lambda record, answered: self._report_to_placer(number, answered=answered)
         )
         return warmup
 
     def run(self) -> None:
         for tick in range(int(LENGTH_S / TICK_S)):
             self.now = tick * TICK_S
-            if tick == int(self.day.takeover_at / TICK_S):
+            if tick == int(self.scenario.takeover_at / TICK_S):
                 self._counter.begin()
             for number in range(BOXES):
                 self._step(number, tick)
 
     def _step(self, number: int, tick: int) -> None:
-        if tick % int(POLL_S / TICK_S) == number * 7 and self._reads(number):
+        if tick % int(POLL_S / TICK_S) == number * 7 and self._can_read(number):
             self._read_row(number)
         if tick % int(PLACER_HEARTBEAT_S / TICK_S) == 0 and self._is_linked(number):
             self.boxes[number].apply_suspected("zone-1", self.boxes[0].suspected("zone-1"))
-        if self.day.evacuated and self.now >= self.day.gone_at and self.ended_at[number] is None:
-            # Each box learns in its own time that the zone is taken back.
+        if (
+            self.scenario.evacuated
+            and self.now >= self.scenario.gone_at
+            and self.ended_at[number] is None
+        ):
+            # Boxes learn at different times that the evacuation has ended.
             if self.now >= self.back_at + 0.3 * number:
                 self.ended_at[number] = self.now
             return
         if self.chance.random() < PER_BOX_S * TICK_S:
             self._send(number)
 
-    def _reads(self, number: int) -> bool:
-        return not any(span.holds(number, self.now) for span in self.day.storeless)
+    def _can_read(self, number: int) -> bool:
+        return not any(span.includes(number, self.now) for span in self.scenario.store_cuts)
 
     def _is_linked(self, number: int) -> bool:
-        return number == 0 or not any(span.holds(number, self.now) for span in self.day.linkless)
+        return number == 0 or not any(
+            span.includes(number, self.now) for span in self.scenario.link_cuts
+        )
 
-    def _tell_placer(self, number: int, *, answered: bool) -> None:
+    def _report_to_placer(self, number: int, *, answered: bool) -> None:
         if self._is_linked(number):
             self.boxes[0].apply_observation("i-1", answered=answered)
 
     def _read_row(self, number: int) -> None:
-        """Read the last row that was written so long ago that it can be read."""
+        """Read the latest row that is old enough to be readable."""
         readable_at = self.now - ROW_LAG_S
-        beats = int((readable_at - self.day.beat_s) // HEARTBEAT_S)
-        written_at = self.day.beat_s + beats * HEARTBEAT_S
+        heartbeats = int((readable_at - self.scenario.heartbeat_offset_s) // HEARTBEAT_S)
+        written_at = self.scenario.heartbeat_offset_s + heartbeats * HEARTBEAT_S
         cold_s = 0.0
         if self.cold_from <= written_at < self.cold_from + COLD_S:
             cold_s = self.cold_from + COLD_S - written_at
@@ -166,7 +173,7 @@
         warmup = self.boxes[number]
         if warmup.is_cold(RECORD) and not self._permit(number):
             return
-        if not self.day.evacuated and self.day.gone_at <= self.now < self.back_at:
+        if not self.scenario.evacuated and self.scenario.gone_at <= self.now < self.back_at:
             warmup.record_failed(RECORD, refused=True)
             return
         warmup.record_answered(RECORD, sent_at=self.now)
@@ -176,61 +183,63 @@
 
     def _permit(self, number: int) -> bool:
         if not self._is_linked(number):
-            # Who hears no placer may not send; that the replica is down it then learns of none.
+            # Without a placer the box may not send, so it does not detect that the replica is down.
             return False
         self._counter.answer(f"box-{number}", [PermitAsk(1, "r", "s", "i-1")])
         return self._answers[-1].granted
 
 
 @pytest.fixture(autouse=True)
-def _unlogged(monkeypatch: pytest.MonkeyPatch) -> None:
+def _without_logs(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Log, "say", lambda self, sentence, **fields: None)
 
 
-def play(day: Day) -> Play:
+def simulate(scenario: Scenario) -> Simulation:
     clock = [lambda: 0.0]
     with pytest.MonkeyPatch.context() as patch:
         for module in (counter_module, warmup_module):
             patch.setattr(module, "monotonic", lambda: clock[0]())
-        played = Play(day)
-        clock[0] = lambda: played.now
-        played.run()
-    return played
+        simulation = Simulation(scenario)
+        clock[0] = lambda: simulation.now
+        simulation.run()
+    return simulation
 
 
 spans = st.lists(
     st.builds(Span, box=st.integers(1, 2), begin=st.floats(0, 12), length=st.floats(0.5, 9)),
     max_size=2,
 )
-days = st.builds(
-    Day,
+scenarios = st.builds(
+    Scenario,
     seed=st.integers(0, 1000),
     evacuated=st.booleans(),
     gone_at=st.floats(1, 4),
     gone_s=st.floats(1.0, 4),
-    beat_s=st.floats(0, 1.19),
-    storeless=spans,
-    linkless=spans,
+    heartbeat_offset_s=st.floats(0, 1.19),
+    store_cuts=spans,
+    link_cuts=spans,
     takeover_at=st.floats(1, 12),
 )
 
 
-UNTRIED = Day(0, False, 1.0, 3.0, 0.0, [Span(1, 0.0, 9.0)], [Span(1, 0.0, 4.0)], 1.0)
-"""A box that hears no placer and reads no rows cannot try whether the replica is back."""
+BOX_WITHOUT_STORE_AND_LINK = Scenario(
+    0, False, 1.0, 3.0, 0.0, [Span(1, 0.0, 9.0)], [Span(1, 0.0, 4.0)], 1.0
+)
+"""A box without rows and placer cannot find out whether the replica is back."""
 
 
 @settings(max_examples=40, deadline=None)
-@example(UNTRIED)
-@given(days)
-def test_no_second_of_a_cold_return_sees_more_than_the_bound(day: Day) -> None:
-    assert most_in_a_second(play(day).arrivals) <= cold_start_bound(SLOW_START, TERMS)
+@example(BOX_WITHOUT_STORE_AND_LINK)
+@given(scenarios)
+def test_a_replica_that_returns_cold_never_exceeds_its_bound(scenario: Scenario) -> None:
+    assert most_in_a_second(simulate(scenario).arrivals) <= cold_start_bound(SLOW_START, TERMS)
 
 
 @pytest.mark.parametrize("evacuated", [False, True])
-def test_what_a_cold_return_bears_is_used_and_then_all(evacuated: bool) -> None:
-    day = Day(1, evacuated, 2.0, 2.0, 0.3, [], [], 1.0)
-    played = play(day)
-    cold_s = played.cold_from + COLD_S - played.back_at
-    assert len(played.arrivals) >= 0.7 * SLOW_START.per_s * cold_s
-    warm_s = LENGTH_S - (played.cold_from + COLD_S) - ROW_LAG_S - HEARTBEAT_S - POLL_S
-    assert played.served - len(played.arrivals) >= 0.8 * BOXES * PER_BOX_S * warm_s
+def test_the_slow_start_rate_is_used_and_the_full_rate_afterwards(evacuated: bool) -> None:
+    scenario = Scenario(1, evacuated, 2.0, 2.0, 0.3, [], [], 1.0)
+    simulation = simulate(scenario)
+    cold_s = simulation.cold_from + COLD_S - simulation.back_at
+    assert len(simulation.arrivals) >= 0.7 * SLOW_START.per_s * cold_s
+    warm_s = LENGTH_S - (simulation.cold_from + COLD_S) - ROW_LAG_S - HEARTBEAT_S - POLL_S
+    assert simulation.served - len(simulation.arrivals) >= 0.8 * BOXES * PER_BOX_S * warm_s
