--- a/tests/permits/test_sightings.py
+++ b/tests/permits/test_observations.py
@@ -1,4 +1,4 @@
-"""What attempts tell of whether a replica may come back cold."""
+"""How the outcomes of attempts make a box suspect that a replica has restarted."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 RECORD = ReplicaRecord(instance="i-1", service="s", address="127.0.0.1:1", zone="zone-1")
 
 
-class Attempting:
+class Setup:
     """A sender and one replica of a service with slow start."""
 
     def __init__(self) -> None:
@@ -67,37 +67,37 @@
         return attempt.outcome
 
 
-def test_a_refused_connection_is_told_to_others_and_the_answer_after_it() -> None:
-    attempting = Attempting()
-    attempting.attempt(ConnectionRefused("scripted"))
-    assert attempting.warmup.is_cold(RECORD)
-    attempting.attempt(500)
-    assert attempting.reported == [False, True]
+def test_a_refused_connection_and_the_next_answer_are_reported_to_other_boxes() -> None:
+    setup = Setup()
+    setup.attempt(ConnectionRefused("scripted"))
+    assert setup.warmup.is_cold(RECORD)
+    setup.attempt(500)
+    assert setup.reported == [False, True]
 
 
 @pytest.mark.parametrize("error", [ReplicaUnreachable, AnswerBroken, AnswerSilent])
-def test_other_failures_are_doubts_of_this_box_alone(error: type[ExchangeError]) -> None:
-    attempting = Attempting()
-    attempting.attempt(error("scripted"))
-    assert attempting.warmup.is_cold(RECORD)
-    assert attempting.reported == []
+def test_other_failures_are_suspicions_of_this_box_alone(error: type[ExchangeError]) -> None:
+    setup = Setup()
+    setup.attempt(error("scripted"))
+    assert setup.warmup.is_cold(RECORD)
+    assert setup.reported == []
 
 
 @pytest.mark.parametrize("error", [ReplicaChanged, ReplicaFull, SendingForbidden])
-def test_what_a_replica_says_itself_is_no_doubt(error: type[ExchangeError]) -> None:
-    attempting = Attempting()
-    attempting.attempt(error("scripted"))
-    assert not attempting.warmup.is_cold(RECORD)
+def test_refusals_by_the_replica_or_this_box_cause_no_suspicion(error: type[ExchangeError]) -> None:
+    setup = Setup()
+    setup.attempt(error("scripted"))
+    assert not setup.warmup.is_cold(RECORD)
 
 
-def test_a_silence_too_short_to_tell_anything_is_none() -> None:
-    attempting = Attempting()
-    attempting.attempt(AnswerSilent("scripted"), age_s=0.1)
-    assert not attempting.warmup.is_cold(RECORD)
+def test_a_timeout_too_short_to_mean_a_failure_causes_no_suspicion() -> None:
+    setup = Setup()
+    setup.attempt(AnswerSilent("scripted"), age_s=0.1)
+    assert not setup.warmup.is_cold(RECORD)
 
 
-def test_what_was_not_sent_for_want_of_time_neither_ran_nor_arrived() -> None:
-    outcome = Attempting().attempt(SendingForbidden("scripted"))
+def test_a_request_withheld_for_lack_of_time_neither_ran_nor_arrived() -> None:
+    outcome = Setup().attempt(SendingForbidden("scripted"))
     assert outcome is AttemptOutcome.WITHHELD
     assert not outcome.arrived
     assert not outcome.may_have_run
--- a/tests/permits/test_warmup.py
+++ b/tests/permits/test_warmup.py
@@ -1,4 +1,4 @@
-"""Who is not known to be warm is cold, and nobody else."""
+"""Replicas that are not known to be warm, and only these, are treated as cold."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 RECORD = ReplicaRecord(instance="i-1", service="s", address="127.0.0.1:1", zone="zone-1")
 
 
-class Knowing:
-    """What a box knows whose clock, rows and evacuations are set by hand."""
+class Setup:
+    """A tracker with a clock, rows and evacuations set by hand."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.now = 100.0
@@ -54,154 +54,154 @@
 
 
 @pytest.fixture
-def knowing(monkeypatch: pytest.MonkeyPatch) -> Knowing:
-    return Knowing(monkeypatch)
+def setup(monkeypatch: pytest.MonkeyPatch) -> Setup:
+    return Setup(monkeypatch)
 
 
-def test_a_steady_replica_is_warm_however_old_the_rows_are(knowing: Knowing) -> None:
-    knowing.rows_age_s = 60.0
-    assert not knowing.cold
-    knowing.succeed()
-    assert not knowing.cold
-    assert knowing.reported == []
+def test_a_replica_without_failures_is_warm_however_old_the_rows_are(setup: Setup) -> None:
+    setup.rows_age_s = 60.0
+    assert not setup.cold
+    setup.succeed()
+    assert not setup.cold
+    assert setup.reported == []
 
 
-def test_a_replica_is_cold_for_as_long_as_its_row_said_when_it_was_read(knowing: Knowing) -> None:
-    knowing.read(cold_s=3.0, sequence=1)
-    assert knowing.cold
-    knowing.now += 2.0
-    knowing.read(cold_s=3.0, sequence=1, leaving=True)
-    assert knowing.cold, "the same word, told again"
-    knowing.now += 1.0
-    assert not knowing.cold
+def test_a_replica_is_cold_for_as_long_as_its_row_said_when_it_was_read(setup: Setup) -> None:
+    setup.read(cold_s=3.0, sequence=1)
+    assert setup.cold
+    setup.now += 2.0
+    setup.read(cold_s=3.0, sequence=1, leaving=True)
+    assert setup.cold, "the cold time is unchanged and runs since it was first read"
+    setup.now += 1.0
+    assert not setup.cold
 
 
-def test_a_later_row_counts(knowing: Knowing) -> None:
-    knowing.read(cold_s=3.0, sequence=1)
-    knowing.read(cold_s=0.0, sequence=2)
-    assert not knowing.cold
-    knowing.read(cold_s=5.0, sequence=3)
-    assert knowing.cold
-    assert knowing.warmup.cold_count == 1
+def test_a_later_row_replaces_an_earlier_one(setup: Setup) -> None:
+    setup.read(cold_s=3.0, sequence=1)
+    setup.read(cold_s=0.0, sequence=2)
+    assert not setup.cold
+    setup.read(cold_s=5.0, sequence=3)
+    assert setup.cold
+    assert setup.warmup.cold_count == 1
 
 
-def test_a_replica_that_was_never_read_is_what_its_record_says(knowing: Knowing) -> None:
+def test_a_replica_whose_row_was_not_applied_is_as_cold_as_its_record_says(setup: Setup) -> None:
     other = msgspec.structs.replace(RECORD, instance="i-2", cold_s=1.0)
-    assert knowing.warmup.is_cold(other)
+    assert setup.warmup.is_cold(other)
 
 
-def test_a_service_without_slow_start_is_never_cold(knowing: Knowing) -> None:
-    knowing.read(service="plain", cold_s=3.0)
-    knowing.fail()
-    assert not knowing.cold
-    assert knowing.reported == []
+def test_a_service_without_slow_start_is_never_cold(setup: Setup) -> None:
+    setup.read(service="plain", cold_s=3.0)
+    setup.fail()
+    assert not setup.cold
+    assert setup.reported == []
 
 
-def test_a_failed_replica_is_in_doubt_until_rows_tell_of_the_time_after_it_answered(
-    knowing: Knowing,
+def test_a_failed_replica_is_suspected_until_rows_reflect_the_time_of_its_answer(
+    setup: Setup,
 ) -> None:
-    knowing.fail(refused=False)
-    knowing.now += 5.0
-    assert knowing.cold, "it may come back any moment"
-    knowing.succeed()
-    knowing.now += ROW_DELAY_S
-    knowing.rows_age_s = 0.5
-    assert knowing.cold, "rows are not known as of then"
-    knowing.rows_age_s = 0.0
-    assert not knowing.cold
-    assert knowing.reported == [], "it may be the trouble of this box's link"
-
-
-def test_an_answer_to_what_was_sent_before_the_failure_says_nothing(knowing: Knowing) -> None:
-    sent_at = knowing.now
-    knowing.now += 0.5
-    knowing.fail()
-    knowing.now += 0.1
-    knowing.succeed(sent_at=sent_at)
-    knowing.now += ROW_DELAY_S
-    assert knowing.cold
-
-
-def test_a_row_that_tells_of_a_return_is_believed_though_doubt_has_ended(knowing: Knowing) -> None:
-    knowing.fail()
-    knowing.succeed()
-    knowing.now += 2.0
-    knowing.read(cold_s=6.0, sequence=1)
-    knowing.now += 4.0
-    assert knowing.cold
-
-
-def test_time_alone_ends_a_doubt_once_the_replica_has_answered(knowing: Knowing) -> None:
-    knowing.rows_age_s = 1000.0
-    knowing.fail()
-    knowing.now += 100.0
-    assert knowing.cold, "it may be down yet"
-    knowing.succeed()
-    knowing.now += LASTS_S
-    assert knowing.cold
-    knowing.now += 0.6
-    assert not knowing.cold
-
-
-def test_time_alone_ends_the_doubt_after_an_evacuation(knowing: Knowing) -> None:
-    knowing.rows_age_s = 1000.0
-    knowing.ended_at = knowing.now
-    knowing.now += LASTS_S
-    assert knowing.cold
-    knowing.now += 0.6
-    assert not knowing.cold
-
-
-def test_an_evacuated_zone_that_is_taken_back_is_in_doubt_until_its_rows_are_known(
-    knowing: Knowing,
+    setup.fail(refused=False)
+    setup.now += 5.0
+    assert setup.cold, "it may come back at any moment"
+    setup.succeed()
+    setup.now += ROW_DELAY_S
+    setup.rows_age_s = 0.5
+    assert setup.cold, "the rows are older than that"
+    setup.rows_age_s = 0.0
+    assert not setup.cold
+    assert setup.reported == [], "the failure may be that of this box's link"
+
+
+def test_an_answer_to_a_request_sent_before_the_failure_is_ignored(setup: Setup) -> None:
+    sent_at = setup.now
+    setup.now += 0.5
+    setup.fail()
+    setup.now += 0.1
+    setup.succeed(sent_at=sent_at)
+    setup.now += ROW_DELAY_S
+    assert setup.cold
+
+
+def test_a_row_that_reports_a_cold_start_counts_after_the_suspicion_has_ended(setup: Setup) -> None:
+    setup.fail()
+    setup.succeed()
+    setup.now += 2.0
+    setup.read(cold_s=6.0, sequence=1)
+    setup.now += 4.0
+    assert setup.cold
+
+
+def test_a_suspicion_expires_once_the_replica_has_answered(setup: Setup) -> None:
+    setup.rows_age_s = 1000.0
+    setup.fail()
+    setup.now += 100.0
+    assert setup.cold, "it may still be down"
+    setup.succeed()
+    setup.now += LASTS_S
+    assert setup.cold
+    setup.now += 0.6
+    assert not setup.cold
+
+
+def test_the_suspicion_after_an_evacuation_expires(setup: Setup) -> None:
+    setup.rows_age_s = 1000.0
+    setup.ended_at = setup.now
+    setup.now += LASTS_S
+    assert setup.cold
+    setup.now += 0.6
+    assert not setup.cold
+
+
+def test_replicas_of_an_evacuated_zone_are_suspected_until_newer_rows_are_read(
+    setup: Setup,
 ) -> None:
-    knowing.ended_at = knowing.now
-    assert knowing.cold
-    knowing.now += ROW_DELAY_S
-    knowing.rows_age_s = 0.1
-    assert knowing.cold
-    knowing.rows_age_s = 0.0
-    assert not knowing.cold
-
-
-def test_a_refused_connection_is_told_and_so_is_the_answer_after_it(knowing: Knowing) -> None:
-    knowing.fail()
-    assert knowing.warmup.suspected("zone-1") == ("i-1",)
-    assert knowing.warmup.suspected("zone-2") == ()
-    knowing.succeed()
-    knowing.succeed()
-    assert knowing.reported == [("i-1", False), ("i-1", True)]
-    knowing.now += ROW_DELAY_S
-    assert knowing.warmup.suspected("zone-1") == ()
-
-
-def test_a_placer_learns_of_another_box_s_failure_and_tells_all(knowing: Knowing) -> None:
-    knowing.warmup.apply_observation("i-1", answered=False)
-    assert knowing.cold
-    assert knowing.warmup.suspected("zone-1") == ("i-1",)
-    knowing.warmup.apply_observation("i-1", answered=True)
-    knowing.now += ROW_DELAY_S
-    assert not knowing.cold
-    assert knowing.reported == []
-
-
-def test_what_the_placer_doubts_is_cold_until_it_tells_otherwise_or_falls_silent(
-    knowing: Knowing,
+    setup.ended_at = setup.now
+    assert setup.cold
+    setup.now += ROW_DELAY_S
+    setup.rows_age_s = 0.1
+    assert setup.cold
+    setup.rows_age_s = 0.0
+    assert not setup.cold
+
+
+def test_a_refused_connection_and_the_next_answer_are_reported(setup: Setup) -> None:
+    setup.fail()
+    assert setup.warmup.suspected("zone-1") == ("i-1",)
+    assert setup.warmup.suspected("zone-2") == ()
+    setup.succeed()
+    setup.succeed()
+    assert setup.reported == [("i-1", False), ("i-1", True)]
+    setup.now += ROW_DELAY_S
+    assert setup.warmup.suspected("zone-1") == ()
+
+
+def test_a_placer_suspects_a_replica_that_another_box_reports_as_failed(setup: Setup) -> None:
+    setup.warmup.apply_observation("i-1", answered=False)
+    assert setup.cold
+    assert setup.warmup.suspected("zone-1") == ("i-1",)
+    setup.warmup.apply_observation("i-1", answered=True)
+    setup.now += ROW_DELAY_S
+    assert not setup.cold
+    assert setup.reported == []
+
+
+def test_a_replica_suspected_by_the_placer_is_cold_until_the_report_ends_or_expires(
+    setup: Setup,
 ) -> None:
-    knowing.warmup.apply_suspected("zone-1", ("i-1",))
-    assert knowing.cold
-    knowing.now += 0.2
-    knowing.succeed()
-    assert knowing.reported == [("i-1", True)]
-    knowing.warmup.apply_suspected("zone-1", ())
-    assert not knowing.cold
-    knowing.warmup.apply_suspected("zone-1", ("i-1",))
-    knowing.now += 2.0
-    assert not knowing.cold
-
-
-def test_a_replica_that_is_gone_is_forgotten(knowing: Knowing) -> None:
-    knowing.fail()
-    knowing.warmup.apply_record(None, "i-1")
-    assert knowing.warmup.suspected("zone-1") == ()
-    assert knowing.warmup.cold_count == 0
+    setup.warmup.apply_suspected("zone-1", ("i-1",))
+    assert setup.cold
+    setup.now += 0.2
+    setup.succeed()
+    assert setup.reported == [("i-1", True)]
+    setup.warmup.apply_suspected("zone-1", ())
+    assert not setup.cold
+    setup.warmup.apply_suspected("zone-1", ("i-1",))
+    setup.now += 2.0
+    assert not setup.cold
+
+
+def test_a_replica_that_is_gone_is_forgotten(setup: Setup) -> None:
+    setup.fail()
+    setup.warmup.apply_record(None, "i-1")
+    assert setup.warmup.suspected("zone-1") == ()
+    assert setup.warmup.cold_count == 0
--- a/tests/quarantine/test_book.py
+++ b/tests/quarantine/test_book.py
@@ -1,4 +1,4 @@
-"""Which requests are quarantined, by what was reported of crashes."""
+"""Which requests are quarantined, given the reports of crashes."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from springrock.quarantine.terms import QuarantineTerms
 from springrock.rows import Row
 
-GUILTY = Fingerprint("a" * 32)
+CRASHING = Fingerprint("a" * 32)
 OTHER = Fingerprint("b" * 32)
 TERMS = QuarantineTerms(crashes=3, for_s=900.0)
 
 
 class Clock:
-    """A clock that tests move."""
+    """A clock set by hand."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -51,126 +51,128 @@
 
 def test_a_request_is_quarantined_with_the_third_crash_and_no_other_is(book: CrashBook) -> None:
     for number in range(2):
-        book.change(row(number, GUILTY, OTHER))
-    assert book.quarantined_for_s(GUILTY) is None
-    book.change(row(2, GUILTY))
-    assert book.quarantined_for_s(GUILTY) == TERMS.for_s
+        book.change(row(number, CRASHING, OTHER))
+    assert book.quarantined_for_s(CRASHING) is None
+    book.change(row(2, CRASHING))
+    assert book.quarantined_for_s(CRASHING) == TERMS.for_s
     assert book.quarantined_for_s(OTHER) is None
     assert book.quarantined_count == 1
 
 
-def test_what_one_more_crash_would_convict_gets_no_retry(book: CrashBook) -> None:
-    assert book.may_be_retried(GUILTY)
-    book.change(row(0, GUILTY))
-    assert book.may_be_retried(GUILTY)
-    book.change(row(1, GUILTY))
-    assert not book.may_be_retried(GUILTY)
-    assert book.quarantined_for_s(GUILTY) is None, "a new try may run once"
+def test_a_request_that_one_more_crash_would_quarantine_is_not_retried(book: CrashBook) -> None:
+    assert book.may_be_retried(CRASHING)
+    book.change(row(0, CRASHING))
+    assert book.may_be_retried(CRASHING)
+    book.change(row(1, CRASHING))
+    assert not book.may_be_retried(CRASHING)
+    assert book.quarantined_for_s(CRASHING) is None, "a new request may run once"
 
 
-def test_a_crash_that_several_boxes_saw_is_one(book: CrashBook) -> None:
+def test_a_crash_that_several_boxes_report_counts_once(book: CrashBook) -> None:
     for number in range(5):
-        book.change(row(number, GUILTY, instance="i-1"))
-    book.change(row(5, GUILTY, instance="i-2"))
-    assert book.quarantined_for_s(GUILTY) is None
+        book.change(row(number, CRASHING, instance="i-1"))
+    book.change(row(5, CRASHING, instance="i-2"))
+    assert book.quarantined_for_s(CRASHING) is None
 
 
-def test_what_this_box_saw_counts_at_once_and_not_again_when_its_row_is_read(
+def test_an_own_report_counts_at_once_and_not_again_when_its_row_is_read(
     book: CrashBook,
 ) -> None:
     for number in range(2):
-        book.hold(f"crash/{number}", report(f"i-{number}", GUILTY))
-        book.change(row(number, GUILTY))
-    assert book.quarantined_for_s(GUILTY) is None
-    book.hold("crash/2", report("i-2", GUILTY))
-    assert book.quarantined_for_s(GUILTY) is not None
+        book.hold(f"crash/{number}", report(f"i-{number}", CRASHING))
+        book.change(row(number, CRASHING))
+    assert book.quarantined_for_s(CRASHING) is None
+    book.hold("crash/2", report("i-2", CRASHING))
+    assert book.quarantined_for_s(CRASHING) is not None
 
 
-def test_what_is_withdrawn_was_no_crash(book: CrashBook) -> None:
+def test_a_withdrawn_report_does_not_count(book: CrashBook) -> None:
     for number in range(3):
-        book.hold(f"crash/{number}", report(f"i-{number}", GUILTY))
+        book.hold(f"crash/{number}", report(f"i-{number}", CRASHING))
     book.withdraw("crash/1")
-    assert book.quarantined_for_s(GUILTY) is None
+    assert book.quarantined_for_s(CRASHING) is None
 
 
-def test_it_is_tried_again_when_so_many_crashes_have_lapsed(book: CrashBook, clock: Clock) -> None:
+def test_the_quarantine_ends_when_enough_crashes_have_expired(
+    book: CrashBook, clock: Clock
+) -> None:
     for number in range(4):
-        book.change(row(number, GUILTY))
+        book.change(row(number, CRASHING))
         clock.now += 100.0
-    # With the second of four lapsed two are left.
-    assert book.quarantined_for_s(GUILTY) == TERMS.for_s - 300.0
+    # Two are left once the second of the four has expired.
+    assert book.quarantined_for_s(CRASHING) == TERMS.for_s - 300.0
     clock.now += TERMS.for_s - 300.0
-    assert book.quarantined_for_s(GUILTY) is None
+    assert book.quarantined_for_s(CRASHING) is None
     assert book.quarantined_count == 0
 
 
-def test_a_run_to_a_good_end_takes_back_what_was_held_against_it(book: CrashBook) -> None:
+def test_a_completed_run_clears_the_crashes_counted_so_far(book: CrashBook) -> None:
     rows = [row(number, OTHER) for number in range(2)]
     book.replace(rows)
     book.record_completion(OTHER)
     rows.append(row(2, OTHER))
     book.replace(rows)
-    assert book.quarantined_for_s(OTHER) is None, "reading the table again brings nothing back"
+    assert book.quarantined_for_s(OTHER) is None, "reading the table again restores nothing"
     for number in (3, 4):
         book.change(row(number, OTHER))
-    assert book.quarantined_for_s(OTHER) is not None, "it crashes what runs it since"
+    assert book.quarantined_for_s(OTHER) is not None, "it has crashed replicas since it completed"
 
 
-def test_what_comes_often_and_runs_well_is_accused_only_by_two_crashes_in_a_row(
+def test_each_completion_exempts_a_request_from_one_crash(
     book: CrashBook,
 ) -> None:
     book.record_completion(OTHER)
-    assert [book.consume_completion(OTHER), book.consume_completion(GUILTY)] == [True, False]
-    assert [book.consume_completion(OTHER), book.consume_completion(GUILTY)] == [False, False]
+    assert [book.consume_completion(OTHER), book.consume_completion(CRASHING)] == [True, False]
+    assert [book.consume_completion(OTHER), book.consume_completion(CRASHING)] == [False, False]
     book.record_completion(OTHER)
     assert book.consume_completion(OTHER)
 
 
-def test_a_row_that_an_operator_removes_releases_its_requests(book: CrashBook) -> None:
+def test_removing_a_row_releases_its_requests(book: CrashBook) -> None:
     for number in range(3):
-        book.change(row(number, GUILTY))
+        book.change(row(number, CRASHING))
     book.remove("crash/1")
-    assert book.quarantined_for_s(GUILTY) is None
+    assert book.quarantined_for_s(CRASHING) is None
     book.remove("crash/unknown")
 
 
-def test_a_whole_table_forgets_what_is_gone_but_not_what_is_yet_to_be_written(
+def test_a_full_read_drops_reports_that_are_gone_but_not_unwritten_ones(
     book: CrashBook,
 ) -> None:
     for number in range(2):
-        book.change(row(number, GUILTY))
-    book.hold("crash/9", report("i-9", GUILTY))
-    book.replace([row(1, GUILTY)])
-    book.change(row(2, GUILTY))
-    assert book.quarantined_for_s(GUILTY) is not None, "i-1, i-2 and i-9"
+        book.change(row(number, CRASHING))
+    book.hold("crash/9", report("i-9", CRASHING))
+    book.replace([row(1, CRASHING)])
+    book.change(row(2, CRASHING))
+    assert book.quarantined_for_s(CRASHING) is not None, "i-1, i-2 and i-9"
     book.replace([])
-    assert book.quarantined_for_s(GUILTY) is None
+    assert book.quarantined_for_s(CRASHING) is None
 
 
 @pytest.mark.parametrize("value", [b"\xff", b"{}", b'{"box":1,"instance":"i","requests":["x"]}'])
-def test_a_row_that_is_no_report_accuses_nobody(book: CrashBook, value: bytes) -> None:
+def test_a_malformed_row_is_ignored(book: CrashBook, value: bytes) -> None:
     book.change(Row("crash/1", value, 7))
     book.replace([Row("crash/1", value, 7)])
     assert book.quarantined_count == 0
 
 
-def test_a_box_holds_no_more_than_so_many_reports(
+def test_a_box_holds_a_limited_number_of_reports(
     book: CrashBook, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(book_module, "_MAX_HELD", 3)
     for number in range(3):
-        book.hold(f"crash/{number}", report(f"i-{number}", GUILTY))
-    assert book.quarantined_for_s(GUILTY) is not None
+        book.hold(f"crash/{number}", report(f"i-{number}", CRASHING))
+    assert book.quarantined_for_s(CRASHING) is not None
     book.hold("crash/3", report("i-3", OTHER))
-    assert book.quarantined_for_s(GUILTY) is None, "the oldest went"
+    assert book.quarantined_for_s(CRASHING) is None, "the oldest was dropped"
 
 
-def test_old_rows_and_those_beyond_the_bound_may_go(book: CrashBook, clock: Clock) -> None:
-    book.change(row(0, GUILTY))
+def test_old_rows_and_those_beyond_the_limit_are_stale(book: CrashBook, clock: Clock) -> None:
+    book.change(row(0, CRASHING))
     clock.now += 50.0
     for number in range(1, MAX_REPORTS + 3):
         book.change(row(number, OTHER))
-    book.hold("crash/unwritten", report("i", GUILTY))
+    book.hold("crash/unwritten", report("i", CRASHING))
     assert [item.key for item in book.stale(older_than_s=100.0)] == [
         f"crash/{number}" for number in range(3)
     ]
--- a/tests/quarantine/test_report.py
+++ b/tests/quarantine/test_report.py
@@ -1,4 +1,4 @@
-"""Rows of crash reports, whoever wrote them."""
+"""Decoding rows of crash reports, well-formed or not."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
 
 @given(st.binary(max_size=80) | (anything | fields).map(msgspec.json.encode))
-def test_any_row_is_read_as_a_report_or_as_none(value: bytes) -> None:
+def test_any_row_decodes_to_a_report_or_none(value: bytes) -> None:
     report = report_from(Row("crash/1", value, 1))
     for fingerprint in [] if report is None else report.fingerprints:
         assert len(fingerprint) == DIGITS
 
 
-def test_a_report_of_too_many_requests_is_none() -> None:
+def test_a_report_with_too_many_requests_is_malformed() -> None:
     report = CrashReport("box-1", "i-1", ["a" * DIGITS] * (MAX_REQUESTS + 1))
     assert report_from(Row("crash/1", msgspec.json.encode(report), 1)) is None
 
 
-def test_no_two_reports_have_one_key() -> None:
+def test_keys_of_reports_are_unique() -> None:
     assert len({new_key() for _ in range(100)}) == 100
--- a/tests/quarantine/test_reporter.py
+++ b/tests/quarantine/test_reporter.py
@@ -1,4 +1,4 @@
-"""How reports come into the store, and go from it."""
+"""How crash reports are written to the store, and removed from it."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ScriptedStore:
-    """Keeps rows; fails as often as it is told, before or after it has written."""
+    """Keeps rows; fails `fails` times before and `loses_answers` times after a write."""
 
     def __init__(self) -> None:
         self.rows: dict[str, Row] = {}
@@ -56,7 +56,7 @@
             raise RowStoreUnavailable("the answer is lost")
 
 
-class Scene:
+class Setup:
     def __init__(self) -> None:
         self.store = ScriptedStore()
         terms = QuarantineTerms(for_s=0.0)
@@ -73,81 +73,81 @@
 
 
 @pytest.fixture
-def scene(monkeypatch: pytest.MonkeyPatch) -> Iterator[Scene]:
+def setup(monkeypatch: pytest.MonkeyPatch) -> Iterator[Setup]:
     monkeypatch.setattr(reporter_module, "_FIRST_RETRY_S", 0.01)
-    scene = Scene()
-    yield scene
-    scene.reporter.stop()
+    setup = Setup()
+    yield setup
+    setup.reporter.stop()
 
 
-def settled(scene: Scene, count: int) -> None:
+def wait_for_rows(setup: Setup, count: int) -> None:
     import gevent
 
     def _is_written() -> bool:
         gevent.sleep(0.01)
-        return len(scene.store.rows) == count and not scene.reporter._waiting
+        return len(setup.store.rows) == count and not setup.reporter._waiting
 
     wait_until(_is_written, within_s=5.0, what=f"{count} reports are written")
 
 
-def test_a_report_is_written_as_it_is_read(scene: Scene) -> None:
-    scene.reporter.publish("crash/1", REPORT)
-    settled(scene, 1)
-    assert report_from(scene.store.rows["crash/1"]) == REPORT
+def test_a_written_report_decodes_to_the_same_report(setup: Setup) -> None:
+    setup.reporter.publish("crash/1", REPORT)
+    wait_for_rows(setup, 1)
+    assert report_from(setup.store.rows["crash/1"]) == REPORT
 
 
 @pytest.mark.parametrize("fault", ["fails", "loses_answers"])
-def test_a_report_is_written_once_however_often_the_store_fails(scene: Scene, fault: str) -> None:
-    setattr(scene.store, fault, 3)
+def test_a_report_is_written_once_however_often_the_store_fails(setup: Setup, fault: str) -> None:
+    setattr(setup.store, fault, 3)
     for number in range(3):
-        scene.reporter.publish(f"crash/{number}", REPORT)
-    settled(scene, 3)
+        setup.reporter.publish(f"crash/{number}", REPORT)
+    wait_for_rows(setup, 3)
 
 
-def test_of_too_many_that_wait_the_oldest_are_given_up(
-    scene: Scene, monkeypatch: pytest.MonkeyPatch
+def test_if_too_many_reports_wait_the_oldest_are_dropped(
+    setup: Setup, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(reporter_module, "_MAX_WAITING", 2)
     for number in range(4):
-        scene.reporter.publish(f"crash/{number}", REPORT)
-    settled(scene, 2)
-    assert set(scene.store.rows) == {"crash/2", "crash/3"}
+        setup.reporter.publish(f"crash/{number}", REPORT)
+    wait_for_rows(setup, 2)
+    assert set(setup.store.rows) == {"crash/2", "crash/3"}
 
 
-def test_own_reports_that_a_returned_store_lacks_are_written_again_at_once(scene: Scene) -> None:
+def test_own_reports_that_a_restored_store_has_lost_are_written_again_at_once(setup: Setup) -> None:
     for number in (1, 2):
-        scene.reporter.publish(f"crash/{number}", REPORT)
-    settled(scene, 2)
-    scene.book.replace([scene.store.rows["crash/1"]])
-    lost = [scene.store.rows.pop(key) for key in ("crash/1", "crash/2")]
-    scene.reporter.write_again(lost[:1])
-    settled(scene, 2)
+        setup.reporter.publish(f"crash/{number}", REPORT)
+    wait_for_rows(setup, 2)
+    setup.book.replace([setup.store.rows["crash/1"]])
+    lost = [setup.store.rows.pop(key) for key in ("crash/1", "crash/2")]
+    setup.reporter.write_again(lost[:1])
+    wait_for_rows(setup, 2)
 
 
-def test_reports_of_a_box_that_is_gone_are_written_again_by_another(
-    scene: Scene, monkeypatch: pytest.MonkeyPatch
+def test_lost_reports_of_a_box_that_is_gone_are_written_again_by_another(
+    setup: Setup, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(reporter_module, "_MIN_REWRITE_DELAY_S", 0.1)
     monkeypatch.setattr(reporter_module, "_MAX_REWRITE_DELAY_S", 0.2)
     value = msgspec.json.encode(CrashReport("box-gone", "i-2", []))
     lost = [Row(f"crash/{number}", value, number) for number in (1, 2)]
-    scene.book.replace(lost)
-    scene.reporter.write_again(lost)
-    # The second is read again before it is this box's turn.
-    scene.book.change(Row("crash/2", value, 9))
-    settled(scene, 1)
-    assert set(scene.store.rows) == {"crash/1"}
+    setup.book.replace(lost)
+    setup.reporter.write_again(lost)
+    # The second one is read before this box's delay has passed.
+    setup.book.change(Row("crash/2", value, 9))
+    wait_for_rows(setup, 1)
+    assert set(setup.store.rows) == {"crash/1"}
 
 
-def test_old_rows_are_removed_whoever_wrote_them(scene: Scene) -> None:
+def test_old_rows_are_removed_whoever_wrote_them(setup: Setup) -> None:
     fingerprint = str(Fingerprint("b" * 32))
     value = msgspec.json.encode(CrashReport("box-gone", "i-2", [fingerprint]))
     for number in (1, 2):
-        scene.store.rows[f"crash/{number}"] = Row(f"crash/{number}", value, number)
-    scene.book.replace(list(scene.store.rows.values()))
-    scene.store.rows.pop("crash/1")
-    scene.store.fails = 1
-    scene.reporter.sweep()
-    assert set(scene.store.rows) == {"crash/2"}, "the store did not answer"
-    scene.reporter.sweep()
-    assert scene.store.rows == {}, "that another box was first is no matter"
+        setup.store.rows[f"crash/{number}"] = Row(f"crash/{number}", value, number)
+    setup.book.replace(list(setup.store.rows.values()))
+    setup.store.rows.pop("crash/1")
+    setup.store.fails = 1
+    setup.reporter.sweep()
+    assert set(setup.store.rows) == {"crash/2"}, "the store did not answer"
+    setup.reporter.sweep()
+    assert setup.store.rows == {}, "a row that another box has removed is no error"
