--- a/tests/quarantine/test_quarantine_model.py
+++ b/tests/quarantine/test_quarantine_model.py
@@ -1,7 +1,8 @@
-"""Any order of crashes, reports, readings, relays and restarts: who knows, sends it to no more.
+"""A box that knows of enough crashes quarantines the request, under any order of events.
 
-Boxes send a request that crashes what runs it, and others that ran beside it; the reports of the
-crashes reach the store late or never, and the boxes in any order.
+Boxes send a request that crashes the replica running it, together with other requests. Reports of
+the crashes reach the store late or never, and the boxes in any order; boxes relay what they read,
+and restart.
 """
 
 from __future__ import annotations
@@ -27,15 +28,15 @@
 from springrock.table_follower import TableFollower
 
 TERMS = QuarantineTerms(crashes=3, for_s=60.0)
-GUILTY = Fingerprint("f" * 32)
-BESIDE = [Fingerprint(f"{number:032x}") for number in range(3)]
+CRASHING = Fingerprint("f" * 32)
+OTHERS = [Fingerprint(f"{number:032x}") for number in range(3)]
 BOXES = 3
-GRAIN_S = 1e-6
-"""What sums of floating numbers are off by."""
+ROUNDING_S = 1e-6
+"""Tolerance for the rounding of floating-point sums."""
 
 
 class World:
-    """The clock, the store's rows, and what really happened."""
+    """The clock, the store, and the crashes that really happened."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -58,12 +59,12 @@
         self.history.append(Removed(key, self.version))
 
     def reports(self) -> dict[str, CrashReport]:
-        """The reports that stand in the store, by their keys."""
+        """Return the reports in the store, by key."""
         return {
             key: msgspec.json.decode(row.value, type=CrashReport) for key, row in self.rows.items()
         }
 
-    # What a box asks of the store.
+    # The interface of the store.
 
     def read_all(self, table: str) -> Snapshot:
         return Snapshot(list(self.rows.values()), self.version, self.now)
@@ -77,7 +78,7 @@
 
 
 class Box:
-    """What one box knows, and what it has yet to write."""
+    """One box with its book, its table follower and its unwritten reports."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -85,7 +86,7 @@
         self.start()
 
     def start(self) -> None:
-        """Start anew, knowing nothing; what was not written is lost."""
+        """Start, or restart, with no reports; unwritten ones are lost."""
         self.unwritten: dict[str, CrashReport] = {}
         self.learned_at: dict[str, float] = {}
         self.book = CrashBook(terms=lambda: TERMS, log=Log("test", "box"))
@@ -101,22 +102,22 @@
         self.follower.sharing = lambda: True
         self.follower.shared_with = lambda reading, is_own: self.shared.append(reading)
 
-    def send(self, beside: int) -> str | None:
-        """Send the guilty request if it may be sent; a replica crashes with what ran beside."""
-        if self.book.quarantined_for_s(GUILTY) is not None:
+    def send(self, other_count: int) -> str | None:
+        """Send the crashing request and some others to a replica, unless it is quarantined."""
+        if self.book.quarantined_for_s(CRASHING) is not None:
             return None
         self.world.instances += 1
         instance = f"i-{self.world.instances}"
-        self.crash_detector(instance, [GUILTY, *BESIDE[:beside]])
+        self.observe_crash(instance, [CRASHING, *OTHERS[:other_count]])
         return instance
 
-    def crash_detector(self, instance: str, requests: list[Fingerprint]) -> None:
-        """See a replica crash under some requests of this box."""
+    def observe_crash(self, instance: str, requests: list[Fingerprint]) -> None:
+        """Count the crash of a replica against some requests of this box."""
         for fingerprint in requests:
             self.world.crashes_of.setdefault(fingerprint, set()).add(instance)
-        accused = [str(item) for item in requests if not self.book.consume_completion(item)]
+        counted = [str(item) for item in requests if not self.book.consume_completion(item)]
         key = new_key()
-        self.unwritten[key] = CrashReport("box", instance, accused)
+        self.unwritten[key] = CrashReport("box", instance, counted)
         self.book.hold(key, self.unwritten[key])
         self.learned_at[key] = self.world.now
 
@@ -126,7 +127,7 @@
         self.unwritten = {}
 
     def read(self) -> None:
-        """Ask the store once, as the follower does."""
+        """Let the follower ask the store once."""
         try:
             self.follower._step()
         except HistoryGone:
@@ -135,11 +136,11 @@
         for key in self.world.rows:
             self.learned_at.setdefault(key, self.world.now)
 
-    def knows(self) -> int:
-        """How many crashes of the guilty request it has surely read or seen, and not forgotten.
+    def known_crashes(self) -> int:
+        """Return how many crashes of the crashing request this box certainly knows of.
 
-        Known is a row, not a crash: of one whose row it saw removed it may yet have to read that
-        another box has reported it as well.
+        Rows are counted, not crashes: if the box saw the row of a crash removed, it may not have
+        read yet that another box has reported the same crash.
         """
         horizon = self.world.now - TERMS.for_s
         existing = {**self.world.reports(), **self.unwritten}
@@ -147,29 +148,33 @@
             {
                 existing[key].instance
                 for key, at in self.learned_at.items()
-                if at > horizon and key in existing and GUILTY in existing[key].requests
+                if at > horizon and key in existing and CRASHING in existing[key].requests
             }
         )
 
     def check(self) -> None:
-        if self.knows() >= TERMS.crashes:
-            assert self.book.quarantined_for_s(GUILTY) is not None, "who knows, refuses"
-        for fingerprint in (GUILTY, *BESIDE):
+        if self.known_crashes() >= TERMS.crashes:
+            assert self.book.quarantined_for_s(CRASHING) is not None, (
+                "a box that knows of enough crashes refuses the request"
+            )
+        for fingerprint in (CRASHING, *OTHERS):
             if len(self.world.crashes_of.get(fingerprint, ())) < TERMS.crashes:
-                assert self.book.quarantined_for_s(fingerprint) is None, "nobody for less"
-        left_s = self.book.quarantined_for_s(GUILTY)
-        assert left_s is None or 0 < left_s <= TERMS.for_s + GRAIN_S
+                assert self.book.quarantined_for_s(fingerprint) is None, (
+                    "fewer crashes quarantine no request"
+                )
+        left_s = self.book.quarantined_for_s(CRASHING)
+        assert left_s is None or 0 < left_s <= TERMS.for_s + ROUNDING_S
 
 
 boxes = st.integers(min_value=0, max_value=BOXES - 1)
-sends = st.tuples(boxes, st.integers(min_value=0, max_value=len(BESIDE)), boxes)
+sends = st.tuples(boxes, st.integers(min_value=0, max_value=len(OTHERS)), boxes)
 steps = st.one_of(
     st.tuples(st.just("try"), sends),
     st.tuples(st.just("send"), sends),
     st.tuples(st.just("write"), boxes),
     st.tuples(st.just("read"), boxes),
     st.tuples(st.just("tell"), boxes, boxes, st.integers(min_value=0, max_value=5)),
-    st.tuples(st.just("ran_well"), boxes, st.integers(min_value=0, max_value=len(BESIDE) - 1)),
+    st.tuples(st.just("ran_well"), boxes, st.integers(min_value=0, max_value=len(OTHERS) - 1)),
     st.tuples(st.just("restart"), boxes),
     st.tuples(st.just("drop_history")),
     st.tuples(st.just("remove_oldest")),
@@ -177,30 +182,30 @@
 )
 
 
-def take(world: World, of_world: list[Box], step: tuple[Any, ...]) -> None:
+def apply_step(world: World, boxes_of_world: list[Box], step: tuple[Any, ...]) -> None:
     match step:
-        case ("send", (number, beside, other)):
-            instance = of_world[number].send(beside)
+        case ("send", (number, other_count, other)):
+            instance = boxes_of_world[number].send(other_count)
             if instance is not None and other != number:
-                # The same request came to two boxes, and both had sent it to this replica.
-                of_world[other].crash_detector(instance, [GUILTY])
-        case ("try", (number, beside, other)):
-            of_world[number].read()
-            take(world, of_world, ("send", (number, beside, other)))
-            of_world[number].write()
-            of_world[other].write()
+                # Two boxes had received the same request, and both had sent it to this replica.
+                boxes_of_world[other].observe_crash(instance, [CRASHING])
+        case ("try", (number, other_count, other)):
+            boxes_of_world[number].read()
+            apply_step(world, boxes_of_world, ("send", (number, other_count, other)))
+            boxes_of_world[number].write()
+            boxes_of_world[other].write()
         case ("write", number):
-            of_world[number].write()
+            boxes_of_world[number].write()
         case ("read", number):
-            of_world[number].read()
-        case ("tell", number, source_zone, back):
-            reported = of_world[source_zone].shared
-            if back < len(reported) and number != source_zone:
-                of_world[number].follower.apply_reading(reported[len(reported) - 1 - back])
-        case ("ran_well", number, beside):
-            of_world[number].book.record_completion(BESIDE[beside])
+            boxes_of_world[number].read()
+        case ("tell", number, source, age):
+            readings = boxes_of_world[source].shared
+            if age < len(readings) and number != source:
+                boxes_of_world[number].follower.apply_reading(readings[len(readings) - 1 - age])
+        case ("ran_well", number, other_count):
+            boxes_of_world[number].book.record_completion(OTHERS[other_count])
         case ("restart", number):
-            of_world[number].start()
+            boxes_of_world[number].start()
         case ("drop_history",):
             world.is_history_gone = True
         case ("remove_oldest",):
@@ -216,41 +221,41 @@
     ("remove_oldest",),
     ("try", (0, 0, 1)),
 ]
-"""Two boxes saw a crash: the row of the one is removed before the other has written its own."""
+"""Two boxes observe a crash; the row of one is removed before the other has written its own."""
 
 
 @settings(max_examples=400, deadline=None)
 @given(st.lists(steps, max_size=40))
 @example(REPORTED_AGAIN)
-def test_who_knows_of_three_crashes_sends_it_no_more_and_nobody_is_refused_for_less(
-    taken: list[tuple[Any, ...]],
+def test_a_request_is_quarantined_where_three_crashes_are_known_and_never_for_fewer(
+    events: list[tuple[Any, ...]],
 ) -> None:
     world = World()
     with pytest.MonkeyPatch.context() as patch:
         for module in (book_module, follower_module, store_clock_module):
             patch.setattr(module, "monotonic", lambda: world.now)
-        of_world = [Box(world) for _ in range(BOXES)]
-        for step in taken:
-            take(world, of_world, step)
-            for box in of_world:
+        boxes_of_world = [Box(world) for _ in range(BOXES)]
+        for step in events:
+            apply_step(world, boxes_of_world, step)
+            for box in boxes_of_world:
                 box.check()
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.tuples(boxes, st.booleans()), min_size=10, max_size=30))
-def test_whoever_sends_it_few_replicas_end_if_reports_are_read_between_the_tries(
-    taken: list[tuple[int, bool]],
+def test_no_more_than_three_replicas_crash_if_reports_are_read_between_the_attempts(
+    attempts: list[tuple[int, bool]],
 ) -> None:
-    """Each try is at any box, which may have started anew before; the others read meanwhile."""
+    """Each attempt is at any box, which may have restarted and reads the reports first."""
     world = World()
     with pytest.MonkeyPatch.context() as patch:
         for module in (book_module, follower_module, store_clock_module):
             patch.setattr(module, "monotonic", lambda: world.now)
-        of_world = [Box(world) for _ in range(BOXES)]
-        for number, is_new in taken:
+        boxes_of_world = [Box(world) for _ in range(BOXES)]
+        for number, is_new in attempts:
             if is_new:
-                of_world[number].start()
-            of_world[number].read()
-            of_world[number].send(0)
-            of_world[number].write()
+                boxes_of_world[number].start()
+            boxes_of_world[number].read()
+            boxes_of_world[number].send(0)
+            boxes_of_world[number].write()
     assert world.instances == TERMS.crashes
--- a/tests/quarantine/test_ways.py
+++ b/tests/quarantine/test_ways.py
@@ -1,8 +1,8 @@
-"""Ways of holding crashes against requests, played in virtual time on the same requests.
+"""Compares policies for counting crashes against requests, in virtual time on the same requests.
 
-Engines run requests of many adapters, each of which stands at two of them. Some engines crash by
-themselves; one request crashes each engine that begins to run it and comes again and again. Each
-way is judged by the engines that end, and by the other requests that are not served.
+Engines run requests of many adapters, each of which is loaded on two of them. Some engines crash
+for other reasons; one request crashes every engine that starts to run it, and is sent repeatedly.
+Each policy is measured by the engines that crash and by the other requests that are not served.
 """
 
 from __future__ import annotations
@@ -29,37 +29,37 @@
 RUNS_S = 1.2
 BEGINS_S = 0.3
 CRASHES_AFTER_S = 0.04
-BACK_AFTER_S = 3.5
+RESTART_S = 3.5
 LENGTH_S = 60.0
 ATTEMPTS = 2
 TRIES = 2
-RETURNS_S = 0.3
-TOLD_AFTER_S = 0.7
-"""What a report takes to be known to all boxes: 0.2 s of waiting, and to be read and told."""
+RETRY_DELAY_S = 0.3
+REPORT_DELAY_S = 0.7
+"""How long until all boxes know a report: 0.2 s to confirm the crash, then writing and reading."""
 
 NEVER = 10**9
 
-GUILTY = Fingerprint("f" * 32)
+CRASHING = Fingerprint("f" * 32)
 
 
-class Way(NamedTuple):
-    """How crashes are held against requests.
+class Policy(NamedTuple):
+    """How crashes are counted against requests.
 
     Attributes:
-        crashes: Under so many crashes a request is sent to no more; None for never.
-        retries: With so many or more of them it gets no second attempt of its try; None to go by
-            the book, which gives none to what one more crash would convict.
+        crashes: How many crashes quarantine a request; None to never quarantine.
+        retries: From how many crashes on a request gets no second attempt; None for the rule of
+            `CrashBook`, which allows none if one more crash would quarantine the request.
     """
 
     crashes: int | None
     retries: int | None = NEVER
 
 
-class Play(NamedTuple):
-    """What came of a play.
+class Outcome(NamedTuple):
+    """The outcome of a simulation.
 
     Attributes:
-        crashed: How many engines ended.
+        crashed: How many engines crashed.
         refused: How many other requests were refused for crashes at least once.
         lost: How many other requests were not served.
         sent: How many other requests there were.
@@ -72,7 +72,7 @@
 
 
 class Engine:
-    """One engine, which ends with all that it runs."""
+    """One engine; when it crashes, all requests that it runs fail."""
 
     def __init__(self, environment: simpy.Environment, number: int) -> None:
         self.number = number
@@ -87,38 +87,38 @@
 
 
 class Fleet:
-    """The engines, what requests do, and what each box holds against them: others' news late."""
+    """The engines, the requests, and the books of the boxes; reports reach other boxes late."""
 
-    def __init__(self, way: Way, seed: int, *, own_crashes_per_s: float) -> None:
-        self.way = way
+    def __init__(self, policy: Policy, seed: int, *, other_crashes_per_s: float) -> None:
+        self.policy = policy
         self.environment = simpy.Environment()
         self.chance = random.Random(seed)
         self.engines = [Engine(self.environment, number) for number in range(ENGINES)]
-        terms = QuarantineTerms(crashes=way.crashes or NEVER)
+        terms = QuarantineTerms(crashes=policy.crashes or NEVER)
         self.books = [CrashBook(terms=lambda: terms, log=Log("test", "b")) for _ in range(BOXES)]
         self.crashed = self.refused = self.lost = self.sent = 0
-        self.environment.process(self._others())
-        self.environment.process(self._guilty())
-        self.environment.process(self._own_crashes(own_crashes_per_s))
+        self.environment.process(self._send_others())
+        self.environment.process(self._send_crashing())
+        self.environment.process(self._crash_engines(other_crashes_per_s))
 
-    def play(self) -> Play:
+    def run(self) -> Outcome:
         self.environment.run(until=LENGTH_S)
-        return Play(self.crashed, self.refused, self.lost, self.sent)
+        return Outcome(self.crashed, self.refused, self.lost, self.sent)
 
-    def _others(self) -> Iterator[Any]:
+    def _send_others(self) -> Iterator[Any]:
         while True:
             yield self.environment.timeout(self.chance.expovariate(PER_S))
             self.sent += 1
             fingerprint = Fingerprint(f"{self.sent:032x}")
             self.environment.process(self._request(fingerprint))
 
-    def _guilty(self) -> Iterator[Any]:
+    def _send_crashing(self) -> Iterator[Any]:
         yield self.environment.timeout(5.0)
         while True:
             yield self.environment.timeout(self.chance.expovariate(1 / 1.5))
-            self.environment.process(self._request(GUILTY))
+            self.environment.process(self._request(CRASHING))
 
-    def _own_crashes(self, per_s: float) -> Iterator[Any]:
+    def _crash_engines(self, per_s: float) -> Iterator[Any]:
         while per_s:
             yield self.environment.timeout(self.chance.expovariate(per_s))
             up = [engine for engine in self.engines if engine.up]
@@ -132,15 +132,15 @@
             if (yield self.environment.process(self._try(fingerprint, adapter, book))):
                 book.record_completion(fingerprint)
                 return
-            yield self.environment.timeout(RETURNS_S)
-        if fingerprint != GUILTY:
+            yield self.environment.timeout(RETRY_DELAY_S)
+        if fingerprint != CRASHING:
             self.lost += 1
 
     def _try(self, fingerprint: Fingerprint, adapter: int, book: CrashBook) -> Iterator[Any]:
         tried: set[int] = set()
         for attempt in range(ATTEMPTS):
             if book.quarantined_for_s(fingerprint) is not None:
-                self.refused += fingerprint != GUILTY
+                self.refused += fingerprint != CRASHING
                 return False
             if attempt and not self._may_be_retried(fingerprint, book):
                 return False
@@ -153,9 +153,9 @@
         return False
 
     def _may_be_retried(self, fingerprint: Fingerprint, book: CrashBook) -> bool:
-        if self.way.retries is None:
+        if self.policy.retries is None:
             return book.may_be_retried(fingerprint)
-        return len(book._crashes_of(fingerprint)) < self.way.retries
+        return len(book._crashes_of(fingerprint)) < self.policy.retries
 
     def _choose(self, adapter: int, tried: set[int]) -> Engine | None:
         holders = [self.engines[(adapter + step) % ENGINES] for step in range(HOLDERS)]
@@ -168,13 +168,15 @@
     def _run(self, fingerprint: Fingerprint, engine: Engine, book: CrashBook) -> Iterator[Any]:
         engine.running[fingerprint] = book
         ended = engine.ended
-        is_guilty = fingerprint == GUILTY
-        lasts_s = BEGINS_S + (CRASHES_AFTER_S if is_guilty else self.chance.expovariate(1 / RUNS_S))
+        is_crashing = fingerprint == CRASHING
+        lasts_s = BEGINS_S + (
+            CRASHES_AFTER_S if is_crashing else self.chance.expovariate(1 / RUNS_S)
+        )
         over = self.environment.timeout(lasts_s)
         yield over | ended
         if ended.triggered:
             return False
-        if is_guilty:
+        if is_crashing:
             self._crash(engine)
             return False
         engine.running.pop(fingerprint, None)
@@ -182,17 +184,17 @@
 
     def _crash(self, engine: Engine) -> None:
         self.crashed += 1
-        broke, engine.running = engine.running, {}
-        for book in set(broke.values()):
-            own = [item for item, seen_by in broke.items() if seen_by is book]
-            accused = [str(item) for item in own if not book.consume_completion(item)]
+        failed, engine.running = engine.running, {}
+        for book in set(failed.values()):
+            of_box = [item for item, sender in failed.items() if sender is book]
+            counted = [str(item) for item in of_box if not book.consume_completion(item)]
             key = f"crash/{self.books.index(book)}/{engine.instance}"
-            self._report(key, CrashReport("b", engine.instance, accused), book)
+            self._report(key, CrashReport("b", engine.instance, counted), book)
         ended, engine.ended = engine.ended, self.environment.event()
         engine.up = False
         engine.starts += 1
         ended.succeed()
-        self.environment.process(self._come_back(engine))
+        self.environment.process(self._restart(engine))
 
     def _report(self, key: str, report: CrashReport, own: CrashBook) -> None:
         own.hold(key, report)
@@ -200,68 +202,74 @@
         self.environment.process(self._notify(key, report, others))
 
     def _notify(self, key: str, report: CrashReport, others: list[CrashBook]) -> Iterator[Any]:
-        yield self.environment.timeout(TOLD_AFTER_S)
+        yield self.environment.timeout(REPORT_DELAY_S)
         for book in others:
             book.hold(key, report)
 
-    def _come_back(self, engine: Engine) -> Iterator[Any]:
-        yield self.environment.timeout(BACK_AFTER_S)
+    def _restart(self, engine: Engine) -> Iterator[Any]:
+        yield self.environment.timeout(RESTART_S)
         engine.up = True
 
 
-WAYS = {
-    "as it stood": Way(None),
-    "two": Way(2),
-    "three": Way(3),
-    "three, one attempt once accused": Way(3, retries=1),
-    "three, one attempt once accused twice (as built)": Way(3, retries=None),
+POLICIES = {
+    "no quarantine": Policy(None),
+    "two": Policy(2),
+    "three": Policy(3),
+    "three, one attempt after one crash": Policy(3, retries=1),
+    "three, one attempt after two crashes (as built)": Policy(3, retries=None),
 }
-"""Over 30 seeds of 60 s, 2,400 requests each, without own crashes of the engines | with one in 10 s
-| with one in 2.5 s: engines that ended, other requests refused, other requests not served.
+"""Results over 30 seeds of 60 s with 2,400 requests each. The columns differ in the crashes of
+engines for other reasons: none, one in 10 s, one in 2.5 s. Each cell gives the engines that
+crashed, the other requests refused, and the other requests not served.
 
-| way | | | |
+| policy | none | 10 s | 2.5 s |
 |---|---|---|---|
 | two | 118, 62, 64 | 293, 80, 83 | 895, 338, 545 |
 | three | 165, 37, 166 | 325, 29, 45 | 861, 165, 707 |
-| three, one attempt once accused | 141, 0, 274 | 334, 0, 330 | 907, 0, 1367 |
-| three, one attempt once accused twice | 140, 18, 61 | 308, 32, 85 | 845, 138, 592 |
+| three, one attempt after one crash | 141, 0, 274 | 334, 0, 330 | 907, 0, 1367 |
+| three, one attempt after two crashes | 140, 18, 61 | 308, 32, 85 | 845, 138, 592 |
 
-As it stood 528 engines ended in 6 seeds without own crashes, and 4,802 of 14,523 other requests
-were not served (a trial in which all boxes learnt at the same time). Two crashes would do as well
-here, but refuse more than twice as many others, each for as long as a crash is held against it."""
+Without a quarantine 528 engines crashed in 6 seeds without other crashes, and 4,802 of 14,523 other
+requests were not served (in a run in which all boxes learned of reports at the same time). Two
+crashes would do as well here, but refuse more than twice as many other requests, each for as long
+as a crash counts against it."""
 
 SEEDS = range(3)
 
 
-BUILT = WAYS["three, one attempt once accused twice (as built)"]
+BUILT = POLICIES["three, one attempt after two crashes (as built)"]
 
 
-def play_all(way: Way, *, own_crashes_per_s: float, patch: pytest.MonkeyPatch) -> Play:
-    plays = []
+def simulate_all(
+    policy: Policy, *, other_crashes_per_s: float, patch: pytest.MonkeyPatch
+) -> Outcome:
+    outcomes = []
     for seed in SEEDS:
-        fleet = Fleet(way, seed, own_crashes_per_s=own_crashes_per_s)
+        fleet = Fleet(policy, seed, other_crashes_per_s=other_crashes_per_s)
         patch.setattr(book_module, "monotonic", lambda fleet=fleet: fleet.environment.now)
-        plays.append(fleet.play())
-    return Play(*(sum(column) for column in zip(*plays, strict=True)))
+        outcomes.append(fleet.run())
+    return Outcome(*(sum(column) for column in zip(*outcomes, strict=True)))
 
 
-def test_few_engines_end_under_one_request_and_few_others_suffer(
+def test_one_request_crashes_few_engines_and_few_other_requests_fail(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Over 3 seeds; as it stood over 200 engines ended."""
-    play = play_all(BUILT, own_crashes_per_s=0.0, patch=monkeypatch)
-    assert play.crashed <= 8 * len(SEEDS)
-    assert play.refused <= 0.002 * play.sent
-    assert play.lost <= 0.005 * play.sent
+    """Over 3 seeds; without a quarantine over 200 engines crashed."""
+    outcome = simulate_all(BUILT, other_crashes_per_s=0.0, patch=monkeypatch)
+    assert outcome.crashed <= 8 * len(SEEDS)
+    assert outcome.refused <= 0.002 * outcome.sent
+    assert outcome.lost <= 0.005 * outcome.sent
 
 
-def test_ordinary_crashes_convict_hardly_anybody(monkeypatch: pytest.MonkeyPatch) -> None:
-    play = play_all(BUILT, own_crashes_per_s=0.4, patch=monkeypatch)
-    assert play.refused <= 0.005 * play.sent
+def test_crashes_for_other_reasons_quarantine_hardly_any_request(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    outcome = simulate_all(BUILT, other_crashes_per_s=0.4, patch=monkeypatch)
+    assert outcome.refused <= 0.005 * outcome.sent
 
 
-def test_without_a_book_one_request_ends_engine_after_engine(
+def test_without_a_quarantine_one_request_crashes_engine_after_engine(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    play = play_all(WAYS["as it stood"], own_crashes_per_s=0.0, patch=monkeypatch)
-    assert play.crashed >= 50 * len(SEEDS)
+    outcome = simulate_all(POLICIES["no quarantine"], other_crashes_per_s=0.0, patch=monkeypatch)
+    assert outcome.crashed >= 50 * len(SEEDS)
--- a/tests/quotas/test_charging.py
+++ b/tests/quotas/test_charging.py
@@ -1,4 +1,4 @@
-"""Whom a box asks for a request's charge, and what it does without an answer."""
+"""Which zone a box charges a request to, and what it does without an answer."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 class ScriptedCounter:
-    """Answers what it is told to, and remembers what was asked."""
+    """Gives one answer to all charges, and records them."""
 
     def __init__(self, answer: Verdict | None) -> None:
         self.answer = answer
         self.asked: list[tuple[str, int]] = []
-        self.given_back: list[int] = []
+        self.refunds: list[int] = []
 
     def charge(self, team: str, units: int, *, request: str) -> tuple[Verdict, int]:
         self.asked.append((team, units))
@@ -29,7 +29,7 @@
         return self.answer, len(self.asked)
 
     def give_back(self, number: int) -> None:
-        self.given_back.append(number)
+        self.refunds.append(number)
 
 
 def charge(**counters: ScriptedCounter) -> Receipt:
@@ -37,19 +37,19 @@
     return charging.charge(TEAM, tokens=7, request="r")
 
 
-def test_the_own_zone_is_asked_first_and_alone_if_it_has_room() -> None:
+def test_only_the_own_zone_is_charged_if_it_has_room() -> None:
     own, other = ScriptedCounter(Verdict(True)), ScriptedCounter(Verdict(True))
     charge(own=own, other=other).give_back()
-    assert (own.asked, own.given_back, other.asked) == ([("one", 1)], [1], [])
+    assert (own.asked, own.refunds, other.asked) == ([("one", 1)], [1], [])
 
 
-def test_another_zone_lends_where_the_own_has_no_room() -> None:
+def test_another_zone_is_charged_if_the_own_has_no_room() -> None:
     own, other = ScriptedCounter(Verdict(False, 1.0)), ScriptedCounter(Verdict(True))
     charge(own=own, other=other).give_back()
-    assert other.given_back == [1]
+    assert other.refunds == [1]
 
 
-def test_a_zone_that_does_not_answer_is_left_for_another_and_then_left_alone() -> None:
+def test_after_a_missing_answer_another_zone_is_charged_and_the_silent_one_skipped() -> None:
     own, other = ScriptedCounter(None), ScriptedCounter(Verdict(True))
     counters = {"own": own, "other": other}
     charging = Charging(zones=lambda: list(counters), counter=counters.__getitem__)
@@ -58,7 +58,7 @@
     assert (len(own.asked), len(other.asked)) == (1, 3)
 
 
-def test_a_team_over_its_quota_is_told_the_soonest_room() -> None:
+def test_a_team_over_its_quota_gets_the_shortest_retry_delay() -> None:
     with pytest.raises(OverQuota) as rejection:
         charge(a=ScriptedCounter(Verdict(False, 2.0)), b=ScriptedCounter(Verdict(False, 1.0)))
     assert (rejection.value.status, rejection.value.retry_after_s) == (429, 1.0)
@@ -67,25 +67,25 @@
     assert rejection.value.retry_after_s is None
 
 
-def test_without_anybody_who_counts_nothing_runs() -> None:
+def test_without_an_answer_of_any_zone_nothing_runs() -> None:
     with pytest.raises(QuotaUnheard):
         charge(a=ScriptedCounter(None), b=ScriptedCounter(None))
     with pytest.raises(QuotaUnheard):
         charge()
 
 
-def test_who_has_no_limit_asks_nobody() -> None:
+def test_teams_without_a_limit_are_not_charged() -> None:
     counter = ScriptedCounter(None)
     charging = Charging(zones=lambda: ["a"], counter=lambda zone: counter)
     for team in (None, Team(name="free")):
         charging.charge(team, tokens=None, request="r").give_back()
-    assert counter.asked == counter.given_back == []
+    assert counter.asked == counter.refunds == []
 
 
-# The book of one zone.
+# The book of one zone's pending charges.
 
 
-def asking(book: ChargeBook) -> gevent.Greenlet[..., tuple[Verdict, int]]:
+def start_charge(book: ChargeBook) -> gevent.Greenlet[..., tuple[Verdict, int]]:
     task = gevent.spawn(book.charge, "one", 7, request="r")
     gevent.sleep(0)
     return task
@@ -94,7 +94,7 @@
 def test_an_answer_ends_the_wait() -> None:
     urgent: list[bool] = []
     book = ChargeBook(on_update=urgent.append)
-    task = asking(book)
+    task = start_charge(book)
     assert book.drain_updates() == ([Charge(1, "r", "one", 7)], [])
     book.record_charged(Charged(1, counts=True, taken=False, retry_after_ms=250))
     assert task.get(timeout=10) == (Verdict(False, 0.25), 1)
@@ -103,9 +103,9 @@
     assert urgent == [True, False]
 
 
-def test_a_charge_without_an_answer_is_taken_back() -> None:
+def test_a_sent_charge_without_an_answer_is_refunded() -> None:
     book = ChargeBook(on_update=lambda urgent: None)
-    task = asking(book)
+    task = start_charge(book)
     book.drain_updates()
     with pytest.raises(CounterSilent):
         task.get(timeout=10)
@@ -113,28 +113,28 @@
     book.record_charged(Charged(1, counts=True, taken=True))
 
 
-def test_a_charge_that_was_never_told_is_withdrawn() -> None:
+def test_an_unsent_charge_is_withdrawn() -> None:
     book = ChargeBook(on_update=lambda urgent: None)
     with pytest.raises(CounterSilent):
-        asking(book).get(timeout=10)
+        start_charge(book).get(timeout=10)
     assert book.drain_updates() == ([], [])
 
 
-def test_a_client_that_leaves_while_its_charge_is_asked_for_pays_nothing() -> None:
+def test_the_charge_of_a_client_that_disconnects_is_refunded() -> None:
     book = ChargeBook(on_update=lambda urgent: None)
-    task = asking(book)
+    task = start_charge(book)
     book.drain_updates()
     task.kill()
     assert book.drain_updates() == ([], [GiveBack(1)])
 
 
-def test_a_placer_that_is_lost_or_may_not_count_ends_the_wait_at_once() -> None:
+def test_a_lost_or_unauthorized_placer_ends_the_wait_at_once() -> None:
     for end in (
         lambda book: book.forget_placer(),
         lambda book: book.record_charged(Charged(1, counts=False)),
     ):
         book = ChargeBook(on_update=lambda urgent: None)
-        task = asking(book)
+        task = start_charge(book)
         end(book)
         with pytest.raises(CounterSilent):
             task.get(timeout=0.1)
--- a/tests/quotas/test_part_counter.py
+++ b/tests/quotas/test_part_counter.py
@@ -1,4 +1,4 @@
-"""A zone's part is counted out only under its lease, and each time from nothing."""
+"""Charges to a zone's share are accepted only under its lease, from an empty share."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 TERMS = QuotaTerms(window_s=8.0, overage=0.0, slack=0.0, zones=1)
 
 
-class Counting:
-    """A counter whose lease and clock are set by hand."""
+class Setup:
+    """A counter with a lease and a clock set by hand."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.now = 100.0
@@ -43,30 +43,30 @@
 
 
 def test_a_charge_is_answered_and_counted(monkeypatch: pytest.MonkeyPatch) -> None:
-    counting = Counting(monkeypatch)
-    assert not counting.charge(1, units=5).taken
-    counting.now += 2.0
-    assert counting.charge(2, units=10) == Charged(2, counts=True, taken=True)
-    assert counting.counted == [("one", False), ("one", True)]
+    setup = Setup(monkeypatch)
+    assert not setup.charge(1, units=5).taken
+    setup.now += 2.0
+    assert setup.charge(2, units=10) == Charged(2, counts=True, taken=True)
+    assert setup.counted == [("one", False), ("one", True)]
 
 
-def test_without_a_sure_lease_nothing_is_counted(monkeypatch: pytest.MonkeyPatch) -> None:
-    counting = Counting(monkeypatch)
-    counting.now += 2.0
-    counting.lease_left_s = 0.0
-    assert counting.charge(1) == Charged(1, counts=False)
-    assert counting.counted == []
+def test_without_a_valid_lease_nothing_is_counted(monkeypatch: pytest.MonkeyPatch) -> None:
+    setup = Setup(monkeypatch)
+    setup.now += 2.0
+    setup.lease_left_s = 0.0
+    assert setup.charge(1) == Charged(1, counts=False)
+    assert setup.counted == []
 
 
-def test_a_charge_that_is_told_with_its_undoing_is_undone(monkeypatch: pytest.MonkeyPatch) -> None:
-    counting = Counting(monkeypatch)
-    counting.now += 2.0
-    assert counting.charge(1, units=10, refunds=(1,)).taken
-    assert counting.charge(2, units=10).taken
+def test_a_charge_that_arrives_with_its_refund_is_refunded(monkeypatch: pytest.MonkeyPatch) -> None:
+    setup = Setup(monkeypatch)
+    setup.now += 2.0
+    assert setup.charge(1, units=10, refunds=(1,)).taken
+    assert setup.charge(2, units=10).taken
 
 
-def test_a_lease_that_is_taken_anew_begins_with_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    counting = Counting(monkeypatch)
-    counting.now += 2.0
-    counting.counter.begin()
-    assert not counting.charge(1).taken
+def test_after_taking_the_lease_the_share_is_empty(monkeypatch: pytest.MonkeyPatch) -> None:
+    setup = Setup(monkeypatch)
+    setup.now += 2.0
+    setup.counter.begin()
+    assert not setup.charge(1).taken
