--- a/springrock/permits/choice.py
+++ b/springrock/permits/choice.py
@@ -33,7 +33,7 @@
         return Permit(None)
 
 
-class Choosing(Protocol):
+class ReplicaSelector(Protocol):
     """Selects the best of the replicas that could run a request."""
 
     def __call__(self, *, even_metered: bool, but: frozenset[str] = frozenset()) -> Replica | None:
@@ -58,7 +58,7 @@
 
 
 def pick(
-    choose: Choosing,
+    choose: ReplicaSelector,
     *,
     metered: Callable[[Replica], Obstacle | None],
     permits: AsksPermits,
--- a/springrock/permits/counter.py
+++ b/springrock/permits/counter.py
@@ -16,9 +16,9 @@
 from springrock.permits.named_limits import NamedLimits
 from springrock.permits.terms import (
     SlowStartTerms,
-    cold_start_limits,
+    cold_start_bucket_limits,
     intersection,
-    named_limit_limits,
+    named_limit_bucket_limits,
 )
 from springrock.quotas.bucket import BucketLimits, TokenBucket
 
@@ -222,6 +222,7 @@
             if ask.returns
             else self._staggered_retry(account, room_in_s)
         )
+        # A box that has other replicas does not ask again before its staggered delay has passed.
         return PermitVerdict(
             False,
             room_in_s if ask.returns else retry_after_s,
@@ -262,9 +263,9 @@
                 takes precedence, as it includes what other boxes reported.
         """
         per_s = self._limits.per_s(instance)
-        if per_s is None and not self._limits.knows(instance):
+        if per_s is None and not self._limits.has_report(instance):
             per_s = reported_per_s
-        limited = None if per_s is None else named_limit_limits(per_s)
+        limited = None if per_s is None else named_limit_bucket_limits(per_s)
         if not cold:
             # Another box that starts counting for the zone meanwhile starts with empty buckets.
             counts = self._lease_left_s() > 0 or self._goes_on()
@@ -272,7 +273,7 @@
         known = self._configuration().services.get(service)
         if known is None or known.slow_start is None or self._lease_left_s() <= 0:
             return None
-        warming = cold_start_limits(known.slow_start, self._terms())
+        warming = cold_start_bucket_limits(known.slow_start, self._terms())
         if limited is None:
             return _Bound(warming, limited=reported_per_s is not None)
         return _Bound(intersection(warming, limited), limited=True)
--- a/springrock/permits/named_limits.py
+++ b/springrock/permits/named_limits.py
@@ -87,8 +87,8 @@
             found.append(stored.per_s)
         return min(found, default=None)
 
-    def knows(self, instance: str) -> bool:
-        """Whether answers have named a limit of a replica, or ended one."""
+    def has_report(self, instance: str) -> bool:
+        """Whether answers have named a limit of a replica, even if it has ended."""
         return instance in self._limits
 
     @property
--- a/springrock/permits/terms.py
+++ b/springrock/permits/terms.py
@@ -53,7 +53,7 @@
     return slow_start.per_s * terms.overage + terms.slack
 
 
-def cold_start_limits(slow_start: SlowStart, terms: SlowStartTerms) -> BucketLimits:
+def cold_start_bucket_limits(slow_start: SlowStart, terms: SlowStartTerms) -> BucketLimits:
     """Return the rate and depth of the bucket for a cold replica's permits.
 
     A request is sent at most `PERMIT_LIFE_S` after its permit was taken. The requests sent within a
@@ -90,7 +90,7 @@
     return per_s * LIMIT_WINDOW_S * _TOLERATED_TIMES + _TOLERATED_EXTRA
 
 
-def named_limit_limits(per_s: float) -> BucketLimits:
+def named_limit_bucket_limits(per_s: float) -> BucketLimits:
     """Return the rate and depth of the bucket for permits under a named limit.
 
     The counted requests sent within the window are at most the depth plus what flows in during the
@@ -110,7 +110,7 @@
     Returns:
         The share of one box; None if it may send nothing.
     """
-    counted = named_limit_limits(per_s)
+    counted = named_limit_bucket_limits(per_s)
     within = counted.depth + counted.rate * (LIMIT_WINDOW_S + PERMIT_LIFE_S)
     if not boxes or boxes > tolerated_in_window(per_s) - within:
         return None
--- a/springrock/quarantine/reporter.py
+++ b/springrock/quarantine/reporter.py
@@ -68,7 +68,7 @@
         self._terms = terms
         self._log = log
         self._waiting: OrderedDict[str, CrashReport] = OrderedDict()
-        self._sent: Remembered[CrashReport] = Remembered(at_most=_MAX_WAITING)
+        self._written: Remembered[CrashReport] = Remembered(at_most=_MAX_WAITING)
         self._has_waiting = Event()
         self._store_outage = Condition(
             log,
@@ -104,7 +104,7 @@
         Args:
             rows: The known rows of all kinds that the restored store lacks.
         """
-        for key, report in self._sent.items():
+        for key, report in self._written.items():
             if not self._book.version(key):
                 self.publish(key, report)
         for row in rows:
@@ -156,7 +156,7 @@
                 retry_s = min(_MAX_RETRY_S, retry_s * 1.5)
 
     def _write(self, key: str, report: CrashReport) -> None:
-        self._sent.record(key, report)
+        self._written.record(key, report)
         try:
             self._store.write(self._table, key, msgspec.json.encode(report), expected=0)
         except RowConflict:
--- a/springrock/quotas/shares.py
+++ b/springrock/quotas/shares.py
@@ -20,7 +20,8 @@
 """The part of a window's units that may be used at once; the rest flows in evenly. For a team whose
 burst is one second of its rate this is about the burst. Were the depth the whole burst and the
 inflow the rate alone, the burst would be usable only once: a team lowered to 35,000 tokens a second
-and a burst of 124,000 got 35,000 a second for good, though every window of 8 s allows 50,000 a second."""
+and a burst of 124,000 got 35,000 a second for good, not the 50,000 a second that every window of
+8 s allows."""
 
 
 class QuotaTerms(NamedTuple):
--- a/tests/permits/test_limit_ways.py
+++ b/tests/permits/test_limit_ways.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from springrock.permits.terms import named_limit_limits
+from springrock.permits.terms import named_limit_bucket_limits
 from springrock.quotas.bucket import BucketLimits, TokenBucket
 from tests.permits.limit_world import LimitWorld, apply_load, use_virtual_clock
 
@@ -48,7 +48,7 @@
     """Return the same for boxes that each have an equal share of the limit and no counter."""
     world = LimitWorld(boxes, lambda at: per_s)
     use_virtual_clock(monkeypatch, world)
-    share = BucketLimits(named_limit_limits(per_s).rate / boxes, 1.0)
+    share = BucketLimits(named_limit_bucket_limits(per_s).rate / boxes, 1.0)
     buckets = [TokenBucket(share, now=0.0, level=1.0) for _ in range(boxes)]
     for box in world.boxes:
         bucket = buckets[box.number]
--- a/tests/permits/test_named_limits.py
+++ b/tests/permits/test_named_limits.py
@@ -76,7 +76,7 @@
 
 def test_a_placer_applies_the_reports_of_boxes_by_their_age(box: Box) -> None:
     box.limits.apply_limit_report(LimitReport("i-1", None, 0))
-    assert not box.limits.knows("i-1")
+    assert not box.limits.has_report("i-1")
     box.limits.apply_limit_report(LimitReport("i-1", 1.5, 10))
     assert box.limits.named(["i-1", "i-2"]) == (NamedLimit("i-1", 1.5),)
     box.limits.apply_limit_report(LimitReport("i-1", None, 5))
@@ -86,7 +86,7 @@
     assert box.per_s is None
     box.limits.apply_limit_report(LimitReport("i-1", 1.5, 1000))
     assert box.per_s is None, "an old report does not restore it"
-    assert box.limits.knows("i-1")
+    assert box.limits.has_report("i-1")
 
 
 def test_a_limit_from_the_placer_holds_until_the_placer_or_an_answer_ends_it(box: Box) -> None:
