--- a/springrock/permits/counter.py
+++ b/springrock/permits/counter.py
@@ -111,8 +111,8 @@
         terms: Returns the tolerances of the bound on cold replicas.
         limits: The limits that replicas have named.
         lease_left_s: Returns how much longer the lease is certainly valid, in seconds.
-        goes_on: Returns whether this box continues as the placer without a confirmed lease, because
-            the store answers no box that could take the lease over.
+        goes_on: Returns whether this box continues as the placer without a
+            confirmed lease, because the store answers no box that could take the lease over.
         answer: Sends an answer to one box.
         on_counted: Called for each ask with whether it was granted.
         log: The log to write to.
@@ -136,7 +136,7 @@
         self._terms = terms
         self._limits = limits
         self._lease_left_s = lease_left_s
-        self._goes_on = goes_on
+        self._continues_without_lease = goes_on
         self._answer = answer
         self._on_counted = on_counted
         self._log = log
@@ -268,7 +268,7 @@
         limited = None if per_s is None else named_limit_bucket_limits(per_s)
         if not cold:
             # Another box that starts counting for the zone meanwhile starts with empty buckets.
-            counts = self._lease_left_s() > 0 or self._goes_on()
+            counts = self._lease_left_s() > 0 or self._continues_without_lease()
             return _Bound(limited, limited=True) if counts else None
         known = self._configuration().services.get(service)
         if known is None or known.slow_start is None or self._lease_left_s() <= 0:
--- a/springrock/permits/permits.py
+++ b/springrock/permits/permits.py
@@ -40,8 +40,8 @@
     """The outcome of an ask.
 
     Attributes:
-        good_until: When the permit expires, on the local monotonic clock; None if none was granted.
-        retry_after_s: If none was granted, the seconds until the caller should retry.
+        good_until: When the permit expires, on the local monotonic clock; None if refused.
+        retry_after_s: If refused, the seconds until the caller should retry.
     """
 
     good_until: float | None
@@ -82,8 +82,9 @@
         Args:
             record: The replica.
             request: The client's id of the request, for logs.
-            returns: Whether to reserve a retry time for the caller if no permit is available. If
-                not, a replica that had no permits a moment ago is refused without asking.
+            returns: Whether to reserve a retry time for the caller if no permit is
+                available. If not, a replica that had no permits a moment ago is refused without
+                asking.
             grant: The number of the engine grant whose permit has expired; 0 if there was none.
         """
         now = monotonic()
