--- a/springrock/permits/counter.py
+++ b/springrock/permits/counter.py
@@ -173,8 +173,8 @@
         if bound.limits is None:
             return 0.0
         bucket = self._account(record.instance, bound).bucket
-        short = 1.0 - bucket.level(monotonic())
-        return max(0.0, short / bucket.limits.rate) if bucket.limits.rate else float("inf")
+        missing = 1.0 - bucket.level(monotonic())
+        return max(0.0, missing / bucket.limits.rate) if bucket.limits.rate else float("inf")
 
     def grant(
         self, box: str, number: int, request: str, record: ReplicaRecord, *, cold: bool
--- a/springrock/quotas/charging.py
+++ b/springrock/quotas/charging.py
@@ -12,7 +12,7 @@
 from springrock.quotas.messages import Verdict
 
 _SKIP_ZONE_S = 0.5
-"""How long a zone whose placer did not answer a charge is skipped while other zones answer."""
+"""How long a zone whose placer did not answer a charge is skipped, unless all zones are."""
 
 _UNANSWERED_RETRY_S = 0.5
 """The retry delay given to callers if no zone answers. Boxes restarted after a power loss had
@@ -92,7 +92,7 @@
         raise OverQuota(min((delay for delay in retry_delays_s if delay is not None), default=None))
 
     def _zones_in_order(self) -> list[str]:
-        """Return the zones to ask, in order; all of them if none has answered lately."""
+        """Return the zones to ask, in order: those not skipped, or all if all are."""
         now = monotonic()
         zones = self._zones()
         answering = [zone for zone in zones if self._skipped_until.get(zone, 0.0) <= now]
