--- a/springrock/forwarding/balancing.py
+++ b/springrock/forwarding/balancing.py
@@ -8,10 +8,10 @@
 
 from springrock.forwarding.directory import Replica
 from springrock.forwarding.distance_cost import (
-    USUAL_COSTS,
-    USUALLY_CARRIED,
-    Carried,
+    DEFAULT_COSTS,
+    TYPICAL_SIZE,
     DistanceCosts,
+    RequestSize,
 )
 from springrock.forwarding.eligibility import (
     ANYWHERE,
@@ -22,7 +22,7 @@
     obstacle_of,
 )
 
-_METERED = 0.1
+_PERMIT_COST = 0.1
 """What a cold or limited replica counts more, in its places: a little less than one request at
 another of usual size, so that what it bears is asked for while others work, and not before."""
 
@@ -31,7 +31,7 @@
 failure among successes (0.15) does not outweigh the way to another zone, two in a row do. Where
 all replicas fail a few requests, boxes else leave their own zone after each failure."""
 
-_CHANCE = 0.02
+_RANDOM_COST = 0.02
 """Of equal replicas any one, beside what ways count."""
 
 
@@ -52,10 +52,10 @@
         *,
         world: Callable[[], World],
         chance: random.Random,
-        costs: DistanceCosts = USUAL_COSTS,
+        costs: DistanceCosts = DEFAULT_COSTS,
     ) -> None:
         self._world = world
-        self._chance = chance
+        self._random = chance
         self._costs = costs
 
     def choose(
@@ -67,7 +67,7 @@
         fits: Callable[[Replica], bool] = lambda _: True,
         even_resting: bool = False,
         even_metered: bool = False,
-        carried: Carried = USUALLY_CARRIED,
+        size: RequestSize = TYPICAL_SIZE,
     ) -> Replica | None:
         """Return the best usable replica, or None.
 
@@ -99,17 +99,17 @@
             free = free or resting
 
         def _cost(replica: Replica) -> float:
-            cost = self._cost(replica, world, carried)
-            return cost + (_METERED if replica.instance in metered else 0.0)
+            cost = self._cost(replica, world, size)
+            return cost + (_PERMIT_COST if replica.instance in metered else 0.0)
 
         return min(free, key=_cost, default=None)
 
-    def within(self, replicas: Collection[Replica], *, bounds: Bounds) -> list[Replica]:
+    def in_bounds(self, replicas: Collection[Replica], *, bounds: Bounds) -> list[Replica]:
         """Return the replicas that stand where a request may be served, whatever their state."""
         topology = self._world().topology
         return [item for item in replicas if bounds.allow(item.record.zone, topology)]
 
-    def obstacles(
+    def count_obstacles(
         self, replicas: Collection[Replica], *, bounds: Bounds = ANYWHERE
     ) -> Counter[Obstacle]:
         """Return what stands in the way at how many replicas."""
@@ -129,12 +129,12 @@
             permitted=permitted,
         )
 
-    def _cost(self, replica: Replica, world: World, carried: Carried) -> float:
+    def _cost(self, replica: Replica, world: World, size: RequestSize) -> float:
         health = replica.health
         cost = replica.running / max(1, replica.record.running_limit) + health.fullness
         cost += _FAILURE_WEIGHT * health.recent_failure_rate**2
-        cost += self._costs.of(world.topology.distance(replica.record.zone), carried)
-        return cost + self._chance.random() * _CHANCE
+        cost += self._costs.of(world.topology.distance(replica.record.zone), size)
+        return cost + self._random.random() * _RANDOM_COST
 
 
 def _obstacle(replica: Replica, bounds: Bounds, world: World) -> Obstacle | None:
--- a/springrock/forwarding/budget.py
+++ b/springrock/forwarding/budget.py
@@ -12,7 +12,7 @@
 
 from springrock.clock import monotonic
 
-_CAUTION = 0.8
+_SAFETY_FACTOR = 0.8
 """The part of the budget that is used; the rest covers windows that do not line up."""
 
 
@@ -46,18 +46,18 @@
         """Count a request that a client sent."""
         self._requests.append(monotonic())
 
-    def spend(self) -> bool:
+    def try_spend(self) -> bool:
         """Take one retry out; return whether there was one."""
         limits = self._limits()
-        self._forget(older_than_s=limits.window_s)
-        allowed = (limits.ratio * len(self._requests) + limits.allowance) * _CAUTION
+        self._drop_expired(older_than_s=limits.window_s)
+        allowed = (limits.ratio * len(self._requests) + limits.allowance) * _SAFETY_FACTOR
         if len(self._retries) + 1 > allowed:
             return False
         self._retries.append(monotonic())
         return True
 
-    def _forget(self, *, older_than_s: float) -> None:
-        horizon = monotonic() - older_than_s
+    def _drop_expired(self, *, older_than_s: float) -> None:
+        oldest_kept = monotonic() - older_than_s
         for times in (self._requests, self._retries):
-            while times and times[0] < horizon:
+            while times and times[0] < oldest_kept:
                 times.popleft()
--- a/springrock/forwarding/choosing.py
+++ b/springrock/forwarding/choosing.py
@@ -12,7 +12,7 @@
 from springrock.forwarding.budget import RetryBudget
 from springrock.forwarding.configuration import Configuration
 from springrock.forwarding.directory import Directory, Replica
-from springrock.forwarding.distance_cost import Carried
+from springrock.forwarding.distance_cost import RequestSize
 from springrock.forwarding.eligibility import METERED, Obstacle
 from springrock.forwarding.errors import NoReplica, Quarantined, Rejection
 from springrock.forwarding.fingerprint import Fingerprint
@@ -21,36 +21,36 @@
 from springrock.permits.choice import AsksPermits, Pick, pick
 from springrock.permits.terms import LEAST_PERMIT_S
 
-SHORTEST_SEND_S = 0.02
+MIN_SEND_TIME_S = 0.02
 """With less time left a request is not sent any more."""
 
 RETRY_AFTER_S = 0.5
 _NO_PLACER_RETRY_S = 1.0
 """When to come back if no placer is heard: by then a link is made anew."""
 
-_ARRIVALS_AT_MOST = 3
-_WORTH_OF_FIRST_PRIORITY = 4.0
+_MAX_REPLICAS_REACHED = 3
+_HIGHEST_PRIORITY_WORTH = 4.0
 
 
-_RETURN_PART = 1 / 3
+_MAX_RETRY_WAIT_FRACTION = 1 / 3
 """Of the time that is left to it, a client waits at most this part before it comes back."""
 
-_SHORT_DEADLINE = 0.93
+_SHORT_DEADLINE_RATIO = 0.93
 
-_ASKS_AT_MOST = 3
+_MAX_PLACER_ASKS = 3
 """So often a placer is asked whose grant has been overtaken by a replica's own word."""
 
-_RETURN_SPREAD_S = 0.5
+_RETRY_AFTER_JITTER_S = 0.5
 """Over so long clients come back that were turned away for a rest: else all are there as it ends,
 and the replica turns them away again."""
 
 _REPORTED_BY_REPLICAS = (Obstacle.LEAVING, Obstacle.BACKING_OFF)
 
-_BINDING = (Obstacle.OUTSIDE_REGIONS, Obstacle.EVACUATED)
+_ZONE_OBSTACLES = (Obstacle.OUTSIDE_REGIONS, Obstacle.EVACUATED)
 """Where these stand in the way of every replica no placer can help."""
 
 
-class _UsualDeadlines:
+class _LongestDeadlines:
     """The longest deadline seen on each route: a client that has less has tried before."""
 
     def __init__(self) -> None:
@@ -62,11 +62,11 @@
         name = progress.route.name
         self._longest[name] = max(self._longest.get(name, 0.0), deadline_s)
 
-    def is_short(self, progress: RequestProgress) -> bool:
+    def is_shortened(self, progress: RequestProgress) -> bool:
         """Whether a request has less time than others of its route have at first."""
         deadline_s = progress.request.deadline_s
         longest_s = self._longest.get(progress.route.name, 0.0)
-        return deadline_s is not None and deadline_s < longest_s * _SHORT_DEADLINE
+        return deadline_s is not None and deadline_s < longest_s * _SHORT_DEADLINE_RATIO
 
 
 class Chosen(NamedTuple):
@@ -145,17 +145,17 @@
         self._adapters = adapters
         self._budget_of = budget_of
         self._permits = permits
-        self._deadlines = _UsualDeadlines()
-        self._chance = random.Random()
+        self._deadlines = _LongestDeadlines()
+        self._random = random.Random()
 
     def record_request(self, progress: RequestProgress) -> None:
         """Count a new request."""
         self._budget_of(progress.service).record_request()
         self._deadlines.record(progress)
 
-    def is_returning(self, progress: RequestProgress) -> bool:
+    def is_client_retry(self, progress: RequestProgress) -> bool:
         """Whether a request's client has tried before, as its deadline tells."""
-        return self._deadlines.is_short(progress)
+        return self._deadlines.is_shortened(progress)
 
     def next_replica(self, progress: RequestProgress, *, until: float) -> Chosen:
         """Return the replica to try next, after a wait for its adapter if need be.
@@ -171,11 +171,11 @@
             Quarantined: If it crashes the replicas that run it.
         """
         self._check_quarantine(progress)
-        if progress.left_s < SHORTEST_SEND_S:
+        if progress.left_s < MIN_SEND_TIME_S:
             raise NoReplica("out_of_time", RETRY_AFTER_S)
         if not progress.may_run_again:
             raise NoReplica("may_have_run", RETRY_AFTER_S)
-        if progress.arrivals >= _ARRIVALS_AT_MOST:
+        if progress.arrivals >= _MAX_REPLICAS_REACHED:
             raise NoReplica("tried_enough", RETRY_AFTER_S)
         chosen = self._find(progress, until=until)
         try:
@@ -205,7 +205,7 @@
         self._check_quarantine(progress)
         if not progress.resuming:
             self._check_key(progress)
-        if progress.arrivals and not self._budget_of(progress.service).spend():
+        if progress.arrivals and not self._budget_of(progress.service).try_spend():
             raise NoReplica("retry_budget", RETRY_AFTER_S)
 
     def _check_quarantine(self, progress: RequestProgress) -> None:
@@ -219,7 +219,7 @@
     def _find(self, progress: RequestProgress, *, until: float) -> Chosen:
         key = progress.request.adapter_key
         self._check_regions(progress)
-        if key is None or not self._serves_adapters(progress.service):
+        if key is None or not self._has_engines(progress.service):
             picked = self._choose(progress)
             return Chosen(picked.replica, None, picked.send_by)
         while True:
@@ -227,9 +227,11 @@
             if granted is not None:
                 return granted
             try:
-                return self._find_alone(progress, key)
+                return self._find_without_placer(progress, key)
             except NoReplica as refusal:
-                if refusal.reason in _BINDING or not self._adapters.await_placer(until=until):
+                if refusal.reason in _ZONE_OBSTACLES or not self._adapters.await_placer(
+                    until=until
+                ):
                     raise
 
     def _check_regions(self, progress: RequestProgress) -> None:
@@ -237,18 +239,18 @@
         if progress.bounds.regions is None:
             return
         replicas = self._directory.of_service(progress.service)
-        if replicas and not self._balancer.within(replicas, bounds=progress.bounds):
+        if replicas and not self._balancer.in_bounds(replicas, bounds=progress.bounds):
             raise NoReplica(Obstacle.OUTSIDE_REGIONS, RETRY_AFTER_S)
 
     def _find_granted(
         self, progress: RequestProgress, key: AdapterKey, *, until: float
     ) -> Chosen | None:
         """Return the replica that a placer grants; None if no placer is heard."""
-        without_room: frozenset[str] = frozenset()
-        for _ in range(_ASKS_AT_MOST):
+        without_permit: frozenset[str] = frozenset()
+        for _ in range(_MAX_PLACER_ASKS):
             adapter_request = self._adapter_request(progress, key, until=until)
             use = self._adapters.find(
-                adapter_request._replace(avoid=adapter_request.avoid | without_room)
+                adapter_request._replace(avoid=adapter_request.avoid | without_permit)
             )
             if use is None:
                 return None
@@ -257,11 +259,11 @@
             if replica is not None:
                 obstacle = self._balancer.obstacle(replica, bounds=progress.bounds, permitted=True)
                 if obstacle is None:
-                    chosen = self._permitted(progress, replica, use)
+                    chosen = self._with_permit(progress, replica, use)
                     if chosen is not None:
                         return chosen
                     # It has no room any more, or the placer knows nothing of its limit.
-                    without_room |= {use.instance}
+                    without_permit |= {use.instance}
                     continue
             # The placer knows more, or less, than this box: go by what this box knows.
             use.end(UseOutcome.ENDED)
@@ -287,11 +289,11 @@
             bounds=progress.bounds,
         )
 
-    def _permitted(self, progress: RequestProgress, replica: Replica, use: Use) -> Chosen | None:
+    def _with_permit(self, progress: RequestProgress, replica: Replica, use: Use) -> Chosen | None:
         """Return a granted engine, with a permit if it needs one; None if there is none for it."""
         chosen = Chosen(replica, use, use.permit_until)
         left_s = 0.0 if use.permit_until is None else use.permit_until - monotonic()
-        if left_s >= LEAST_PERMIT_S or self._metered(progress, replica) is None:
+        if left_s >= LEAST_PERMIT_S or self._permit_obstacle(progress, replica) is None:
             return chosen
         permit = self._permits.ask(
             replica.record,
@@ -304,17 +306,17 @@
             return None
         return chosen._replace(permit_until=permit.good_until)
 
-    def _metered(self, progress: RequestProgress, replica: Replica) -> Obstacle | None:
+    def _permit_obstacle(self, progress: RequestProgress, replica: Replica) -> Obstacle | None:
         """Return why a replica needs a permit; None if it needs none, or none would help."""
         obstacle = self._balancer.obstacle(replica, bounds=progress.bounds)
         return obstacle if obstacle in METERED else None
 
-    def _find_alone(self, progress: RequestProgress, key: AdapterKey) -> Chosen:
+    def _find_without_placer(self, progress: RequestProgress, key: AdapterKey) -> Chosen:
         """Return a replica by this box's own knowledge, as no placer is heard."""
         try:
             picked = self._choose(progress)
         except NoReplica as refusal:
-            if refusal.reason in (*_BINDING, *METERED):
+            if refusal.reason in (*_ZONE_OBSTACLES, *METERED):
                 raise
             raise NoReplica("no_placer_heard", _NO_PLACER_RETRY_S) from None
         use = self._adapters.use(picked.replica.instance, key)
@@ -331,7 +333,7 @@
 
         # For an adapter on a resting replica, a load elsewhere is better than to try that one.
         replicas = self._directory.of_service(progress.service)
-        carried = Carried(len(request.body), progress.route.target_s)
+        size = RequestSize(len(request.body), progress.route.target_s)
 
         def _best(*, even_metered: bool, but: frozenset[str] = frozenset()) -> Replica | None:
             return self._balancer.choose(
@@ -341,51 +343,51 @@
                 fits=_fits,
                 even_resting=key is None,
                 even_metered=even_metered,
-                carried=carried,
+                size=size,
             )
 
         picked = pick(
             _best,
-            metered=lambda replica: self._metered(progress, replica),
+            metered=lambda replica: self._permit_obstacle(progress, replica),
             permits=self._permits,
             request=request.request_id,
         )
         if picked is None:
-            raise self._no_replica(progress, replicas)
+            raise self._no_replica_error(progress, replicas)
         return picked
 
-    def _no_replica(self, progress: RequestProgress, replicas: list[Replica]) -> NoReplica:
+    def _no_replica_error(self, progress: RequestProgress, replicas: list[Replica]) -> NoReplica:
         """Return the refusal of a request that no replica can take, which says what binds."""
-        replicas = self._balancer.within(replicas, bounds=progress.bounds)
-        found = self._balancer.obstacles(replicas, bounds=progress.bounds)
+        replicas = self._balancer.in_bounds(replicas, bounds=progress.bounds)
+        found = self._balancer.count_obstacles(replicas, bounds=progress.bounds)
         if found.total() < len(replicas) or not found:
             return NoReplica("no_replica", RETRY_AFTER_S)
-        [(commonest, _)] = found.most_common(1)
-        if commonest is Obstacle.BACKING_OFF:
-            return NoReplica(commonest, self._return_after_rest_s(replicas))
-        return NoReplica(commonest, RETRY_AFTER_S)
+        [(most_frequent, _)] = found.most_common(1)
+        if most_frequent is Obstacle.BACKING_OFF:
+            return NoReplica(most_frequent, self._retry_after_backoff_s(replicas))
+        return NoReplica(most_frequent, RETRY_AFTER_S)
 
-    def _return_after_rest_s(self, replicas: list[Replica]) -> float:
+    def _retry_after_backoff_s(self, replicas: list[Replica]) -> float:
         """Return when a client may come back whom only resting replicas could serve."""
         left_s = [replica.backoff.left_s for replica in replicas if replica.backoff.active]
-        return min(left_s, default=RETRY_AFTER_S) + self._chance.uniform(0.0, _RETURN_SPREAD_S)
+        return min(left_s, default=RETRY_AFTER_S) + self._random.uniform(0.0, _RETRY_AFTER_JITTER_S)
 
     def _wait_terms(self, progress: RequestProgress, *, until: float) -> WaitTerms:
-        last_try = progress.resuming or self.is_returning(progress)
+        is_last_try = progress.resuming or self.is_client_retry(progress)
         return WaitTerms(
-            worth=_worth_of(progress.priority),
+            worth=_worth_of_priority(progress.priority),
             target_at=progress.target_at,
             until=until,
-            returns_within_s=0.0 if last_try else progress.left_s * _RETURN_PART,
+            returns_within_s=0.0 if is_last_try else progress.left_s * _MAX_RETRY_WAIT_FRACTION,
         )
 
-    def _serves_adapters(self, service: str) -> bool:
+    def _has_engines(self, service: str) -> bool:
         return service in self._configuration().engine_services
 
 
-def reaction_s(progress: RequestProgress) -> float:
+def first_event_wait_s(progress: RequestProgress) -> float:
     """Return the seconds until the client of a stream gives up waiting for its first event."""
-    return max(SHORTEST_SEND_S, progress.first_event_by - monotonic())
+    return max(MIN_SEND_TIME_S, progress.first_event_deadline - monotonic())
 
 
 def _is_unusable(replica: Replica) -> bool:
@@ -394,6 +396,6 @@
     return replica.backoff.active or record.leaving or not record.understood
 
 
-def _worth_of(priority: int) -> float:
+def _worth_of_priority(priority: int) -> float:
     """Return what a request is worth beside others; the more urgent the more."""
-    return _WORTH_OF_FIRST_PRIORITY / (1 + max(0, priority))
+    return _HIGHEST_PRIORITY_WORTH / (1 + max(0, priority))
--- a/springrock/forwarding/distance_cost.py
+++ b/springrock/forwarding/distance_cost.py
@@ -6,16 +6,16 @@
 
 from springrock.topology import Distance
 
-_BYTES_OF_MB = 1_000_000
-_LEAST_PRICE = 1e-9
+_BYTES_PER_MB = 1_000_000
+_MIN_LOAD_PRICE = 1e-9
 """Loads that cost nothing are reckoned as next to nothing."""
 
-_BYTES_OF_TOKEN = 4
+_BYTES_PER_TOKEN = 4
 """What a token of a prompt takes on the wire, about."""
 
-_SHORTEST_TARGET_S = 0.001
+_MIN_TARGET_S = 0.001
 
-_BYTES_BESIDE = 2_000
+_OVERHEAD_BYTES = 2_000
 """What a request and its answer take beside the prompt: headers, and the events of a stream."""
 
 
@@ -32,25 +32,25 @@
     region_mb: float = 2.0
     adapter_load: float = 0.03
 
-    def in_loads(self, distance: Distance, carried_bytes: float) -> float:
+    def in_loads(self, distance: Distance, transferred_bytes: float) -> float:
         """Return what bytes cost over a distance, in loads of an adapter."""
         if distance is Distance.OWN_ZONE:
             return 0.0
         price = self.region_mb if distance is Distance.OTHER_REGION else self.zone_mb
-        return price * carried_bytes / _BYTES_OF_MB / max(_LEAST_PRICE, self.adapter_load)
+        return price * transferred_bytes / _BYTES_PER_MB / max(_MIN_LOAD_PRICE, self.adapter_load)
 
 
 USUAL_PRICES = DistancePrices()
 
-_TO_OTHER_ZONE = 0.25
+_OTHER_ZONE_COST = 0.25
 """What the way to another zone counts beside the part of a replica's places that are taken: a
 replica of the own zone is left when a quarter more of its places are."""
 
-_LONGEST_BODIES = 4.0
+_MAX_SIZE_WEIGHT = 4.0
 """How many times a usual request a long one counts at most: its places matter as well."""
 
 
-class Carried(NamedTuple):
+class RequestSize(NamedTuple):
     """What a request takes along, and how long its answer may take.
 
     Attributes:
@@ -64,10 +64,10 @@
     @property
     def weight(self) -> float:
         """What its bytes count beside those of a usual request."""
-        return min(_LONGEST_BODIES, 1 + self.body_bytes / _BYTES_BESIDE)
+        return min(_MAX_SIZE_WEIGHT, 1 + self.body_bytes / _OVERHEAD_BYTES)
 
 
-USUALLY_CARRIED = Carried()
+TYPICAL_SIZE = RequestSize()
 
 
 class DistanceCosts(NamedTuple):
@@ -80,30 +80,30 @@
             of the time to the target.
     """
 
-    own_region: float = _TO_OTHER_ZONE
-    other_region: float = 3 * _TO_OTHER_ZONE
+    own_region: float = _OTHER_ZONE_COST
+    other_region: float = 3 * _OTHER_ZONE_COST
     region_round_trip_s: float = 0.0
 
     @classmethod
     def from_prices(cls, prices: DistancePrices, *, region_round_trip_s: float) -> DistanceCosts:
         """Build from what bytes cost; another region counts more than another zone in any case."""
-        dearer = prices.region_mb / prices.zone_mb if prices.zone_mb else 1.0
-        other_region = _TO_OTHER_ZONE * (1 + max(1.0, dearer))
-        return cls(_TO_OTHER_ZONE, other_region, region_round_trip_s)
+        region_price_ratio = prices.region_mb / prices.zone_mb if prices.zone_mb else 1.0
+        other_region = _OTHER_ZONE_COST * (1 + max(1.0, region_price_ratio))
+        return cls(_OTHER_ZONE_COST, other_region, region_round_trip_s)
 
-    def of(self, distance: Distance, carried: Carried = USUALLY_CARRIED) -> float:
+    def of(self, distance: Distance, size: RequestSize = TYPICAL_SIZE) -> float:
         """Return what the way of a request over a distance counts."""
         if distance is Distance.OWN_ZONE:
             return 0.0
         if distance is Distance.OWN_REGION:
-            return self.own_region * carried.weight
-        way = self.region_round_trip_s / max(_SHORTEST_TARGET_S, carried.target_s)
-        return self.other_region * carried.weight + way
+            return self.own_region * size.weight
+        latency_cost = self.region_round_trip_s / max(_MIN_TARGET_S, size.target_s)
+        return self.other_region * size.weight + latency_cost
 
 
-USUAL_COSTS = DistanceCosts()
+DEFAULT_COSTS = DistanceCosts()
 
 
 def bytes_of_prompt(tokens: int) -> int:
     """Return about what a request with a prompt and its answer take on the wire together."""
-    return _BYTES_BESIDE + _BYTES_OF_TOKEN * tokens
+    return _OVERHEAD_BYTES + _BYTES_PER_TOKEN * tokens
--- a/springrock/forwarding/door.py
+++ b/springrock/forwarding/door.py
@@ -11,7 +11,7 @@
 from springrock.forwarding.dialect import Dialect
 from springrock.forwarding.forwarder import Forwarder
 from springrock.forwarding.message import Headers
-from springrock.forwarding.reply import Reply, own_ending
+from springrock.forwarding.reply import Reply, own_reply
 from springrock.httpd import HEADERS_KEY, SOCKET_KEY, TARGET_KEY, HttpServer
 from springrock.log import Log
 from springrock.metrics import ForwardingMetrics
@@ -70,7 +70,7 @@
         received_at = monotonic()
         self.open_requests += 1
         watch = CallerWatch(environ[SOCKET_KEY])
-        finish = _Finish(self, watch, received_at)
+        finish = _RequestEnd(self, watch, received_at)
         try:
             body = environ["wsgi.input"].read(self._body_limit_bytes() + 1)
             # From here on nobody else reads the socket.
@@ -95,9 +95,9 @@
 
     def _reply(self, environ: dict[str, Any], body: bytes, received_at: float) -> Reply:
         if self.refusing:
-            return own_ending(503, "stopping", retry_after_s=0.0)
+            return own_reply(503, "stopping", retry_after_s=0.0)
         if len(body) > self._body_limit_bytes():
-            return own_ending(413, "body_too_large")
+            return own_reply(413, "body_too_large")
         try:
             request = self._dialect.read_request(
                 method=environ["REQUEST_METHOD"],
@@ -108,10 +108,10 @@
             )
         except BadRequest as error:
             self._log.say("Refused a malformed request.", error=str(error))
-            return own_ending(400, "malformed_request")
+            return own_reply(400, "malformed_request")
         return self._forwarder.forward(request)
 
-    def _body(self, environ: dict[str, Any], reply: Reply, finish: _Finish) -> Iterator[bytes]:
+    def _body(self, environ: dict[str, Any], reply: Reply, finish: _RequestEnd) -> Iterator[bytes]:
         outcome = "cut"
         try:
             yield from reply.body
@@ -129,14 +129,14 @@
     def _record_disconnect(self, environ: dict[str, Any]) -> None:
         self._log.say("A client left.", target=environ[TARGET_KEY])
 
-    def finished(self, outcome: str, seconds: float) -> None:
+    def record_finished(self, outcome: str, seconds: float) -> None:
         """Count a request out."""
         self.open_requests -= 1
         self._metrics.requests.labels(outcome).inc()
         self._metrics.request_seconds.observe(seconds)
 
 
-class _Finish:
+class _RequestEnd:
     """What happens once at the end of a request, wherever that is."""
 
     def __init__(self, door: ForwardingDoor, watch: CallerWatch, received_at: float) -> None:
@@ -147,4 +147,4 @@
     def run(self, outcome: str) -> None:
         """End the watch and count the request out."""
         self._watch.stop()
-        self._door.finished(outcome, monotonic() - self._received_at)
+        self._door.record_finished(outcome, monotonic() - self._received_at)
--- a/springrock/forwarding/eligibility.py
+++ b/springrock/forwarding/eligibility.py
@@ -104,9 +104,9 @@
         return Obstacle.NOT_UNDERSTOOD
     if record.leaving:
         return Obstacle.LEAVING
-    of_zone = zone_obstacle_of(record.zone, bounds=bounds, world=world)
-    if of_zone is not None:
-        return of_zone
+    zone_obstacle = zone_obstacle_of(record.zone, bounds=bounds, world=world)
+    if zone_obstacle is not None:
+        return zone_obstacle
     if backing_off:
         return Obstacle.BACKING_OFF
     metered = None if permitted else world.metered(record)
--- a/springrock/forwarding/events.py
+++ b/springrock/forwarding/events.py
@@ -25,20 +25,20 @@
     """Collects bytes and gives out whole events."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._incomplete = b""
 
     def feed(self, data: bytes) -> list[Event]:
         """Take bytes and return the events that they complete."""
-        self._rest += data
+        self._incomplete += data
         events: list[Event] = []
-        while match := _EVENT_END.search(self._rest):
-            raw = self._rest[: match.end()]
-            self._rest = self._rest[match.end() :]
+        while match := _EVENT_END.search(self._incomplete):
+            raw = self._incomplete[: match.end()]
+            self._incomplete = self._incomplete[match.end() :]
             found = _ID_LINE.search(raw)
             events.append(Event(raw, found.group(1).decode("latin-1") if found else ""))
         return events
 
-    def drain_rest(self) -> bytes:
+    def drain_incomplete(self) -> bytes:
         """Return the bytes of an event that is not whole, at the end of the stream."""
-        rest, self._rest = self._rest, b""
-        return rest
+        incomplete, self._incomplete = self._incomplete, b""
+        return incomplete
--- a/springrock/forwarding/exchange.py
+++ b/springrock/forwarding/exchange.py
@@ -16,16 +16,16 @@
 )
 from springrock.forwarding.message import AnswerHead, ClientRequest
 
-_SURPLUS_ANSWERS = 2
+_MAX_SURPLUS_ANSWERS = 2
 """How many answers to earlier requests are read past on one connection."""
 
-_SURPLUS_WITHIN_S = 0.5
+_SURPLUS_READ_TIMEOUT_S = 0.5
 
 OnClose = Callable[[int, int], None]
 """Takes the bytes of a request, and those of the body of its answer as far as it was read."""
 
 
-def _count_nothing(sent: int, received: int) -> None:
+def _ignore_bytes(sent: int, received: int) -> None:
     """Take what nobody counts."""
 
 
@@ -47,21 +47,21 @@
         self._connection = connection
         self._pool = pool
         self._on_close = on_close
-        self._received = 0
-        self._whole = False
+        self._received_bytes = 0
+        self._complete = False
 
-    def read(self, *, within_s: float) -> bytes:
+    def read(self, *, timeout_s: float) -> bytes:
         """Return the next bytes of the body; empty at its whole end.
 
         Raises:
             AnswerBroken: If the body ended early.
             AnswerSilent: If nothing came in time.
         """
-        if self._whole:
+        if self._complete:
             return b""
-        data = self._connection.read(within_s=within_s)
-        self._whole = not data
-        self._received += len(data)
+        data = self._connection.read(timeout_s=timeout_s)
+        self._complete = not data
+        self._received_bytes += len(data)
         return data
 
     def read_all(self, *, deadline: Deadline) -> bytes:
@@ -71,17 +71,17 @@
             AnswerBroken: If the body ended early.
             AnswerSilent: If it was not whole in time.
         """
-        pieces: list[bytes] = []
+        chunks: list[bytes] = []
         while True:
-            data = self.read(within_s=deadline.left_s)
+            data = self.read(timeout_s=deadline.left_s)
             if not data:
-                return b"".join(pieces)
-            pieces.append(data)
+                return b"".join(chunks)
+            chunks.append(data)
 
     def close(self) -> None:
         """Keep the connection if the answer was read whole, else close it."""
-        self._on_close(self._connection.sent_bytes, self._received)
-        if self._whole:
+        self._on_close(self._connection.sent_bytes, self._received_bytes)
+        if self._complete:
             self._pool.give_back(self._connection)
         else:
             self._connection.close()
@@ -94,9 +94,9 @@
     terms: SendTerms,
     dialect: Dialect,
     repeatable: bool,
-    head_within_s: float,
+    head_timeout_s: float,
     may_send: Callable[[], bool] = lambda: True,
-    on_close: OnClose = _count_nothing,
+    on_close: OnClose = _ignore_bytes,
     on_head: Callable[[AnswerHead], None] = _ignore_head,
 ) -> Answer:
     """Send a request to a replica and return its answer, to be closed by the caller.
@@ -120,7 +120,7 @@
         ReplicaChanged: If the replica is another one or lacks what the request needs.
         OutcomeUnknown: If it may have run and no answer came.
     """
-    connection = pool.take(careful=not repeatable, within_s=head_within_s)
+    connection = pool.acquire(conservative=not repeatable, timeout_s=head_timeout_s)
     if not may_send():
         connection.close()
         raise SendingForbidden("not to be sent there any more")
@@ -130,14 +130,14 @@
             target=request.target,
             headers=dialect.request_headers(request, terms),
             body=request.body,
-            within_s=head_within_s,
+            timeout_s=head_timeout_s,
         )
-        head = _find_own_answer(connection, request, dialect, Deadline(head_within_s))
+        head = _receive_own_head(connection, request, dialect, Deadline(head_timeout_s))
         on_head(head)
         answer = Answer(head, connection, pool, on_close)
         if not dialect.not_run(head):
             return answer
-        answer.read_all(deadline=Deadline(_SURPLUS_WITHIN_S))
+        answer.read_all(deadline=Deadline(_SURPLUS_READ_TIMEOUT_S))
     except BaseException:
         connection.close()
         raise
@@ -147,21 +147,21 @@
     raise ReplicaFull(f"answered {head.status}")
 
 
-def _find_own_answer(
+def _receive_own_head(
     connection: Connection, request: ClientRequest, dialect: Dialect, deadline: Deadline
 ) -> AnswerHead:
-    for _ in range(_SURPLUS_ANSWERS + 1):
-        head = connection.receive_head(within_s=deadline.left_s)
+    for _ in range(_MAX_SURPLUS_ANSWERS + 1):
+        head = connection.receive_head(timeout_s=deadline.left_s)
         if dialect.answers(head, request.request_id):
             return head
-        _read_past(connection)
+        _discard_answer(connection)
     raise ForeignAnswer("only answers to other requests came")
 
 
-def _read_past(connection: Connection) -> None:
+def _discard_answer(connection: Connection) -> None:
     """Read a surplus answer to its end, after which the own answer may follow."""
-    deadline = Deadline(_SURPLUS_WITHIN_S)
-    while connection.read(within_s=deadline.left_s):
+    deadline = Deadline(_SURPLUS_READ_TIMEOUT_S)
+    while connection.read(timeout_s=deadline.left_s):
         continue
     if not connection.reusable:
         raise AnswerBroken("the connection ends after a surplus answer")
--- a/springrock/forwarding/forwarder.py
+++ b/springrock/forwarding/forwarder.py
@@ -7,18 +7,18 @@
 from typing import Protocol
 
 from springrock.clock import Deadline
-from springrock.forwarding.choosing import RETRY_AFTER_S, SHORTEST_SEND_S, Chosen, ReplicaChooser
+from springrock.forwarding.choosing import MIN_SEND_TIME_S, RETRY_AFTER_S, Chosen, ReplicaChooser
 from springrock.forwarding.configuration import Route, RouteTable, Team
 from springrock.forwarding.errors import ExchangeError, OutcomeUnknown, Rejection
 from springrock.forwarding.keys import KeyGate, shown
 from springrock.forwarding.message import AnswerHead, ClientRequest
-from springrock.forwarding.reply import Reply, own_ending, pass_on, rejected
+from springrock.forwarding.reply import Reply, own_reply, rejection_reply, relayed_reply
 from springrock.forwarding.request_progress import RequestProgress
 from springrock.forwarding.sending import Sender
 from springrock.forwarding.streaming import StreamRelay, StreamRun
 from springrock.log import Log
 
-_LONGEST_SHOWN_S = 3600.0
+_MAX_LOGGED_AGE_S = 3600.0
 """What is older, or was never known, is logged as this old."""
 
 
@@ -71,61 +71,65 @@
         self._sender = sender
         self._relay = relay
         self._log = log
-        self._chance = random.Random()
+        self._random = random.Random()
 
     def forward(self, request: ClientRequest) -> Reply:
         """Return the reply to a request; its body may still be coming."""
         table = self._routes()
         if not table.configuration.version:
-            return own_ending(503, "no_configuration", retry_after_s=RETRY_AFTER_S)
+            return own_reply(503, "no_configuration", retry_after_s=RETRY_AFTER_S)
         route = table.find(request.host, request.path)
         if route is None:
-            return own_ending(404, "no_route")
+            return own_reply(404, "no_route")
         try:
             admission = self._gate.admit(table, route, request.key_digest)
         except Rejection as rejection:
-            self._say_not_admitted(request, route, rejection, table.configuration.version)
-            return rejected(rejection)
-        progress = RequestProgress(request, route, route.pick_service(self._chance), admission)
+            self._log_not_admitted(request, route, rejection, table.configuration.version)
+            return rejection_reply(rejection)
+        progress = RequestProgress(request, route, route.pick_service(self._random), admission)
         self._chooser.record_request(progress)
-        reply = self._forward_charged(progress)
-        self._say_ending(progress, reply, table.configuration.version)
+        reply = self._charge_and_forward(progress)
+        self._log_reply(progress, reply, table.configuration.version)
         return reply
 
-    def _forward_charged(self, progress: RequestProgress) -> Reply:
+    def _charge_and_forward(self, progress: RequestProgress) -> Reply:
         """Charge a request to its team and forward it; one that never ran costs nothing."""
         team, request = progress.admission.team, progress.request
         try:
             receipt = self._charging.charge(team, tokens=request.tokens, request=request.request_id)
         except Rejection as rejection:
-            return rejected(rejection)
+            return rejection_reply(rejection)
         try:
-            return self._stream(progress) if progress.streaming else self._call(progress)
+            return (
+                self._forward_stream(progress)
+                if progress.streaming
+                else self._forward_plain(progress)
+            )
         finally:
             if not progress.runs:
                 receipt.give_back()
 
     # Plain requests.
 
-    def _call(self, progress: RequestProgress) -> Reply:
-        failed: Reply | None = None
+    def _forward_plain(self, progress: RequestProgress) -> Reply:
+        failure_reply: Reply | None = None
         while True:
             try:
                 chosen = self._chooser.next_replica(progress, until=progress.ends_at)
-                reply = self._call_once(progress, chosen)
+                reply = self._attempt_plain(progress, chosen)
             except Rejection as rejection:
-                return failed or _ending_without_answer(progress, rejection)
+                return failure_reply or _reply_without_answer(progress, rejection)
             except ExchangeError:
                 continue
             if reply.head.status < 500 or not progress.may_run_again:
                 return reply
-            failed = reply
+            failure_reply = reply
 
-    def _call_once(self, progress: RequestProgress, chosen: Chosen) -> Reply:
+    def _attempt_plain(self, progress: RequestProgress, chosen: Chosen) -> Reply:
         replica = chosen.replica
         attempt = self._sender.begin(progress, replica)
         try:
-            answer = self._sender.send(progress, chosen, attempt, head_within_s=progress.left_s)
+            answer = self._sender.send(progress, chosen, attempt, head_timeout_s=progress.left_s)
             try:
                 body = answer.read_all(deadline=Deadline(progress.left_s))
             finally:
@@ -136,25 +140,25 @@
         finally:
             self._sender.end(chosen, attempt)
         self._sender.record_answer(progress, replica, attempt, answer.head.status)
-        self._sender.record_full_table(progress)
-        return pass_on(answer.head, [body])
+        self._sender.record_completion(progress)
+        return relayed_reply(answer.head, [body])
 
     # Streams.
 
-    def _stream(self, progress: RequestProgress) -> Reply:
-        failed: Reply | None = None
+    def _forward_stream(self, progress: RequestProgress) -> Reply:
+        failure_reply: Reply | None = None
         while True:
             try:
-                head, run = self._relay.open(progress, until=progress.first_event_by)
+                head, run = self._relay.open(progress, until=progress.first_event_deadline)
             except Rejection as rejection:
-                return failed or _ending_without_answer(progress, rejection)
+                return failure_reply or _reply_without_answer(progress, rejection)
             except ExchangeError:
                 continue
             if head.status < 500 or not progress.may_run_again:
-                return pass_on(head, self._relay.relay(progress, run))
-            failed = _failed_stream(head, run)
+                return relayed_reply(head, self._relay.relay(progress, run))
+            failure_reply = _read_failed_stream(head, run)
 
-    def _say_not_admitted(
+    def _log_not_admitted(
         self, request: ClientRequest, route: Route, rejection: Rejection, version: int
     ) -> None:
         self._log.say(
@@ -163,13 +167,13 @@
             route=route.name,
             key=shown(request.key_digest),
             configuration=version,
-            stale_ms=round(min(self._gate.stale_s, _LONGEST_SHOWN_S) * 1000),
+            stale_ms=round(min(self._gate.stale_s, _MAX_LOGGED_AGE_S) * 1000),
             status=rejection.status,
             reason=rejection.reason,
             retry_after=rejection.retry_after_s,
         )
 
-    def _say_ending(self, progress: RequestProgress, reply: Reply, version: int) -> None:
+    def _log_reply(self, progress: RequestProgress, reply: Reply, version: int) -> None:
         self._log.say(
             "Refused a request." if reply.reason else "Answered a request.",
             request=progress.request.request_id,
@@ -186,24 +190,24 @@
             age_ms=round(progress.age_s * 1000),
             target_ms=round(progress.route.target_s * 1000),
             deadline_ms=round((progress.request.deadline_s or 0.0) * 1000),
-            returning=self._chooser.is_returning(progress),
+            returning=self._chooser.is_client_retry(progress),
             attempts=progress.attempt_summaries(),
         )
 
 
-def _ending_without_answer(progress: RequestProgress, rejection: Rejection) -> Reply:
+def _reply_without_answer(progress: RequestProgress, rejection: Rejection) -> Reply:
     """Return the ending of a request that no replica answered."""
     if not progress.runs:
-        return rejected(rejection)
-    if progress.left_s < SHORTEST_SEND_S:
-        return own_ending(504, "outcome_unknown")
-    return own_ending(502, "outcome_unknown")
+        return rejection_reply(rejection)
+    if progress.left_s < MIN_SEND_TIME_S:
+        return own_reply(504, "outcome_unknown")
+    return own_reply(502, "outcome_unknown")
 
 
-def _failed_stream(head: AnswerHead, run: StreamRun) -> Reply | None:
+def _read_failed_stream(head: AnswerHead, run: StreamRun) -> Reply | None:
     """Return a replica's own failure, to be passed on if nothing better comes."""
     try:
-        return pass_on(head, [b"".join(run)])
+        return relayed_reply(head, [b"".join(run)])
     except OutcomeUnknown:
         return None
     finally:
--- a/springrock/forwarding/reply.py
+++ b/springrock/forwarding/reply.py
@@ -35,7 +35,7 @@
     reason: str = ""
 
 
-def own_ending(status: int, reason: str, *, retry_after_s: float | None = None) -> Reply:
+def own_reply(status: int, reason: str, *, retry_after_s: float | None = None) -> Reply:
     """Return an ending of this box's own.
 
     Args:
@@ -51,12 +51,12 @@
     return Reply(head, [body], reason)
 
 
-def rejected(rejection: Rejection) -> Reply:
+def rejection_reply(rejection: Rejection) -> Reply:
     """Return the ending of a request that did not run."""
-    return own_ending(rejection.status, rejection.reason, retry_after_s=rejection.retry_after_s)
+    return own_reply(rejection.status, rejection.reason, retry_after_s=rejection.retry_after_s)
 
 
-def pass_on(head: AnswerHead, body: Iterable[bytes]) -> Reply:
+def relayed_reply(head: AnswerHead, body: Iterable[bytes]) -> Reply:
     """Return a replica's answer with the headers that travel on."""
     kept = head.headers.end_to_end().without(("content-length",))
     return Reply(head._replace(headers=kept), body)
--- a/springrock/forwarding/request_progress.py
+++ b/springrock/forwarding/request_progress.py
@@ -68,14 +68,14 @@
 
     def __str__(self) -> str:
         """Say how it went, for logs."""
-        said = ", says it leaves" if self.notice.leaving else ""
+        notice_text = ", says it leaves" if self.notice.leaving else ""
         if self.notice.backoff_s:
-            said += f", asks for {self.notice.backoff_s:.2f} s of rest"
+            notice_text += f", asks for {self.notice.backoff_s:.2f} s of rest"
         if self.notice.limit_per_s is not None:
-            said += f", takes {self.notice.limit_per_s:.2f} requests a second"
+            notice_text += f", takes {self.notice.limit_per_s:.2f} requests a second"
         return (
             f"{self.instance} {self.outcome} at {self.began_s} s, "
-            f"record of {self.record_age_s} s{said}"
+            f"record of {self.record_age_s} s{notice_text}"
         )
 
 
@@ -112,14 +112,14 @@
         self.service = service
         self.attempts: list[Attempt] = []
         received_at = request.received_at
-        limits_s = [_DEFAULT_DEADLINE_S if request.deadline_s is None else request.deadline_s]
+        deadlines_s = [_DEFAULT_DEADLINE_S if request.deadline_s is None else request.deadline_s]
         if route.timeout_s is not None:
-            limits_s.append(route.timeout_s)
-        self.ends_at = received_at + min(limits_s)
-        self.first_event_by = min(self.ends_at, received_at + self.first_event_timeout_s)
+            deadlines_s.append(route.timeout_s)
+        self.ends_at = received_at + min(deadlines_s)
+        self.first_event_deadline = min(self.ends_at, received_at + self.first_event_timeout_s)
         self.last_event_id = request.last_event_id
         self.resuming = False
-        self.bounds = _bounds_of(route, admission)
+        self.bounds = _intersect_bounds(route, admission)
 
     @property
     def streaming(self) -> bool:
@@ -214,9 +214,9 @@
         return self.route.repeatable and self.runs < self.route.attempts
 
 
-def _bounds_of(route: Route, admission: Admission) -> Bounds:
+def _intersect_bounds(route: Route, admission: Admission) -> Bounds:
     """Return where a request may be served: route and team both bind, where they say something."""
     team = admission.team
-    reported = (route.regions, None if team is None else team.regions)
-    bounding = [regions for regions in reported if regions is not None]
-    return Bounds(frozenset.intersection(*bounding)) if bounding else ANYWHERE
+    region_sets = (route.regions, None if team is None else team.regions)
+    restricting = [regions for regions in region_sets if regions is not None]
+    return Bounds(frozenset.intersection(*restricting)) if restricting else ANYWHERE
--- a/springrock/forwarding/sending.py
+++ b/springrock/forwarding/sending.py
@@ -28,7 +28,7 @@
 from springrock.permits.warmup import WarmupTracker
 from springrock.quarantine.crash_detector import CrashDetector
 
-_OUTCOMES: tuple[tuple[type[ExchangeError], AttemptOutcome], ...] = (
+_OUTCOME_BY_ERROR: tuple[tuple[type[ExchangeError], AttemptOutcome], ...] = (
     (ReplicaUnreachable, AttemptOutcome.UNREACHABLE),
     (SendingForbidden, AttemptOutcome.WITHHELD),
     (ReplicaFull, AttemptOutcome.FULL),
@@ -37,7 +37,7 @@
     (OutcomeUnknown, AttemptOutcome.BROKEN),
 )
 
-_USE_OUTCOMES = {
+_USE_OUTCOME_BY_ATTEMPT = {
     AttemptOutcome.CHANGED: UseOutcome.LACKING,
     AttemptOutcome.FULL: UseOutcome.FULL,
     AttemptOutcome.UNREACHABLE: UseOutcome.UNREACHABLE,
@@ -46,7 +46,7 @@
     AttemptOutcome.FAILED: UseOutcome.FAILED,
 }
 
-_SHORTEST_SILENCE_S = 0.5
+_MIN_SILENCE_AS_FAILURE_S = 0.5
 """A route may allow less than a sound replica takes; such a silence tells nothing of it."""
 
 
@@ -83,7 +83,7 @@
         self._warmup = warmup
         self._may_send = may_send
         self._log = log
-        self._ways = ways
+        self._cross_zone_bytes = ways
         self._crash_detector = crash_detector
         self._notices = notices
         self._count_attempt = count_attempt
@@ -99,7 +99,7 @@
         self._count_attempt(attempt.outcome)
         if chosen.use is not None:
             chosen.use.end(
-                _USE_OUTCOMES.get(attempt.outcome, UseOutcome.ENDED),
+                _USE_OUTCOME_BY_ATTEMPT.get(attempt.outcome, UseOutcome.ENDED),
                 backoff_s=attempt.notice.backoff_s,
             )
 
@@ -109,7 +109,7 @@
         chosen: Chosen,
         attempt: Attempt,
         *,
-        head_within_s: float,
+        head_timeout_s: float,
         after_event: str = "",
     ) -> Answer:
         """Send the request and return the answer, to be closed by the caller.
@@ -140,9 +140,9 @@
             terms=terms,
             dialect=self._dialect,
             repeatable=progress.route.repeatable,
-            head_within_s=head_within_s,
+            head_timeout_s=head_timeout_s,
             may_send=lambda: self._may_send(progress, chosen),
-            on_close=self._ways.to(replica.record.zone),
+            on_close=self._cross_zone_bytes.to(replica.record.zone),
             on_head=lambda head: self._handle_notice(
                 progress, replica, attempt, self._dialect.notice(head)
             ),
@@ -170,7 +170,7 @@
             attempt.outcome = AttemptOutcome.ANSWERED
             replica.health.record_success()
 
-    def record_full_table(self, progress: RequestProgress) -> None:
+    def record_completion(self, progress: RequestProgress) -> None:
         """Learn that a replica ran the request to a good end, and lives."""
         self._crash_detector.record_completion(progress.fingerprint)
 
@@ -178,8 +178,10 @@
         self, progress: RequestProgress, replica: Replica, attempt: Attempt, error: ExchangeError
     ) -> None:
         """Learn from an exchange without an answer."""
-        attempt.outcome = next(outcome for kind, outcome in _OUTCOMES if isinstance(error, kind))
-        self._blame(progress, replica, error)
+        attempt.outcome = next(
+            outcome for kind, outcome in _OUTCOME_BY_ERROR if isinstance(error, kind)
+        )
+        self._record_fault_evidence(progress, replica, error)
         self._report_to_crash_detector(progress, replica, attempt, error)
         self._log.say(
             "An attempt failed.",
@@ -209,13 +211,15 @@
             case ReplicaUnreachable() if not isinstance(error, ConnectionRefused):
                 self._crash_detector.record_unreachable(replica.instance)
 
-    def _blame(self, progress: RequestProgress, replica: Replica, error: ExchangeError) -> None:
+    def _record_fault_evidence(
+        self, progress: RequestProgress, replica: Replica, error: ExchangeError
+    ) -> None:
         key = progress.request.adapter_key
         if isinstance(error, ReplicaUnreachable):
             refused = isinstance(error, ConnectionRefused)
             self._warmup.record_failed(replica.record, refused=refused)
             replica.health.record_unreachable()
-        elif isinstance(error, AnswerSilent) and progress.age_s < _SHORTEST_SILENCE_S:
+        elif isinstance(error, AnswerSilent) and progress.age_s < _MIN_SILENCE_AS_FAILURE_S:
             return
         elif isinstance(error, OutcomeUnknown):
             self._warmup.record_failed(replica.record, refused=False)
--- a/springrock/forwarding/streaming.py
+++ b/springrock/forwarding/streaming.py
@@ -6,7 +6,12 @@
 
 from springrock.clock import Deadline, monotonic
 from springrock.errors import AnswerCut
-from springrock.forwarding.choosing import SHORTEST_SEND_S, Chosen, ReplicaChooser, reaction_s
+from springrock.forwarding.choosing import (
+    MIN_SEND_TIME_S,
+    Chosen,
+    ReplicaChooser,
+    first_event_wait_s,
+)
 from springrock.forwarding.errors import ExchangeError, OutcomeUnknown, Rejection
 from springrock.forwarding.events import EventSplitter
 from springrock.forwarding.exchange import Answer
@@ -15,10 +20,10 @@
 from springrock.forwarding.sending import Sender
 from springrock.log import Log
 
-_SILENCE_TO_RESUME_S = 1.5
+_STALL_TIMEOUT_S = 1.5
 """A stream that may be resumed is taken for stuck after this pause."""
 
-_RESUME_WITHIN_S = 2.0
+_RESUME_TIMEOUT_S = 2.0
 
 
 class StreamRun:
@@ -36,7 +41,7 @@
         self._chosen = chosen
         self._replica = chosen.replica
         self._splitter = EventSplitter()
-        self._first = b""
+        self._first_events = b""
         self._attempt = sender.begin(progress, chosen.replica)
         self._closed = False
         self._answer: Answer | None = None
@@ -49,7 +54,7 @@
         """
         try:
             answer = self._send()
-            self._first = self._read(answer, within_s=self._first_event_within_s())
+            self._first_events = self._read_events(answer, timeout_s=self._first_event_timeout_s())
         except ExchangeError as error:
             self._sender.record_failure(self._progress, self._replica, self._attempt, error)
             self.close()
@@ -64,11 +69,11 @@
 
     def __iter__(self) -> Iterator[bytes]:
         assert self._answer is not None
-        data = self._first
+        data = self._first_events
         while data:
             yield data
             data = self._read_next(self._answer)
-        self._sender.record_full_table(self._progress)
+        self._sender.record_completion(self._progress)
 
     def close(self) -> None:
         """Give the connection back or close it; safe to call again."""
@@ -84,32 +89,32 @@
             self._progress,
             self._chosen,
             self._attempt,
-            head_within_s=self._first_event_within_s(),
+            head_timeout_s=self._first_event_timeout_s(),
             after_event=self._progress.last_event_id,
         )
         return self._answer
 
-    def _first_event_within_s(self) -> float:
+    def _first_event_timeout_s(self) -> float:
         if self._progress.resuming:
-            return min(_RESUME_WITHIN_S, self._progress.left_s)
-        return reaction_s(self._progress)
+            return min(_RESUME_TIMEOUT_S, self._progress.left_s)
+        return first_event_wait_s(self._progress)
 
     def _read_next(self, answer: Answer) -> bytes:
         progress = self._progress
-        pause_s = _SILENCE_TO_RESUME_S if progress.may_run_again else progress.first_event_timeout_s
+        stall_s = _STALL_TIMEOUT_S if progress.may_run_again else progress.first_event_timeout_s
         try:
-            return self._read(answer, within_s=min(pause_s, progress.left_s))
+            return self._read_events(answer, timeout_s=min(stall_s, progress.left_s))
         except OutcomeUnknown as error:
             self._sender.record_failure(progress, self._replica, self._attempt, error)
             raise
 
-    def _read(self, answer: Answer, *, within_s: float) -> bytes:
+    def _read_events(self, answer: Answer, *, timeout_s: float) -> bytes:
         """Return the next whole events; at the end what is left, which may be nothing."""
-        deadline = Deadline(max(SHORTEST_SEND_S, within_s))
+        deadline = Deadline(max(MIN_SEND_TIME_S, timeout_s))
         while True:
-            data = answer.read(within_s=deadline.left_s)
+            data = answer.read(timeout_s=deadline.left_s)
             if not data:
-                return self._splitter.drain_rest()
+                return self._splitter.drain_incomplete()
             events = self._splitter.feed(data)
             for event in events:
                 if event.event_id:
@@ -154,13 +159,13 @@
                 yield from run
                 return
             except OutcomeUnknown as error:
-                broken = error
+                break_error = error
             finally:
                 run.close()
-            run = self._resume(progress, broken)
+            run = self._resume(progress, break_error)
 
-    def _resume(self, progress: RequestProgress, broken: OutcomeUnknown) -> StreamRun:
-        until = min(progress.ends_at, monotonic() + _RESUME_WITHIN_S)
+    def _resume(self, progress: RequestProgress, break_error: OutcomeUnknown) -> StreamRun:
+        until = min(progress.ends_at, monotonic() + _RESUME_TIMEOUT_S)
         while progress.resuming and progress.may_run_again:
             try:
                 head, run = self.open(progress, until=until)
@@ -169,18 +174,20 @@
             except ExchangeError:
                 continue
             if head.succeeded:
-                self._say("Resumed a stream.", progress, broken)
+                self._log_stream("Resumed a stream.", progress, break_error)
                 return run
             run.close()
-        self._say("Cut a stream.", progress, broken)
-        raise AnswerCut(str(broken))
+        self._log_stream("Cut a stream.", progress, break_error)
+        raise AnswerCut(str(break_error))
 
-    def _say(self, sentence: str, progress: RequestProgress, broken: OutcomeUnknown) -> None:
+    def _log_stream(
+        self, sentence: str, progress: RequestProgress, break_error: OutcomeUnknown
+    ) -> None:
         self._log.say(
             sentence,
             request=progress.request.request_id,
             after_event=progress.last_event_id,
-            error=str(broken),
+            error=str(break_error),
             attempts=progress.attempt_summaries(),
             age_ms=round(progress.age_s * 1000),
         )
--- a/springrock/forwarding/way_bytes.py
+++ b/springrock/forwarding/way_bytes.py
@@ -17,14 +17,14 @@
 
     def __init__(self, metrics: ForwardingMetrics, topology: Topology) -> None:
         self._topology = topology
-        self._counts = {distance: _counting(metrics, distance) for distance in Distance}
+        self._counts = {distance: _counter(metrics, distance) for distance in Distance}
 
     def to(self, zone: str) -> OnClose:
         """Return what takes the bytes of an exchange with a replica of a zone."""
         return self._counts[self._topology.distance(zone)]
 
 
-def _counting(metrics: ForwardingMetrics, distance: Distance) -> OnClose:
+def _counter(metrics: ForwardingMetrics, distance: Distance) -> OnClose:
     count_request = metrics.bytes_away(BytesKind.REQUESTS, distance)
     count_answer = metrics.bytes_away(BytesKind.ANSWERS, distance)
 
--- a/tests/forwarding/test_distance.py
+++ b/tests/forwarding/test_distance.py
@@ -16,7 +16,7 @@
 from springrock.forwarding import health as health_module
 from springrock.forwarding.balancing import Balancer
 from springrock.forwarding.directory import Replica, ReplicaRecord
-from springrock.forwarding.distance_cost import Carried, DistanceCosts, DistancePrices
+from springrock.forwarding.distance_cost import DistanceCosts, DistancePrices, RequestSize
 from springrock.topology import Distance
 from tests.worlds import make_world
 
@@ -254,16 +254,16 @@
     costs = DistanceCosts.from_prices(DistancePrices(2.0, 6.0, 1.0), region_round_trip_s=0.04)
     assert costs.of(Distance.OWN_ZONE) == 0.0
     assert costs.of(Distance.OWN_REGION) == 0.25
-    assert costs.of(Distance.OTHER_REGION, Carried(0, 0.4)) == pytest.approx(0.25 * 4 + 0.1)
-    assert costs.of(Distance.OTHER_REGION, Carried(0, 0.1)) == pytest.approx(0.25 * 4 + 0.4)
-    assert costs.of(Distance.OTHER_REGION, Carried(0, 0.0)) > 2.0, "no target is soon missed"
+    assert costs.of(Distance.OTHER_REGION, RequestSize(0, 0.4)) == pytest.approx(0.25 * 4 + 0.1)
+    assert costs.of(Distance.OTHER_REGION, RequestSize(0, 0.1)) == pytest.approx(0.25 * 4 + 0.4)
+    assert costs.of(Distance.OTHER_REGION, RequestSize(0, 0.0)) > 2.0, "no target is soon missed"
 
 
 def test_a_long_request_is_sent_away_later_but_not_never() -> None:
     costs = DistanceCosts()
-    assert costs.of(Distance.OWN_ZONE, Carried(9_000)) == 0.0
-    assert costs.of(Distance.OWN_REGION, Carried(2_000)) == 0.5
-    assert costs.of(Distance.OWN_REGION, Carried(9_000_000)) == 1.0
+    assert costs.of(Distance.OWN_ZONE, RequestSize(9_000)) == 0.0
+    assert costs.of(Distance.OWN_REGION, RequestSize(2_000)) == 0.5
+    assert costs.of(Distance.OWN_REGION, RequestSize(9_000_000)) == 1.0
 
 
 def test_prices_of_nothing_still_let_the_nearest_come_first() -> None:
--- a/tests/forwarding/test_exchange.py
+++ b/tests/forwarding/test_exchange.py
@@ -48,7 +48,7 @@
         terms=TERMS,
         dialect=PlatformDialect(),
         repeatable=repeatable,
-        head_within_s=2.0,
+        head_timeout_s=2.0,
     )
 
 
@@ -74,7 +74,7 @@
             terms=TERMS,
             dialect=PlatformDialect(),
             repeatable=True,
-            head_within_s=2.0,
+            head_timeout_s=2.0,
             on_close=lambda sent, received: reported.append((sent, received)),
         )
         assert reported == []
@@ -161,10 +161,10 @@
 
     with ScriptedReplica(_script) as replica:
         found = send(ConnectionPool(replica.address))
-        assert found.read(within_s=2.0) == b"part"
+        assert found.read(timeout_s=2.0) == b"part"
         read.set()
         with pytest.raises(AnswerBroken):
-            found.read(within_s=2.0)
+            found.read(timeout_s=2.0)
 
 
 def test_bytes_that_are_no_answer_are_broken() -> None:
@@ -195,7 +195,7 @@
                 terms=TERMS,
                 dialect=PlatformDialect(),
                 repeatable=True,
-                head_within_s=0.1,
+                head_timeout_s=0.1,
             )
         over.set()
 
@@ -222,7 +222,7 @@
                 terms=TERMS,
                 dialect=PlatformDialect(),
                 repeatable=True,
-                head_within_s=2.0,
+                head_timeout_s=2.0,
                 may_send=lambda: pool.opened == 0,
             )
         wait_until(lambda: replica.ended == 1, what="the connection is closed")
--- a/tests/forwarding/test_sending.py
+++ b/tests/forwarding/test_sending.py
@@ -43,7 +43,7 @@
         progress = RequestProgress(make_request(deadline_s=5.0), make_route(), "s")
         attempt = sender.begin(progress, replica)
         with pytest.raises(SendingForbidden) as forbidden:
-            sender.send(progress, Chosen(replica, None), attempt, head_within_s=1.0)
+            sender.send(progress, Chosen(replica, None), attempt, head_timeout_s=1.0)
         sender.record_failure(progress, replica, attempt, forbidden.value)
     assert attempt.outcome is AttemptOutcome.WITHHELD
     assert (progress.arrivals, progress.runs) == (0, 0)
--- a/tests/forwarding/test_values.py
+++ b/tests/forwarding/test_values.py
@@ -23,7 +23,7 @@
 from springrock.forwarding.events import EventSplitter
 from springrock.forwarding.health import Health
 from springrock.forwarding.message import ClientRequest, Headers
-from springrock.forwarding.reply import own_ending
+from springrock.forwarding.reply import own_reply
 from springrock.forwarding.request_progress import AttemptOutcome, RequestProgress
 from springrock.log import Log
 from tests.worlds import make_world
@@ -103,8 +103,8 @@
         event for at in range(0, len(data), size) for event in splitter.feed(data[at : at + size])
     ]
     assert [event.event_id for event in events] == ["1", "2"]
-    assert b"".join(event.raw for event in events) + splitter.drain_rest() == data
-    assert splitter.drain_rest() == b""
+    assert b"".join(event.raw for event in events) + splitter.drain_incomplete() == data
+    assert splitter.drain_incomplete() == b""
 
 
 # Replicas.
@@ -130,22 +130,22 @@
     now = 100.0
     monkeypatch.setattr(budget_module, "monotonic", lambda: now)
     budget = RetryBudget(lambda: RetryLimits(ratio=0.2, allowance=2.5, window_s=10.0))
-    assert [budget.spend() for _ in range(4)] == [True, True, False, False]
+    assert [budget.try_spend() for _ in range(4)] == [True, True, False, False]
     for _ in range(20):
         budget.record_request()
-    assert [budget.spend() for _ in range(5)].count(True) == 3
+    assert [budget.try_spend() for _ in range(5)].count(True) == 3
     now += 11.0
-    assert [budget.spend() for _ in range(4)] == [True, True, False, False]
+    assert [budget.try_spend() for _ in range(4)] == [True, True, False, False]
 
 
 def test_retries_that_were_spent_stay_spent_when_the_limits_change() -> None:
     limits = RetryLimits(ratio=0.2, allowance=2.5, window_s=10.0)
     budget = RetryBudget(lambda: limits)
-    assert [budget.spend() for _ in range(3)] == [True, True, False]
+    assert [budget.try_spend() for _ in range(3)] == [True, True, False]
     limits = RetryLimits(ratio=0.2, allowance=5.0, window_s=10.0)
-    assert [budget.spend() for _ in range(3)] == [True, True, False]
+    assert [budget.try_spend() for _ in range(3)] == [True, True, False]
     limits = RetryLimits(ratio=0.2, allowance=2.5, window_s=10.0)
-    assert not budget.spend()
+    assert not budget.try_spend()
 
 
 def test_a_request_that_may_have_run_runs_again_only_within_its_attempts() -> None:
@@ -179,7 +179,7 @@
     )
     progress = RequestProgress(request, route, "s")
     assert progress.ends_at == request.received_at + 12.0
-    assert progress.first_event_by == request.received_at + 4.0
+    assert progress.first_event_deadline == request.received_at + 4.0
 
 
 # Replicas.
@@ -259,6 +259,6 @@
 
 
 def test_an_ending_says_when_to_come_back() -> None:
-    reply = own_ending(503, "no_replica", retry_after_s=0.254)
+    reply = own_reply(503, "no_replica", retry_after_s=0.254)
     assert reply.head.headers.get("retry-after") == "0.25"
     assert b"".join(reply.body) == b'{"error":"no_replica"}'
