--- a/springrock/forwarding/__init__.py
+++ b/springrock/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Forwarding of raw HTTP requests over configured routes to replicas found at run time."""
+"""Forwards raw HTTP requests over configured routes to replicas discovered at run time."""
--- a/springrock/forwarding/balancing.py
+++ b/springrock/forwarding/balancing.py
@@ -1,4 +1,4 @@
-"""The choice among replicas that could run a request."""
+"""Ranks the replicas that could run a request."""
 
 from __future__ import annotations
 
@@ -23,28 +23,30 @@
 )
 
 _PERMIT_COST = 0.1
-"""What a cold or limited replica counts more, in its places: a little less than one request at
-another of usual size, so that what it bears is asked for while others work, and not before."""
+"""Added cost of a cold or limited replica, on the scale of a replica's utilization. A little less
+than what one running request adds at a replica of usual size: permits are asked for while other
+replicas are busy, but not while one is idle."""
 
 _FAILURE_WEIGHT = 8.0
-"""What a replica that always fails counts more, in its places. The rate counts by its square: one
-failure among successes (0.15) does not outweigh the way to another zone, two in a row do. Where
-all replicas fail a few requests, boxes else leave their own zone after each failure."""
+"""Added cost of a replica whose failure rate is 1, on the scale of utilization. The cost grows with
+the square of the rate: a single failure among successes (rate 0.15) does not outweigh the cost of
+another zone, but two in a row do. With a linear cost, boxes would leave their own zone after each
+failure where all replicas fail a few requests."""
 
 _RANDOM_COST = 0.02
-"""Of equal replicas any one, beside what ways count."""
+"""Range of the random cost that spreads requests over replicas of nearly equal cost."""
 
 
 class Balancer:
-    """Prefers replicas with free places, few failures and a short way.
+    """Prefers nearby replicas with free capacity and few failures.
 
-    A box sees its own running requests only, one part of what runs at a replica; that it is full
-    the replica says itself.
+    A box counts only its own requests at a replica, not those of other boxes. It learns that a
+    replica is full from the replica's answers.
 
     Args:
-        world: Returns what is known beside the replicas.
-        chance: Breaks ties.
-        costs: What ways count.
+        world: Returns the state of zones and permits that routing depends on.
+        chance: The random source for ties.
+        costs: The costs of distances.
     """
 
     def __init__(
@@ -69,16 +71,16 @@
         even_metered: bool = False,
         size: RequestSize = TYPICAL_SIZE,
     ) -> Replica | None:
-        """Return the best usable replica, or None.
+        """Return the usable replica of the lowest cost, or None.
 
         Args:
             replicas: The candidates.
-            bounds: What the request allows.
-            tried: Instances that the request was sent to already.
+            bounds: The regions where the request may be served.
+            tried: Instances that the request was already sent to.
             fits: Whether a candidate has what the request needs.
-            even_resting: Whether one that is left alone is better than none.
-            even_metered: Whether those are candidates that need a permit.
-            carried: What the request takes along.
+            even_resting: Whether to fall back to replicas that cool down after failures.
+            even_metered: Whether replicas that need a permit are candidates too.
+            size: The size of the request and its target latency.
         """
         world = self._world()
         free: list[Replica] = []
@@ -105,14 +107,14 @@
         return min(free, key=_cost, default=None)
 
     def in_bounds(self, replicas: Collection[Replica], *, bounds: Bounds) -> list[Replica]:
-        """Return the replicas that stand where a request may be served, whatever their state."""
+        """Return the replicas in the regions that a request allows, regardless of their state."""
         topology = self._world().topology
         return [item for item in replicas if bounds.allow(item.record.zone, topology)]
 
     def count_obstacles(
         self, replicas: Collection[Replica], *, bounds: Bounds = ANYWHERE
     ) -> Counter[Obstacle]:
-        """Return what stands in the way at how many replicas."""
+        """Return how many replicas each obstacle applies to."""
         world = self._world()
         found = (_obstacle(replica, bounds, world) for replica in replicas)
         return Counter(obstacle for obstacle in found if obstacle is not None)
@@ -120,7 +122,7 @@
     def obstacle(
         self, replica: Replica, *, bounds: Bounds, permitted: bool = False
     ) -> Obstacle | None:
-        """Return why a request may not be sent to a replica now, however it did of late."""
+        """Return why a request may not be sent to a replica now, regardless of recent failures."""
         return obstacle_of(
             replica.record,
             bounds=bounds,
--- a/springrock/forwarding/budget.py
+++ b/springrock/forwarding/budget.py
@@ -1,7 +1,7 @@
-"""The budget of retries of one service, kept so that all boxes together stay within it.
+"""The retry budget of a service, which all boxes together do not exceed.
 
-Boxes that cannot speak to each other still share one budget: each spends only the retries that
-its own requests earn, and its part of the fixed allowance.
+No communication between boxes is needed: each box spends only the retries that its own requests
+allow, plus its share of the fixed allowance.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from springrock.clock import monotonic
 
 _SAFETY_FACTOR = 0.8
-"""The part of the budget that is used; the rest covers windows that do not line up."""
+"""Fraction of the budget that is used. The rest covers that windows of boxes are not aligned."""
 
 
 class RetryLimits(NamedTuple):
@@ -21,7 +21,7 @@
 
     Attributes:
         ratio: Retries allowed for each request of the window.
-        allowance: Retries allowed in a window beside that, for this box.
+        allowance: Retries allowed to this box in a window in addition to the ratio.
         window_s: The length of the window in seconds.
     """
 
@@ -34,7 +34,7 @@
     """Counts requests and retries in a sliding window.
 
     Args:
-        limits: Returns the limits in force now; what was counted stands when they change.
+        limits: Returns the current limits; a change keeps the requests and retries counted so far.
     """
 
     def __init__(self, limits: Callable[[], RetryLimits]) -> None:
@@ -43,11 +43,11 @@
         self._retries: deque[float] = deque()
 
     def record_request(self) -> None:
-        """Count a request that a client sent."""
+        """Count a client's request."""
         self._requests.append(monotonic())
 
     def try_spend(self) -> bool:
-        """Take one retry out; return whether there was one."""
+        """Spend one retry if the budget allows it; return whether it does."""
         limits = self._limits()
         self._drop_expired(older_than_s=limits.window_s)
         allowed = (limits.ratio * len(self._requests) + limits.allowance) * _SAFETY_FACTOR
--- a/springrock/forwarding/choosing.py
+++ b/springrock/forwarding/choosing.py
@@ -1,4 +1,4 @@
-"""Which replica a request is tried at next, and whether it may be tried at all."""
+"""Chooses the next replica for a request, or rejects it if no attempt is allowed."""
 
 from __future__ import annotations
 
@@ -22,48 +22,53 @@
 from springrock.permits.terms import LEAST_PERMIT_S
 
 MIN_SEND_TIME_S = 0.02
-"""With less time left a request is not sent any more."""
+"""A request with less time left is not sent."""
 
 RETRY_AFTER_S = 0.5
 _NO_PLACER_RETRY_S = 1.0
-"""When to come back if no placer is heard: by then a link is made anew."""
+"""Retry-After value while no placer can be reached: links are reopened within this time."""
 
 _MAX_REPLICAS_REACHED = 3
 _HIGHEST_PRIORITY_WORTH = 4.0
 
 
 _MAX_RETRY_WAIT_FRACTION = 1 / 3
-"""Of the time that is left to it, a client waits at most this part before it comes back."""
+"""A client waits at most this fraction of its remaining time before it retries."""
 
 _SHORT_DEADLINE_RATIO = 0.93
 
 _MAX_PLACER_ASKS = 3
-"""So often a placer is asked whose grant has been overtaken by a replica's own word."""
+"""How often a placer is asked in a row when its grants are unusable because the replica has
+meanwhile reported that it leaves, backs off or is at its limit."""
 
 _RETRY_AFTER_JITTER_S = 0.5
-"""Over so long clients come back that were turned away for a rest: else all are there as it ends,
-and the replica turns them away again."""
+"""Range of the random delay added to Retry-After while replicas back off. Without it all rejected
+clients would return when the back-off ends, and the replica would reject them again."""
 
 _REPORTED_BY_REPLICAS = (Obstacle.LEAVING, Obstacle.BACKING_OFF)
 
 _ZONE_OBSTACLES = (Obstacle.OUTSIDE_REGIONS, Obstacle.EVACUATED)
-"""Where these stand in the way of every replica no placer can help."""
+"""If these obstacles apply to every replica, no placer can grant a usable one."""
 
 
 class _LongestDeadlines:
-    """The longest deadline seen on each route: a client that has less has tried before."""
+    """The longest deadline seen on each route.
+
+    A client that retries sends the time that is left to it, so a clearly shorter deadline than the
+    route's longest marks a retry.
+    """
 
     def __init__(self) -> None:
         self._longest: dict[str, float] = {}
 
     def record(self, progress: RequestProgress) -> None:
-        """Learn from a request."""
+        """Include a request's deadline."""
         deadline_s = progress.request.deadline_s or 0.0
         name = progress.route.name
         self._longest[name] = max(self._longest.get(name, 0.0), deadline_s)
 
     def is_shortened(self, progress: RequestProgress) -> bool:
-        """Whether a request has less time than others of its route have at first."""
+        """Whether a request's deadline is clearly shorter than the longest of its route."""
         deadline_s = progress.request.deadline_s
         longest_s = self._longest.get(progress.route.name, 0.0)
         return deadline_s is not None and deadline_s < longest_s * _SHORT_DEADLINE_RATIO
@@ -73,9 +78,10 @@
     """A replica that a request is to be sent to.
 
     Attributes:
-        use: The use of its adapter, to be ended by who sends the request; None without an adapter.
-        permit_until: Until when, on the local monotonic clock, it may be sent there even if the
-            replica is cold or limited; None if there is no permit.
+        use: The use of the adapter on the replica, which the sender must end; None for a request
+            without an adapter.
+        permit_until: Expiry of the permit to send to the replica although it is cold or limited,
+            on the local monotonic clock; None if there is no permit.
     """
 
     replica: Replica
@@ -84,7 +90,7 @@
 
     @property
     def permitted(self) -> bool:
-        """Whether it may be sent there now even if the replica is cold or limited."""
+        """Whether there is a permit that has not expired."""
         return self.permit_until is not None and monotonic() < self.permit_until
 
 
@@ -92,14 +98,14 @@
     """Knows which requests crash the replicas that run them."""
 
     def quarantined_for_s(self, fingerprint: Fingerprint) -> float | None:
-        """Return for how long a request is sent to no replica; None if it may be sent."""
+        """Return for how many seconds a request stays quarantined; None if it may be sent."""
 
     def may_be_retried(self, fingerprint: Fingerprint) -> bool:
-        """Whether a request that may have run may run again in the same try."""
+        """Whether a request that a replica may have run may be sent to another one."""
 
 
 class _NoQuarantine:
-    """Implements `Quarantine` where nobody looks at crashes."""
+    """A `Quarantine` that holds no request."""
 
     def quarantined_for_s(self, fingerprint: Fingerprint) -> float | None:
         return None
@@ -112,16 +118,16 @@
 
 
 class ReplicaChooser:
-    """Chooses replicas for requests, within the rules of retries.
+    """Chooses replicas for requests and enforces the limits on retries.
 
     Args:
-        configuration: Returns the configuration in force.
+        configuration: Returns the current configuration.
         directory: The known replicas.
-        balancer: Chooses among them.
-        adapters: Where adapters stand.
+        balancer: Ranks the candidates.
+        adapters: Finds replicas that hold an adapter, with the help of placers.
         budget_of: Returns the retry budget of a service.
-        permits: Asks whether requests may be sent to cold or limited replicas.
-        check_key: Raises if a request's key is not to be served any more.
+        permits: Asks for permits to send requests to cold or limited replicas.
+        check_key: Raises if a request's key is no longer valid.
         quarantine: Knows which requests crash replicas.
     """
 
@@ -149,26 +155,26 @@
         self._random = random.Random()
 
     def record_request(self, progress: RequestProgress) -> None:
-        """Count a new request."""
+        """Record a new request in the retry budget and among the deadlines of its route."""
         self._budget_of(progress.service).record_request()
         self._deadlines.record(progress)
 
     def is_client_retry(self, progress: RequestProgress) -> bool:
-        """Whether a request's client has tried before, as its deadline tells."""
+        """Whether the request is a client's retry, judged by its shortened deadline."""
         return self._deadlines.is_shortened(progress)
 
     def next_replica(self, progress: RequestProgress, *, until: float) -> Chosen:
-        """Return the replica to try next, after a wait for its adapter if need be.
+        """Return the replica to try next; waits for the adapter to be loaded if necessary.
 
         Args:
-            progress: The request and what was tried for it.
-            until: How long a wait makes sense, on the local monotonic clock.
+            progress: The request and the attempts so far.
+            until: Latest useful end of a wait, on the local monotonic clock.
 
         Raises:
-            NoReplica: If there is none, or no more may be tried.
-            KeyUnknown: If its key was taken away while it waited.
-            KeysStale: If that is not known surely enough.
-            Quarantined: If it crashes the replicas that run it.
+            NoReplica: If no replica is usable, or no further attempt is allowed.
+            KeyUnknown: If the request's key was revoked while it waited.
+            KeysStale: If the key cannot be checked, as this box's list of keys is too old.
+            Quarantined: If the request crashes the replicas that run it.
         """
         self._check_quarantine(progress)
         if progress.left_s < MIN_SEND_TIME_S:
@@ -187,7 +193,10 @@
         return chosen
 
     def may_send(self, progress: RequestProgress, chosen: Chosen) -> bool:
-        """Whether nothing stands in the way of sending a request now, as it may have waited."""
+        """Whether the chosen replica may still be sent the request.
+
+        Checked right before sending, as the wait for a connection may have taken long.
+        """
         if self._quarantine.quarantined_for_s(progress.fingerprint) is not None:
             return False
         return self._obstacle(progress, chosen) is None
@@ -198,7 +207,7 @@
         )
 
     def _check_sending(self, progress: RequestProgress, chosen: Chosen) -> None:
-        """Raise if a request is not to be sent after all, as it may have waited."""
+        """Raise if the request may no longer be sent after the wait for its replica."""
         obstacle = self._obstacle(progress, chosen)
         if obstacle is not None:
             raise NoReplica(obstacle, RETRY_AFTER_S)
@@ -209,7 +218,7 @@
             raise NoReplica("retry_budget", RETRY_AFTER_S)
 
     def _check_quarantine(self, progress: RequestProgress) -> None:
-        """Raise if a request crashes the replicas that run it, as other boxes may have learnt."""
+        """Raise if this box or another one found that the request crashes replicas."""
         left_s = self._quarantine.quarantined_for_s(progress.fingerprint)
         if left_s is not None:
             raise Quarantined(left_s)
@@ -235,7 +244,7 @@
                     raise
 
     def _check_regions(self, progress: RequestProgress) -> None:
-        """Raise at once if no replica stands where the request may be served: no wait helps."""
+        """Raise without a wait if no replica is in a region where the request may be served."""
         if progress.bounds.regions is None:
             return
         replicas = self._directory.of_service(progress.service)
@@ -245,7 +254,7 @@
     def _find_granted(
         self, progress: RequestProgress, key: AdapterKey, *, until: float
     ) -> Chosen | None:
-        """Return the replica that a placer grants; None if no placer is heard."""
+        """Return the replica that a placer grants; None without a placer or a usable grant."""
         without_permit: frozenset[str] = frozenset()
         for _ in range(_MAX_PLACER_ASKS):
             adapter_request = self._adapter_request(progress, key, until=until)
@@ -262,20 +271,20 @@
                     chosen = self._with_permit(progress, replica, use)
                     if chosen is not None:
                         return chosen
-                    # It has no room any more, or the placer knows nothing of its limit.
+                    # The replica is at its limit, which the placer may not know yet.
                     without_permit |= {use.instance}
                     continue
-            # The placer knows more, or less, than this box: go by what this box knows.
+            # The placer's state of the replica differs from this box's, which takes precedence.
             use.end(UseOutcome.ENDED)
             if obstacle not in _REPORTED_BY_REPLICAS:
                 return None
-            # The replica has said so since the ask; the next one names it among what it avoids.
+            # The replica reported this after the placer was asked; the next ask excludes it.
         return None
 
     def _adapter_request(
         self, progress: RequestProgress, key: AdapterKey, *, until: float
     ) -> AdapterRequest:
-        # The placer may not know yet what this box knows, and would grant what it cannot use.
+        # Without this list the placer could grant replicas that only this box knows as unusable.
         replicas = self._directory.of_service(progress.service)
         unusable = {replica.instance for replica in replicas if _is_unusable(replica)}
         resting = {replica.instance for replica in replicas if replica.health.resting}
@@ -290,7 +299,7 @@
         )
 
     def _with_permit(self, progress: RequestProgress, replica: Replica, use: Use) -> Chosen | None:
-        """Return a granted engine, with a permit if it needs one; None if there is none for it."""
+        """Return a granted engine, with a permit if it needs one; None if the permit is refused."""
         chosen = Chosen(replica, use, use.permit_until)
         left_s = 0.0 if use.permit_until is None else use.permit_until - monotonic()
         if left_s >= LEAST_PERMIT_S or self._permit_obstacle(progress, replica) is None:
@@ -307,12 +316,12 @@
         return chosen._replace(permit_until=permit.good_until)
 
     def _permit_obstacle(self, progress: RequestProgress, replica: Replica) -> Obstacle | None:
-        """Return why a replica needs a permit; None if it needs none, or none would help."""
+        """Return why a replica needs a permit; None if it needs none, or is unusable anyway."""
         obstacle = self._balancer.obstacle(replica, bounds=progress.bounds)
         return obstacle if obstacle in METERED else None
 
     def _find_without_placer(self, progress: RequestProgress, key: AdapterKey) -> Chosen:
-        """Return a replica by this box's own knowledge, as no placer is heard."""
+        """Return a replica chosen from this box's own state, as no placer answers."""
         try:
             picked = self._choose(progress)
         except NoReplica as refusal:
@@ -331,7 +340,7 @@
                 return self._adapters.holds(replica, key)
             return not request.model or request.model in replica.record.models
 
-        # For an adapter on a resting replica, a load elsewhere is better than to try that one.
+        # With an adapter, a load elsewhere is better than a replica that cools down after failures.
         replicas = self._directory.of_service(progress.service)
         size = RequestSize(len(request.body), progress.route.target_s)
 
@@ -357,7 +366,7 @@
         return picked
 
     def _no_replica_error(self, progress: RequestProgress, replicas: list[Replica]) -> NoReplica:
-        """Return the refusal of a request that no replica can take, which says what binds."""
+        """Return the rejection, with the most frequent obstacle if every replica has one."""
         replicas = self._balancer.in_bounds(replicas, bounds=progress.bounds)
         found = self._balancer.count_obstacles(replicas, bounds=progress.bounds)
         if found.total() < len(replicas) or not found:
@@ -368,7 +377,7 @@
         return NoReplica(most_frequent, RETRY_AFTER_S)
 
     def _retry_after_backoff_s(self, replicas: list[Replica]) -> float:
-        """Return when a client may come back whom only resting replicas could serve."""
+        """Return the seconds after which a client may retry, if all usable replicas back off."""
         left_s = [replica.backoff.left_s for replica in replicas if replica.backoff.active]
         return min(left_s, default=RETRY_AFTER_S) + self._random.uniform(0.0, _RETRY_AFTER_JITTER_S)
 
@@ -386,16 +395,16 @@
 
 
 def first_event_wait_s(progress: RequestProgress) -> float:
-    """Return the seconds until the client of a stream gives up waiting for its first event."""
+    """Return the seconds until a stream's client stops waiting for the first event."""
     return max(MIN_SEND_TIME_S, progress.first_event_deadline - monotonic())
 
 
 def _is_unusable(replica: Replica) -> bool:
-    """Whether this box must send a replica nothing, even for want of another."""
+    """Whether this box must not send to a replica even if there is no other."""
     record = replica.record
     return replica.backoff.active or record.leaving or not record.understood
 
 
 def _worth_of_priority(priority: int) -> float:
-    """Return what a request is worth beside others; the more urgent the more."""
+    """Return the weight of a request's wait against other requests; urgent ones weigh more."""
     return _HIGHEST_PRIORITY_WORTH / (1 + max(0, priority))
--- a/springrock/forwarding/connection.py
+++ b/springrock/forwarding/connection.py
@@ -1,8 +1,8 @@
-"""Connections to one replica, each carrying one exchange at a time, kept while they are sound.
+"""Persistent connections to one replica, each carrying one exchange at a time.
 
-The standard library's client does the parsing. It is used below urllib3, because a surplus answer
-that stands before the expected one has to be read and dropped on the same connection: the reader
-must outlive one answer, which neither urllib3 nor `http.client.HTTPConnection` allows.
+Answers are parsed by the standard library's `HTTPResponse`. An answer to an earlier request that
+arrives before the expected one has to be read and discarded on the same connection, so the reader
+must outlive a single answer. Neither urllib3 nor `http.client.HTTPConnection` allows that.
 """
 
 from __future__ import annotations
@@ -28,28 +28,28 @@
 _DEFAULT_IDLE_TIMEOUT_S = 4.0
 _MAX_IDLE_CONNECTIONS = 16
 _BROKEN_ANSWER_ERRORS = (OSError, HTTPException, ValueError, EOFError)
-"""What sending and parsing raise when a connection or an answer is broken."""
+"""Raised by the socket and the parser when a connection or an answer is broken."""
 
 
 class _PersistentReader(io.BufferedReader):
-    """A reader that outlives the answers parsed from it."""
+    """A buffered reader that stays open after an answer has been parsed from it."""
 
     def close(self) -> None:
-        """Do nothing: each parsed answer closes its reader, the connection goes on."""
+        """Do nothing: `HTTPResponse` closes its reader after each answer."""
 
     def close_permanently(self) -> None:
-        """Close really."""
+        """Close the reader with its connection."""
         super().close()
 
 
 class _ReaderSocket:
-    """Stands where the parser expects a socket."""
+    """Stands in for the socket that `HTTPResponse` makes its reader from."""
 
     def __init__(self, reader: _PersistentReader) -> None:
         self._reader = reader
 
     def makefile(self, mode: str) -> _PersistentReader:
-        """Return the lasting reader."""
+        """Return the connection's reader."""
         return self._reader
 
 
@@ -58,13 +58,13 @@
 
     Args:
         address: ``HOST:PORT`` of the replica.
-        connect_within_s: How long the connection may take to come up.
+        connect_timeout_s: Timeout for opening the connection.
 
     Attributes:
-        sent_bytes: What the latest request took, its head included.
+        sent_bytes: Length of the latest request, head included.
 
     Raises:
-        ReplicaUnreachable: If it does not come up.
+        ReplicaUnreachable: If the connection cannot be opened.
     """
 
     def __init__(self, address: str, *, connect_timeout_s: float) -> None:
@@ -90,10 +90,10 @@
     def send(
         self, *, method: str, target: str, headers: Headers, body: bytes, timeout_s: float
     ) -> None:
-        """Send a whole request.
+        """Send a request.
 
         Raises:
-            AnswerBroken: If the connection failed; the replica may have got the request.
+            AnswerBroken: If the connection failed; the replica may have received the request.
         """
         lines = [f"{method} {target} HTTP/1.1"]
         lines += [f"{name}: {value}" for name, value in headers]
@@ -106,7 +106,7 @@
             self._socket.sendall(head + body)
             self._request_sent = True
         except OSError as error:
-            # A replica may answer before it has read a long body, and close.
+            # A replica may answer and close before it has read a long body.
             if not self._has_unread_input():
                 raise AnswerBroken(f"sending failed: {error}") from None
 
@@ -114,15 +114,15 @@
         """Read the head of the next answer.
 
         Raises:
-            AnswerSilent: If it did not begin in time.
-            AnswerBroken: If the connection ended or what came is no answer.
+            AnswerSilent: If no answer began within the timeout.
+            AnswerBroken: If the connection ended, or the bytes received are not an HTTP answer.
         """
         self._socket.settimeout(max(0.001, timeout_s))
         response = HTTPResponse(cast(Any, _ReaderSocket(self._reader)), method=self._method)
         try:
             response.begin()
         except TimeoutError:
-            raise AnswerSilent("no answer began in time") from None
+            raise AnswerSilent("no answer began within the timeout") from None
         except _BROKEN_ANSWER_ERRORS as error:
             raise AnswerBroken(f"no answer: {type(error).__name__}: {error}") from None
         self._response = response
@@ -131,11 +131,11 @@
         return AnswerHead(response.status, response.reason, headers)
 
     def read(self, *, timeout_s: float) -> bytes:
-        """Return the next bytes of the answer's body as they come; empty at its whole end.
+        """Return the next bytes of the answer's body as they arrive; empty at its complete end.
 
         Raises:
-            AnswerSilent: If nothing came in time.
-            AnswerBroken: If the body ended before its stated end.
+            AnswerSilent: If nothing arrived within the timeout.
+            AnswerBroken: If the body ended before its stated length.
         """
         response = self._response
         assert response is not None
@@ -143,32 +143,32 @@
         try:
             data = response.read1(_READ_BYTES)
         except TimeoutError:
-            raise AnswerSilent("the answer fell silent") from None
+            raise AnswerSilent("no more of the answer arrived within the timeout") from None
         except _BROKEN_ANSWER_ERRORS as error:
-            raise AnswerBroken(f"cut off: {type(error).__name__}: {error}") from None
+            raise AnswerBroken(f"answer ended early: {type(error).__name__}: {error}") from None
         if not data and response.length:
-            raise AnswerBroken(f"{response.length} bytes are missing")
+            raise AnswerBroken(f"answer ended early: {response.length} bytes are missing")
         return data
 
     @property
     def reusable(self) -> bool:
-        """Whether request and answer went whole and the replica lets the connection stand."""
+        """Whether the exchange is complete and the replica keeps the connection open."""
         response = self._response
         if response is None or response.will_close or not self._request_sent:
             return False
         return response.isclosed() or response.length == 0
 
     def record_kept(self) -> None:
-        """Note that the connection begins to rest."""
+        """Mark the connection as idle from now on."""
         self._idle_since = monotonic()
         self._response = None
 
     def is_usable(self, *, conservative: bool) -> bool:
-        """Whether a resting connection can carry another request.
+        """Whether an idle connection can carry another request.
 
         Args:
-            careful: Whether a request follows that cannot be sent again, so that the
-                connection must be well inside the replica's idle time.
+            conservative: Whether the next request cannot be sent again. The connection must then
+                have been idle for less than half of the replica's idle timeout.
         """
         idle_s = monotonic() - self._idle_since
         limit_s = (
@@ -177,7 +177,7 @@
         return idle_s < limit_s and not self._has_unread_input() and not self._has_buffered_input()
 
     def close(self) -> None:
-        """Close it; safe to call again."""
+        """Close the connection; safe to call again."""
         if self.closed:
             return
         self.closed = True
@@ -196,7 +196,7 @@
                 self._idle_timeout_s = float(value)
 
     def _has_unread_input(self) -> bool:
-        """Whether bytes or an end have come that nobody asked for."""
+        """Whether the socket has unread bytes, was closed by the replica, or failed."""
         self._socket.settimeout(0.0)
         try:
             self._socket.recv(1, socket.MSG_PEEK)
@@ -207,7 +207,7 @@
         return True
 
     def _has_buffered_input(self) -> bool:
-        """Whether the reader holds bytes beyond the last answer."""
+        """Whether the reader has buffered bytes after the last answer."""
         self._socket.settimeout(0.0)
         try:
             return bool(self._reader.peek(1))
@@ -216,25 +216,32 @@
 
 
 class ConnectionPool:
-    """The resting connections to one replica, and the count of those in use.
+    """The idle connections to one replica.
 
     Args:
         address: ``HOST:PORT`` of the replica.
-        connect_within_s: How long a new connection may take to come up.
+        connect_timeout_s: Timeout for opening a new connection.
+
+    Attributes:
+        opened: How many connections the pool has opened.
     """
 
     def __init__(self, address: str, *, connect_timeout_s: float = 0.6) -> None:
         self.address = address
-        self._connect_within_s = connect_timeout_s
+        self._connect_timeout_s = connect_timeout_s
         self._idle: deque[Connection] = deque()
         self._closed = False
         self.opened = 0
 
     def acquire(self, *, conservative: bool, timeout_s: float) -> Connection:
-        """Return a sound connection, a resting one if there is one.
+        """Return an idle connection that is usable, or else open one.
+
+        Args:
+            conservative: See `Connection.is_usable`.
+            timeout_s: Upper bound of the timeout for opening a connection.
 
         Raises:
-            ReplicaUnreachable: If none comes up.
+            ReplicaUnreachable: If no connection can be opened.
         """
         while self._idle:
             connection = self._idle.pop()
@@ -242,10 +249,10 @@
                 return connection
             connection.close()
         self.opened += 1
-        return Connection(self.address, connect_timeout_s=min(self._connect_within_s, timeout_s))
+        return Connection(self.address, connect_timeout_s=min(self._connect_timeout_s, timeout_s))
 
     def give_back(self, connection: Connection) -> None:
-        """Keep a connection for the next request if it is sound, else close it."""
+        """Keep a connection for another request if it is reusable, else close it."""
         if self._closed or not connection.reusable or len(self._idle) >= _MAX_IDLE_CONNECTIONS:
             connection.close()
             return
@@ -253,7 +260,7 @@
         self._idle.append(connection)
 
     def close(self) -> None:
-        """Close what rests, and what is given back from now on."""
+        """Close the idle connections, and from now on those given back."""
         self._closed = True
         while self._idle:
             self._idle.pop().close()
--- a/springrock/forwarding/dialect.py
+++ b/springrock/forwarding/dialect.py
@@ -1,7 +1,7 @@
-"""What forwarding needs of the protocol spoken by clients and replicas.
+"""The interface between forwarding and the platform's protocol with clients and replicas.
 
-The names of headers and fields belong to the platform that clients and replicas live on; an
-implementation translates and decides nothing.
+The platform defines the names of headers and fields. An implementation only translates between them
+and the types of this module; it makes no routing decisions.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 
 
 class SendTerms(NamedTuple):
-    """What a request to one replica carries beside what the client sent.
+    """What is sent to a replica in addition to the client's request.
 
     Attributes:
-        instance: The incarnation that alone may run it.
-        left_s: The time that the replica may take.
-        adapter_version: The version of the adapter that alone may run it; 0 for any.
-        priority: The rank at the replica, 0 first; None for the default.
-        after_event: The event after which a stream goes on; empty for the client's own wish.
-        team: The team that the replica is told, or empty; None where there are no teams, and what
-            a client sends of keys and teams is its own.
+        instance: The id of the replica that must run the request; any other must refuse it.
+        left_s: Seconds that the replica may take.
+        adapter_version: The version of the adapter that must run the request; 0 for any.
+        priority: The priority at the replica, 0 the highest; None for the replica's default.
+        after_event: Id of the event after which a stream resumes; empty to keep the client's own.
+        team: The name of the team that is sent to the replica, or empty. None if no teams are
+            configured; the client's headers about keys and teams are then forwarded unchanged.
     """
 
     instance: str
@@ -33,16 +33,16 @@
 
 
 class ReplicaNotice(NamedTuple):
-    """What the head of an answer tells of its replica, whatever became of the request.
+    """What the head of an answer says about its replica, independent of the request's outcome.
 
     Attributes:
-        leaving: Whether the replica gets no new work any more.
-        backoff_s: For how long, from now on, it wants nothing from this box; 0 if it said nothing.
-        unreadable: What it said that cannot be understood, for logs.
-        limit_per_s: How many requests a second it takes from all boxes together, for as long as
-            it says so; None if it says nothing of it.
-        of_replica: Whether it is the replica that was meant that answers.
-        unknown: Names under which it says something that this build does not know.
+        leaving: Whether the replica is shutting down and must get no new requests.
+        backoff_s: Seconds for which this box must send the replica no requests; 0 if not stated.
+        unreadable: Notices that could not be parsed, for logs.
+        limit_per_s: Requests a second that the replica accepts from all boxes together, until it
+            states another limit or none; None if not stated.
+        of_replica: Whether the answer comes from the replica that the request was sent to.
+        unknown: Names of notices that this build does not know.
     """
 
     leaving: bool = False
@@ -58,7 +58,7 @@
 
 
 class Dialect(Protocol):
-    """Reads requests of clients and writes requests to replicas."""
+    """Parses requests of clients, writes requests to replicas and interprets their answers."""
 
     def read_request(
         self, *, method: str, target: str, headers: Headers, body: bytes, received_at: float
@@ -66,7 +66,7 @@
         """Return a client's request.
 
         Raises:
-            BadRequest: If a field that the box must understand is malformed.
+            BadRequest: If a field that the box must interpret is malformed.
         """
 
     def request_headers(self, request: ClientRequest, terms: SendTerms) -> Headers:
@@ -79,7 +79,7 @@
         """Whether an answer promises that the replica did not run the request."""
 
     def wrong_replica(self, head: AnswerHead) -> bool:
-        """Whether an answer says that this replica is not the one, or lacks what was asked."""
+        """Whether another replica answered, or this one lacks what the request needs."""
 
     def notice(self, head: AnswerHead) -> ReplicaNotice:
-        """Return what an answer tells of the replica that was meant."""
+        """Return what an answer says about the replica that the request was sent to."""
--- a/springrock/forwarding/distance_cost.py
+++ b/springrock/forwarding/distance_cost.py
@@ -1,4 +1,4 @@
-"""What it costs to send a request away: bytes between zones and regions, and the way there."""
+"""The cost of sending a request to another zone or region: transferred bytes and latency."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 _BYTES_PER_MB = 1_000_000
 _MIN_LOAD_PRICE = 1e-9
-"""Loads that cost nothing are reckoned as next to nothing."""
+"""Replaces a load price of 0, which would be divided by."""
 
 _BYTES_PER_TOKEN = 4
-"""What a token of a prompt takes on the wire, about."""
+"""Approximate length of a prompt token on the wire."""
 
 _MIN_TARGET_S = 0.001
 
 _OVERHEAD_BYTES = 2_000
-"""What a request and its answer take beside the prompt: headers, and the events of a stream."""
+"""Approximate bytes of a request and its answer without the prompt: headers and events."""
 
 
 class DistancePrices(NamedTuple):
-    """Prices beside each other, in any one unit.
+    """Prices relative to each other; the unit is arbitrary.
 
     Attributes:
-        zone_mb: Of a megabyte between two zones of a region.
-        region_mb: Of a megabyte between two regions.
-        adapter_load: Of an adapter brought from the weight store.
+        zone_mb: Price of a megabyte between two zones of a region.
+        region_mb: Price of a megabyte between two regions.
+        adapter_load: Price of loading an adapter from the weight store.
     """
 
     zone_mb: float = 1.0
@@ -33,7 +33,7 @@
     adapter_load: float = 0.03
 
     def in_loads(self, distance: Distance, transferred_bytes: float) -> float:
-        """Return what bytes cost over a distance, in loads of an adapter."""
+        """Return the price of bytes over a distance, as a multiple of the price of an adapter load."""
         if distance is Distance.OWN_ZONE:
             return 0.0
         price = self.region_mb if distance is Distance.OTHER_REGION else self.zone_mb
@@ -43,19 +43,19 @@
 USUAL_PRICES = DistancePrices()
 
 _OTHER_ZONE_COST = 0.25
-"""What the way to another zone counts beside the part of a replica's places that are taken: a
-replica of the own zone is left when a quarter more of its places are."""
+"""Cost of another zone, on the scale of a replica's utilization: a replica of another zone is chosen
+once a quarter more of the places of the own zone's replica are taken."""
 
 _MAX_SIZE_WEIGHT = 4.0
-"""How many times a usual request a long one counts at most: its places matter as well."""
+"""Upper bound of a request's size weight, so that utilization still matters for long ones."""
 
 
 class RequestSize(NamedTuple):
-    """What a request takes along, and how long its answer may take.
+    """The size of a request and its target latency.
 
     Attributes:
-        body_bytes: The length of its body.
-        target_s: In what time it is to be answered.
+        body_bytes: Length of the body.
+        target_s: Target latency of the answer, in seconds.
     """
 
     body_bytes: int = 0
@@ -63,7 +63,7 @@
 
     @property
     def weight(self) -> float:
-        """What its bytes count beside those of a usual request."""
+        """The cost of the request's bytes relative to a request of typical size."""
         return min(_MAX_SIZE_WEIGHT, 1 + self.body_bytes / _OVERHEAD_BYTES)
 
 
@@ -71,13 +71,13 @@
 
 
 class DistanceCosts(NamedTuple):
-    """What ways count beside the part of a replica's places that are taken.
+    """Costs of distances, on the scale of a replica's utilization.
 
     Attributes:
-        own_region: To another zone of the own region.
-        other_region: To another region.
-        region_round_trip_s: The way to another region and back; it counts as the part that it is
-            of the time to the target.
+        own_region: Cost of another zone of the own region.
+        other_region: Cost of another region, without its latency.
+        region_round_trip_s: Round-trip time to another region; its cost is the fraction of the
+            target latency that it takes.
     """
 
     own_region: float = _OTHER_ZONE_COST
@@ -86,13 +86,13 @@
 
     @classmethod
     def from_prices(cls, prices: DistancePrices, *, region_round_trip_s: float) -> DistanceCosts:
-        """Build from what bytes cost; another region counts more than another zone in any case."""
+        """Build from the prices of bytes; another region always costs more than another zone."""
         region_price_ratio = prices.region_mb / prices.zone_mb if prices.zone_mb else 1.0
         other_region = _OTHER_ZONE_COST * (1 + max(1.0, region_price_ratio))
         return cls(_OTHER_ZONE_COST, other_region, region_round_trip_s)
 
     def of(self, distance: Distance, size: RequestSize = TYPICAL_SIZE) -> float:
-        """Return what the way of a request over a distance counts."""
+        """Return the cost of sending a request over a distance."""
         if distance is Distance.OWN_ZONE:
             return 0.0
         if distance is Distance.OWN_REGION:
@@ -105,5 +105,5 @@
 
 
 def bytes_of_prompt(tokens: int) -> int:
-    """Return about what a request with a prompt and its answer take on the wire together."""
+    """Estimate the bytes on the wire of a request with a prompt and its answer together."""
     return _OVERHEAD_BYTES + _BYTES_PER_TOKEN * tokens
--- a/springrock/forwarding/door.py
+++ b/springrock/forwarding/door.py
@@ -1,4 +1,4 @@
-"""The clients' door: reads whole requests, writes replies as they come, notices who leaves."""
+"""The HTTP server for clients: reads requests, writes replies and detects disconnects."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
     """Serves clients over HTTP.
 
     Args:
-        address: Where to listen, ``HOST:PORT``.
+        address: The address to listen on, ``HOST:PORT``.
         forwarder: Forwards the requests.
-        dialect: How clients write them.
-        body_limit_bytes: Returns the longest body taken.
+        dialect: Parses the requests of clients.
+        body_limit_bytes: Returns the maximum length of a request body.
         log: The log to write to.
         metrics: The metrics to count in.
 
     Attributes:
-        open_requests: Requests that are now in the box.
-        closing: Whether each answer asks its client for a new connection.
-        refusing: Whether new requests are refused, because they could not end in time.
+        open_requests: Number of requests in the box that have not ended.
+        closing: Whether each reply asks the client to close its connection.
+        refusing: Whether new requests are refused, as they could not finish before the box stops.
     """
 
     def __init__(
@@ -57,11 +57,11 @@
         self.refusing = False
 
     def start(self) -> None:
-        """Begin listening."""
+        """Start listening."""
         self._server.start()
 
     def stop(self) -> None:
-        """Stop listening and close what rests."""
+        """Stop listening and close the idle connections."""
         self._server.stop(finish_within_s=0.2)
 
     def _serve(
@@ -73,7 +73,7 @@
         finish = _RequestEnd(self, watch, received_at)
         try:
             body = environ["wsgi.input"].read(self._body_limit_bytes() + 1)
-            # From here on nobody else reads the socket.
+            # The request has been read, so only the watch reads from the socket from here on.
             watch.start()
             reply = self._reply(environ, body, received_at)
             headers = list(reply.head.headers)
@@ -130,14 +130,14 @@
         self._log.say("A client left.", target=environ[TARGET_KEY])
 
     def record_finished(self, outcome: str, seconds: float) -> None:
-        """Count a request out."""
+        """Record the end of a request."""
         self.open_requests -= 1
         self._metrics.requests.labels(outcome).inc()
         self._metrics.request_seconds.observe(seconds)
 
 
 class _RequestEnd:
-    """What happens once at the end of a request, wherever that is."""
+    """The steps at the end of a request; `run` is called exactly once, whichever way it ends."""
 
     def __init__(self, door: ForwardingDoor, watch: CallerWatch, received_at: float) -> None:
         self._door = door
@@ -145,6 +145,6 @@
         self._received_at = received_at
 
     def run(self, outcome: str) -> None:
-        """End the watch and count the request out."""
+        """Stop the watch and record the end of the request."""
         self._watch.stop()
         self._door.record_finished(outcome, monotonic() - self._received_at)
--- a/springrock/forwarding/eligibility.py
+++ b/springrock/forwarding/eligibility.py
@@ -1,7 +1,7 @@
-"""Whether a request may go to a replica: the one answer for all that choose or send.
+"""Decides whether a request may be sent to a replica, for all code that chooses or sends.
 
-Boxes ask when they choose a replica and again at the moment of each send, placers when they grant
-an engine. Nothing here waits, counts or looks anything up: the caller hands over what is known.
+Boxes check it when they choose a replica and again right before each send, placers when they grant
+an engine. The functions are pure: the caller passes in all state, and nothing blocks.
 """
 
 from __future__ import annotations
@@ -15,53 +15,53 @@
 
 
 class Obstacle(StrEnum):
-    """Why a request may not go to a replica now; logs and metrics name it."""
+    """Why a request may not be sent to a replica now; the values appear in logs and metrics."""
 
     NOT_UNDERSTOOD = "not_understood"
-    """What the replica last said of itself cannot be read."""
+    """The replica's latest record cannot be parsed."""
     LEAVING = "leaving"
     EVACUATED = "evacuated"
     """Its zone is evacuated."""
     OUTSIDE_REGIONS = "outside_regions"
-    """It stands in no region where the request may be served."""
+    """The replica is in no region where the request may be served."""
     BACKING_OFF = "backing_off"
-    """It turned a request of this box away and asked for rest, which is not over."""
+    """The replica asked this box for a back-off that has not ended."""
     COLD = "cold"
-    """It has started lately, and there is no permit to send it the request."""
+    """The replica started recently, and there is no permit to send it the request."""
     LIMITED = "limited"
-    """It names a limit for all boxes together, and there is no permit to send it the request."""
+    """The replica limits the rate of all boxes together, and there is no permit for the request."""
     RESTING = "resting"
-    """It failed lately and is left alone; better than nothing at all."""
+    """The replica cools down after failures; used only if there is no other replica."""
 
 
 METERED = frozenset((Obstacle.COLD, Obstacle.LIMITED))
-"""What a permit removes."""
+"""The obstacles that a permit removes; a replica that has one of them is called metered."""
 
 
 class Bounds(NamedTuple):
-    """What a request itself allows.
+    """The regions that a request is restricted to.
 
     Attributes:
-        regions: Where it may be served; None for anywhere.
+        regions: The regions where it may be served; None for any.
     """
 
     regions: frozenset[str] | None = None
 
     def allow(self, zone: str, topology: Topology) -> bool:
-        """Whether a request may be served in a zone; one whose region is not told is in none."""
+        """Whether a request may be served in a zone; a zone of unknown region is in no region."""
         return self.regions is None or topology.region_of(zone) in self.regions
 
 
 class World(NamedTuple):
-    """What is known beside the replica itself.
+    """The state that routing depends on, apart from the replicas themselves.
 
     Attributes:
         topology: The zones and their regions.
-        evacuated: The zones that get nothing now.
-        is_cold: Whether a replica is not known to be warm.
-        announced: The zones to which nothing new is brought: those that are evacuated, and those
-            that are about to be and still serve what stands there.
-        is_limited: Whether a replica takes but so many requests from all boxes together.
+        evacuated: The evacuated zones, which get no requests.
+        is_cold: Whether a replica may still be warming up after a start.
+        announced: The zones that get no new adapters: the evacuated ones, and those whose
+            evacuation is announced, which still serve the adapters that they hold.
+        is_limited: Whether a replica limits the rate of requests of all boxes together.
     """
 
     topology: Topology
@@ -71,7 +71,7 @@
     is_limited: Callable[[ReplicaRecord], bool] = lambda record: False
 
     def metered(self, record: ReplicaRecord) -> Obstacle | None:
-        """Return why a replica gets requests by permit only; None if it does not."""
+        """Return why a replica gets requests only with a permit; None if it needs none."""
         if self.is_cold(record):
             return Obstacle.COLD
         return Obstacle.LIMITED if self.is_limited(record) else None
@@ -89,14 +89,14 @@
     resting: bool = False,
     permitted: bool = False,
 ) -> Obstacle | None:
-    """Return why a request may not go to a replica; None if it may.
+    """Return why a request may not be sent to a replica; None if it may.
 
     Args:
-        record: What the replica says of itself.
-        bounds: What the request allows.
-        world: What is known beside that.
-        backing_off: Whether the replica has asked the box that would send for rest.
-        resting: Whether the replica is left alone, as requests failed there lately.
+        record: The replica's record.
+        bounds: The regions where the request may be served.
+        world: The state of zones and permits that routing depends on.
+        backing_off: Whether the replica has asked the sending box for a back-off.
+        resting: Whether the replica cools down after recent failures.
         permitted: Whether there is a permit to send the request although the replica is cold or
             has named a limit.
     """
@@ -116,14 +116,14 @@
 
 
 def may_be_loaded(record: ReplicaRecord, *, world: World) -> bool:
-    """Whether a replica may be given adapters; a cold one may, as it warms up meanwhile."""
+    """Whether a replica may load adapters; a cold one may, as it warms up in the meantime."""
     if record.zone in world.announced:
         return False
     return obstacle_of(record, bounds=ANYWHERE, world=world, permitted=True) is None
 
 
 def zone_obstacle_of(zone: str, *, bounds: Bounds, world: World) -> Obstacle | None:
-    """Return why a request may go to no replica of a zone; None if it may."""
+    """Return why a request may not be sent to any replica of a zone; None if it may."""
     if zone in world.evacuated:
         return Obstacle.EVACUATED
     if not bounds.allow(zone, world.topology):
--- a/springrock/forwarding/errors.py
+++ b/springrock/forwarding/errors.py
@@ -1,4 +1,4 @@
-"""Failures of one exchange with one replica: one small class each."""
+"""Errors of an exchange with a replica, and rejections of requests by this box."""
 
 from __future__ import annotations
 
@@ -6,39 +6,39 @@
 
 
 class ExchangeError(SpringrockError):
-    """An exchange that gave no answer for the client."""
+    """The exchange gave no answer for the client."""
 
 
 class NotRun(ExchangeError):
-    """The replica certainly did not run the request and never will."""
+    """The replica did not run the request and will not run it."""
 
 
 class ReplicaUnreachable(NotRun):
-    """No connection to the replica came up; nothing was sent."""
+    """The connection to the replica could not be opened; nothing was sent."""
 
 
 class ConnectionRefused(ReplicaUnreachable):
-    """Its host answered that nothing listens there: the replica is down."""
+    """The host refused the connection: the replica is down."""
 
 
 class SendingForbidden(NotRun):
-    """Nothing was sent, as the replica may get nothing any more; no fault of the replica's."""
+    """Nothing was sent, as the request may no longer be sent there; not the replica's fault."""
 
 
 class ReplicaFull(NotRun):
-    """The replica said that it did not run the request for want of room."""
+    """The replica answered that it did not run the request for lack of capacity."""
 
 
 class ReplicaChanged(NotRun):
-    """The replica is another one, or lacks the model, adapter or version asked for."""
+    """Another replica answered, or this one lacks the requested model, adapter or version."""
 
 
 class OutcomeUnknown(ExchangeError):
-    """The request was sent and may have run; nothing of an answer can be used."""
+    """The request was sent and may have run, but there is no usable answer."""
 
 
 class AnswerBroken(OutcomeUnknown):
-    """The answer broke off, or its framing cannot be trusted."""
+    """The answer ended early, or its framing is invalid."""
 
 
 class ForeignAnswer(OutcomeUnknown):
@@ -46,15 +46,15 @@
 
 
 class AnswerSilent(OutcomeUnknown):
-    """Nothing came within the time that was left."""
+    """Nothing arrived within the timeout."""
 
 
 class Rejection(SpringrockError):
-    """A request that this box ends itself; it has not run and will not.
+    """The box answers the request itself; it has not run and will not run.
 
     Args:
         reason: One word for the client and the log.
-        retry_after_s: When to come back, in seconds; None if that makes no sense.
+        retry_after_s: Seconds after which a retry may succeed; None if none would.
 
     Attributes:
         status: The status of the answer.
@@ -65,8 +65,8 @@
     def __init__(self, reason: str, retry_after_s: float | None = None) -> None:
         self.reason = reason
         self.retry_after_s = retry_after_s
-        back = "" if retry_after_s is None else f"; come back in {retry_after_s:.2f} s"
-        super().__init__(f"{reason}{back}")
+        retry = "" if retry_after_s is None else f"; retry after {retry_after_s:.2f} s"
+        super().__init__(f"{reason}{retry}")
 
 
 class NoReplica(Rejection):
@@ -74,10 +74,10 @@
 
 
 class Quarantined(Rejection):
-    """The request has crashed replicas that ran it, and is sent to no more of them.
+    """The request has crashed replicas that ran it and is not sent to any other.
 
     Args:
-        retry_after_s: When it may be tried again, in seconds.
+        retry_after_s: Seconds until the request may be sent again.
     """
 
     def __init__(self, retry_after_s: float) -> None:
@@ -85,7 +85,7 @@
 
 
 class KeyUnknown(Rejection):
-    """No team holds the key, or there is none."""
+    """The request has no key, or its key belongs to no team."""
 
     status = 401
 
@@ -94,10 +94,10 @@
 
 
 class KeysStale(Rejection):
-    """This box does not know surely enough whose key it is.
+    """The key cannot be checked, as this box's list of keys is too old.
 
     Args:
-        retry_after_s: When to come back, in seconds.
+        retry_after_s: Seconds after which a retry may succeed.
     """
 
     def __init__(self, retry_after_s: float) -> None:
@@ -108,7 +108,7 @@
     """The team has used up its quota.
 
     Args:
-        retry_after_s: When there is room again, in seconds; None if there never is.
+        retry_after_s: Seconds until the quota allows the request; None if it never does.
     """
 
     status = 429
@@ -118,10 +118,10 @@
 
 
 class QuotaUnheard(Rejection):
-    """Nobody who counts the team's quota can be reached.
+    """No box that counts the team's quota can be reached.
 
     Args:
-        retry_after_s: When to come back, in seconds.
+        retry_after_s: Seconds after which a retry may succeed.
     """
 
     def __init__(self, retry_after_s: float) -> None:
--- a/springrock/forwarding/events.py
+++ b/springrock/forwarding/events.py
@@ -1,4 +1,4 @@
-"""Splitting of a stream of server-sent events, so that only whole events are passed on."""
+"""Splits a stream of server-sent events, so that only complete events are relayed."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class Event(NamedTuple):
-    """One whole event.
+    """One complete event.
 
     Attributes:
-        raw: Its bytes as sent, the blank line included.
-        event_id: Its id, or empty if it has none.
+        raw: The event's bytes as received, including the blank line that ends it.
+        event_id: The event's id, or empty.
     """
 
     raw: bytes
@@ -22,13 +22,13 @@
 
 
 class EventSplitter:
-    """Collects bytes and gives out whole events."""
+    """Buffers bytes and returns complete events."""
 
     def __init__(self) -> None:
         self._incomplete = b""
 
     def feed(self, data: bytes) -> list[Event]:
-        """Take bytes and return the events that they complete."""
+        """Add bytes and return the events that they complete."""
         self._incomplete += data
         events: list[Event] = []
         while match := _EVENT_END.search(self._incomplete):
@@ -39,6 +39,6 @@
         return events
 
     def drain_incomplete(self) -> bytes:
-        """Return the bytes of an event that is not whole, at the end of the stream."""
+        """Return and clear the bytes of an incomplete event, at the end of the stream."""
         incomplete, self._incomplete = self._incomplete, b""
         return incomplete
--- a/springrock/forwarding/exchange.py
+++ b/springrock/forwarding/exchange.py
@@ -1,4 +1,8 @@
-"""One request to one replica: sent, its own answer found, and read without trusting the framing."""
+"""One exchange with a replica: sends a request and finds the answer that belongs to it.
+
+The framing of answers is not trusted: answers to other requests are discarded, and a body that ends
+early is an error.
+"""
 
 from __future__ import annotations
 
@@ -17,27 +21,27 @@
 from springrock.forwarding.message import AnswerHead, ClientRequest
 
 _MAX_SURPLUS_ANSWERS = 2
-"""How many answers to earlier requests are read past on one connection."""
+"""How many answers to earlier requests are discarded on a connection."""
 
 _SURPLUS_READ_TIMEOUT_S = 0.5
 
 OnClose = Callable[[int, int], None]
-"""Takes the bytes of a request, and those of the body of its answer as far as it was read."""
+"""Receives the bytes of the request and the bytes read of the answer's body."""
 
 
 def _ignore_bytes(sent: int, received: int) -> None:
-    """Take what nobody counts."""
+    """Do nothing: the default of `on_close`."""
 
 
 def _ignore_head(head: AnswerHead) -> None:
-    """Take what nobody learns from."""
+    """Do nothing: the default of `on_head`."""
 
 
 class Answer:
-    """An answer whose head came and was found to belong to the request.
+    """An answer whose head has arrived and belongs to the request.
 
     Attributes:
-        head: Its head, as the replica sent it.
+        head: The head as the replica sent it.
     """
 
     def __init__(
@@ -51,11 +55,11 @@
         self._complete = False
 
     def read(self, *, timeout_s: float) -> bytes:
-        """Return the next bytes of the body; empty at its whole end.
+        """Return the next bytes of the body; empty at its complete end.
 
         Raises:
             AnswerBroken: If the body ended early.
-            AnswerSilent: If nothing came in time.
+            AnswerSilent: If nothing arrived within the timeout.
         """
         if self._complete:
             return b""
@@ -69,7 +73,7 @@
 
         Raises:
             AnswerBroken: If the body ended early.
-            AnswerSilent: If it was not whole in time.
+            AnswerSilent: If the body was not complete by the deadline.
         """
         chunks: list[bytes] = []
         while True:
@@ -79,7 +83,7 @@
             chunks.append(data)
 
     def close(self) -> None:
-        """Keep the connection if the answer was read whole, else close it."""
+        """Return the connection to the pool if the answer was read completely, else close it."""
         self._on_close(self._connection.sent_bytes, self._received_bytes)
         if self._complete:
             self._pool.give_back(self._connection)
@@ -104,26 +108,27 @@
     Args:
         request: The client's request.
         pool: The connections to the replica.
-        terms: What the request carries beside.
+        terms: What is sent in addition to the client's request.
         dialect: Writes the request and reads the answer.
-        repeatable: Whether the request may run again.
-        head_within_s: How long the head of the answer may take.
-        may_send: Whether the replica may get the request yet, asked once a connection stands: it
-            may have been waited for.
-        on_close: Called once the answer is closed.
-        on_head: Called with the head of the request's own answer, whatever it says.
+        repeatable: Whether the request may run more than once.
+        head_timeout_s: Timeout for the head of the answer.
+        may_send: Whether the replica may still be sent the request; asked once a connection is
+            open, as opening it may have taken long.
+        on_close: Called when the answer is closed.
+        on_head: Called with the head of the request's own answer, whatever its status.
 
     Raises:
         ReplicaUnreachable: If nothing was sent.
-        SendingForbidden: If nothing was sent, as it may not be any more.
-        ReplicaFull: If the replica did not run it.
-        ReplicaChanged: If the replica is another one or lacks what the request needs.
-        OutcomeUnknown: If it may have run and no answer came.
+        SendingForbidden: If nothing was sent, as `may_send` returned False.
+        ReplicaFull: If the replica did not run the request.
+        ReplicaChanged: If another replica answers at the address, or this one lacks what the
+            request needs.
+        OutcomeUnknown: If the request may have run and no answer arrived.
     """
     connection = pool.acquire(conservative=not repeatable, timeout_s=head_timeout_s)
     if not may_send():
         connection.close()
-        raise SendingForbidden("not to be sent there any more")
+        raise SendingForbidden("no longer allowed to be sent to this replica")
     try:
         connection.send(
             method=request.method,
@@ -155,13 +160,13 @@
         if dialect.answers(head, request.request_id):
             return head
         _discard_answer(connection)
-    raise ForeignAnswer("only answers to other requests came")
+    raise ForeignAnswer("received only answers to other requests")
 
 
 def _discard_answer(connection: Connection) -> None:
-    """Read a surplus answer to its end, after which the own answer may follow."""
+    """Read an answer to another request to its end; the own answer may follow it."""
     deadline = Deadline(_SURPLUS_READ_TIMEOUT_S)
     while connection.read(timeout_s=deadline.left_s):
         continue
     if not connection.reusable:
-        raise AnswerBroken("the connection ends after a surplus answer")
+        raise AnswerBroken("the connection ends after an answer to another request")
--- a/springrock/forwarding/forwarder.py
+++ b/springrock/forwarding/forwarder.py
@@ -1,4 +1,7 @@
-"""Forwards one request over its route, and ends it honestly."""
+"""Forwards a request over its route.
+
+A request that may have run is never answered as if it had not.
+"""
 
 from __future__ import annotations
 
@@ -19,24 +22,24 @@
 from springrock.log import Log
 
 _MAX_LOGGED_AGE_S = 3600.0
-"""What is older, or was never known, is logged as this old."""
+"""Upper bound of a logged age; also logged where the age is unknown."""
 
 
 class Receipt(Protocol):
-    """A request's charge to its team's quota."""
+    """The charge of a request to its team's quota."""
 
     def give_back(self) -> None:
-        """Undo it, as the request did not run."""
+        """Refund the charge, as the request did not run."""
 
 
 class Charges(Protocol):
     """Charges requests to their teams' quotas."""
 
     def charge(self, team: Team | None, *, tokens: int | None, request: str) -> Receipt:
-        """Charge a request once for all that is done for it.
+        """Charge a request once, however many attempts it takes.
 
         Raises:
-            Rejection: If there is no room, or nobody who counts can be reached.
+            Rejection: If the quota is used up, or no box that counts it can be reached.
         """
 
 
@@ -44,7 +47,7 @@
     """Forwards requests of all routes.
 
     Args:
-        routes: Returns the routes in force.
+        routes: Returns the current route table.
         gate: Admits requests by their keys.
         charging: Charges requests to their teams' quotas.
         chooser: Chooses replicas.
@@ -74,7 +77,7 @@
         self._random = random.Random()
 
     def forward(self, request: ClientRequest) -> Reply:
-        """Return the reply to a request; its body may still be coming."""
+        """Return the reply to a request; the body may still be arriving."""
         table = self._routes()
         if not table.configuration.version:
             return own_reply(503, "no_configuration", retry_after_s=RETRY_AFTER_S)
@@ -93,7 +96,7 @@
         return reply
 
     def _charge_and_forward(self, progress: RequestProgress) -> Reply:
-        """Charge a request to its team and forward it; one that never ran costs nothing."""
+        """Charge a request to its team and forward it; refund the charge if it never ran."""
         team, request = progress.admission.team, progress.request
         try:
             receipt = self._charging.charge(team, tokens=request.tokens, request=request.request_id)
@@ -196,7 +199,7 @@
 
 
 def _reply_without_answer(progress: RequestProgress, rejection: Rejection) -> Reply:
-    """Return the ending of a request that no replica answered."""
+    """Return the reply to a request that no replica answered."""
     if not progress.runs:
         return rejection_reply(rejection)
     if progress.left_s < MIN_SEND_TIME_S:
@@ -205,7 +208,7 @@
 
 
 def _read_failed_stream(head: AnswerHead, run: StreamRun) -> Reply | None:
-    """Return a replica's own failure, to be passed on if nothing better comes."""
+    """Return a failure that a replica answered, relayed if no further attempt does better."""
     try:
         return relayed_reply(head, [b"".join(run)])
     except OutcomeUnknown:
--- a/springrock/forwarding/message.py
+++ b/springrock/forwarding/message.py
@@ -1,4 +1,4 @@
-"""A client's request and the head of an answer, as they travel: names and values kept as sent."""
+"""A client's request and the head of an answer; header names and values stay as received."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
         "upgrade",
     }
 )
-"""Headers that concern one connection only (RFC 9110, section 7.6.1)."""
+"""Headers that apply to a single connection and are not forwarded (RFC 9110, section 7.6.1)."""
 
 
 class Header(NamedTuple):
@@ -31,25 +31,25 @@
 
 
 class Headers(tuple[Header, ...]):
-    """Header fields in order; looked up without regard to case."""
+    """Header fields in order; lookups ignore case."""
 
     @classmethod
     def from_pairs(cls, pairs: Iterable[tuple[str, str]]) -> Headers:
-        """Build from names and values."""
+        """Build from pairs of name and value."""
         return cls(Header(name, value) for name, value in pairs)
 
     def get(self, name: str) -> str | None:
-        """Return the first value of a field."""
+        """Return the first value of a field; None if it is missing."""
         wanted = name.lower()
         return next((value for key, value in self if key.lower() == wanted), None)
 
     def without(self, names: Iterable[str]) -> Headers:
-        """Return all fields but those named."""
+        """Return all fields except those named."""
         dropped = {name.lower() for name in names}
         return Headers(header for header in self if header.name.lower() not in dropped)
 
     def end_to_end(self) -> Headers:
-        """Return the fields that travel on, without those of one connection."""
+        """Return the fields to be forwarded, without those of a single connection."""
         named = {
             token.strip().lower()
             for name, value in self
@@ -60,7 +60,7 @@
 
 
 class AdapterKey(NamedTuple):
-    """An adapter of a base model, whatever its version."""
+    """An adapter of a base model, regardless of its version."""
 
     model: str
     adapter: str
@@ -70,11 +70,11 @@
 
 
 class PromptPart(NamedTuple):
-    """One part of a prompt; requests may share all parts but the last.
+    """One part of a prompt; requests may share all parts except the last.
 
     Attributes:
-        part_id: The same for the same text.
-        tokens: How long it is.
+        part_id: Identifies the text of the part.
+        tokens: Length of the part.
     """
 
     part_id: str
@@ -82,18 +82,18 @@
 
 
 class ClientRequest(Struct, frozen=True, kw_only=True):
-    """One try of a client.
+    """A client's request; a retry by the client is another request with an id of its own.
 
     Attributes:
-        request_id: The try's own id.
+        request_id: The id of the request.
         target: The path and the query as sent.
-        received_at: On the local monotonic clock.
-        deadline_s: What the client will wait, from then; None if it did not say.
-        model: The base model asked for, or empty.
-        adapter: The adapter asked for, or empty.
-        tokens: Those of the prompt and the most of the answer together; None if it states none.
+        received_at: Time of arrival on the local monotonic clock.
+        deadline_s: Seconds that the client waits from its arrival; None if not stated.
+        model: The requested base model, or empty.
+        adapter: The requested adapter, or empty.
+        tokens: Tokens of the prompt plus the maximum for the answer; None if not stated.
         key_digest: The digest of the client's key; None if it sent none.
-        last_event_id: Where a stream is to be taken up, or empty.
+        last_event_id: Id of the event after which a stream is to be resumed, or empty.
         prompt: The parts of the prompt in order; empty if unknown.
     """
 
@@ -114,17 +114,17 @@
 
     @property
     def path(self) -> str:
-        """The target without its query."""
+        """The target without the query."""
         return self.target.partition("?")[0]
 
     @property
     def adapter_key(self) -> AdapterKey | None:
-        """The adapter asked for, if any."""
+        """The requested adapter, if any."""
         return AdapterKey(self.model, self.adapter) if self.adapter else None
 
 
 class AnswerHead(NamedTuple):
-    """Status line and headers of an answer."""
+    """The status line and headers of an answer."""
 
     status: int
     reason: str
--- a/springrock/forwarding/reply.py
+++ b/springrock/forwarding/reply.py
@@ -1,4 +1,4 @@
-"""Replies to clients: a replica's answer passed on, or an ending of this box's own."""
+"""Replies to clients: a replica's answer relayed, or an answer that this box generates."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 class Reply(NamedTuple):
-    """What goes to the client.
+    """The reply to a client.
 
     Attributes:
-        body: The body; a list if it is whole, else as it comes.
-        reason: For an ending of this box's own, one word for logs.
+        body: The body: a list if it is complete, else an iterator that yields it as it arrives.
+        reason: One word for logs if this box generated the reply; else empty.
     """
 
     head: AnswerHead
@@ -36,12 +36,12 @@
 
 
 def own_reply(status: int, reason: str, *, retry_after_s: float | None = None) -> Reply:
-    """Return an ending of this box's own.
+    """Return a reply that this box generates.
 
     Args:
         status: 503 promises that the request did not and will not run; 502 and 504 do not.
         reason: One word for the client and the log.
-        retry_after_s: When to come back, if that makes sense.
+        retry_after_s: Seconds after which a retry may succeed; None if none would.
     """
     headers = [Header("Content-Type", "application/json")]
     if retry_after_s is not None:
@@ -52,11 +52,11 @@
 
 
 def rejection_reply(rejection: Rejection) -> Reply:
-    """Return the ending of a request that did not run."""
+    """Return the reply to a rejected request."""
     return own_reply(rejection.status, rejection.reason, retry_after_s=rejection.retry_after_s)
 
 
 def relayed_reply(head: AnswerHead, body: Iterable[bytes]) -> Reply:
-    """Return a replica's answer with the headers that travel on."""
+    """Return a replica's answer with its end-to-end headers."""
     kept = head.headers.end_to_end().without(("content-length",))
     return Reply(head._replace(headers=kept), body)
--- a/springrock/forwarding/request_progress.py
+++ b/springrock/forwarding/request_progress.py
@@ -1,4 +1,4 @@
-"""The way of one request through this box: its time bounds, and what was tried for it."""
+"""The state of one request in this box: its deadlines and the attempts made so far."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
     UNDER_WAY = "under_way"
     ANSWERED = "answered"
     FAILED = "failed"
-    """The replica answered that it failed."""
+    """The replica answered with a status of 500 or above."""
     UNREACHABLE = "unreachable"
     WITHHELD = "withheld"
-    """It was not sent, as the replica was not to get it any more once it could be."""
+    """Not sent: once a connection was open, the request was no longer allowed there."""
     FULL = "full"
     CHANGED = "changed"
     BROKEN = "broken"
@@ -37,12 +37,12 @@
 
     @property
     def arrived(self) -> bool:
-        """Whether the replica got the request."""
+        """Whether the replica may have received the request."""
         return self not in (AttemptOutcome.UNREACHABLE, AttemptOutcome.WITHHELD)
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the replica may have run the request."""
+        """Whether the replica may have executed the request."""
         return self not in (
             AttemptOutcome.UNREACHABLE,
             AttemptOutcome.WITHHELD,
@@ -55,9 +55,9 @@
     """One attempt at one replica.
 
     Attributes:
-        began_s: When it began, in seconds from when the request was received.
-        record_age_s: How old the replica's record was then.
-        notice: What the answer told of the replica itself.
+        began_s: Start of the attempt, in seconds after the request was received.
+        record_age_s: Age of the replica's record at that time, in seconds.
+        notice: What the head of the answer says about the replica itself.
     """
 
     instance: str
@@ -67,7 +67,7 @@
     notice: ReplicaNotice = NO_NOTICE
 
     def __str__(self) -> str:
-        """Say how it went, for logs."""
+        """Return a summary of the attempt for log lines."""
         notice_text = ", says it leaves" if self.notice.leaving else ""
         if self.notice.backoff_s:
             notice_text += f", asks for {self.notice.backoff_s:.2f} s of rest"
@@ -80,22 +80,24 @@
 
 
 class RequestProgress:
-    """One request on its way.
+    """A request in progress.
 
     Args:
         request: The client's request.
-        route: Its route.
-        service: The service picked for it.
-        admission: What was found of its key.
+        route: The route that matched it.
+        service: The service picked from the route.
+        admission: The team that the request's key belongs to, as found on admission.
 
     Attributes:
-        fingerprint: Tells the request from others, whatever the id of this try.
-        attempts: What was tried, in order.
-        ends_at: When it must have its final answer, on the local monotonic clock.
-        first_event_by: When the client gives up a stream that has not begun.
-        last_event_id: The last event that the client has, or is about to have.
-        resuming: Whether events of this box's own have gone to the client.
-        bounds: Where it may be served.
+        fingerprint: Identifies the request's content; the same when the client retries it under
+            another request id.
+        attempts: The attempts so far, in order.
+        ends_at: Deadline of the whole answer, on the local monotonic clock.
+        first_event_deadline: When the client abandons a stream that has sent no event, on the
+            local monotonic clock.
+        last_event_id: Id of the last event sent to the client or about to be sent.
+        resuming: Whether this box has sent events of the stream to the client.
+        bounds: The regions where the request may be served.
     """
 
     def __init__(
@@ -123,18 +125,18 @@
 
     @property
     def streaming(self) -> bool:
-        """Whether the answer is a stream of events."""
+        """Whether the answer is a stream of server-sent events."""
         return self.route.kind is RouteKind.STREAMING
 
     @property
     def priority(self) -> int:
-        """Its rank, 0 the highest: that of its team, if that has one, else that of its route."""
+        """The priority, 0 the highest: the team's if it has one, else the route's."""
         team = self.admission.team
         return self.route.priority if team is None or team.priority is None else team.priority
 
     @property
     def first_event_timeout_s(self) -> float:
-        """How long a client of a stream waits for the next event."""
+        """Seconds that the client of a stream waits for the next event."""
         if not self.streaming:
             return _DEFAULT_DEADLINE_S
         return max(
@@ -145,12 +147,12 @@
 
     @property
     def left_s(self) -> float:
-        """Seconds until the final answer is due."""
+        """Seconds until the deadline of the whole answer."""
         return self.ends_at - monotonic()
 
     @property
     def target_at(self) -> float:
-        """When the answer is late."""
+        """When the route's target latency is exceeded, on the local monotonic clock."""
         return self.request.received_at + self.route.target_s
 
     @property
@@ -159,7 +161,7 @@
         return monotonic() - self.request.received_at
 
     def begin(self, instance: str, *, record_age_s: float) -> Attempt:
-        """Note a new attempt."""
+        """Add an attempt at a replica and return it."""
         attempt = Attempt(
             instance=instance, began_s=round(self.age_s, 4), record_age_s=round(record_age_s, 3)
         )
@@ -167,19 +169,19 @@
         return attempt
 
     def record_event(self, event_id: str) -> None:
-        """Note that an event goes to the client."""
+        """Record that an event is being sent to the client."""
         self.last_event_id = event_id
         self.resuming = True
 
     def attempt_summaries(self) -> list[str]:
-        """Return what was tried, for logs."""
+        """Return one summary per attempt, for log lines."""
         return [str(attempt) for attempt in self.attempts]
 
     @property
     def tried(self) -> frozenset[str]:
-        """The replicas that it must not be tried at again.
+        """The replicas that must not be tried again.
 
-        One that lacked the adapter may be tried again, once it is said to hold it.
+        A replica that lacked the adapter may be tried again, as it may have loaded it since.
         """
         return frozenset(
             attempt.instance
@@ -189,7 +191,7 @@
 
     @property
     def failed_at(self) -> frozenset[str]:
-        """The replicas that were reached and failed it, which may well run it the next time."""
+        """The replicas that were reached and failed the request; another attempt may succeed."""
         return frozenset(
             attempt.instance
             for attempt in self.attempts
@@ -198,24 +200,24 @@
 
     @property
     def arrivals(self) -> int:
-        """How many replicas got it."""
+        """How many replicas may have received the request."""
         return sum(attempt.outcome.arrived for attempt in self.attempts)
 
     @property
     def runs(self) -> int:
-        """How many replicas may have run it."""
+        """How many replicas may have executed the request."""
         return sum(attempt.outcome.may_have_run for attempt in self.attempts)
 
     @property
     def may_run_again(self) -> bool:
-        """Whether another replica may run it, after what was tried."""
+        """Whether the route allows another replica to run the request after these attempts."""
         if self.runs == 0:
             return True
         return self.route.repeatable and self.runs < self.route.attempts
 
 
 def _intersect_bounds(route: Route, admission: Admission) -> Bounds:
-    """Return where a request may be served: route and team both bind, where they say something."""
+    """Return the regions that both the route and the team allow; None restricts nothing."""
     team = admission.team
     region_sets = (route.regions, None if team is None else team.regions)
     restricting = [regions for regions in region_sets if regions is not None]
--- a/springrock/forwarding/sending.py
+++ b/springrock/forwarding/sending.py
@@ -1,4 +1,4 @@
-"""One attempt at one replica: sent, and what it shows noted about the replica."""
+"""One attempt at one replica: sends the request and records what the outcome shows."""
 
 from __future__ import annotations
 
@@ -47,21 +47,23 @@
 }
 
 _MIN_SILENCE_AS_FAILURE_S = 0.5
-"""A route may allow less than a sound replica takes; such a silence tells nothing of it."""
+"""A request that timed out earlier than this after its arrival does not count as a failure of the
+replica: a route may allow less time than a healthy replica needs."""
 
 
 class Sender:
-    """Sends requests to replicas.
+    """Sends requests to replicas and records the outcomes.
 
     Args:
-        dialect: How requests to replicas are written.
-        adapters: Learns what is used where, and what is not there.
-        warmup: Learns which replicas may have started anew.
-        may_send: Whether a request may yet be sent to a replica, when its connection is up.
+        dialect: Writes requests to replicas and reads their answers.
+        adapters: Supplies the newest version of an adapter; receives which replicas lack one.
+        warmup: Receives which replicas answered or failed, as a failed one may have restarted.
+        may_send: Whether a request may still be sent to a replica; asked once the connection is
+            open.
         log: The log to write to.
-        ways: Counts the bytes that go to other zones.
-        crash_detector: Learns under which requests replicas crash.
-        notices: Learns what answers tell of their replicas.
+        ways: Counts the bytes exchanged with replicas of other zones.
+        crash_detector: Receives the outcomes that show whether a request crashes replicas.
+        notices: Receives what the heads of answers say about their replicas.
         count_attempt: Called with the outcome of each attempt.
     """
 
@@ -89,12 +91,12 @@
         self._count_attempt = count_attempt
 
     def begin(self, progress: RequestProgress, replica: Replica) -> Attempt:
-        """Note a new attempt; `end` must follow."""
+        """Start an attempt at a replica; the caller must pass it to `end`."""
         replica.running += 1
         return progress.begin(replica.instance, record_age_s=monotonic() - replica.recorded_at)
 
     def end(self, chosen: Chosen, attempt: Attempt) -> None:
-        """Note that an attempt occupies its replica no longer, and how it went."""
+        """Finish an attempt: release its place at the replica and report its outcome."""
         chosen.replica.running -= 1
         self._count_attempt(attempt.outcome)
         if chosen.use is not None:
@@ -116,13 +118,13 @@
 
         Args:
             progress: The request.
-            chosen: Where to.
-            attempt: Takes what the answer tells of the replica.
-            head_within_s: How long the head of the answer may take.
-            after_event: The event after which a stream goes on.
+            chosen: The replica to send to.
+            attempt: Receives what the answer's head says about the replica.
+            head_timeout_s: Timeout for the head of the answer.
+            after_event: Id of the event after which a stream resumes, or empty.
 
         Raises:
-            ExchangeError: If there is no answer for the client.
+            ExchangeError: If the exchange gave no answer for the client.
         """
         key = progress.request.adapter_key
         replica = chosen.replica
@@ -151,7 +153,10 @@
     def _handle_notice(
         self, progress: RequestProgress, replica: Replica, attempt: Attempt, notice: ReplicaNotice
     ) -> None:
-        """Note what an answer tells of its replica, from its head: a stream may last for long."""
+        """Record what an answer's head says about its replica.
+
+        Done when the head arrives, as the body of a stream may take long.
+        """
         attempt.notice = notice
         sent_at = progress.request.received_at + attempt.began_s
         self._notices.handle_answer(replica, notice, sent_at=sent_at)
@@ -159,7 +164,7 @@
     def record_answer(
         self, progress: RequestProgress, replica: Replica, attempt: Attempt, status: int
     ) -> None:
-        """Learn from an answer's status."""
+        """Record the status of an answer as evidence on the replica."""
         sent_at = progress.request.received_at + attempt.began_s
         self._warmup.record_answered(replica.record, sent_at=sent_at)
         self._crash_detector.record_answered(replica.instance, sent_at=sent_at)
@@ -171,13 +176,13 @@
             replica.health.record_success()
 
     def record_completion(self, progress: RequestProgress) -> None:
-        """Learn that a replica ran the request to a good end, and lives."""
+        """Record that a replica completed the request without crashing."""
         self._crash_detector.record_completion(progress.fingerprint)
 
     def record_failure(
         self, progress: RequestProgress, replica: Replica, attempt: Attempt, error: ExchangeError
     ) -> None:
-        """Learn from an exchange without an answer."""
+        """Record and log an exchange that gave no answer."""
         attempt.outcome = next(
             outcome for kind, outcome in _OUTCOME_BY_ERROR if isinstance(error, kind)
         )
@@ -201,7 +206,7 @@
     def _report_to_crash_detector(
         self, progress: RequestProgress, replica: Replica, attempt: Attempt, error: ExchangeError
     ) -> None:
-        """Tell what an attempt without an answer shows of crashes."""
+        """Pass on what an attempt without an answer shows about crashes of the replica."""
         match error:
             case AnswerBroken():
                 self._crash_detector.record_break(progress.fingerprint, replica.record)
--- a/springrock/forwarding/streaming.py
+++ b/springrock/forwarding/streaming.py
@@ -1,4 +1,4 @@
-"""Streams of events: passed on whole event by whole event, and taken up elsewhere if allowed."""
+"""Relays streams of events in complete events, and resumes broken ones at another replica."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 from springrock.log import Log
 
 _STALL_TIMEOUT_S = 1.5
-"""A stream that may be resumed is taken for stuck after this pause."""
+"""A resumable stream counts as stalled after this time without an event."""
 
 _RESUME_TIMEOUT_S = 2.0
 
 
 class StreamRun:
-    """One run of a stream at one replica; yields its whole events, several at once.
+    """One run of a stream at one replica; yields its complete events, several at a time.
 
     Args:
         sender: Sends the request.
         progress: The request.
-        chosen: Where it runs.
+        chosen: The replica that runs it.
     """
 
     def __init__(self, sender: Sender, progress: RequestProgress, chosen: Chosen) -> None:
@@ -47,10 +47,10 @@
         self._answer: Answer | None = None
 
     def open(self) -> AnswerHead:
-        """Send the request, read up to the first whole event, and return the head.
+        """Send the request, read up to the first complete event, and return the head.
 
         Raises:
-            ExchangeError: If there is no answer, or it broke before an event.
+            ExchangeError: If there is no answer, or it broke before the first event.
         """
         try:
             answer = self._send()
@@ -76,7 +76,7 @@
         self._sender.record_completion(self._progress)
 
     def close(self) -> None:
-        """Give the connection back or close it; safe to call again."""
+        """Finish the attempt and release its connection; safe to call again."""
         if self._closed:
             return
         self._closed = True
@@ -109,7 +109,7 @@
             raise
 
     def _read_events(self, answer: Answer, *, timeout_s: float) -> bytes:
-        """Return the next whole events; at the end what is left, which may be nothing."""
+        """Return the next complete events; at the end of the stream the remaining bytes, if any."""
         deadline = Deadline(max(MIN_SEND_TIME_S, timeout_s))
         while True:
             data = answer.read(timeout_s=deadline.left_s)
@@ -124,7 +124,7 @@
 
 
 class StreamRelay:
-    """Opens streams and relays them over as many runs as it takes and the rules allow.
+    """Opens streams and relays them to clients, resuming at other replicas where that is allowed.
 
     Args:
         chooser: Chooses replicas.
@@ -138,21 +138,21 @@
         self._log = log
 
     def open(self, progress: RequestProgress, *, until: float) -> tuple[AnswerHead, StreamRun]:
-        """Try one replica and return the head of its answer and the run.
+        """Start the stream at one replica; return the head of the answer and the run.
 
         Raises:
-            Rejection: If there is none to try.
-            ExchangeError: If it gave no answer.
+            Rejection: If no replica may be tried.
+            ExchangeError: If the replica gave no answer.
         """
         chosen = self._chooser.next_replica(progress, until=until)
         run = StreamRun(self._sender, progress, chosen)
         return run.open(), run
 
     def relay(self, progress: RequestProgress, run: StreamRun) -> Iterator[bytes]:
-        """Yield whole events.
+        """Yield complete events.
 
         Raises:
-            AnswerCut: If the stream broke and cannot be taken up elsewhere.
+            AnswerCut: If the stream broke and cannot be resumed at another replica.
         """
         while True:
             try:
--- a/springrock/forwarding/way_bytes.py
+++ b/springrock/forwarding/way_bytes.py
@@ -1,4 +1,4 @@
-"""Counts the bytes of requests and answers that go to other zones and regions."""
+"""Counts the bytes of requests and answers exchanged with other zones and regions."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class WayBytes:
-    """What counts, for each distance, found once.
+    """Byte counters for each distance, looked up once in advance.
 
     Args:
         metrics: The metrics to count in.
-        topology: The zones, seen from this box.
+        topology: The zones, as seen from this box.
     """
 
     def __init__(self, metrics: ForwardingMetrics, topology: Topology) -> None:
@@ -20,7 +20,7 @@
         self._counts = {distance: _counter(metrics, distance) for distance in Distance}
 
     def to(self, zone: str) -> OnClose:
-        """Return what takes the bytes of an exchange with a replica of a zone."""
+        """Return the callback that counts the bytes of an exchange with a replica of a zone."""
         return self._counts[self._topology.distance(zone)]
 
 
