--- a/springrock/forwarding/choosing.py
+++ b/springrock/forwarding/choosing.py
@@ -293,8 +293,8 @@
             key=key,
             terms=self._wait_terms(progress, until=until),
             prompt=progress.request.prompt,
-            avoid=progress.tried | unusable | resting,
-            failed_at=progress.failed_at - unusable,
+            avoid=progress.tried_instances | unusable | resting,
+            failed_at=progress.failed_instances - unusable,
             bounds=progress.bounds,
         )
 
@@ -348,7 +348,7 @@
             return self._balancer.choose(
                 replicas,
                 bounds=progress.bounds,
-                tried=progress.tried | but,
+                tried=progress.tried_instances | but,
                 fits=_fits,
                 even_resting=key is None,
                 even_metered=even_metered,
--- a/springrock/forwarding/distance_cost.py
+++ b/springrock/forwarding/distance_cost.py
@@ -33,7 +33,7 @@
     adapter_load: float = 0.03
 
     def in_loads(self, distance: Distance, transferred_bytes: float) -> float:
-        """Return the price of bytes over a distance, as a multiple of the price of an adapter load."""
+        """Return the price of bytes over a distance, in multiples of an adapter load's price."""
         if distance is Distance.OWN_ZONE:
             return 0.0
         price = self.region_mb if distance is Distance.OTHER_REGION else self.zone_mb
@@ -43,11 +43,11 @@
 USUAL_PRICES = DistancePrices()
 
 _OTHER_ZONE_COST = 0.25
-"""Cost of another zone, on the scale of a replica's utilization: a replica of another zone is chosen
-once a quarter more of the places of the own zone's replica are taken."""
+"""Cost of another zone, on the scale of a replica's utilization: a replica of another zone is
+chosen once the utilization of the own zone's replica is higher by more than a quarter."""
 
 _MAX_SIZE_WEIGHT = 4.0
-"""Upper bound of a request's size weight, so that utilization still matters for long ones."""
+"""Upper bound of a request's size weight; utilization still matters for long ones."""
 
 
 class RequestSize(NamedTuple):
--- a/springrock/forwarding/request_progress.py
+++ b/springrock/forwarding/request_progress.py
@@ -178,7 +178,7 @@
         return [str(attempt) for attempt in self.attempts]
 
     @property
-    def tried(self) -> frozenset[str]:
+    def tried_instances(self) -> frozenset[str]:
         """The replicas that must not be tried again.
 
         A replica that lacked the adapter may be tried again, as it may have loaded it since.
@@ -190,7 +190,7 @@
         )
 
     @property
-    def failed_at(self) -> frozenset[str]:
+    def failed_instances(self) -> frozenset[str]:
         """The replicas that were reached and failed the request; another attempt may succeed."""
         return frozenset(
             attempt.instance
--- a/tests/forwarding/scripted.py
+++ b/tests/forwarding/scripted.py
@@ -1,4 +1,4 @@
-"""A replica that sends scripted bytes, whatever it is asked."""
+"""A replica that sends scripted bytes, whatever the request."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class ScriptedReplica:
-    """Accepts connections one after the other and runs the next script on each.
+    """Accepts one connection after the other and runs the next script on each.
 
     Attributes:
-        ended: How many of them it has closed.
+        ended: Number of connections that it has closed.
     """
 
     def __init__(self, *scripts: Script) -> None:
@@ -50,7 +50,7 @@
 
 
 def read_request(connection: socket.socket) -> bytes:
-    """Read one request with a stated or no body; empty if the client closed."""
+    """Read a request whose body length is stated or 0; return b"" if the client closed."""
     data = b""
     while b"\r\n\r\n" not in data:
         more = connection.recv(65_536)
@@ -69,7 +69,7 @@
 
 
 def answer(request_id: str, body: bytes, *headers: str, status: str = "200 OK") -> bytes:
-    """Return the bytes of a whole answer."""
+    """Return the bytes of a complete answer."""
     lines = [
         f"HTTP/1.1 {status}",
         f"Springrock-Request-Id: {request_id}",
@@ -80,6 +80,6 @@
 
 
 def reset(connection: socket.socket) -> None:
-    """Close with a reset."""
+    """Close the connection with a TCP reset."""
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     connection.close()
--- a/tests/forwarding/test_choosing.py
+++ b/tests/forwarding/test_choosing.py
@@ -1,4 +1,4 @@
-"""Which replica a request is tried at, as placers are heard or not."""
+"""The choice of a replica for a request with an adapter, with and without a reachable placer."""
 
 from __future__ import annotations
 
@@ -25,38 +25,38 @@
 
 
 class ScriptedUse:
-    """The use of the one replica."""
+    """The use of the only replica."""
 
     instance = "i-1"
     number = 1
     permit_until: float | None = None
 
     def began(self) -> None:
-        """Nothing to note."""
+        """Do nothing."""
 
     def end(self, outcome: UseOutcome, *, backoff_s: float = 0.0) -> None:
-        """Nothing to note."""
+        """Do nothing."""
 
 
 class ScriptedAdapters:
-    """No placer is heard until one was waited for so often."""
+    """Adapters without a reachable placer until it has been waited for a number of times."""
 
     def __init__(self, *, waits: int) -> None:
         self.waits_left = waits
         self.is_held = False
-        self.wishes: list[AdapterRequest] = []
+        self.requests: list[AdapterRequest] = []
 
     def holds(self, replica: Replica, key: AdapterKey) -> bool:
         return self.is_held
 
     def deny(self, instance: str, key: AdapterKey) -> None:
-        """Nothing to learn."""
+        """Do nothing."""
 
     def newest(self, key: AdapterKey) -> int:
         return 0
 
     def find(self, adapter_request: AdapterRequest) -> Use | None:
-        self.wishes.append(adapter_request)
+        self.requests.append(adapter_request)
         return None if self.waits_left else ScriptedUse()
 
     def await_placer(self, *, until: float) -> bool:
@@ -106,17 +106,17 @@
     return chooser.next_replica(progress, until=monotonic() + 1.0).replica.instance
 
 
-def test_a_request_that_no_placer_hears_waits_for_one_that_is_likely() -> None:
+def test_without_a_placer_a_request_waits_for_one_that_may_answer_soon() -> None:
     assert find(ScriptedAdapters(waits=1)) == "i-1"
 
 
-def test_a_request_is_rejected_if_none_is_likely_to_be_heard() -> None:
+def test_a_request_is_rejected_if_no_placer_is_expected_to_answer() -> None:
     with pytest.raises(NoReplica) as refusal:
         find(ScriptedAdapters(waits=2))
     assert refusal.value.reason == "no_placer_heard"
 
 
-def test_where_every_zone_is_evacuated_a_request_is_refused_at_once() -> None:
+def test_a_request_is_rejected_without_a_wait_if_every_zone_is_evacuated() -> None:
     adapters = ScriptedAdapters(waits=2)
     adapters.is_held = True
     with pytest.raises(NoReplica) as refusal:
@@ -125,35 +125,35 @@
     assert adapters.waits_left == 2, "no placer is waited for"
 
 
-def test_what_a_placer_grants_in_an_evacuated_zone_is_not_sent_there() -> None:
+def test_a_grant_in_an_evacuated_zone_is_not_used() -> None:
     with pytest.raises(NoReplica) as refusal:
         find(ScriptedAdapters(waits=0), evacuated=("zone-1",))
     assert refusal.value.reason == "evacuated"
 
 
-def test_a_placer_is_told_not_to_grant_what_this_box_knows_to_leave() -> None:
+def test_a_placer_is_asked_to_avoid_a_replica_that_this_box_knows_as_leaving() -> None:
     adapters = ScriptedAdapters(waits=0)
     with pytest.raises(NoReplica):
         find(adapters, leaving=True)
-    assert {adapter_request.avoid for adapter_request in adapters.wishes} == {frozenset({"i-1"})}
+    assert {adapter_request.avoid for adapter_request in adapters.requests} == {frozenset({"i-1"})}
 
 
-def test_an_engine_that_asked_for_rest_meanwhile_is_not_used_though_a_placer_grants_it() -> None:
+def test_a_granted_engine_that_backs_off_is_not_used() -> None:
     adapters = ScriptedAdapters(waits=0)
     with pytest.raises(NoReplica):
         find(adapters, backoff_s=5.0)
-    assert {adapter_request.avoid for adapter_request in adapters.wishes} == {frozenset({"i-1"})}
+    assert {adapter_request.avoid for adapter_request in adapters.requests} == {frozenset({"i-1"})}
 
 
-def test_no_placer_is_told_to_grant_again_where_a_request_failed_and_rest_was_asked_for() -> None:
+def test_a_placer_is_not_offered_a_failed_engine_again_while_it_backs_off() -> None:
     adapters = ScriptedAdapters(waits=0)
     with pytest.raises(NoReplica):
         find(adapters, backoff_s=5.0, failed_before=True)
-    assert {adapter_request.failed_at for adapter_request in adapters.wishes} == {frozenset()}
+    assert {adapter_request.failed_at for adapter_request in adapters.requests} == {frozenset()}
 
 
-def test_an_engine_that_rests_after_failures_may_get_a_request_again_that_it_failed() -> None:
+def test_an_engine_that_cools_down_may_get_a_request_that_it_failed_again() -> None:
     adapters = ScriptedAdapters(waits=0)
     assert find(adapters, failed_before=True, failures=2) == "i-1"
-    [adapter_request] = adapters.wishes
+    [adapter_request] = adapters.requests
     assert adapter_request.avoid == adapter_request.failed_at == {"i-1"}
--- a/tests/forwarding/test_distance.py
+++ b/tests/forwarding/test_distance.py
@@ -1,7 +1,7 @@
-"""Ways of weighing distance for plain requests, played in virtual time on the same requests.
+"""Compares the balancer's distance costs with a simpler rule, in a simulation of plain requests.
 
-Many boxes in three zones stand before a few replicas. Each box sees its own requests only: how many
-of them run, which failed, and when a replica said that it is full.
+Many boxes in three zones share a few replicas. Each box sees only its own requests: how many of
+them run, which failed, and when a replica answered that it is full.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from tests.worlds import make_world
 
 BOXES = 63
-PLACES = 6
+RUNNING_LIMIT = 6
 WORK_S = 0.07
 TARGET_S = 0.34
 LENGTH_S = 30.0
@@ -31,12 +31,12 @@
 
 
 class Traffic(NamedTuple):
-    """What is asked, and how replicas fail.
+    """The load, and the failure rates of the replicas.
 
     Attributes:
         per_s: Requests a second.
-        shares: How they fall on the zones.
-        failing: The part of its requests that each replica fails.
+        shares: Weights of the zones that the requests arrive in.
+        failing: The fraction of requests that each replica fails.
     """
 
     per_s: float = 170.0
@@ -44,12 +44,12 @@
     failing: tuple[float, float, float, float] = (0.0, 0.0, 0.0, 0.0)
 
 
-class Count(NamedTuple):
-    """Parts of all requests.
+class Outcomes(NamedTuple):
+    """Outcomes as fractions of all requests.
 
     Attributes:
-        crossing: Arrivals at a replica of another zone, for each request.
-        full: Arrivals that found their replica full, for each request.
+        crossing: Attempts at a replica of another zone, per request.
+        full: Attempts that found the replica full, per request.
         late: Requests answered late or not at all.
         failed: Requests that a replica failed.
     """
@@ -61,9 +61,15 @@
 
 
 class Box:
-    """A box with its own view of the replicas."""
+    """A box that chooses by its own observations of the replicas.
 
-    def __init__(self, zone: str, way: str, chance: random.Random) -> None:
+    Args:
+        zone: The zone of the box.
+        rule: "product" for the balancer's choice, "standing" for the rule that it is compared with.
+        rng: The random source.
+    """
+
+    def __init__(self, zone: str, rule: str, rng: random.Random) -> None:
         self.zone = zone
         self.replicas = [
             Replica(
@@ -72,53 +78,53 @@
                     service="s",
                     address="127.0.0.1:1",
                     zone=home,
-                    running_limit=PLACES,
+                    running_limit=RUNNING_LIMIT,
                 )
             )
             for number, home in enumerate(ZONE_OF_REPLICA)
         ]
-        self._balancer = Balancer(world=lambda: make_world(zone), chance=chance)
-        self._way = way
-        self._chance = chance
+        self._balancer = Balancer(world=lambda: make_world(zone), chance=rng)
+        self._rule = rule
+        self._rng = rng
 
     def choose(self, tried: set[str]) -> Replica | None:
         """Return the replica to try next."""
-        if self._way == "product":
+        if self._rule == "product":
             return self._balancer.choose(self.replicas, tried=tried, even_resting=True)
         untried = [item for item in self.replicas if item.instance not in tried]
         free = [item for item in untried if not item.health.resting] or untried
         return min(free, key=self._running_and_half, default=None)
 
     def _running_and_half(self, replica: Replica) -> float:
-        """Running requests, failures, and half a request more for any other zone."""
+        """Return the cost: running requests, failures, and half a request for another zone."""
         cost = replica.running + 8.0 * replica.health.failure_rate
         cost += 0.5 * (replica.record.zone != self.zone)
-        return cost + self._chance.random() * 0.1
+        return cost + self._rng.random() * 0.1
 
 
-class Play:
-    """One way, played over all boxes."""
+class Simulation:
+    """A simulation of all boxes with one rule of choice."""
 
-    def __init__(self, way: str, traffic: Traffic, environment: simpy.Environment) -> None:
+    def __init__(self, rule: str, traffic: Traffic, environment: simpy.Environment) -> None:
         self.environment = environment
         self.traffic = traffic
-        self.chance = random.Random(7)
-        self.boxes = [Box(f"z-{number % 3}", way, self.chance) for number in range(BOXES)]
+        self.rng = random.Random(7)
+        self.boxes = [Box(f"z-{number % 3}", rule, self.rng) for number in range(BOXES)]
         self.running = [0] * len(ZONE_OF_REPLICA)
         self.requests = self.crossing = self.full = self.late = self.failed = 0
 
-    def run(self) -> Count:
-        """Return what became of the requests."""
+    def run(self) -> Outcomes:
+        """Run the simulation and return the outcomes."""
         self.environment.process(self._arrive())
         self.environment.run(until=LENGTH_S)
         found = (self.crossing, self.full, self.late, self.failed)
-        return Count(*(number / self.requests for number in found))
+        return Outcomes(*(number / self.requests for number in found))
 
     def _arrive(self) -> Iterator[simpy.Event]:
         while True:
-            yield self.environment.timeout(self.chance.expovariate(self.traffic.per_s))
-            zone = self.chance.choices(range(3), weights=self.traffic.shares)[0]
-            box = self.boxes[zone + 3 * self.chance.randrange(BOXES // 3)]
+            yield self.environment.timeout(self.rng.expovariate(self.traffic.per_s))
+            zone = self.rng.choices(range(3), weights=self.traffic.shares)[0]
+            box = self.boxes[zone + 3 * self.rng.randrange(BOXES // 3)]
             self.environment.process(self._serve(box))
 
     def _serve(self, box: Box) -> Iterator[simpy.Event]:
@@ -134,16 +140,16 @@
                 self.crossing += 1
                 yield self.environment.timeout(ROUND_TRIP_S)
             number = int(replica.instance.removeprefix("i-"))
-            if self.running[number] >= PLACES:
+            if self.running[number] >= RUNNING_LIMIT:
                 self.full += 1
                 replica.health.record_full()
                 continue
             self.running[number] += 1
             replica.running += 1
-            yield self.environment.timeout(self.chance.uniform(0.5, 1.5) * WORK_S)
+            yield self.environment.timeout(self.rng.uniform(0.5, 1.5) * WORK_S)
             replica.running -= 1
             self.running[number] -= 1
-            if self.chance.random() < self.traffic.failing[number]:
+            if self.rng.random() < self.traffic.failing[number]:
                 replica.health.record_failure()
                 self.failed += 1
             else:
@@ -159,53 +165,57 @@
 
 
 def make_environment(monkeypatch: pytest.MonkeyPatch) -> simpy.Environment:
-    """Return virtual time that the health of replicas goes by."""
+    """Return a simulation environment whose clock the health of replicas uses."""
     environment = simpy.Environment()
     monkeypatch.setattr(health_module, "monotonic", lambda: environment.now)
     return environment
 
 
-def play(way: str, traffic: Traffic, environment: simpy.Environment) -> Count:
-    return Play(way, traffic, environment).run()
+def simulate(rule: str, traffic: Traffic, environment: simpy.Environment) -> Outcomes:
+    return Simulation(rule, traffic, environment).run()
 
 
-CALM = Traffic()
+EVEN = Traffic()
 UNEVEN = Traffic(shares=(3.0, 1.0, 1.0))
 BUSY = Traffic(per_s=270.0)
-ALL_FAIL_SOME = Traffic(failing=(0.06,) * 4)
+ALL_FAIL_RARELY = Traffic(failing=(0.06,) * 4)
 UNEVEN_AND_FAILING = Traffic(shares=(3.0, 1.0, 1.0), failing=(0.06,) * 4)
-ONE_FAILS_MUCH = Traffic(failing=(0.45, 0.0, 0.0, 0.0))
+ONE_FAILS_OFTEN = Traffic(failing=(0.45, 0.0, 0.0, 0.0))
 
 
 @pytest.mark.parametrize(
-    ("traffic", "at_most"), [(ALL_FAIL_SOME, 0.55), (UNEVEN_AND_FAILING, 0.7), (CALM, 0.9)]
+    ("traffic", "at_most"), [(ALL_FAIL_RARELY, 0.55), (UNEVEN_AND_FAILING, 0.7), (EVEN, 0.9)]
 )
-def test_fewer_requests_go_to_other_zones_than_by_running_requests(
+def test_fewer_requests_cross_zones_than_with_a_cost_of_running_requests(
     traffic: Traffic, at_most: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Where all fail 6 in 100: 0.61 -> 0.27; unevenly asked, 0.62 -> 0.38; calm, 0.16 -> 0.11."""
-    before = play("standing", traffic, make_environment(monkeypatch))
-    after = play("product", traffic, make_environment(monkeypatch))
+    """Crossings per request fall: from 0.61 to 0.27 where all replicas fail 6 in 100 requests, from
+    0.62 to 0.38 with uneven load as well, and from 0.16 to 0.11 without failures.
+    """
+    before = simulate("standing", traffic, make_environment(monkeypatch))
+    after = simulate("product", traffic, make_environment(monkeypatch))
     assert after.crossing < at_most * before.crossing
 
 
-@pytest.mark.parametrize("traffic", [CALM, UNEVEN, BUSY, ALL_FAIL_SOME, UNEVEN_AND_FAILING])
-def test_no_more_requests_are_late_for_it(
+@pytest.mark.parametrize("traffic", [EVEN, UNEVEN, BUSY, ALL_FAIL_RARELY, UNEVEN_AND_FAILING])
+def test_fewer_crossings_do_not_make_more_requests_late(
     traffic: Traffic, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Unevenly asked replicas are found full 0.18 times a request, before 0.14; else no more."""
-    before = play("standing", traffic, make_environment(monkeypatch))
-    after = play("product", traffic, make_environment(monkeypatch))
+    """Attempts that find a replica full rise from 0.14 to 0.18 per request under uneven load; under
+    the other loads they do not rise.
+    """
+    before = simulate("standing", traffic, make_environment(monkeypatch))
+    after = simulate("product", traffic, make_environment(monkeypatch))
     assert after.late < before.late + 0.005
     assert after.full < before.full + 0.08
     assert after.failed < before.failed + 0.01
 
 
-def test_a_replica_that_fails_much_is_left_though_it_is_the_nearest(
+def test_the_nearest_replica_is_avoided_if_it_fails_often(
     environment: simpy.Environment,
 ) -> None:
-    """It fails 0.02 of all requests; if its zone kept to it, 0.15."""
-    assert play("product", ONE_FAILS_MUCH, environment).failed < 0.04
+    """It fails 0.02 of all requests; if its zone kept using it, 0.15."""
+    assert simulate("product", ONE_FAILS_OFTEN, environment).failed < 0.04
 
 
 # One choice.
@@ -215,7 +225,7 @@
     return Box(zone, "product", random.Random(1))
 
 
-def test_the_own_zone_comes_first_until_a_quarter_of_its_places_more_are_taken(
+def test_the_own_zone_is_preferred_until_its_utilization_is_a_quarter_higher(
     environment: simpy.Environment,
 ) -> None:
     box = make_box()
@@ -227,7 +237,7 @@
         assert chosen.record.zone == zone
 
 
-def test_a_replica_that_said_that_it_is_full_is_left_for_a_moment(
+def test_a_full_replica_is_avoided_for_a_short_time(
     environment: simpy.Environment,
 ) -> None:
     box = make_box()
@@ -237,7 +247,7 @@
     assert box.choose(set()) is box.replicas[0]
 
 
-def test_one_failure_does_not_send_a_box_to_another_zone_but_two_in_a_row_do_for_a_while(
+def test_two_failures_in_a_row_but_not_one_make_a_box_use_another_zone_for_a_while(
     environment: simpy.Environment,
 ) -> None:
     box = make_box()
@@ -250,22 +260,24 @@
     assert box.choose(set()) is nearest
 
 
-def test_another_region_counts_its_dearer_bytes_and_its_way() -> None:
+def test_another_region_costs_its_price_of_bytes_and_its_latency() -> None:
     costs = DistanceCosts.from_prices(DistancePrices(2.0, 6.0, 1.0), region_round_trip_s=0.04)
     assert costs.of(Distance.OWN_ZONE) == 0.0
     assert costs.of(Distance.OWN_REGION) == 0.25
     assert costs.of(Distance.OTHER_REGION, RequestSize(0, 0.4)) == pytest.approx(0.25 * 4 + 0.1)
     assert costs.of(Distance.OTHER_REGION, RequestSize(0, 0.1)) == pytest.approx(0.25 * 4 + 0.4)
-    assert costs.of(Distance.OTHER_REGION, RequestSize(0, 0.0)) > 2.0, "no target is soon missed"
+    assert costs.of(Distance.OTHER_REGION, RequestSize(0, 0.0)) > 2.0, (
+        "latency is expensive for a target of 0 s"
+    )
 
 
-def test_a_long_request_is_sent_away_later_but_not_never() -> None:
+def test_the_cost_of_distance_grows_with_the_size_of_a_request_up_to_a_bound() -> None:
     costs = DistanceCosts()
     assert costs.of(Distance.OWN_ZONE, RequestSize(9_000)) == 0.0
     assert costs.of(Distance.OWN_REGION, RequestSize(2_000)) == 0.5
     assert costs.of(Distance.OWN_REGION, RequestSize(9_000_000)) == 1.0
 
 
-def test_prices_of_nothing_still_let_the_nearest_come_first() -> None:
+def test_the_nearest_zone_is_preferred_even_if_all_prices_are_zero() -> None:
     free = DistanceCosts.from_prices(DistancePrices(0.0, 0.0, 1.0), region_round_trip_s=0.0)
     assert free.of(Distance.OTHER_REGION) > free.of(Distance.OWN_REGION) > 0
--- a/tests/forwarding/test_eligibility.py
+++ b/tests/forwarding/test_eligibility.py
@@ -1,4 +1,4 @@
-"""Whether a request may go to a replica, and what is said if not."""
+"""Whether a request may be sent to a replica, and which obstacle is returned if not."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
         ({"zone": "b-1"}, Obstacle.EVACUATED),
     ],
 )
-def test_what_a_replica_says_or_where_it_stands_is_in_the_way(
+def test_a_replicas_record_or_zone_is_an_obstacle(
     fields: dict[str, object], obstacle: Obstacle | None
 ) -> None:
     world = make_world("a-1", regions=REGIONS, evacuated=("b-1",))
     assert obstacle_of(make_record(**fields), bounds=ANYWHERE, world=world) is obstacle
 
 
-def test_a_region_that_is_not_allowed_is_in_the_way_even_with_a_permit() -> None:
+def test_a_region_that_is_not_allowed_is_an_obstacle_even_with_a_permit() -> None:
     world = make_world("a-1", regions=REGIONS)
     bounds = Bounds(frozenset({"b"}))
     found = obstacle_of(make_record(), bounds=bounds, world=world, permitted=True)
@@ -47,7 +47,7 @@
     assert obstacle_of(make_record(zone="b-1"), bounds=bounds, world=world) is None
 
 
-def test_a_zone_of_no_region_is_allowed_nowhere_in_particular() -> None:
+def test_a_zone_of_unknown_region_is_outside_all_regions() -> None:
     bounds = Bounds(frozenset({"a"}))
     found = zone_obstacle_of("elsewhere", bounds=bounds, world=make_world("a-1", regions=REGIONS))
     assert found is Obstacle.OUTSIDE_REGIONS
@@ -59,7 +59,7 @@
     assert obstacle_of(make_record(), bounds=ANYWHERE, world=world, permitted=True) is None
 
 
-def test_a_replica_that_rests_is_told_apart_from_one_that_may_not_be_used() -> None:
+def test_a_cool_down_is_reported_only_if_no_other_obstacle_applies() -> None:
     world = make_world("a-1", regions=REGIONS)
     found = obstacle_of(make_record(), bounds=ANYWHERE, world=world, resting=True)
     assert found is Obstacle.RESTING
@@ -67,9 +67,11 @@
     assert found is Obstacle.LEAVING
 
 
-def test_a_zone_whose_evacuation_is_announced_serves_yet_and_is_brought_nothing() -> None:
+def test_a_zone_whose_evacuation_is_announced_still_serves_but_loads_no_adapters() -> None:
     world = make_world("a-1", regions=REGIONS, announced=("a-2",), is_cold=lambda record: True)
     assert obstacle_of(make_record(), bounds=ANYWHERE, world=world, permitted=True) is None
     assert not may_be_loaded(make_record(), world=world)
-    assert may_be_loaded(make_record(zone="a-1"), world=world), "a cold one warms up meanwhile"
+    assert may_be_loaded(make_record(zone="a-1"), world=world), (
+        "a cold replica warms up in the meantime"
+    )
     assert not may_be_loaded(make_record(zone="a-1", leaving=True), world=world)
--- a/tests/forwarding/test_exchange.py
+++ b/tests/forwarding/test_exchange.py
@@ -1,4 +1,4 @@
-"""Exchanges with replicas that break the framing, mix answers up, or fall silent."""
+"""Exchanges with replicas that break the framing, answer other requests, or stop answering."""
 
 from __future__ import annotations
 
@@ -59,14 +59,14 @@
         answer.close()
 
 
-def test_a_closed_answer_tells_what_its_request_and_its_body_took() -> None:
+def test_a_closed_answer_reports_the_bytes_of_its_request_and_body() -> None:
     reported: list[tuple[int, int]] = []
 
     def script(connection: socket.socket) -> None:
-        got.append(read_request(connection))
+        received_requests.append(read_request(connection))
         connection.sendall(answer("r1", b"x" * 100))
 
-    got: list[bytes] = []
+    received_requests: list[bytes] = []
     with ScriptedReplica(script) as replica:
         found = exchange(
             request(body=b"y" * 3000),
@@ -79,7 +79,7 @@
         )
         assert reported == []
         assert body_of(found) == b"x" * 100
-    assert reported == [(len(got[0]), 100)]
+    assert reported == [(len(received_requests[0]), 100)]
 
 
 def sends(data: bytes) -> Script:
@@ -90,14 +90,14 @@
     return _script
 
 
-def test_a_whole_answer_is_read_and_its_connection_used_again() -> None:
-    def _two(connection: socket.socket) -> None:
+def test_a_complete_answer_is_read_and_its_connection_reused() -> None:
+    def _answer_twice(connection: socket.socket) -> None:
         for request_id in ("r1", "r2"):
             read_request(connection)
             connection.sendall(answer(request_id, b"body of " + request_id.encode()))
         read_request(connection)
 
-    with ScriptedReplica(_two) as replica:
+    with ScriptedReplica(_answer_twice) as replica:
         pool = ConnectionPool(replica.address)
         assert body_of(send(pool, "r1")) == b"body of r1"
         assert body_of(send(pool, "r2")) == b"body of r2"
@@ -105,13 +105,13 @@
         pool.close()
 
 
-def test_a_surplus_answer_before_the_own_one_is_read_past() -> None:
+def test_a_surplus_answer_before_the_own_one_is_discarded() -> None:
     surplus = answer("old", b"of another request")
     with ScriptedReplica(sends(surplus + answer("r1", b"own"))) as replica:
         assert body_of(send(ConnectionPool(replica.address))) == b"own"
 
 
-def test_a_connection_with_surplus_bytes_is_not_used_again() -> None:
+def test_a_connection_with_surplus_bytes_is_not_reused() -> None:
     surplus = answer("r1", b"own") + answer("r1", b"again")
     with ScriptedReplica(sends(surplus), sends(answer("r2", b"second"))) as replica:
         pool = ConnectionPool(replica.address)
@@ -120,7 +120,7 @@
         assert pool.opened == 2
 
 
-def test_only_answers_to_others_are_no_answer() -> None:
+def test_an_exchange_fails_if_only_answers_to_other_requests_arrive() -> None:
     foreign = b"".join(answer(f"other-{number}", b"x") for number in range(4))
     with ScriptedReplica(sends(foreign)) as replica, pytest.raises(ForeignAnswer):
         send(ConnectionPool(replica.address))
@@ -167,7 +167,7 @@
             found.read(timeout_s=2.0)
 
 
-def test_bytes_that_are_no_answer_are_broken() -> None:
+def test_bytes_that_are_not_http_are_a_broken_answer() -> None:
     with (
         ScriptedReplica(sends(b"\x00\x01nonsense\r\n\r\n")) as replica,
         pytest.raises(AnswerBroken),
@@ -175,19 +175,19 @@
         send(ConnectionPool(replica.address))
 
 
-def test_a_close_without_answer_leaves_the_outcome_open() -> None:
+def test_a_close_without_an_answer_leaves_the_outcome_unknown() -> None:
     with ScriptedReplica(lambda connection: None) as replica, pytest.raises(AnswerBroken):
         send(ConnectionPool(replica.address))
 
 
-def test_silence_is_told_from_a_broken_answer() -> None:
-    over = threading.Event()
+def test_a_timeout_is_distinguished_from_a_broken_answer() -> None:
+    finished = threading.Event()
 
-    def _silent(connection: socket.socket) -> None:
+    def _never_answer(connection: socket.socket) -> None:
         read_request(connection)
-        over.wait(5)
+        finished.wait(5)
 
-    with ScriptedReplica(_silent) as replica:
+    with ScriptedReplica(_never_answer) as replica:
         with pytest.raises(AnswerSilent):
             exchange(
                 request(),
@@ -197,21 +197,21 @@
                 repeatable=True,
                 head_timeout_s=0.1,
             )
-        over.set()
+        finished.set()
 
 
-def test_a_dead_port_has_received_nothing() -> None:
-    with socket.create_server(("127.0.0.1", 0)) as taken:
-        port = taken.getsockname()[1]
+def test_a_request_to_a_closed_port_was_not_sent() -> None:
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        port = listener.getsockname()[1]
     with pytest.raises(ReplicaUnreachable):
         send(ConnectionPool(f"127.0.0.1:{port}"))
 
 
-def test_a_request_whose_connection_came_too_late_is_not_sent() -> None:
-    got: list[bytes] = []
+def test_a_request_is_not_sent_if_it_is_forbidden_once_the_connection_is_open() -> None:
+    received_requests: list[bytes] = []
 
     def _read(connection: socket.socket) -> None:
-        got.append(read_request(connection))
+        received_requests.append(read_request(connection))
 
     with ScriptedReplica(_read) as replica:
         pool = ConnectionPool(replica.address)
@@ -226,10 +226,10 @@
                 may_send=lambda: pool.opened == 0,
             )
         wait_until(lambda: replica.ended == 1, what="the connection is closed")
-    assert got == [b""]
+    assert received_requests == [b""]
 
 
-def test_a_promise_that_it_did_not_run_is_told_by_kind() -> None:
+def test_the_reasons_why_a_request_did_not_run_are_distinguished() -> None:
     full = answer("r1", b"", "Springrock-Not-Executed: 1", status="503 Service Unavailable")
     with ScriptedReplica(sends(full)) as replica, pytest.raises(ReplicaFull):
         send(ConnectionPool(replica.address))
@@ -238,13 +238,13 @@
         send(ConnectionPool(replica.address))
 
 
-def test_a_failure_without_that_promise_is_an_answer() -> None:
+def test_a_failure_that_does_not_exclude_a_run_is_an_answer() -> None:
     data = answer("r1", b"", status="503 Service Unavailable")
     with ScriptedReplica(sends(data)) as replica:
         assert send(ConnectionPool(replica.address)).head.status == 503
 
 
-def test_a_connection_that_the_replica_closed_at_rest_is_not_used() -> None:
+def test_an_idle_connection_that_the_replica_closed_is_not_used() -> None:
     with ScriptedReplica(sends(answer("r1", b"1")), sends(answer("r2", b"2"))) as replica:
         pool = ConnectionPool(replica.address)
         assert body_of(send(pool, "r1")) == b"1"
@@ -253,7 +253,7 @@
         assert pool.opened == 2
 
 
-def test_a_replica_whose_host_says_that_nothing_listens_is_told_from_one_out_of_reach() -> None:
+def test_a_refused_connection_is_distinguished_from_an_unreachable_replica() -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         host, port = listener.getsockname()
     with pytest.raises(ConnectionRefused):
--- a/tests/forwarding/test_regions.py
+++ b/tests/forwarding/test_regions.py
@@ -1,4 +1,4 @@
-"""A request that is bound to regions is never sent elsewhere, by whatever way it is chosen."""
+"""A request restricted to regions is never sent elsewhere, however its replica is chosen."""
 
 from __future__ import annotations
 
@@ -35,18 +35,18 @@
         self.ended = False
 
     def began(self) -> None:
-        """Nothing to note."""
+        """Do nothing."""
 
     def end(self, outcome: UseOutcome, *, backoff_s: float = 0.0) -> None:
         self.ended = True
 
 
 class ScriptedAdapters:
-    """A placer that grants what it is told to, whatever the request allows."""
+    """A placer that grants one fixed replica, whatever the request allows."""
 
     def __init__(self, *, grants: str | None = None) -> None:
         self.grants = grants
-        self.wishes: list[AdapterRequest] = []
+        self.requests: list[AdapterRequest] = []
         self.uses: list[ScriptedUse] = []
         self.waits = 0
 
@@ -54,13 +54,13 @@
         return True
 
     def deny(self, instance: str, key: AdapterKey) -> None:
-        """Nothing to learn."""
+        """Do nothing."""
 
     def newest(self, key: AdapterKey) -> int:
         return 0
 
     def find(self, adapter_request: AdapterRequest) -> Use | None:
-        self.wishes.append(adapter_request)
+        self.requests.append(adapter_request)
         return None if self.grants is None else self.use(self.grants, adapter_request.key)
 
     def await_placer(self, *, until: float) -> bool:
@@ -73,7 +73,7 @@
 
 
 class Box:
-    """A box in zone a-1 that knows one replica in each zone; those of region b stand idle."""
+    """A box in zone a-1 that knows one replica in each zone."""
 
     def __init__(self, adapters: ScriptedAdapters, *, leaving: tuple[str, ...] = ()) -> None:
         engine = Engine(
@@ -133,7 +133,7 @@
 
 @pytest.mark.parametrize("adapter", [False, True])
 @pytest.mark.parametrize("leaving", [(), ("a-1", "a-2", "b-1", "b-2")])
-def test_what_may_be_served_nowhere_is_rejected_at_once_and_says_why(
+def test_a_request_that_no_region_may_serve_is_rejected_without_a_wait(
     adapter: bool, leaving: tuple[str, ...]
 ) -> None:
     adapters = ScriptedAdapters(grants="i-a-1")
@@ -147,28 +147,28 @@
         assert refusal.value.reason == "outside_regions"
         assert refusal.value.status == 503
         assert refusal.value.retry_after_s is not None
-    assert adapters.wishes == [], "no placer is asked"
-    assert adapters.waits == 0, "none is waited for"
+    assert adapters.requests == [], "no placer is asked"
+    assert adapters.waits == 0, "no placer is waited for"
 
 
-def test_where_the_allowed_region_itself_is_in_trouble_that_is_the_reason() -> None:
+def test_a_rejection_names_the_obstacle_in_the_allowed_region() -> None:
     box = Box(ScriptedAdapters(), leaving=("b-1", "b-2"))
     with pytest.raises(NoReplica) as refusal:
         box.choose(make_progress("b"))
     assert refusal.value.reason == "leaving"
 
 
-def test_a_placer_is_asked_with_the_bounds_and_a_grant_beyond_them_is_not_followed() -> None:
+def test_a_placer_is_sent_the_bounds_and_a_grant_outside_them_is_not_used() -> None:
     adapters = ScriptedAdapters(grants="i-a-1")
     box = Box(adapters)
     assert REGIONS[box.choose(make_progress("b", adapter=True))] == "b"
-    assert adapters.wishes[0].bounds == Bounds(frozenset("b"))
-    granted, alone = adapters.uses
+    assert adapters.requests[0].bounds == Bounds(frozenset("b"))
+    granted, without_placer = adapters.uses
     assert granted.ended
-    assert not alone.ended
+    assert not without_placer.ended
 
 
-def test_a_stream_that_goes_on_stays_within_the_bounds() -> None:
+def test_a_resumed_stream_stays_within_the_bounds() -> None:
     box = Box(ScriptedAdapters())
     progress = make_progress("b", adapter=True)
     first = box.choose(progress)
--- a/tests/forwarding/test_sending.py
+++ b/tests/forwarding/test_sending.py
@@ -1,4 +1,4 @@
-"""What one attempt shows of its replica, and what it counts."""
+"""What an attempt records about its replica and the request."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from tests.worlds import make_crash_detector, make_notices, make_warmup
 
 
-def test_what_is_not_sent_after_all_neither_ran_nor_speaks_against_the_replica() -> None:
+def test_a_withheld_request_did_not_run_and_does_not_count_against_the_replica() -> None:
     def _read(connection: socket.socket) -> None:
         read_request(connection)
 
@@ -47,6 +47,6 @@
         sender.record_failure(progress, replica, attempt, forbidden.value)
     assert attempt.outcome is AttemptOutcome.WITHHELD
     assert (progress.arrivals, progress.runs) == (0, 0)
-    assert progress.tried == {"i"}, "another replica is next"
+    assert progress.tried_instances == {"i"}, "the next attempt is at another replica"
     assert not replica.health.resting
     assert replica.health.failure_rate == 0.0
--- a/tests/forwarding/test_values.py
+++ b/tests/forwarding/test_values.py
@@ -1,4 +1,4 @@
-"""The plain values of forwarding: routes, headers, events, budgets, health, journeys."""
+"""The value types of forwarding: routes, headers, events, budgets, health, progress of requests."""
 
 from __future__ import annotations
 
@@ -85,7 +85,7 @@
 # Headers.
 
 
-def test_headers_of_one_connection_do_not_travel() -> None:
+def test_headers_of_a_single_connection_are_not_forwarded() -> None:
     headers = Headers.from_pairs(
         [("Connection", "close, X-Mine"), ("x-mine", "1"), ("TE", "trailers"), ("X-Other", "2")]
     )
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 7, 100])
-def test_only_whole_events_come_out_however_the_bytes_arrive(size: int) -> None:
+def test_only_complete_events_are_returned_however_the_bytes_arrive(size: int) -> None:
     data = b"id: 1\ndata: a\n\nversions: 2\nid: 2\ndata: b\n\nid: 3\nda"
     splitter = EventSplitter()
     events = [
@@ -110,7 +110,7 @@
 # Replicas.
 
 
-def test_a_replica_that_another_box_saw_leaving_gets_no_new_work() -> None:
+def test_a_replica_that_another_box_reports_as_leaving_is_leaving() -> None:
     directory = Directory(Log("directory", "box"))
     record = ReplicaRecord(instance="i-1", service="s", address="127.0.0.1:1", zone="z")
     directory.update(record)
@@ -138,7 +138,7 @@
     assert [budget.try_spend() for _ in range(4)] == [True, True, False, False]
 
 
-def test_retries_that_were_spent_stay_spent_when_the_limits_change() -> None:
+def test_spent_retries_still_count_when_the_limits_change() -> None:
     limits = RetryLimits(ratio=0.2, allowance=2.5, window_s=10.0)
     budget = RetryBudget(lambda: limits)
     assert [budget.try_spend() for _ in range(3)] == [True, True, False]
@@ -172,7 +172,7 @@
     assert not progress.may_run_again
 
 
-def test_the_route_bounds_the_deadline_and_patience_the_first_event() -> None:
+def test_the_route_bounds_the_deadline_and_the_wait_for_the_first_event() -> None:
     request = make_request(deadline_s=15.0)
     route = make_route(
         kind=RouteKind.STREAMING, timeout_s=12.0, target_s=1.0, gap_s=0.4, resumable=True
@@ -185,22 +185,22 @@
 # Replicas.
 
 
-def test_a_replica_that_fails_is_left_alone_ever_longer(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failing_replica_cools_down_for_increasing_times(monkeypatch: pytest.MonkeyPatch) -> None:
     now = 100.0
     monkeypatch.setattr(health_module, "monotonic", lambda: now)
     health = Health()
     health.record_failure()
     assert not health.resting
     health.record_failure()
-    rests = []
+    cool_downs = []
     for _ in range(5):
         assert health.resting
-        rests.append(health.rest_left_s)
+        cool_downs.append(health.rest_left_s)
         now += health.rest_left_s
         assert not health.resting
         health.record_unreachable()
-    assert rests == sorted(rests)
-    assert rests[-1] <= 4.0
+    assert cool_downs == sorted(cool_downs)
+    assert cool_downs[-1] <= 4.0
     now += 5.0
     health.record_success()
     health.record_unreachable()
@@ -222,7 +222,7 @@
     return ReplicaRecord(**fields)  # type: ignore[arg-type]
 
 
-def test_a_replica_that_once_was_leaving_never_comes_back() -> None:
+def test_a_replica_that_was_leaving_is_never_added_again() -> None:
     directory = make_directory()
     directory.update(make_record("i-1", leaving=True))
     directory.update(make_record("i-1"))
@@ -233,7 +233,7 @@
     assert directory.count == 1
 
 
-def test_a_whole_list_drops_what_is_not_in_it() -> None:
+def test_a_full_list_removes_the_replicas_that_it_lacks() -> None:
     directory = make_directory()
     directory.replace([make_record("i-1"), make_record("i-2")])
     directory.replace([make_record("i-2")])
@@ -241,7 +241,7 @@
     assert directory.find("i-2") is not None
 
 
-def test_the_balancer_prefers_idle_near_and_sound_replicas() -> None:
+def test_the_balancer_prefers_idle_near_and_healthy_replicas() -> None:
     directory = make_directory()
     directory.replace([make_record("near"), make_record("far", zone="z2")])
     balancer = Balancer(world=lambda: make_world("z1"), chance=random.Random(1))
@@ -258,7 +258,7 @@
     assert balancer.choose([near, far], tried={"far"}, even_resting=True) is near
 
 
-def test_an_ending_says_when_to_come_back() -> None:
+def test_a_reply_of_the_box_has_a_retry_after_header() -> None:
     reply = own_reply(503, "no_replica", retry_after_s=0.254)
     assert reply.head.headers.get("retry-after") == "0.25"
     assert b"".join(reply.body) == b'{"error":"no_replica"}'
--- a/tests/forwarding/test_way_bytes.py
+++ b/tests/forwarding/test_way_bytes.py
@@ -1,4 +1,4 @@
-"""Bytes that leave the zone are counted by kind and distance; those that stay are not."""
+"""Bytes to other zones are counted by kind and distance; those within the zone are not."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def counted(metrics: ForwardingMetrics) -> dict[tuple[str, str], float]:
-    """Return the bytes by kind and distance, without those that are 0."""
+    """Return the counted bytes by kind and distance, without zeros."""
     return {
         (sample.labels["kind"], sample.labels["distance"]): sample.value
         for metric in metrics.registry.collect()
@@ -35,7 +35,7 @@
     assert counted(metrics) == ({} if distance is None else found)
 
 
-def test_links_count_apart() -> None:
+def test_bytes_of_links_are_counted_separately() -> None:
     metrics = ForwardingMetrics()
     metrics.bytes_away(BytesKind.LINKS, Distance.OTHER_REGION)(40)
     metrics.bytes_away(BytesKind.LINKS, Distance.OWN_ZONE)(40)
