--- a/springrock/forwarding/balancing.py
+++ b/springrock/forwarding/balancing.py
@@ -83,7 +83,7 @@
             size: The size of the request and its target latency.
         """
         world = self._world()
-        free: list[Replica] = []
+        usable: list[Replica] = []
         resting: list[Replica] = []
         metered: set[str] = set()
         for replica in replicas:
@@ -92,19 +92,19 @@
             obstacle = _obstacle(replica, bounds, world)
             if obstacle in METERED and even_metered:
                 metered.add(replica.instance)
-                (resting if replica.health.resting else free).append(replica)
+                (resting if replica.health.resting else usable).append(replica)
             elif obstacle is None:
-                free.append(replica)
+                usable.append(replica)
             elif obstacle is Obstacle.RESTING:
                 resting.append(replica)
         if even_resting:
-            free = free or resting
+            usable = usable or resting
 
         def _cost(replica: Replica) -> float:
             cost = self._cost(replica, world, size)
             return cost + (_PERMIT_COST if replica.instance in metered else 0.0)
 
-        return min(free, key=_cost, default=None)
+        return min(usable, key=_cost, default=None)
 
     def in_bounds(self, replicas: Collection[Replica], *, bounds: Bounds) -> list[Replica]:
         """Return the replicas in the regions that a request allows, regardless of their state."""
--- a/springrock/forwarding/door.py
+++ b/springrock/forwarding/door.py
@@ -33,7 +33,7 @@
     Attributes:
         open_requests: Number of requests in the box that have not ended.
         closing: Whether each reply asks the client to close its connection.
-        refusing: Whether new requests are refused, as they could not finish before the box stops.
+        refusing: Whether new requests are refused, as they could not end before the box stops.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         received_at = monotonic()
         self.open_requests += 1
         watch = CallerWatch(environ[SOCKET_KEY])
-        finish = _RequestEnd(self, watch, received_at)
+        request_end = _RequestEnd(self, watch, received_at)
         try:
             body = environ["wsgi.input"].read(self._body_limit_bytes() + 1)
             # The request has been read, so only the watch reads from the socket from here on.
@@ -82,16 +82,16 @@
             start_response(f"{reply.head.status} {reply.head.reason}", headers)
         except CallerGone:
             self._record_disconnect(environ)
-            finish.run("gone")
+            request_end.run("gone")
             raise
         except BaseException:
-            finish.run("fault")
+            request_end.run("fault")
             raise
         outcome = reply.reason or str(reply.head.status)
         if isinstance(reply.body, list):
-            finish.run(outcome)
+            request_end.run(outcome)
             return reply.body
-        return self._body(environ, reply, finish)
+        return self._stream_body(environ, reply, request_end)
 
     def _reply(self, environ: dict[str, Any], body: bytes, received_at: float) -> Reply:
         if self.refusing:
@@ -111,7 +111,9 @@
             return own_reply(400, "malformed_request")
         return self._forwarder.forward(request)
 
-    def _body(self, environ: dict[str, Any], reply: Reply, finish: _RequestEnd) -> Iterator[bytes]:
+    def _stream_body(
+        self, environ: dict[str, Any], reply: Reply, request_end: _RequestEnd
+    ) -> Iterator[bytes]:
         outcome = "cut"
         try:
             yield from reply.body
@@ -124,7 +126,7 @@
             close = getattr(reply.body, "close", None)
             if close is not None:
                 close()
-            finish.run(outcome)
+            request_end.run(outcome)
 
     def _record_disconnect(self, environ: dict[str, Any]) -> None:
         self._log.say("A client left.", target=environ[TARGET_KEY])
@@ -137,7 +139,7 @@
 
 
 class _RequestEnd:
-    """The steps at the end of a request; `run` is called exactly once, whichever way it ends."""
+    """The steps to take once at the end of a request, whichever way it ends."""
 
     def __init__(self, door: ForwardingDoor, watch: CallerWatch, received_at: float) -> None:
         self._door = door
--- a/springrock/forwarding/eligibility.py
+++ b/springrock/forwarding/eligibility.py
@@ -21,7 +21,7 @@
     """The replica's latest record cannot be parsed."""
     LEAVING = "leaving"
     EVACUATED = "evacuated"
-    """Its zone is evacuated."""
+    """The replica's zone is evacuated."""
     OUTSIDE_REGIONS = "outside_regions"
     """The replica is in no region where the request may be served."""
     BACKING_OFF = "backing_off"
--- a/springrock/forwarding/forwarder.py
+++ b/springrock/forwarding/forwarder.py
@@ -208,7 +208,7 @@
 
 
 def _read_failed_stream(head: AnswerHead, run: StreamRun) -> Reply | None:
-    """Return a failure that a replica answered, relayed if no further attempt does better."""
+    """Read a failure answer to its end and return it as a reply; None if it breaks off."""
     try:
         return relayed_reply(head, [b"".join(run)])
     except OutcomeUnknown:
--- a/springrock/forwarding/request_progress.py
+++ b/springrock/forwarding/request_progress.py
@@ -160,7 +160,7 @@
         """Seconds since the request was received."""
         return monotonic() - self.request.received_at
 
-    def begin(self, instance: str, *, record_age_s: float) -> Attempt:
+    def start_attempt(self, instance: str, *, record_age_s: float) -> Attempt:
         """Add an attempt at a replica and return it."""
         attempt = Attempt(
             instance=instance, began_s=round(self.age_s, 4), record_age_s=round(record_age_s, 3)
--- a/springrock/forwarding/sending.py
+++ b/springrock/forwarding/sending.py
@@ -93,7 +93,9 @@
     def begin(self, progress: RequestProgress, replica: Replica) -> Attempt:
         """Start an attempt at a replica; the caller must pass it to `end`."""
         replica.running += 1
-        return progress.begin(replica.instance, record_age_s=monotonic() - replica.recorded_at)
+        return progress.start_attempt(
+            replica.instance, record_age_s=monotonic() - replica.recorded_at
+        )
 
     def end(self, chosen: Chosen, attempt: Attempt) -> None:
         """Finish an attempt: release its place at the replica and report its outcome."""
@@ -194,12 +196,12 @@
             fingerprint=progress.fingerprint.shown,
             instance=replica.instance,
             outcome=attempt.outcome,
-            beside=replica.running - 1,
+            other_running=replica.running - 1,
             error=str(error),
-            says_it_leaves=attempt.notice.leaving,
-            asks_for_rest_s=round(attempt.notice.backoff_s, 2),
+            replica_leaving=attempt.notice.leaving,
+            requested_backoff_s=round(attempt.notice.backoff_s, 2),
             failure_rate=round(replica.health.failure_rate, 2),
-            rest_s=round(replica.health.rest_left_s, 2),
+            cooldown_s=round(replica.health.rest_left_s, 2),
             age_ms=round(progress.age_s * 1000),
         )
 
--- a/tests/forwarding/test_choosing.py
+++ b/tests/forwarding/test_choosing.py
@@ -39,7 +39,7 @@
 
 
 class ScriptedAdapters:
-    """Adapters without a reachable placer until it has been waited for a number of times."""
+    """Adapters whose placer becomes reachable after a number of waits."""
 
     def __init__(self, *, waits: int) -> None:
         self.waits_left = waits
@@ -67,7 +67,7 @@
         return ScriptedUse()
 
 
-def find(
+def choose_instance(
     adapters: ScriptedAdapters,
     *,
     evacuated: tuple[str, ...] = (),
@@ -102,17 +102,17 @@
     request = make_request(model=KEY.model, adapter=KEY.adapter, deadline_s=5.0)
     progress = RequestProgress(request, make_route(attempts=3), "s")
     if failed_before:
-        progress.begin("i-1", record_age_s=0.0).outcome = AttemptOutcome.FAILED
+        progress.start_attempt("i-1", record_age_s=0.0).outcome = AttemptOutcome.FAILED
     return chooser.next_replica(progress, until=monotonic() + 1.0).replica.instance
 
 
 def test_without_a_placer_a_request_waits_for_one_that_may_answer_soon() -> None:
-    assert find(ScriptedAdapters(waits=1)) == "i-1"
+    assert choose_instance(ScriptedAdapters(waits=1)) == "i-1"
 
 
 def test_a_request_is_rejected_if_no_placer_is_expected_to_answer() -> None:
     with pytest.raises(NoReplica) as refusal:
-        find(ScriptedAdapters(waits=2))
+        choose_instance(ScriptedAdapters(waits=2))
     assert refusal.value.reason == "no_placer_heard"
 
 
@@ -120,40 +120,40 @@
     adapters = ScriptedAdapters(waits=2)
     adapters.is_held = True
     with pytest.raises(NoReplica) as refusal:
-        find(adapters, evacuated=("zone-1",))
+        choose_instance(adapters, evacuated=("zone-1",))
     assert refusal.value.reason == "evacuated"
     assert adapters.waits_left == 2, "no placer is waited for"
 
 
 def test_a_grant_in_an_evacuated_zone_is_not_used() -> None:
     with pytest.raises(NoReplica) as refusal:
-        find(ScriptedAdapters(waits=0), evacuated=("zone-1",))
+        choose_instance(ScriptedAdapters(waits=0), evacuated=("zone-1",))
     assert refusal.value.reason == "evacuated"
 
 
 def test_a_placer_is_asked_to_avoid_a_replica_that_this_box_knows_as_leaving() -> None:
     adapters = ScriptedAdapters(waits=0)
     with pytest.raises(NoReplica):
-        find(adapters, leaving=True)
+        choose_instance(adapters, leaving=True)
     assert {adapter_request.avoid for adapter_request in adapters.requests} == {frozenset({"i-1"})}
 
 
 def test_a_granted_engine_that_backs_off_is_not_used() -> None:
     adapters = ScriptedAdapters(waits=0)
     with pytest.raises(NoReplica):
-        find(adapters, backoff_s=5.0)
+        choose_instance(adapters, backoff_s=5.0)
     assert {adapter_request.avoid for adapter_request in adapters.requests} == {frozenset({"i-1"})}
 
 
 def test_a_placer_is_not_offered_a_failed_engine_again_while_it_backs_off() -> None:
     adapters = ScriptedAdapters(waits=0)
     with pytest.raises(NoReplica):
-        find(adapters, backoff_s=5.0, failed_before=True)
+        choose_instance(adapters, backoff_s=5.0, failed_before=True)
     assert {adapter_request.failed_at for adapter_request in adapters.requests} == {frozenset()}
 
 
 def test_an_engine_that_cools_down_may_get_a_request_that_it_failed_again() -> None:
     adapters = ScriptedAdapters(waits=0)
-    assert find(adapters, failed_before=True, failures=2) == "i-1"
+    assert choose_instance(adapters, failed_before=True, failures=2) == "i-1"
     [adapter_request] = adapters.requests
     assert adapter_request.avoid == adapter_request.failed_at == {"i-1"}
--- a/tests/forwarding/test_exchange.py
+++ b/tests/forwarding/test_exchange.py
@@ -82,7 +82,7 @@
     assert reported == [(len(received_requests[0]), 100)]
 
 
-def sends(data: bytes) -> Script:
+def script_sending(data: bytes) -> Script:
     def _script(connection: socket.socket) -> None:
         read_request(connection)
         connection.sendall(data)
@@ -107,13 +107,15 @@
 
 def test_a_surplus_answer_before_the_own_one_is_discarded() -> None:
     surplus = answer("old", b"of another request")
-    with ScriptedReplica(sends(surplus + answer("r1", b"own"))) as replica:
+    with ScriptedReplica(script_sending(surplus + answer("r1", b"own"))) as replica:
         assert body_of(send(ConnectionPool(replica.address))) == b"own"
 
 
 def test_a_connection_with_surplus_bytes_is_not_reused() -> None:
     surplus = answer("r1", b"own") + answer("r1", b"again")
-    with ScriptedReplica(sends(surplus), sends(answer("r2", b"second"))) as replica:
+    with ScriptedReplica(
+        script_sending(surplus), script_sending(answer("r2", b"second"))
+    ) as replica:
         pool = ConnectionPool(replica.address)
         assert body_of(send(pool, "r1")) == b"own"
         assert body_of(send(pool, "r2")) == b"second"
@@ -122,7 +124,7 @@
 
 def test_an_exchange_fails_if_only_answers_to_other_requests_arrive() -> None:
     foreign = b"".join(answer(f"other-{number}", b"x") for number in range(4))
-    with ScriptedReplica(sends(foreign)) as replica, pytest.raises(ForeignAnswer):
+    with ScriptedReplica(script_sending(foreign)) as replica, pytest.raises(ForeignAnswer):
         send(ConnectionPool(replica.address))
 
 
@@ -138,7 +140,7 @@
     ids=["length", "no last chunk", "no chunk size"],
 )
 def test_an_answer_cut_short_is_broken(data: bytes) -> None:
-    with ScriptedReplica(sends(data)) as replica:
+    with ScriptedReplica(script_sending(data)) as replica:
         found = send(ConnectionPool(replica.address))
         with pytest.raises(AnswerBroken):
             body_of(found)
@@ -146,7 +148,7 @@
 
 def test_an_answer_without_length_ends_with_its_connection() -> None:
     data = b"HTTP/1.1 200 OK\r\nSpringrock-Request-Id: r1\r\n\r\nall of it"
-    with ScriptedReplica(sends(data)) as replica:
+    with ScriptedReplica(script_sending(data)) as replica:
         assert body_of(send(ConnectionPool(replica.address))) == b"all of it"
 
 
@@ -169,7 +171,7 @@
 
 def test_bytes_that_are_not_http_are_a_broken_answer() -> None:
     with (
-        ScriptedReplica(sends(b"\x00\x01nonsense\r\n\r\n")) as replica,
+        ScriptedReplica(script_sending(b"\x00\x01nonsense\r\n\r\n")) as replica,
         pytest.raises(AnswerBroken),
     ):
         send(ConnectionPool(replica.address))
@@ -231,21 +233,23 @@
 
 def test_the_reasons_why_a_request_did_not_run_are_distinguished() -> None:
     full = answer("r1", b"", "Springrock-Not-Executed: 1", status="503 Service Unavailable")
-    with ScriptedReplica(sends(full)) as replica, pytest.raises(ReplicaFull):
+    with ScriptedReplica(script_sending(full)) as replica, pytest.raises(ReplicaFull):
         send(ConnectionPool(replica.address))
     other = answer("r1", b"", "Springrock-Instance-Id: i-2", status="421 Misdirected Request")
-    with ScriptedReplica(sends(other)) as replica, pytest.raises(ReplicaChanged):
+    with ScriptedReplica(script_sending(other)) as replica, pytest.raises(ReplicaChanged):
         send(ConnectionPool(replica.address))
 
 
 def test_a_failure_that_does_not_exclude_a_run_is_an_answer() -> None:
     data = answer("r1", b"", status="503 Service Unavailable")
-    with ScriptedReplica(sends(data)) as replica:
+    with ScriptedReplica(script_sending(data)) as replica:
         assert send(ConnectionPool(replica.address)).head.status == 503
 
 
 def test_an_idle_connection_that_the_replica_closed_is_not_used() -> None:
-    with ScriptedReplica(sends(answer("r1", b"1")), sends(answer("r2", b"2"))) as replica:
+    with ScriptedReplica(
+        script_sending(answer("r1", b"1")), script_sending(answer("r2", b"2"))
+    ) as replica:
         pool = ConnectionPool(replica.address)
         assert body_of(send(pool, "r1")) == b"1"
         wait_until(lambda: replica.ended == 1, what="the replica closes the connection")
--- a/tests/forwarding/test_regions.py
+++ b/tests/forwarding/test_regions.py
@@ -172,10 +172,10 @@
     box = Box(ScriptedAdapters())
     progress = make_progress("b", adapter=True)
     first = box.choose(progress)
-    progress.begin(f"i-{first}", record_age_s=0.0).outcome = AttemptOutcome.BROKEN
+    progress.start_attempt(f"i-{first}", record_age_s=0.0).outcome = AttemptOutcome.BROKEN
     progress.record_event("1")
     assert {first, box.choose(progress)} == {"b-1", "b-2"}
-    progress.begin("i-b-1", record_age_s=0.0).outcome = AttemptOutcome.BROKEN
-    progress.begin("i-b-2", record_age_s=0.0).outcome = AttemptOutcome.BROKEN
+    progress.start_attempt("i-b-1", record_age_s=0.0).outcome = AttemptOutcome.BROKEN
+    progress.start_attempt("i-b-2", record_age_s=0.0).outcome = AttemptOutcome.BROKEN
     with pytest.raises(NoReplica):
         box.choose(progress)
--- a/tests/forwarding/test_values.py
+++ b/tests/forwarding/test_values.py
@@ -150,21 +150,21 @@
 
 def test_a_request_that_may_have_run_runs_again_only_within_its_attempts() -> None:
     progress = RequestProgress(make_request(), make_route(attempts=2), "s")
-    first = progress.begin("i-1", record_age_s=0.0)
+    first = progress.start_attempt("i-1", record_age_s=0.0)
     first.outcome = AttemptOutcome.FULL
     assert progress.may_run_again
     assert progress.arrivals == 1
-    second = progress.begin("i-2", record_age_s=0.0)
+    second = progress.start_attempt("i-2", record_age_s=0.0)
     second.outcome = AttemptOutcome.BROKEN
     assert progress.may_run_again
-    third = progress.begin("i-3", record_age_s=0.0)
+    third = progress.start_attempt("i-3", record_age_s=0.0)
     third.outcome = AttemptOutcome.BROKEN
     assert not progress.may_run_again
 
 
 def test_an_unsafe_request_that_may_have_run_never_runs_again() -> None:
     progress = RequestProgress(make_request(), make_route(kind=RouteKind.UNSAFE, attempts=5), "s")
-    attempt = progress.begin("i-1", record_age_s=0.0)
+    attempt = progress.start_attempt("i-1", record_age_s=0.0)
     attempt.outcome = AttemptOutcome.UNREACHABLE
     assert progress.may_run_again
     assert progress.arrivals == 0
--- a/tests/forwarding/test_way_bytes.py
+++ b/tests/forwarding/test_way_bytes.py
@@ -13,7 +13,7 @@
 )
 
 
-def counted(metrics: ForwardingMetrics) -> dict[tuple[str, str], float]:
+def counted_bytes(metrics: ForwardingMetrics) -> dict[tuple[str, str], float]:
     """Return the counted bytes by kind and distance, without zeros."""
     return {
         (sample.labels["kind"], sample.labels["distance"]): sample.value
@@ -28,15 +28,15 @@
 )
 def test_an_exchange_counts_by_the_distance_of_its_replica(zone: str, distance: str | None) -> None:
     metrics = ForwardingMetrics()
-    ways = WayBytes(metrics, TOPOLOGY)
-    ways.to(zone)(700, 90)
-    ways.to(zone)(300, 10)
+    counters = WayBytes(metrics, TOPOLOGY)
+    counters.to(zone)(700, 90)
+    counters.to(zone)(300, 10)
     found = {("requests", distance): 1000.0, ("answers", distance): 100.0}
-    assert counted(metrics) == ({} if distance is None else found)
+    assert counted_bytes(metrics) == ({} if distance is None else found)
 
 
 def test_bytes_of_links_are_counted_separately() -> None:
     metrics = ForwardingMetrics()
     metrics.bytes_away(BytesKind.LINKS, Distance.OTHER_REGION)(40)
     metrics.bytes_away(BytesKind.LINKS, Distance.OWN_ZONE)(40)
-    assert counted(metrics) == {("links", "other_region"): 40.0}
+    assert counted_bytes(metrics) == {("links", "other_region"): 40.0}
