--- a/springrock/forwarding/dialect.py
+++ b/springrock/forwarding/dialect.py
@@ -54,7 +54,10 @@
 
 
 NOTHING_SAID = ReplicaNotice()
+"""The replica answered, and its answer says nothing about itself."""
+
 NO_NOTICE = ReplicaNotice(of_replica=False)
+"""There is no answer, or it comes from another replica."""
 
 
 class Dialect(Protocol):
--- a/springrock/forwarding/sending.py
+++ b/springrock/forwarding/sending.py
@@ -146,7 +146,7 @@
             repeatable=progress.route.repeatable,
             head_timeout_s=head_timeout_s,
             may_send=lambda: self._may_send(progress, chosen),
-            on_close=self._cross_zone_bytes.to(replica.record.zone),
+            on_close=self._cross_zone_bytes.counter_for(replica.record.zone),
             on_head=lambda head: self._handle_notice(
                 progress, replica, attempt, self._dialect.notice(head)
             ),
--- a/springrock/forwarding/way_bytes.py
+++ b/springrock/forwarding/way_bytes.py
@@ -17,11 +17,11 @@
 
     def __init__(self, metrics: ForwardingMetrics, topology: Topology) -> None:
         self._topology = topology
-        self._counts = {distance: _counter(metrics, distance) for distance in Distance}
+        self._counters = {distance: _counter(metrics, distance) for distance in Distance}
 
-    def to(self, zone: str) -> OnClose:
+    def counter_for(self, zone: str) -> OnClose:
         """Return the callback that counts the bytes of an exchange with a replica of a zone."""
-        return self._counts[self._topology.distance(zone)]
+        return self._counters[self._topology.distance(zone)]
 
 
 def _counter(metrics: ForwardingMetrics, distance: Distance) -> OnClose:
--- a/tests/forwarding/test_way_bytes.py
+++ b/tests/forwarding/test_way_bytes.py
@@ -29,8 +29,8 @@
 def test_an_exchange_counts_by_the_distance_of_its_replica(zone: str, distance: str | None) -> None:
     metrics = ForwardingMetrics()
     counters = WayBytes(metrics, TOPOLOGY)
-    counters.to(zone)(700, 90)
-    counters.to(zone)(300, 10)
+    counters.counter_for(zone)(700, 90)
+    counters.counter_for(zone)(300, 10)
     found = {("requests", distance): 1000.0, ("answers", distance): 100.0}
     assert counted_bytes(metrics) == ({} if distance is None else found)
 
