--- a/springrock/forwarding/dialect.py
+++ b/springrock/forwarding/dialect.py
@@ -41,7 +41,7 @@
         unreadable: Notices that could not be parsed, for logs.
         limit_per_s: Requests a second that the replica accepts from all boxes together, until it
             states another limit or none; None if not stated.
-        of_replica: Whether the answer comes from the replica that the request was sent to.
+        of_replica: Whether the answer comes from the addressed replica.
         unknown: Names of notices that this build does not know.
     """
 
