--- a/springrock/forwarding/budget.py
+++ b/springrock/forwarding/budget.py
@@ -13,7 +13,7 @@
 from springrock.clock import monotonic
 
 _SAFETY_FACTOR = 0.8
-"""Fraction of the budget that is used. The rest covers that windows of boxes are not aligned."""
+"""Fraction of the budget that is used. The rest allows for windows of boxes that do not align."""
 
 
 class RetryLimits(NamedTuple):
--- a/springrock/forwarding/choosing.py
+++ b/springrock/forwarding/choosing.py
@@ -29,13 +29,15 @@
 """Retry-After value while no placer can be reached: links are reopened within this time."""
 
 _MAX_REPLICAS_REACHED = 3
-_HIGHEST_PRIORITY_WORTH = 4.0
+"""Maximum number of replicas that a request is sent to, whether they run it or refuse it."""
 
+_HIGHEST_PRIORITY_WORTH = 4.0
 
 _MAX_RETRY_WAIT_FRACTION = 1 / 3
 """A client waits at most this fraction of its remaining time before it retries."""
 
 _SHORT_DEADLINE_RATIO = 0.93
+"""A deadline below this fraction of the longest one of its route counts as shortened."""
 
 _MAX_PLACER_ASKS = 3
 """How often a placer is asked in a row when its grants are unusable because the replica has
--- a/springrock/forwarding/connection.py
+++ b/springrock/forwarding/connection.py
@@ -25,6 +25,8 @@
 
 _READ_BYTES = 65_536
 _IDLE_MARGIN_S = 0.7
+"""An idle connection is not reused this shortly before the replica may close it."""
+
 _DEFAULT_IDLE_TIMEOUT_S = 4.0
 _MAX_IDLE_CONNECTIONS = 16
 _BROKEN_ANSWER_ERRORS = (OSError, HTTPException, ValueError, EOFError)
--- a/springrock/forwarding/door.py
+++ b/springrock/forwarding/door.py
@@ -73,7 +73,7 @@
         request_end = _RequestEnd(self, watch, received_at)
         try:
             body = environ["wsgi.input"].read(self._body_limit_bytes() + 1)
-            # The request has been read, so only the watch reads from the socket from here on.
+            # From here on only the watch reads from the socket.
             watch.start()
             reply = self._reply(environ, body, received_at)
             headers = list(reply.head.headers)
--- a/springrock/forwarding/eligibility.py
+++ b/springrock/forwarding/eligibility.py
@@ -25,7 +25,7 @@
     OUTSIDE_REGIONS = "outside_regions"
     """The replica is in no region where the request may be served."""
     BACKING_OFF = "backing_off"
-    """The replica asked this box for a back-off that has not ended."""
+    """The replica refused a request of this box and asked for a back-off that has not ended."""
     COLD = "cold"
     """The replica started recently, and there is no permit to send it the request."""
     LIMITED = "limited"
--- a/springrock/forwarding/streaming.py
+++ b/springrock/forwarding/streaming.py
@@ -24,6 +24,7 @@
 """A resumable stream counts as stalled after this time without an event."""
 
 _RESUME_TIMEOUT_S = 2.0
+"""Time allowed for resuming a broken stream at another replica."""
 
 
 class StreamRun:
@@ -54,7 +55,7 @@
         """
         try:
             answer = self._send()
-            self._first_events = self._read_events(answer, timeout_s=self._first_event_timeout_s())
+            self._first_events = self._read_events(answer, timeout_s=self._open_timeout_s())
         except ExchangeError as error:
             self._sender.record_failure(self._progress, self._replica, self._attempt, error)
             self.close()
@@ -89,12 +90,12 @@
             self._progress,
             self._chosen,
             self._attempt,
-            head_timeout_s=self._first_event_timeout_s(),
+            head_timeout_s=self._open_timeout_s(),
             after_event=self._progress.last_event_id,
         )
         return self._answer
 
-    def _first_event_timeout_s(self) -> float:
+    def _open_timeout_s(self) -> float:
         if self._progress.resuming:
             return min(_RESUME_TIMEOUT_S, self._progress.left_s)
         return first_event_wait_s(self._progress)
--- a/tests/forwarding/test_distance.py
+++ b/tests/forwarding/test_distance.py
@@ -92,10 +92,10 @@
         if self._rule == "product":
             return self._balancer.choose(self.replicas, tried=tried, even_resting=True)
         untried = [item for item in self.replicas if item.instance not in tried]
-        free = [item for item in untried if not item.health.resting] or untried
-        return min(free, key=self._running_and_half, default=None)
+        usable = [item for item in untried if not item.health.resting] or untried
+        return min(usable, key=self._baseline_cost, default=None)
 
-    def _running_and_half(self, replica: Replica) -> float:
+    def _baseline_cost(self, replica: Replica) -> float:
         """Return the cost: running requests, failures, and half a request for another zone."""
         cost = replica.running + 8.0 * replica.health.failure_rate
         cost += 0.5 * (replica.record.zone != self.zone)
