--- a/springrock/forwarding/door.py
+++ b/springrock/forwarding/door.py
@@ -1,4 +1,4 @@
-"""The clients' door: reads whole requests, writes replies as they come, notices who leaves."""
+"""The HTTP server for clients: reads requests, writes replies and detects disconnects."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from springrock.forwarding.dialect import Dialect
 from springrock.forwarding.forwarder import Forwarder
 from springrock.forwarding.message import Headers
-from springrock.forwarding.reply import Reply, own_ending
+from springrock.forwarding.reply import Reply, own_reply
 from springrock.httpd import HEADERS_KEY, SOCKET_KEY, TARGET_KEY, HttpServer
 from springrock.log import Log
 from springrock.metrics import ForwardingMetrics
@@ -23,17 +23,17 @@
     """Serves clients over HTTP.
 
     Args:
-        address: Where to listen, ``HOST:PORT``.
+        address: The address to listen on, ``HOST:PORT``.
         forwarder: Forwards the requests.
-        dialect: How clients write them.
-        body_limit_bytes: Returns the longest body taken.
+        dialect: Parses the requests of clients.
+        body_limit_bytes: Returns the maximum length of a request body.
         log: The log to write to.
         metrics: The metrics to count in.
 
     Attributes:
-        open_requests: Requests that are now in the box.
-        closing: Whether each answer asks its client for a new connection.
-        refusing: Whether new requests are refused, because they could not end in time.
+        open_requests: Number of requests in the box that have not ended.
+        closing: Whether each reply asks the client to close its connection.
+        refusing: Whether new requests are refused, as they could not end before the box stops.
     """
 
     def __init__(
@@ -57,11 +57,11 @@
         self.refusing = False
 
     def start(self) -> None:
-        """Begin listening."""
+        """Start listening."""
         self._server.start()
 
     def stop(self) -> None:
-        """Stop listening and close what rests."""
+        """Stop listening and close the idle connections."""
         self._server.stop(finish_within_s=0.2)
 
     def _serve(
@@ -70,10 +70,10 @@
         received_at = monotonic()
         self.open_requests += 1
         watch = CallerWatch(environ[SOCKET_KEY])
-        finish = _Finish(self, watch, received_at)
+        request_end = _RequestEnd(self, watch, received_at)
         try:
             body = environ["wsgi.input"].read(self._body_limit_bytes() + 1)
-            # From here on nobody else reads the socket.
+            # From here on only the watch reads from the socket.
             watch.start()
             reply = self._reply(environ, body, received_at)
             headers = list(reply.head.headers)
@@ -82,22 +82,22 @@
             start_response(f"{reply.head.status} {reply.head.reason}", headers)
         except CallerGone:
             self._record_disconnect(environ)
-            finish.run("gone")
+            request_end.run("gone")
             raise
         except BaseException:
-            finish.run("fault")
+            request_end.run("fault")
             raise
         outcome = reply.reason or str(reply.head.status)
         if isinstance(reply.body, list):
-            finish.run(outcome)
+            request_end.run(outcome)
             return reply.body
-        return self._body(environ, reply, finish)
+        return self._stream_body(environ, reply, request_end)
 
     def _reply(self, environ: dict[str, Any], body: bytes, received_at: float) -> Reply:
         if self.refusing:
-            return own_ending(503, "stopping", retry_after_s=0.0)
+            return own_reply(503, "stopping", retry_after_s=0.0)
         if len(body) > self._body_limit_bytes():
-            return own_ending(413, "body_too_large")
+            return own_reply(413, "body_too_large")
         try:
             request = self._dialect.read_request(
                 method=environ["REQUEST_METHOD"],
@@ -108,10 +108,12 @@
             )
         except BadRequest as error:
             self._log.say("Refused a malformed request.", error=str(error))
-            return own_ending(400, "malformed_request")
+            return own_reply(400, "malformed_request")
         return self._forwarder.forward(request)
 
-    def _body(self, environ: dict[str, Any], reply: Reply, finish: _Finish) -> Iterator[bytes]:
+    def _stream_body(
+        self, environ: dict[str, Any], reply: Reply, request_end: _RequestEnd
+    ) -> Iterator[bytes]:
         outcome = "cut"
         try:
             yield from reply.body
@@ -124,20 +126,20 @@
             close = getattr(reply.body, "close", None)
             if close is not None:
                 close()
-            finish.run(outcome)
+            request_end.run(outcome)
 
     def _record_disconnect(self, environ: dict[str, Any]) -> None:
         self._log.say("A client left.", target=environ[TARGET_KEY])
 
-    def finished(self, outcome: str, seconds: float) -> None:
-        """Count a request out."""
+    def record_finished(self, outcome: str, seconds: float) -> None:
+        """Record the end of a request."""
         self.open_requests -= 1
         self._metrics.requests.labels(outcome).inc()
         self._metrics.request_seconds.observe(seconds)
 
 
-class _Finish:
-    """What happens once at the end of a request, wherever that is."""
+class _RequestEnd:
+    """The steps to take once at the end of a request, whichever way it ends."""
 
     def __init__(self, door: ForwardingDoor, watch: CallerWatch, received_at: float) -> None:
         self._door = door
@@ -145,6 +147,6 @@
         self._received_at = received_at
 
     def run(self, outcome: str) -> None:
-        """End the watch and count the request out."""
+        """Stop the watch and record the end of the request."""
         self._watch.stop()
-        self._door.finished(outcome, monotonic() - self._received_at)
+        self._door.record_finished(outcome, monotonic() - self._received_at)
--- a/springrock/forwarding/events.py
+++ b/springrock/forwarding/events.py
@@ -1,4 +1,4 @@
-"""Splitting of a stream of server-sent events, so that only whole events are passed on."""
+"""Splits a stream of server-sent events, so that only complete events are relayed."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class Event(NamedTuple):
-    """One whole event.
+    """One complete event.
 
     Attributes:
-        raw: Its bytes as sent, the blank line included.
-        event_id: Its id, or empty if it has none.
+        raw: The event's bytes as received, including the blank line that ends it.
+        event_id: The event's id, or empty.
     """
 
     raw: bytes
@@ -22,23 +22,23 @@
 
 
 class EventSplitter:
-    """Collects bytes and gives out whole events."""
+    """Buffers bytes and returns complete events."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._incomplete = b""
 
     def feed(self, data: bytes) -> list[Event]:
-        """Take bytes and return the events that they complete."""
-        self._rest += data
+        """Add bytes and return the events that they complete."""
+        self._incomplete += data
         events: list[Event] = []
-        while match := _EVENT_END.search(self._rest):
-            raw = self._rest[: match.end()]
-            self._rest = self._rest[match.end() :]
+        while match := _EVENT_END.search(self._incomplete):
+            raw = self._incomplete[: match.end()]
+            self._incomplete = self._incomplete[match.end() :]
             found = _ID_LINE.search(raw)
             events.append(Event(raw, found.group(1).decode("latin-1") if found else ""))
         return events
 
-    def drain_rest(self) -> bytes:
-        """Return the bytes of an event that is not whole, at the end of the stream."""
-        rest, self._rest = self._rest, b""
-        return rest
+    def drain_incomplete(self) -> bytes:
+        """Return and clear the bytes of an incomplete event, at the end of the stream."""
+        incomplete, self._incomplete = self._incomplete, b""
+        return incomplete
--- a/springrock/forwarding/exchange.py
+++ b/springrock/forwarding/exchange.py
@@ -1,4 +1,8 @@
-"""One request to one replica: sent, its own answer found, and read without trusting the framing."""
+"""One exchange with a replica: sends a request and finds the answer that belongs to it.
+
+The framing of answers is not trusted: answers to other requests are discarded, and a body that ends
+early is an error.
+"""
 
 from __future__ import annotations
 
@@ -16,28 +20,28 @@
 )
 from springrock.forwarding.message import AnswerHead, ClientRequest
 
-_SURPLUS_ANSWERS = 2
-"""How many answers to earlier requests are read past on one connection."""
+_MAX_SURPLUS_ANSWERS = 2
+"""How many answers to earlier requests are discarded on a connection."""
 
-_SURPLUS_WITHIN_S = 0.5
+_SURPLUS_READ_TIMEOUT_S = 0.5
 
 OnClose = Callable[[int, int], None]
-"""Takes the bytes of a request, and those of the body of its answer as far as it was read."""
+"""Receives the bytes of the request and the bytes read of the answer's body."""
 
 
-def _count_nothing(sent: int, received: int) -> None:
-    """Take what nobody counts."""
+def _ignore_bytes(sent: int, received: int) -> None:
+    """Do nothing: the default of `on_close`."""
 
 
 def _ignore_head(head: AnswerHead) -> None:
-    """Take what nobody learns from."""
+    """Do nothing: the default of `on_head`."""
 
 
 class Answer:
-    """An answer whose head came and was found to belong to the request.
+    """An answer whose head has arrived and belongs to the request.
 
     Attributes:
-        head: Its head, as the replica sent it.
+        head: The head as the replica sent it.
     """
 
     def __init__(
@@ -47,21 +51,21 @@
         self._connection = connection
         self._pool = pool
         self._on_close = on_close
-        self._received = 0
-        self._whole = False
+        self._received_bytes = 0
+        self._complete = False
 
-    def read(self, *, within_s: float) -> bytes:
-        """Return the next bytes of the body; empty at its whole end.
+    def read(self, *, timeout_s: float) -> bytes:
+        """Return the next bytes of the body; empty at its complete end.
 
         Raises:
             AnswerBroken: If the body ended early.
-            AnswerSilent: If nothing came in time.
+            AnswerSilent: If nothing arrived within the timeout.
         """
-        if self._whole:
+        if self._complete:
             return b""
-        data = self._connection.read(within_s=within_s)
-        self._whole = not data
-        self._received += len(data)
+        data = self._connection.read(timeout_s=timeout_s)
+        self._complete = not data
+        self._received_bytes += len(data)
         return data
 
     def read_all(self, *, deadline: Deadline) -> bytes:
@@ -69,19 +73,19 @@
 
         Raises:
             AnswerBroken: If the body ended early.
-            AnswerSilent: If it was not whole in time.
+            AnswerSilent: If the body was not complete by the deadline.
         """
-        pieces: list[bytes] = []
+        chunks: list[bytes] = []
         while True:
-            data = self.read(within_s=deadline.left_s)
+            data = self.read(timeout_s=deadline.left_s)
             if not data:
-                return b"".join(pieces)
-            pieces.append(data)
+                return b"".join(chunks)
+            chunks.append(data)
 
     def close(self) -> None:
-        """Keep the connection if the answer was read whole, else close it."""
-        self._on_close(self._connection.sent_bytes, self._received)
-        if self._whole:
+        """Return the connection to the pool if the answer was read completely, else close it."""
+        self._on_close(self._connection.sent_bytes, self._received_bytes)
+        if self._complete:
             self._pool.give_back(self._connection)
         else:
             self._connection.close()
@@ -94,9 +98,9 @@
     terms: SendTerms,
     dialect: Dialect,
     repeatable: bool,
-    head_within_s: float,
+    head_timeout_s: float,
     may_send: Callable[[], bool] = lambda: True,
-    on_close: OnClose = _count_nothing,
+    on_close: OnClose = _ignore_bytes,
     on_head: Callable[[AnswerHead], None] = _ignore_head,
 ) -> Answer:
     """Send a request to a replica and return its answer, to be closed by the caller.
@@ -104,40 +108,41 @@
     Args:
         request: The client's request.
         pool: The connections to the replica.
-        terms: What the request carries beside.
+        terms: What is sent in addition to the client's request.
         dialect: Writes the request and reads the answer.
-        repeatable: Whether the request may run again.
-        head_within_s: How long the head of the answer may take.
-        may_send: Whether the replica may get the request yet, asked once a connection stands: it
-            may have been waited for.
-        on_close: Called once the answer is closed.
-        on_head: Called with the head of the request's own answer, whatever it says.
+        repeatable: Whether the request may run more than once.
+        head_timeout_s: Timeout for the head of the answer.
+        may_send: Whether the replica may still be sent the request; asked once a connection is
+            open, as opening it may have taken long.
+        on_close: Called when the answer is closed.
+        on_head: Called with the head of the request's own answer, whatever its status.
 
     Raises:
         ReplicaUnreachable: If nothing was sent.
-        SendingForbidden: If nothing was sent, as it may not be any more.
-        ReplicaFull: If the replica did not run it.
-        ReplicaChanged: If the replica is another one or lacks what the request needs.
-        OutcomeUnknown: If it may have run and no answer came.
+        SendingForbidden: If nothing was sent, as `may_send` returned False.
+        ReplicaFull: If the replica did not run the request.
+        ReplicaChanged: If another replica answers at the address, or this one lacks what the
+            request needs.
+        OutcomeUnknown: If the request may have run and no answer arrived.
     """
-    connection = pool.take(careful=not repeatable, within_s=head_within_s)
+    connection = pool.acquire(conservative=not repeatable, timeout_s=head_timeout_s)
     if not may_send():
         connection.close()
-        raise SendingForbidden("not to be sent there any more")
+        raise SendingForbidden("no longer allowed to be sent to this replica")
     try:
         connection.send(
             method=request.method,
             target=request.target,
             headers=dialect.request_headers(request, terms),
             body=request.body,
-            within_s=head_within_s,
+            timeout_s=head_timeout_s,
         )
-        head = _find_own_answer(connection, request, dialect, Deadline(head_within_s))
+        head = _receive_own_head(connection, request, dialect, Deadline(head_timeout_s))
         on_head(head)
         answer = Answer(head, connection, pool, on_close)
         if not dialect.not_run(head):
             return answer
-        answer.read_all(deadline=Deadline(_SURPLUS_WITHIN_S))
+        answer.read_all(deadline=Deadline(_SURPLUS_READ_TIMEOUT_S))
     except BaseException:
         connection.close()
         raise
@@ -147,21 +152,21 @@
     raise ReplicaFull(f"answered {head.status}")
 
 
-def _find_own_answer(
+def _receive_own_head(
     connection: Connection, request: ClientRequest, dialect: Dialect, deadline: Deadline
 ) -> AnswerHead:
-    for _ in range(_SURPLUS_ANSWERS + 1):
-        head = connection.receive_head(within_s=deadline.left_s)
+    for _ in range(_MAX_SURPLUS_ANSWERS + 1):
+        head = connection.receive_head(timeout_s=deadline.left_s)
         if dialect.answers(head, request.request_id):
             return head
-        _read_past(connection)
-    raise ForeignAnswer("only answers to other requests came")
+        _discard_answer(connection)
+    raise ForeignAnswer("received only answers to other requests")
 
 
-def _read_past(connection: Connection) -> None:
-    """Read a surplus answer to its end, after which the own answer may follow."""
-    deadline = Deadline(_SURPLUS_WITHIN_S)
-    while connection.read(within_s=deadline.left_s):
+def _discard_answer(connection: Connection) -> None:
+    """Read an answer to another request to its end; the own answer may follow it."""
+    deadline = Deadline(_SURPLUS_READ_TIMEOUT_S)
+    while connection.read(timeout_s=deadline.left_s):
         continue
     if not connection.reusable:
-        raise AnswerBroken("the connection ends after a surplus answer")
+        raise AnswerBroken("the connection ends after an answer to another request")
--- a/springrock/forwarding/sending.py
+++ b/springrock/forwarding/sending.py
@@ -1,4 +1,4 @@
-"""One attempt at one replica: sent, and what it shows noted about the replica."""
+"""One attempt at one replica: sends the request and records what the outcome shows."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 from springrock.permits.warmup import WarmupTracker
 from springrock.quarantine.crash_detector import CrashDetector
 
-_OUTCOMES: tuple[tuple[type[ExchangeError], AttemptOutcome], ...] = (
+_OUTCOME_BY_ERROR: tuple[tuple[type[ExchangeError], AttemptOutcome], ...] = (
     (ReplicaUnreachable, AttemptOutcome.UNREACHABLE),
     (SendingForbidden, AttemptOutcome.WITHHELD),
     (ReplicaFull, AttemptOutcome.FULL),
@@ -37,7 +37,7 @@
     (OutcomeUnknown, AttemptOutcome.BROKEN),
 )
 
-_USE_OUTCOMES = {
+_USE_OUTCOME_BY_ATTEMPT = {
     AttemptOutcome.CHANGED: UseOutcome.LACKING,
     AttemptOutcome.FULL: UseOutcome.FULL,
     AttemptOutcome.UNREACHABLE: UseOutcome.UNREACHABLE,
@@ -46,22 +46,24 @@
     AttemptOutcome.FAILED: UseOutcome.FAILED,
 }
 
-_SHORTEST_SILENCE_S = 0.5
-"""A route may allow less than a sound replica takes; such a silence tells nothing of it."""
+_MIN_SILENCE_AS_FAILURE_S = 0.5
+"""A request that timed out earlier than this after its arrival does not count as a failure of the
+replica: a route may allow less time than a healthy replica needs."""
 
 
 class Sender:
-    """Sends requests to replicas.
+    """Sends requests to replicas and records the outcomes.
 
     Args:
-        dialect: How requests to replicas are written.
-        adapters: Learns what is used where, and what is not there.
-        warmup: Learns which replicas may have started anew.
-        may_send: Whether a request may yet be sent to a replica, when its connection is up.
+        dialect: Writes requests to replicas and reads their answers.
+        adapters: Supplies the newest version of an adapter; receives which replicas lack one.
+        warmup: Receives which replicas answered or failed, as a failed one may have restarted.
+        may_send: Whether a request may still be sent to a replica; asked once the connection is
+            open.
         log: The log to write to.
-        ways: Counts the bytes that go to other zones.
-        crash_detector: Learns under which requests replicas crash.
-        notices: Learns what answers tell of their replicas.
+        ways: Counts the bytes exchanged with replicas of other zones.
+        crash_detector: Receives the outcomes that show whether a request crashes replicas.
+        notices: Receives what the heads of answers say about their replicas.
         count_attempt: Called with the outcome of each attempt.
     """
 
@@ -83,23 +85,25 @@
         self._warmup = warmup
         self._may_send = may_send
         self._log = log
-        self._ways = ways
+        self._cross_zone_bytes = ways
         self._crash_detector = crash_detector
         self._notices = notices
         self._count_attempt = count_attempt
 
     def begin(self, progress: RequestProgress, replica: Replica) -> Attempt:
-        """Note a new attempt; `end` must follow."""
+        """Start an attempt at a replica; the caller must pass it to `end`."""
         replica.running += 1
-        return progress.begin(replica.instance, record_age_s=monotonic() - replica.recorded_at)
+        return progress.start_attempt(
+            replica.instance, record_age_s=monotonic() - replica.recorded_at
+        )
 
     def end(self, chosen: Chosen, attempt: Attempt) -> None:
-        """Note that an attempt occupies its replica no longer, and how it went."""
+        """Finish an attempt: release its place at the replica and report its outcome."""
         chosen.replica.running -= 1
         self._count_attempt(attempt.outcome)
         if chosen.use is not None:
             chosen.use.end(
-                _USE_OUTCOMES.get(attempt.outcome, UseOutcome.ENDED),
+                _USE_OUTCOME_BY_ATTEMPT.get(attempt.outcome, UseOutcome.ENDED),
                 backoff_s=attempt.notice.backoff_s,
             )
 
@@ -109,20 +113,20 @@
         chosen: Chosen,
         attempt: Attempt,
         *,
-        head_within_s: float,
+        head_timeout_s: float,
         after_event: str = "",
     ) -> Answer:
         """Send the request and return the answer, to be closed by the caller.
 
         Args:
             progress: The request.
-            chosen: Where to.
-            attempt: Takes what the answer tells of the replica.
-            head_within_s: How long the head of the answer may take.
-            after_event: The event after which a stream goes on.
+            chosen: The replica to send to.
+            attempt: Receives what the answer's head says about the replica.
+            head_timeout_s: Timeout for the head of the answer.
+            after_event: Id of the event after which a stream resumes, or empty.
 
         Raises:
-            ExchangeError: If there is no answer for the client.
+            ExchangeError: If the exchange gave no answer for the client.
         """
         key = progress.request.adapter_key
         replica = chosen.replica
@@ -140,9 +144,9 @@
             terms=terms,
             dialect=self._dialect,
             repeatable=progress.route.repeatable,
-            head_within_s=head_within_s,
+            head_timeout_s=head_timeout_s,
             may_send=lambda: self._may_send(progress, chosen),
-            on_close=self._ways.to(replica.record.zone),
+            on_close=self._cross_zone_bytes.counter_for(replica.record.zone),
             on_head=lambda head: self._handle_notice(
                 progress, replica, attempt, self._dialect.notice(head)
             ),
@@ -151,7 +155,10 @@
     def _handle_notice(
         self, progress: RequestProgress, replica: Replica, attempt: Attempt, notice: ReplicaNotice
     ) -> None:
-        """Note what an answer tells of its replica, from its head: a stream may last for long."""
+        """Record what an answer's head says about its replica.
+
+        Done when the head arrives, as the body of a stream may take long.
+        """
         attempt.notice = notice
         sent_at = progress.request.received_at + attempt.began_s
         self._notices.handle_answer(replica, notice, sent_at=sent_at)
@@ -159,7 +166,7 @@
     def record_answer(
         self, progress: RequestProgress, replica: Replica, attempt: Attempt, status: int
     ) -> None:
-        """Learn from an answer's status."""
+        """Record the status of an answer as evidence on the replica."""
         sent_at = progress.request.received_at + attempt.began_s
         self._warmup.record_answered(replica.record, sent_at=sent_at)
         self._crash_detector.record_answered(replica.instance, sent_at=sent_at)
@@ -170,16 +177,18 @@
             attempt.outcome = AttemptOutcome.ANSWERED
             replica.health.record_success()
 
-    def record_full_table(self, progress: RequestProgress) -> None:
-        """Learn that a replica ran the request to a good end, and lives."""
+    def record_completion(self, progress: RequestProgress) -> None:
+        """Record that a replica completed the request without crashing."""
         self._crash_detector.record_completion(progress.fingerprint)
 
     def record_failure(
         self, progress: RequestProgress, replica: Replica, attempt: Attempt, error: ExchangeError
     ) -> None:
-        """Learn from an exchange without an answer."""
-        attempt.outcome = next(outcome for kind, outcome in _OUTCOMES if isinstance(error, kind))
-        self._blame(progress, replica, error)
+        """Record and log an exchange that gave no answer."""
+        attempt.outcome = next(
+            outcome for kind, outcome in _OUTCOME_BY_ERROR if isinstance(error, kind)
+        )
+        self._record_fault_evidence(progress, replica, error)
         self._report_to_crash_detector(progress, replica, attempt, error)
         self._log.say(
             "An attempt failed.",
@@ -187,19 +196,19 @@
             fingerprint=progress.fingerprint.shown,
             instance=replica.instance,
             outcome=attempt.outcome,
-            beside=replica.running - 1,
+            other_running=replica.running - 1,
             error=str(error),
-            says_it_leaves=attempt.notice.leaving,
-            asks_for_rest_s=round(attempt.notice.backoff_s, 2),
+            replica_leaving=attempt.notice.leaving,
+            requested_backoff_s=round(attempt.notice.backoff_s, 2),
             failure_rate=round(replica.health.failure_rate, 2),
-            rest_s=round(replica.health.rest_left_s, 2),
+            cooldown_s=round(replica.health.rest_left_s, 2),
             age_ms=round(progress.age_s * 1000),
         )
 
     def _report_to_crash_detector(
         self, progress: RequestProgress, replica: Replica, attempt: Attempt, error: ExchangeError
     ) -> None:
-        """Tell what an attempt without an answer shows of crashes."""
+        """Pass on what an attempt without an answer shows about crashes of the replica."""
         match error:
             case AnswerBroken():
                 self._crash_detector.record_break(progress.fingerprint, replica.record)
@@ -209,13 +218,15 @@
             case ReplicaUnreachable() if not isinstance(error, ConnectionRefused):
                 self._crash_detector.record_unreachable(replica.instance)
 
-    def _blame(self, progress: RequestProgress, replica: Replica, error: ExchangeError) -> None:
+    def _record_fault_evidence(
+        self, progress: RequestProgress, replica: Replica, error: ExchangeError
+    ) -> None:
         key = progress.request.adapter_key
         if isinstance(error, ReplicaUnreachable):
             refused = isinstance(error, ConnectionRefused)
             self._warmup.record_failed(replica.record, refused=refused)
             replica.health.record_unreachable()
-        elif isinstance(error, AnswerSilent) and progress.age_s < _SHORTEST_SILENCE_S:
+        elif isinstance(error, AnswerSilent) and progress.age_s < _MIN_SILENCE_AS_FAILURE_S:
             return
         elif isinstance(error, OutcomeUnknown):
             self._warmup.record_failed(replica.record, refused=False)
--- a/springrock/forwarding/way_bytes.py
+++ b/springrock/forwarding/way_bytes.py
@@ -1,4 +1,4 @@
-"""Counts the bytes of requests and answers that go to other zones and regions."""
+"""Counts the bytes of requests and answers exchanged with other zones and regions."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 
 
 class WayBytes:
-    """What counts, for each distance, found once.
+    """Byte counters for each distance, looked up once in advance.
 
     Args:
         metrics: The metrics to count in.
-        topology: The zones, seen from this box.
+        topology: The zones, as seen from this box.
     """
 
     def __init__(self, metrics: ForwardingMetrics, topology: Topology) -> None:
         self._topology = topology
-        self._counts = {distance: _counting(metrics, distance) for distance in Distance}
+        self._counters = {distance: _counter(metrics, distance) for distance in Distance}
 
-    def to(self, zone: str) -> OnClose:
-        """Return what takes the bytes of an exchange with a replica of a zone."""
-        return self._counts[self._topology.distance(zone)]
+    def counter_for(self, zone: str) -> OnClose:
+        """Return the callback that counts the bytes of an exchange with a replica of a zone."""
+        return self._counters[self._topology.distance(zone)]
 
 
-def _counting(metrics: ForwardingMetrics, distance: Distance) -> OnClose:
+def _counter(metrics: ForwardingMetrics, distance: Distance) -> OnClose:
     count_request = metrics.bytes_away(BytesKind.REQUESTS, distance)
     count_answer = metrics.bytes_away(BytesKind.ANSWERS, distance)
 
