--- a/springrock/placement/__init__.py
+++ b/springrock/placement/__init__.py
@@ -1,6 +1,7 @@
 """Placement of adapters on model engines that are found at run time.
 
-One box at a time, the *placer*, holds a lease on a row of the store and orders loads and unloads
-under its fence. All boxes tell it what they wait for and what they use; it tells them what stands
-where. Requests never wait for the placer when their adapter is known to be somewhere.
+In each availability zone one box at a time, the *placer*, holds a lease on a row of the store and
+orders engines to load and unload adapters under the lease's fence. All boxes report to the placer
+which adapters their requests wait for and use; the placer publishes which engines hold which
+adapters. A request never waits for the placer if an engine is known to hold its adapter.
 """
--- a/springrock/placement/ask_book.py
+++ b/springrock/placement/ask_book.py
@@ -1,4 +1,4 @@
-"""The asks of all boxes that wait at a placer, and the clients that were told to come back."""
+"""The asks that wait at a placer, and the clients that were told to retry later."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from springrock.placement.planner import CombinedWant
 
 RETURN_GRACE_S = 0.4
-"""How long after its time a client that was told to come back is still expected."""
+"""How long after its announced time a client's retry is still expected."""
 
-_TARGET_OF_RETURN_S = 1.0
-"""Within this time after its return a client's answer is taken to be due."""
+_RETRY_TARGET_S = 1.0
+"""Latency target that is assumed for a retry, as its request is not known yet."""
 
 
 class WaitingAsk(NamedTuple):
-    """An ask that waits.
+    """An ask that waits for an engine.
 
     Attributes:
-        target_at: When its answer is late, on the local monotonic clock.
-        asked_at: When the placer heard of it.
+        target_at: When its latency target passes, on the local monotonic clock.
+        asked_at: When the placer received it, on the same clock.
     """
 
     box: str
@@ -35,28 +35,30 @@
         return AdapterKey(self.ask.model, self.ask.adapter)
 
 
-class _Expected(NamedTuple):
+class _ExpectedRetry(NamedTuple):
+    """A client that was told when to retry."""
+
     worth: float
     back_at: float
 
 
 class AskBook:
-    """Asks by adapter, in the order in which they came."""
+    """Waiting asks and expected retries by adapter; asks in the order of their arrival."""
 
     def __init__(self) -> None:
         self._by_key: dict[AdapterKey, dict[tuple[str, int], WaitingAsk]] = {}
         self._keys: dict[tuple[str, int], AdapterKey] = {}
-        self._expected: dict[AdapterKey, list[_Expected]] = {}
+        self._expected_retries: dict[AdapterKey, list[_ExpectedRetry]] = {}
 
     def add(self, box: str, ask: Ask, *, now: float) -> WaitingAsk:
-        """Take an ask of a box."""
+        """Add an ask of a box."""
         waiting = WaitingAsk(box, ask, now + ask.target_left_ms / 1000, now)
         self._by_key.setdefault(waiting.key, {})[(box, ask.number)] = waiting
         self._keys[(box, ask.number)] = waiting.key
         return waiting
 
     def remove(self, box: str, number: int) -> None:
-        """Drop an ask that was granted or given up; others are passed over."""
+        """Remove an ask that was granted or given up; an unknown one is ignored."""
         key = self._keys.pop((box, number), None)
         if key is None:
             return
@@ -66,18 +68,18 @@
             del self._by_key[key]
 
     def forget_box(self, box: str) -> None:
-        """Drop all asks of a box."""
-        for requester, number in [asked for asked in self._keys if asked[0] == box]:
-            self.remove(requester, number)
+        """Remove all asks of a box."""
+        for asking_box, number in [asked for asked in self._keys if asked[0] == box]:
+            self.remove(asking_box, number)
 
     def expect(self, promise: Promise, *, now: float) -> None:
-        """Note a client that was told when to come back."""
+        """Add a client that was told when to retry."""
         key = AdapterKey(promise.model, promise.adapter)
         back_at = now + promise.back_in_ms / 1000
-        self._expected.setdefault(key, []).append(_Expected(promise.worth, back_at))
+        self._expected_retries.setdefault(key, []).append(_ExpectedRetry(promise.worth, back_at))
 
     def of(self, key: AdapterKey) -> list[WaitingAsk]:
-        """Return the asks for an adapter, those worth most first."""
+        """Return the asks for an adapter, the highest worth first."""
         waiting = self._by_key.get(key)
         if not waiting:
             return []
@@ -89,35 +91,35 @@
 
     @property
     def keys(self) -> Iterable[AdapterKey]:
-        """The adapters that somebody waits for now."""
+        """The adapters that at least one ask waits for."""
         return self._by_key.keys()
 
     def keys_by_worth(self) -> list[AdapterKey]:
-        """Return the adapters that somebody waits for, that of the ask worth most first."""
+        """Return the adapters that asks wait for, ordered by the highest worth of their asks."""
         if len(self._by_key) < 2:
             return list(self._by_key)
 
-        def _first(key: AdapterKey) -> tuple[float, float]:
+        def _most_urgent(key: AdapterKey) -> tuple[float, float]:
             return min((-item.ask.worth, item.asked_at) for item in self._by_key[key].values())
 
-        return sorted(self._by_key, key=_first)
+        return sorted(self._by_key, key=_most_urgent)
 
     @property
     def wanted(self) -> bool:
-        """Whether anybody waits or is expected back."""
-        return bool(self._by_key or self._expected)
+        """Whether any ask waits or any retry is expected."""
+        return bool(self._by_key or self._expected_retries)
 
     def wants(self, now: float) -> list[CombinedWant]:
-        """Return what is waited for and expected, by adapter; forget who did not come back."""
-        self._forget_missed(now)
-        keys = self._by_key.keys() | self._expected.keys()
+        """Return asks and expected retries combined by adapter; drop retries that did not come."""
+        self._drop_missed_retries(now)
+        keys = self._by_key.keys() | self._expected_retries.keys()
         return [self._want(key, now) for key in keys]
 
     def _want(self, key: AdapterKey, now: float) -> CombinedWant:
         waiting = list(self._by_key.get(key, {}).values())
-        expected = self._expected.get(key, [])
+        expected = self._expected_retries.get(key, [])
         targets = [item.target_at for item in waiting]
-        targets += [item.back_at + _TARGET_OF_RETURN_S for item in expected]
+        targets += [item.back_at + _RETRY_TARGET_S for item in expected]
         return CombinedWant(
             key=key,
             waiting=len(waiting),
@@ -127,10 +129,10 @@
             target_at=min(targets),
         )
 
-    def _forget_missed(self, now: float) -> None:
-        for key, expected in list(self._expected.items()):
+    def _drop_missed_retries(self, now: float) -> None:
+        for key, expected in list(self._expected_retries.items()):
             coming = [item for item in expected if item.back_at + RETURN_GRACE_S > now]
             if coming:
-                self._expected[key] = coming
+                self._expected_retries[key] = coming
             else:
-                del self._expected[key]
+                del self._expected_retries[key]
--- a/springrock/placement/demand.py
+++ b/springrock/placement/demand.py
@@ -1,4 +1,4 @@
-"""What the requests of this box ask of one zone's placer, and how long they wait for it."""
+"""Demand of this box on one zone's placer: requests that wait for an engine, and engine uses."""
 
 from __future__ import annotations
 
@@ -31,20 +31,23 @@
 from springrock.placement.messages import Use as UseMessage
 from springrock.quotas.charge_book import ChargeBook
 
-_SILENCE_S = 0.2
-"""How long a request waits to hear anything of the placer before it asks elsewhere."""
+_PLACER_TIMEOUT_S = 0.2
+"""How long a request waits for a forecast before it asks the placer of another zone."""
 
-_START_S = 0.15
-"""From the adapter's readiness to the first event, about."""
+_FIRST_EVENT_DELAY_S = 0.15
+"""Estimated time from an adapter's readiness to the first event of the answer."""
 
-_RETURN_MARGIN_S = 0.1
-_RETURNING_PART = 0.6
-"""What a client that was told to come back counts, beside one that waits."""
+_RETRY_MARGIN_S = 0.1
+"""Added to the time until an adapter is ready when a client is asked to retry later."""
 
-_UNPLANNED_RETRY_S = 1.0
+_RETRY_WORTH_FACTOR = 0.6
+"""Weight of a client that was asked to retry later, relative to one that waits."""
 
-_GATHER_S = 0.01
-"""How long what nobody waits for gathers before the placer is told."""
+_DEFAULT_RETRY_S = 1.0
+"""Retry delay for a request whose wait ended without a usable forecast."""
+
+_BATCH_DELAY_S = 0.01
+"""How long updates that no request waits for are batched before they are sent."""
 
 _OUTCOMES = {
     UseOutcome.ENDED: Outcome.ENDED,
@@ -56,7 +59,7 @@
 
 
 class _Requester:
-    """One request that waits for the placer's word."""
+    """A request that waits for the placer's grant or forecast."""
 
     def __init__(self, number: int, adapter_request: AdapterRequest) -> None:
         self.number = number
@@ -65,26 +68,27 @@
         self.granted: str | None = None
         self.elsewhere = False
         self.permitted = False
-        self.updates = Event()
+        self.changed = Event()
 
     @property
     def permit_until(self) -> float | None:
-        """Until when a cold engine that was granted may be sent the request, from before the ask.
+        """When the permit to send to a cold engine expires; None without a permit.
 
-        How long ago the placer took the permit cannot be known from a grant that was waited for.
+        The permit's life is counted from the start of the ask, since a grant does not carry the
+        time at which the placer reserved the permit.
         """
         return self.began_at + PERMIT_LIFE_S if self.permitted else None
 
 
-class _Standing(NamedTuple):
-    """A use of an engine that has not ended."""
+class _ActiveUse(NamedTuple):
+    """A use of an engine that has not ended yet."""
 
     instance: str
     key: AdapterKey
 
 
-class _Expected(NamedTuple):
-    """A client that was told when to come back."""
+class _ExpectedRetry(NamedTuple):
+    """A client that was told when to retry."""
 
     key: AdapterKey
     worth: float
@@ -104,29 +108,29 @@
         self._sent_at = monotonic()
 
     def began(self) -> None:
-        """Note that the first event of the answer came."""
+        """Record that the first event of the answer arrived."""
         self._book.record_start(self.number, monotonic() - self._sent_at)
 
     def end(self, outcome: UseOutcome, *, backoff_s: float = 0.0) -> None:
-        """Note the end; safe to call again."""
+        """Record the end of the use; later calls have no effect."""
         self._book.record_end(self.number, outcome, backoff_s=backoff_s)
 
 
 class DemandBook:
-    """The asks and uses of this box, and what of them the placer has not been told.
+    """The asks and engine uses of this box, and the updates that its placer has not received yet.
 
     Args:
-        has_placer: Whether a placer hears of them now.
-        leaving: Returns the known replicas that leave, which a placer that is new to this box may
-            not know to do so.
-        limits: Returns what answers told of the limits of the zone's replicas, for such a placer.
+        has_placer: Returns whether this box is linked to the zone's placer.
+        leaving: Returns the known replicas that are leaving; sent in full to a newly linked placer.
+        limits: Returns the limits of the zone's replicas as read from answers; sent in full to a
+            newly linked placer.
 
     Attributes:
         stopping: Whether this box is about to stop.
         charges: The charges of this box's requests to their teams.
         permits: The permits of this box's requests to cold or limited replicas.
-        changed: Set while there is something to tell.
-        urgent: Set while a request waits to be told.
+        changed: Set while there are updates to send.
+        urgent: Set while there are updates that a request waits for.
     """
 
     def __init__(
@@ -141,78 +145,80 @@
         self._limits = limits
         self._numbers = count(1)
         self._requesters: dict[int, _Requester] = {}
-        self._uses: dict[int, _Standing] = {}
-        self._expected: list[_Expected] = []
+        self._uses: dict[int, _ActiveUse] = {}
+        self._expected_retries: list[_ExpectedRetry] = []
         self._forecasts: dict[AdapterKey, float] = {}
         self._updates = _PendingUpdates()
         self._written: list[Written] = []
-        self.charges = ChargeBook(on_update=lambda urgent: self._notify(urgent=urgent))
-        self.permits = PermitBook(on_update=lambda urgent: self._notify(urgent=urgent))
+        self.charges = ChargeBook(on_update=lambda urgent: self._mark_changed(urgent=urgent))
+        self.permits = PermitBook(on_update=lambda urgent: self._mark_changed(urgent=urgent))
         self.stopping = False
         self.changed = Event()
         self.urgent = Event()
 
-    # What requests do.
+    # Called for requests.
 
     def find(self, adapter_request: AdapterRequest) -> EngineUse:
-        """Ask for an engine and wait for the placer's word.
+        """Ask the placer for an engine and wait for its grant.
 
         Raises:
-            PlacerSilent: If no placer tells when the adapter will be there.
-            NoReplica: As soon as it is clear that the request should come back later instead.
+            PlacerSilent: If no placer answers in time, or if the placer refers the request to
+                another zone.
+            NoReplica: As soon as it is clear that the request cannot be served in time; the client
+                should retry later.
         """
         requester = _Requester(next(self._numbers), adapter_request)
         self._requesters[requester.number] = requester
         self._updates.asks.add(requester.number)
-        self._notify(urgent=True)
+        self._mark_changed(urgent=True)
         try:
             while requester.granted is None:
                 self._check(requester)
-                requester.updates.wait(timeout=max(0.01, self._next_check_s(requester)))
-                requester.updates.clear()
-            self._uses[requester.number] = _Standing(requester.granted, adapter_request.key)
+                requester.changed.wait(timeout=max(0.01, self._next_check_s(requester)))
+                requester.changed.clear()
+            self._uses[requester.number] = _ActiveUse(requester.granted, adapter_request.key)
             return EngineUse(self, requester.number, requester.granted, requester.permit_until)
         finally:
             del self._requesters[requester.number]
             if requester.number not in self._uses:
-                self._withdraw(requester.number)
+                self._end_ask(requester.number)
 
     def use(self, instance: str, key: AdapterKey) -> EngineUse:
-        """Note the use of an engine that no placer granted."""
+        """Start a use of an engine that no placer granted."""
         number = next(self._numbers)
-        self._uses[number] = _Standing(instance, key)
+        self._uses[number] = _ActiveUse(instance, key)
         self._updates.uses.add(number)
-        self._notify()
+        self._mark_changed()
         return EngineUse(self, number, instance)
 
     def record_start(self, number: int, after_s: float) -> None:
-        """Note that the first event of a use came, so long after it was sent."""
+        """Record that the first event of a use arrived `after_s` seconds after it was sent."""
         if number in self._uses and number not in self._updates.uses and self._has_placer():
             self._updates.began.append(Began(number, round(after_s * 1000)))
-            self._notify()
+            self._mark_changed()
 
     def record_end(self, number: int, outcome: UseOutcome, *, backoff_s: float = 0.0) -> None:
-        """Note the end of a use; what has ended is passed over."""
+        """Record the end of a use; a use that has already ended is ignored."""
         if self._uses.pop(number, None) is None:
             return
         if number in self._updates.uses:
             self._updates.uses.discard(number)
             return
-        self._notify_end(Over(number, _OUTCOMES[outcome], math.ceil(1000 * backoff_s)))
+        self._add_end(Over(number, _OUTCOMES[outcome], math.ceil(1000 * backoff_s)))
 
-    def _withdraw(self, number: int) -> None:
+    def _end_ask(self, number: int) -> None:
         if number in self._updates.asks:
             self._updates.asks.discard(number)
             return
-        self._notify_end(Over(number))
+        self._add_end(Over(number))
 
-    def _notify_end(self, over: Over) -> None:
+    def _add_end(self, over: Over) -> None:
         if self._has_placer():
-            # Without one there is nobody to forget it; the next is told what stands.
+            # Without a placer no end is sent: the next placer gets all current asks and uses.
             self._updates.over.append(over)
-            self._notify()
+            self._mark_changed()
 
-    def _notify(self, *, urgent: bool = False) -> None:
+    def _mark_changed(self, *, urgent: bool = False) -> None:
         self.changed.set()
         if urgent:
             self.urgent.set()
@@ -221,135 +227,148 @@
         now = monotonic()
         terms = requester.adapter_request.terms
         if now >= terms.until:
-            raise NoReplica("adapter_not_in_time", _UNPLANNED_RETRY_S)
+            raise NoReplica("adapter_not_in_time", _DEFAULT_RETRY_S)
         if requester.elsewhere:
             raise PlacerSilent()
         ready_at = self._forecasts.get(requester.adapter_request.key)
         if ready_at is None:
-            if now - requester.began_at >= _SILENCE_S or not self._has_placer():
+            if now - requester.began_at >= _PLACER_TIMEOUT_S or not self._has_placer():
                 raise PlacerSilent()
             return
-        if max(ready_at, now) + _START_S > terms.until:
-            self._reject(requester.adapter_request, max(0.0, ready_at - now))
+        if max(ready_at, now) + _FIRST_EVENT_DELAY_S > terms.until:
+            self._reject_for_retry(requester.adapter_request, max(0.0, ready_at - now))
 
-    def _reject(self, adapter_request: AdapterRequest, ready_in_s: float) -> NoReturn:
-        """Reject what cannot be served while its client waits, and say when to come back.
+    def _reject_for_retry(self, adapter_request: AdapterRequest, ready_in_s: float) -> NoReturn:
+        """Raise `NoReplica` for a request whose adapter is not ready before its deadline.
 
-        Whoever a load still serves is held: an answer that comes late is worth something, a
-        rejection nothing, whatever comes of another try. The load is kept for a client that can
-        come back for it.
+        Requests that a load can still serve in time keep waiting: a late answer has some worth,
+        a rejection none, even if a retry succeeds. For a client that can retry when the adapter is
+        ready, the placer is told to expect the retry, so that it still loads the adapter.
         """
         if ready_in_s > adapter_request.terms.returns_within_s:
             raise NoReplica("load_not_in_time", ready_in_s)
-        back_in_s = ready_in_s + _RETURN_MARGIN_S
-        worth = adapter_request.terms.worth * _RETURNING_PART
-        expected = _Expected(adapter_request.key, worth, monotonic() + back_in_s)
-        self._expected.append(expected)
-        self._updates.expected.append(expected)
-        self._notify()
-        raise NoReplica("load_promised", back_in_s)
+        retry_in_s = ready_in_s + _RETRY_MARGIN_S
+        worth = adapter_request.terms.worth * _RETRY_WORTH_FACTOR
+        expected = _ExpectedRetry(adapter_request.key, worth, monotonic() + retry_in_s)
+        self._expected_retries.append(expected)
+        self._updates.expected_retries.append(expected)
+        self._mark_changed()
+        raise NoReplica("load_promised", retry_in_s)
 
     def _next_check_s(self, requester: _Requester) -> float:
         now = monotonic()
         check_times = [
             requester.adapter_request.terms.until,
-            requester.adapter_request.terms.until - _START_S,
+            requester.adapter_request.terms.until - _FIRST_EVENT_DELAY_S,
         ]
         if requester.adapter_request.key not in self._forecasts:
-            check_times.append(requester.began_at + _SILENCE_S)
+            check_times.append(requester.began_at + _PLACER_TIMEOUT_S)
         return min((at - now for at in check_times if at > now), default=0.02)
 
-    # What the placer tells.
+    # Called for messages of the placer.
 
     def record_grant(
         self, number: int, instance: str, *, permitted: bool = False
     ) -> AdapterKey | None:
-        """Learn where a request is to be sent; one that left has been withdrawn.
+        """Pass a grant to the request that waits for it.
 
         Returns:
-            The adapter that it asked for; None if it has left.
+            The adapter that the request asked for; None if it no longer waits.
         """
         requester = self._requesters.get(number)
         if requester is None:
             return None
         requester.granted = instance
         requester.permitted = permitted
-        requester.updates.set()
+        requester.changed.set()
         return requester.adapter_request.key
 
     def record_forecast(
         self, key: AdapterKey, ready_in_s: float, *, elsewhere: bool = False
     ) -> None:
-        """Learn when an adapter will be there, or that who waits is to ask another zone."""
+        """Record when an adapter will be ready; wake the requests that wait for it.
+
+        Args:
+            key: The adapter.
+            ready_in_s: Seconds until it is ready.
+            elsewhere: Whether the waiting requests should ask another zone.
+        """
         self._forecasts[key] = monotonic() + ready_in_s
         for requester in self._requesters.values():
             if requester.adapter_request.key == key:
                 requester.elsewhere = requester.elsewhere or elsewhere
-                requester.updates.set()
+                requester.changed.set()
 
     def ask_elsewhere(self, *, but_for: Callable[[AdapterKey], bool]) -> None:
-        """Let those who wait now ask another zone's placer, as nothing is brought here any more.
+        """Refer the waiting requests to another zone, as no adapters are loaded here any more.
 
         Args:
-            but_for: The adapters that are served here yet.
+            but_for: Returns whether an adapter is still served here; its requests keep waiting.
         """
         for requester in self._requesters.values():
             if not but_for(requester.adapter_request.key):
                 requester.elsewhere = True
-                requester.updates.set()
+                requester.changed.set()
 
     def request_copy(self, key: AdapterKey, saves: int) -> None:
-        """Wish for a copy here that would save so many hundredths of a load."""
+        """Ask the placer for a copy of an adapter in this zone.
+
+        Args:
+            key: The adapter.
+            saves: What the copy would save, in hundredths of a load.
+        """
         if self._has_placer():
             self._updates.copies[key] = saves
-            self._notify()
+            self._mark_changed()
 
     def record_leaving(self, instance: str) -> None:
-        """Tell that a replica leaves, as its answer said so."""
+        """Report a replica whose answer said that it is leaving."""
         if self._has_placer():
             self._updates.leaving.add(instance)
-            self._notify()
+            self._mark_changed()
 
-    def record_limit(self, word: LimitReport) -> None:
-        """Tell what an answer told of a replica's limit; a later word replaces it."""
+    def record_limit(self, limit: LimitReport) -> None:
+        """Report the limit that a replica named in an answer; a later report replaces it."""
         if self._has_placer():
-            self._updates.limits[word.instance] = word
-            self._notify()
+            self._updates.limits[limit.instance] = limit
+            self._mark_changed()
 
     def forget_placer(self) -> None:
-        """Lose the placer: its forecasts, and its word on who waits."""
+        """Drop the forecasts and the state of charges and permits of a placer that was lost."""
         self._forecasts.clear()
         self.charges.forget_placer()
         self.permits.forget_placer()
         for requester in self._requesters.values():
-            requester.updates.set()
+            requester.changed.set()
 
     def record_written(self, written: Written) -> None:
-        """Tell the placer what came of a row that it had asked to be written."""
+        """Report the result of a row that the placer asked this box to write."""
         self._written.append(written)
-        self._notify(urgent=True)
+        self._mark_changed(urgent=True)
 
-    # What tells the placer.
+    # Called to send updates to the placer.
 
     def wait_for_updates(self, *, timeout_s: float | None = None) -> None:
-        """Wait until there is something to tell; what nobody waits for gathers for a little."""
+        """Wait for updates to send; those that no request waits for are batched briefly."""
         if self.changed.wait(timeout=timeout_s):
-            self.urgent.wait(timeout=_GATHER_S)
+            self.urgent.wait(timeout=_BATCH_DELAY_S)
 
     def whole(self) -> Demand:
-        """Return all that stands, for a placer that knows nothing of this box yet."""
+        """Return all current asks, uses and expected retries, for a newly linked placer."""
         now = monotonic()
         self._updates = _PendingUpdates()
         self._updates.asks.update(number for number in self._requesters)
         self._updates.uses.update(self._uses)
-        self._expected = [item for item in self._expected if item.back_at + RETURN_GRACE_S > now]
-        self._updates.expected = list(self._expected)
+        self._expected_retries = [
+            item for item in self._expected_retries if item.back_at + RETURN_GRACE_S > now
+        ]
+        self._updates.expected_retries = list(self._expected_retries)
         self._updates.leaving.update(self._leaving())
-        self._updates.limits.update((word.instance, word) for word in self._limits())
+        self._updates.limits.update((limit.instance, limit) for limit in self._limits())
         return self.drain_updates()
 
     def drain_updates(self) -> Demand:
-        """Return what the placer has not been told."""
+        """Return and clear the updates that the placer has not received yet."""
         updates, self._updates = self._updates, _PendingUpdates()
         self.changed.clear()
         self.urgent.clear()
@@ -367,14 +386,14 @@
                 if number in self._requesters
             ],
             uses=[
-                UseMessage(number, existing.instance, *existing.key)
-                for number, existing in ((number, self._uses[number]) for number in updates.uses)
+                UseMessage(number, use.instance, *use.key)
+                for number, use in ((number, self._uses[number]) for number in updates.uses)
             ],
             began=updates.began,
             over=updates.over,
             promises=[
                 Promise(*item.key, round(item.worth, 2), max(0, round(1000 * (item.back_at - now))))
-                for item in updates.expected
+                for item in updates.expected_retries
             ],
             stopping=self.stopping,
             charges=charges,
@@ -389,14 +408,14 @@
 
 
 class _PendingUpdates:
-    """What the placer has not been told yet."""
+    """Updates that the placer has not received yet."""
 
     def __init__(self) -> None:
         self.asks: set[int] = set()
         self.uses: set[int] = set()
         self.began: list[Began] = []
         self.over: list[Over] = []
-        self.expected: list[_Expected] = []
+        self.expected_retries: list[_ExpectedRetry] = []
         self.copies: dict[AdapterKey, int] = {}
         self.leaving: set[str] = set()
         self.limits: dict[str, LimitReport] = {}
--- a/springrock/placement/forecasts.py
+++ b/springrock/placement/forecasts.py
@@ -1,4 +1,4 @@
-"""Tells boxes that wait for an adapter when it will be there, each only what it does not know."""
+"""Sends forecasts of when an adapter is ready to the boxes that wait for it, without repeats."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 from springrock.forwarding.message import AdapterKey
 from springrock.placement.messages import Forecast, Message
 
-_STEP_S = 0.1
-"""Forecasts that differ by less are not told again."""
+_MIN_CHANGE_S = 0.1
+"""A forecast that differs by less from the one sent last is not sent again."""
 
 
-class _Reported(NamedTuple):
-    """A forecast as it was told.
+class _SentForecast(NamedTuple):
+    """A forecast as it was sent last.
 
     Attributes:
-        boxes: Who knows it.
-        elsewhere: Whether who waits does better to ask another zone.
+        ready_at: When the adapter is ready, on the local monotonic clock.
+        boxes: The boxes that it was sent to.
+        elsewhere: Whether waiting requests should ask another zone.
     """
 
     ready_at: float
@@ -27,7 +28,7 @@
 
 
 class Forecasts:
-    """The forecasts that stand.
+    """The current forecasts by adapter.
 
     Args:
         send: Sends a message to one box.
@@ -35,7 +36,7 @@
 
     def __init__(self, send: Callable[[str, Message], None]) -> None:
         self._send = send
-        self._reported: dict[AdapterKey, _Reported] = {}
+        self._sent: dict[AdapterKey, _SentForecast] = {}
 
     def notify(
         self,
@@ -45,38 +46,38 @@
         boxes: Collection[str],
         elsewhere: bool = False,
     ) -> None:
-        """Tell boxes when an adapter will be there, unless they know it already.
+        """Send a forecast to the boxes that have not received it yet.
 
         Args:
             key: The adapter.
-            ready_at: When, on the local monotonic clock.
-            boxes: Who waits for it.
-            elsewhere: Whether who waits does better to ask another zone.
+            ready_at: When the adapter is ready, on the local monotonic clock.
+            boxes: The boxes that wait for it.
+            elsewhere: Whether waiting requests should ask another zone.
         """
-        reported = self._reported.get(key)
+        sent = self._sent.get(key)
         if (
-            reported is None
-            or abs(reported.ready_at - ready_at) >= _STEP_S
-            or reported.elsewhere is not elsewhere
+            sent is None
+            or abs(sent.ready_at - ready_at) >= _MIN_CHANGE_S
+            or sent.elsewhere is not elsewhere
         ):
-            reported = _Reported(ready_at, set(), elsewhere)
-            self._reported[key] = reported
-        for box in set(boxes) - reported.boxes:
-            self._notify_one(box, key, reported)
+            sent = _SentForecast(ready_at, set(), elsewhere)
+            self._sent[key] = sent
+        for box in set(boxes) - sent.boxes:
+            self._send_to(box, key, sent)
 
     def send_known(self, key: AdapterKey, box: str) -> None:
-        """Tell a box that begins to wait what others were told."""
-        reported = self._reported.get(key)
-        if reported is not None:
-            self._notify_one(box, key, reported)
+        """Send the current forecast of an adapter, if any, to a box that starts to wait for it."""
+        sent = self._sent.get(key)
+        if sent is not None:
+            self._send_to(box, key, sent)
 
     def keep_only(self, wanted: Collection[AdapterKey]) -> None:
-        """Forget what nobody wants any more."""
-        for key in [key for key in self._reported if key not in wanted]:
-            del self._reported[key]
+        """Drop the forecasts of all adapters but the wanted ones."""
+        for key in [key for key in self._sent if key not in wanted]:
+            del self._sent[key]
 
-    def _notify_one(self, box: str, key: AdapterKey, reported: _Reported) -> None:
-        reported.boxes.add(box)
-        ready_in_s = max(0.0, reported.ready_at - monotonic())
+    def _send_to(self, box: str, key: AdapterKey, sent: _SentForecast) -> None:
+        sent.boxes.add(box)
+        ready_in_s = max(0.0, sent.ready_at - monotonic())
         ready_in_ms = round(ready_in_s * 1000)
-        self._send(box, Forecast(key.model, key.adapter, ready_in_ms, reported.elsewhere))
+        self._send(box, Forecast(key.model, key.adapter, ready_in_ms, sent.elsewhere))
--- a/springrock/placement/settings.py
+++ b/springrock/placement/settings.py
@@ -1,4 +1,4 @@
-"""What placement takes from the settings of a box."""
+"""The settings of a box that placement uses."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 class PlacementSettings(NamedTuple):
-    """What placement takes from the settings.
+    """The settings of a box that placement uses.
 
     Attributes:
         box: The name of this box.
         zone: Its availability zone.
-        address: Where the links of other boxes are served.
-        lease_s: How long a placer's lease lasts.
-        checks_fence: Whether engines refuse an older fence.
-        ceiling_ratio: How far loads of models may exceed the stated rate.
-        ceiling_burst: Loads of models that may be saved up.
-        strength: The processor that this box has, in cores.
-        prices: What bytes between zones cost beside a load.
+        address: The address at which this box accepts links of other boxes.
+        lease_s: Duration of a placer's lease.
+        checks_fence: Whether engines refuse orders with an older fence.
+        ceiling_ratio: Factor by which loads of models may exceed the stated rate.
+        ceiling_burst: Burst of model loads that the rate limit allows.
+        strength: The processor cores of this box.
+        prices: The cost of bytes sent between zones, in loads.
     """
 
     box: str
