--- a/springrock/placement/ask_book.py
+++ b/springrock/placement/ask_book.py
@@ -35,7 +35,7 @@
         return AdapterKey(self.ask.model, self.ask.adapter)
 
 
-class _ExpectedRetry(NamedTuple):
+class _Expected(NamedTuple):
     """A client that was told when to retry."""
 
     worth: float
@@ -48,7 +48,7 @@
     def __init__(self) -> None:
         self._by_key: dict[AdapterKey, dict[tuple[str, int], WaitingAsk]] = {}
         self._keys: dict[tuple[str, int], AdapterKey] = {}
-        self._expected_retries: dict[AdapterKey, list[_ExpectedRetry]] = {}
+        self._expected_retries: dict[AdapterKey, list[_Expected]] = {}
 
     def add(self, box: str, ask: Ask, *, now: float) -> WaitingAsk:
         """Add an ask of a box."""
@@ -76,7 +76,7 @@
         """Add a client that was told when to retry."""
         key = AdapterKey(promise.model, promise.adapter)
         back_at = now + promise.back_in_ms / 1000
-        self._expected_retries.setdefault(key, []).append(_ExpectedRetry(promise.worth, back_at))
+        self._expected_retries.setdefault(key, []).append(_Expected(promise.worth, back_at))
 
     def of(self, key: AdapterKey) -> list[WaitingAsk]:
         """Return the asks for an adapter, the highest worth first."""
--- a/springrock/placement/forecasts.py
+++ b/springrock/placement/forecasts.py
@@ -13,7 +13,7 @@
 """A forecast that differs by less from the one sent last is not sent again."""
 
 
-class _SentForecast(NamedTuple):
+class _Reported(NamedTuple):
     """A forecast as it was sent last.
 
     Attributes:
@@ -36,7 +36,7 @@
 
     def __init__(self, send: Callable[[str, Message], None]) -> None:
         self._send = send
-        self._sent: dict[AdapterKey, _SentForecast] = {}
+        self._sent: dict[AdapterKey, _Reported] = {}
 
     def notify(
         self,
@@ -60,7 +60,7 @@
             or abs(sent.ready_at - ready_at) >= _MIN_CHANGE_S
             or sent.elsewhere is not elsewhere
         ):
-            sent = _SentForecast(ready_at, set(), elsewhere)
+            sent = _Reported(ready_at, set(), elsewhere)
             self._sent[key] = sent
         for box in set(boxes) - sent.boxes:
             self._send_to(box, key, sent)
@@ -76,7 +76,7 @@
         for key in [key for key in self._sent if key not in wanted]:
             del self._sent[key]
 
-    def _send_to(self, box: str, key: AdapterKey, sent: _SentForecast) -> None:
+    def _send_to(self, box: str, key: AdapterKey, sent: _Reported) -> None:
         sent.boxes.add(box)
         ready_in_s = max(0.0, sent.ready_at - monotonic())
         ready_in_ms = round(ready_in_s * 1000)
--- a/springrock/placement/messages.py
+++ b/springrock/placement/messages.py
@@ -1,7 +1,7 @@
-"""The messages between a zone's placer and the boxes: CBOR arrays, the first item the kind.
+"""The messages between a zone's placer and the boxes: CBOR arrays whose first item is the kind.
 
-A box tells only what is new since its last message on the same link; the first message after
-`Hello` tells all that stands. Each use of an engine has a number that is the box's own.
+After `Hello` a box sends its full demand; each later message on the same link holds only what has
+changed since the one before. Each ask and each use of an engine has a number that the box assigns.
 """
 
 from __future__ import annotations
@@ -33,13 +33,14 @@
     """The first message of a box to the placer.
 
     Attributes:
-        incarnation: The placer's incarnation that the box means to speak to.
-        zone: The zone whose engines are meant.
-        home_zone: The zone in which the box stands.
-        strength: The processor that the box has, in cores.
-        address: Where the box serves links, if a placer may hand its role over to it.
-        process: The incarnation of the box itself, by which others ask for its links.
-        asks_state: Whether the box means no placer, but asks whoever it reaches for what is known.
+        incarnation: The incarnation of the placer that the box expects at the other end.
+        zone: The zone whose engines the link is for.
+        home_zone: The availability zone of the box.
+        strength: The processor cores of the box.
+        address: Where the box accepts links, if a placer may hand its role over to it.
+        process: The incarnation of the box itself; other boxes name it when they link to the box.
+        asks_state: Whether the box asks any box that it reaches for its known state, rather than
+            linking to a placer.
     """
 
     box: str
@@ -56,14 +57,14 @@
     """A request that needs an engine with its adapter.
 
     Attributes:
-        number: The box's own number for it.
+        number: The number that the box assigned to it.
         request: The client's id of the request, for logs.
-        worth: What it is worth beside others.
-        target_left_ms: Until its answer is late.
+        worth: Its weight relative to other requests.
+        target_left_ms: Time left until its latency target passes.
         prompt: The parts of its prompt, each an id and its tokens.
-        tried: Engines that it is not to be sent to while another holds its adapter.
-        failed_at: Those of them that were reached and failed it.
-        regions: Where it may be served; None for anywhere.
+        tried: Engines that it must not be sent to while another one holds its adapter.
+        failed_at: Those of `tried` that were reached and failed the request.
+        regions: The regions where it may be served; None for all.
     """
 
     number: int
@@ -79,7 +80,7 @@
 
     @property
     def bounds(self) -> Bounds:
-        """What the request allows."""
+        """Where the request may be served."""
         return Bounds(None if self.regions is None else frozenset(self.regions))
 
 
@@ -93,17 +94,17 @@
 
 
 class Began(Struct, frozen=True, array_like=True):
-    """A request's first event came, so long after it was sent."""
+    """The first event of a request arrived `after_ms` after the request was sent."""
 
     number: int
     after_ms: int
 
 
 class Outcome(IntEnum):
-    """How a use of an engine ended, as far as that tells something of the engine."""
+    """How a use of an engine ended, as far as that says something about the engine."""
 
     ENDED = 0
-    """It ran, or it was never sent."""
+    """The request ran, or it was never sent."""
     LACKING = 1
     """The engine does not hold the adapter."""
     FULL = 2
@@ -116,7 +117,7 @@
     """An ask that was given up, or a use that ended.
 
     Attributes:
-        backoff_ms: For how long the engine asked the box for rest.
+        backoff_ms: How long the engine asked the box to send it nothing.
     """
 
     number: int
@@ -125,7 +126,7 @@
 
 
 class Promise(Struct, frozen=True, array_like=True):
-    """A client that was told when to come back for an adapter."""
+    """A client that was told when to retry its request for an adapter."""
 
     model: str
     adapter: str
@@ -134,12 +135,12 @@
 
 
 class WriteFor(Struct, frozen=True, array_like=True, tag=9):
-    """A placer's row that it asks a box to write, as the store does not answer the placer.
+    """A placer's row that a box is to write, as the store does not answer the placer itself.
 
     Attributes:
-        number: The placer's own number for it.
-        expected: The number that the row must have as its version.
-        era: The store's era in which it has it; 0 if that is not known.
+        number: The number that the placer assigned to the write.
+        expected: The version that the row must have, as a number within `era`.
+        era: The store's era of that version; 0 if unknown.
     """
 
     number: int
@@ -150,14 +151,15 @@
 
 
 class Written(Struct, frozen=True, array_like=True):
-    """What came of writing a row for a placer.
+    """The result of writing a row for a placer.
 
     Attributes:
+        number: The number of the `WriteFor`.
         answered: Whether the store answered.
-        version: The number of the row's version; 0 if there is none.
+        version: The number of the row's version within `era`; 0 if there is none.
         conflict: Whether the row had another version than expected.
-        value: The row as it stands.
-        era: The store's era; 0 if it is not known.
+        value: The current value of the row.
+        era: The store's era; 0 if unknown.
     """
 
     number: int
@@ -169,10 +171,11 @@
 
 
 class CopyWish(Struct, frozen=True, array_like=True):
-    """An adapter that stands far away and is asked for so much that a copy here pays.
+    """An adapter held only far away, requested so often that a copy in this zone is worthwhile.
 
     Attributes:
-        saves: What a copy saves within the time that popularity remembers, in hundredths of a load.
+        saves: What the copy saves within the window of the popularity counts, in hundredths of a
+            load.
     """
 
     model: str
@@ -181,18 +184,23 @@
 
 
 class Demand(Struct, frozen=True, array_like=True, tag=2):
-    """What is new at a box.
+    """Changes in the demand of a box.
 
     Attributes:
-        stopping: Whether the box is about to stop, and so takes no lease any more.
+        asks: Requests that wait for an engine.
+        uses: Requests that were sent to an engine without a grant.
+        began: Requests whose first event arrived.
+        over: Asks that were given up and uses that ended.
+        promises: Clients that were told when to retry.
+        stopping: Whether the box is about to stop, and so acquires no lease.
         charges: Requests whose cost is to be charged to their teams.
-        given_back: Charges whose requests did not run.
-        written: What came of rows that the placer had asked to be written.
-        permits: Requests that are to be sent to cold or limited replicas.
-        observations: What the box saw of replicas that may have started anew.
-        copies: Copies that would pay in this zone.
-        leaving: Replicas that leave, as they told this box in their answers.
-        limits: What answers told this box of the limits of the zone's replicas.
+        given_back: Charges to refund, as their requests did not run.
+        written: Results of the rows that the placer asked the box to write.
+        permits: Requests that need a permit for a cold or limited replica.
+        observations: Observations of replicas that may have restarted.
+        copies: Adapters whose copy in this zone is worthwhile.
+        leaving: Replicas that said in an answer that they are leaving.
+        limits: Limits that the zone's replicas named in answers to this box.
     """
 
     asks: list[Ask] = []
@@ -215,10 +223,10 @@
     """Where a request is to be sent.
 
     Attributes:
-        permitted: Whether it may be sent even if the engine is cold or limited, within a permit's
-            life.
+        permitted: Whether the request holds a permit, and so may be sent to a cold or limited
+            engine within the permit's life.
         saves: What a copy of its adapter near the asking box would save, in hundredths of a load;
-            0 if it would not pay.
+            0 if a copy is not worthwhile.
     """
 
     number: int
@@ -228,11 +236,11 @@
 
 
 class Forecast(Struct, frozen=True, array_like=True, tag=4):
-    """When a wanted adapter will be there.
+    """When a wanted adapter is expected to be ready.
 
     Attributes:
-        elsewhere: Whether who waits does better to ask another zone: it stands here, but only where
-            limits keep more requests out, and no other engine of the zone can take it.
+        elsewhere: Whether waiting requests should ask another zone: the adapter is loaded in this
+            zone, but only on engines at their limit, and no other engine of the zone can load it.
     """
 
     model: str
@@ -242,23 +250,24 @@
 
 
 class Heartbeat(Struct, frozen=True, array_like=True, tag=5):
-    """The placer lives.
+    """The periodic message of a placer to its boxes.
 
     Attributes:
-        row_version: The number of the version of its lease's row.
-        lease_left_ms: How much longer the lease stands, as of sending.
-        room: How many more adapters its engines could take now.
+        row_version: The number of the version of the lease's row.
+        lease_left_ms: Time left of the lease when the message was sent.
+        room: How many more adapters the zone's engines could load now.
         boxes: How many boxes are linked to the placer, its own included.
-        spread: Adapters, as MODEL/NAME, that several engines of the zone hold because they are
-            asked for so much: each zone does better to serve them itself.
-        leaving: All replicas that leave, for boxes that cannot read it in the store.
-        suspected: Replicas that may have come back cold.
-        pressure: How often what would next give up its place is asked for, in hundredths.
-        wait_ms: How long a first event would wait at a usual engine.
-        limits: The limits that replicas of the zone have named and that stand.
-        home_boxes: How many boxes stand in the zone, as far as they are linked; 0 if not told.
-        successor: Who goes on in the placer's stead, as it stops while the store is silent.
-        row_era: The store's era of that version; 0 if it is not known.
+        spread: Adapters, as MODEL/NAME, that several engines of the zone hold because of high
+            demand: each zone should serve them itself.
+        leaving: All replicas that are leaving, for boxes that cannot read them from the store.
+        suspected: Replicas that may have restarted cold.
+        pressure: How often the adapter that would be evicted next is requested, in hundredths.
+        wait_ms: Typical wait for a first event at an engine of the zone.
+        limits: The current limits that replicas of the zone have named.
+        home_boxes: How many of the linked boxes are in the zone; 0 if not sent.
+        successor: The box that takes the role over if the placer stops while the store does not
+            answer.
+        row_era: The store's era of `row_version`; 0 if unknown.
     """
 
     row_version: int
@@ -284,13 +293,13 @@
 
 
 class Residents(Struct, frozen=True, array_like=True, tag=7):
-    """What engines hold that hold something else than was told last."""
+    """The adapters of engines whose adapters have changed since the last such message."""
 
     engines: list[EngineHolds]
 
 
 class TableRow(Struct, frozen=True, array_like=True):
-    """A row of one of the store's tables as it stands; `gone` if it was removed."""
+    """The current state of a row of one of the store's tables; `gone` if it was removed."""
 
     key: str
     value: bytes
@@ -299,16 +308,16 @@
 
 
 class TableNews(Struct, frozen=True, array_like=True, tag=6):
-    """What the placer's box has read of one of the store's tables.
+    """What the placer's box has read from one of the store's tables.
 
     Attributes:
         after: The number of the version after which the rows changed.
-        version: The number of the version up to which the table is told.
-        rows: What changed, in order.
-        whole: Whether it is the whole table, and what is not in it is gone.
-        as_of_ms: A moment of the store's steady clock at which nothing newer had been written; a
-            message that was held up on its way so tells its own age. None if it is not known.
-        era: The store's era of all versions; 0 if it is not known.
+        version: The number of the version that the table has with these changes.
+        rows: The changed rows, in order.
+        whole: Whether `rows` is the full table; rows that are not in it do not exist.
+        as_of_ms: A time on the store's steady clock at which nothing newer had been written, from
+            which a receiver computes the message's age even if it was delayed. None if unknown.
+        era: The store's era of all versions; 0 if unknown.
     """
 
     table: str
@@ -321,12 +330,12 @@
 
 
 class KnownTable(Struct, frozen=True, array_like=True):
-    """A table as a box knows it.
+    """A full table as a box knows it.
 
     Attributes:
-        updates: All of it.
-        age_ms: How long ago it was surely the newest, as the message was made; None if it never
-            surely was.
+        updates: The full table.
+        age_ms: How long before the message was made the table is known to have been up to date;
+            None if that is not known of any time.
     """
 
     updates: TableNews
@@ -334,14 +343,14 @@
 
 
 class KnownState(Struct, frozen=True, array_like=True, tag=12):
-    """What a box knows, told to one that asked for it in its `Hello`.
+    """The state that a box knows, sent to a box that asked for it in its `Hello`.
 
     Attributes:
         zones: All availability zones of the deployment, sorted.
-        tables: The tables of the store; none if the box does not know them all.
-        successors: Who goes on in a placer's stead, each with the key of the placer's row.
-        leaving: Replicas that leave, perhaps by another sign than their row.
-        retry_after_ms: When to ask again, if too many ask now; nothing is told then.
+        tables: The tables of the store; empty if the box does not know all of them.
+        successors: The successors of stopped placers, each with the key of the placer's row.
+        leaving: Replicas that are leaving, also those whose row does not say so.
+        retry_after_ms: When to ask again, if too many boxes are asking; the rest is empty then.
     """
 
     zones: list[str]
@@ -351,17 +360,18 @@
     retry_after_ms: int = 0
 
 
-_LARGE_BYTES = 256
-"""A longer message is compressed. A whole configuration of 1,400 routes, told to 39 boxes a few
-times a second, is reckoned to fill the link of the placer's box: 105 of 596 orders to engines
-went unanswered, and none once it was compressed. What engines newly hold, told to all boxes twice
-a second, was more than the requests that cross regions: eight engines take 443 bytes for 1,604."""
+_COMPRESS_FROM_BYTES = 256
+"""Messages from this size on are compressed. A configuration of 1,400 routes, sent uncompressed to
+39 boxes a few times a second, is estimated to fill the link of the placer's box: 105 of 596 orders
+to engines went unanswered, and none with compression. `Residents` messages to all boxes twice a
+second carried more bytes than the requests between regions: for eight engines compression reduces
+1,604 bytes to 443."""
 
 _LARGEST_BYTES = 16_777_216
-"""No message is that long; what claims to be is not unpacked."""
+"""Limit on a decompressed message, above any valid one; a longer one is rejected."""
 
-_FASTEST = 1
-"""The level of compression: one of 1,400 routes shrinks to under a tenth even so."""
+_COMPRESSION_LEVEL = 1
+"""The fastest zlib level; it still shrinks 1,400 routes to less than a tenth."""
 
 FromPlacer = (
     Grant | Forecast | Heartbeat | Residents | TableNews | Charged | WriteFor | Handover | Permitted
@@ -371,11 +381,11 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return the frame of a message; a long one is a byte string that holds it compressed."""
+    """Return the frame of a message; a long message is compressed into a CBOR byte string."""
     frame: bytes = cbor2.dumps(msgspec.to_builtins(message, builtin_types=(bytes,)))
-    if len(frame) < _LARGE_BYTES:
+    if len(frame) < _COMPRESS_FROM_BYTES:
         return frame
-    return cbor2.dumps(zlib.compress(frame, _FASTEST))
+    return cbor2.dumps(zlib.compress(frame, _COMPRESSION_LEVEL))
 
 
 def decode(frame: str | bytes) -> Message:
@@ -383,14 +393,14 @@
 
     Raises:
         PeerRejected: If it is malformed.
-        UnknownKind: If a later build may have sent it; the link is sound.
+        UnknownKind: If a later build may have sent it; the link stays usable.
     """
     if isinstance(frame, str):
         raise PeerRejected("a text frame")
     try:
         loaded = cbor2.loads(frame)
         if isinstance(loaded, bytes):
-            loaded = cbor2.loads(_unpacked(loaded))
+            loaded = cbor2.loads(_decompress(loaded))
         check_kind(loaded, _KINDS)
         message: Message = msgspec.convert(loaded, Message)
     except (cbor2.CBORDecodeError, msgspec.ValidationError, ValueError, zlib.error) as error:
@@ -398,9 +408,9 @@
     return message
 
 
-def _unpacked(packed: bytes) -> bytes:
+def _decompress(compressed: bytes) -> bytes:
     unpacker = zlib.decompressobj()
-    message = unpacker.decompress(packed, _LARGEST_BYTES)
+    message = unpacker.decompress(compressed, _LARGEST_BYTES)
     if not unpacker.eof:
-        raise PeerRejected(f"a message that is cut or longer than {_LARGEST_BYTES} bytes")
+        raise PeerRejected(f"a truncated message, or one longer than {_LARGEST_BYTES} bytes")
     return message
--- a/springrock/placement/placement.py
+++ b/springrock/placement/placement.py
@@ -1,4 +1,4 @@
-"""Placement as a box's requests see it: each adapter is brought by the placer of some zone."""
+"""Placement for the requests of a box: chooses the zone whose placer loads an adapter."""
 
 from __future__ import annotations
 
@@ -43,40 +43,41 @@
 from springrock.topology import Distance
 
 _RECONNECT_LIKELY_S = 1.0
-"""So long after its start, or after it lost the last placer that it heard, a box is likely to hear
-one again: boxes that had all lost power were linked 0.2 s after their start."""
+"""How long requests wait for a link to a placer after the start, or after the last link was lost.
+Boxes that had all lost power were linked 0.2 s after their start."""
 
 
 class Placement:
     """Implements `springrock.forwarding.adapters.Adapters`.
 
-    Each zone with engines has a placer of its own, so that a zone that is cut off goes on bringing
-    adapters. An adapter that stands nowhere is brought by the own zone; by another of the own
-    region, drawn by a hash, if the own one has no room, is crowded, out of reach, or would push out
-    what is asked for more; and by another region only if the own one has no room or cannot load it.
+    Each zone with engines has its own placer, so that a zone that is cut off still loads adapters.
+    An adapter that no engine holds is loaded in the home zone. If that has no room, is crowded or
+    unreachable, or would evict an adapter in higher demand, another zone of the region, chosen by a
+    hash, loads it. Another region loads it only if the home region has no room or cannot load it.
 
     Args:
-        settings: What placement takes from the settings.
+        settings: The settings that placement uses.
         store: The store with the placers' rows.
-        board: Those rows as far as they are known.
+        board: The known placers' rows.
         configuration: Returns the configuration in force.
         directory: The known replicas.
         versions: The newest versions of adapters.
-        world: Returns what is known beside the replicas.
-        control: Speaks to engines.
-        quota_terms: Returns how strictly the quotas of teams are meant.
-        slow_start_terms: Returns how strictly the bound on cold replicas is meant.
-        warmup: Which replicas are cold.
+        world: Returns the conditions that decide where a request may go, such as the topology and
+            evacuated zones.
+        control: Sends orders to engines.
+        quota_terms: Returns how the quotas of teams are enforced.
+        slow_start_terms: Returns how the bound on requests to cold replicas is enforced.
+        warmup: Knows which replicas are cold.
         limits: The limits that replicas have named.
-        state_for: Returns what a box that asks for it is told of what is known.
+        state_for: Returns the state to send to a box that asks for it.
         log_of: Returns the log of a part.
         metrics: The metrics to count in.
 
     Attributes:
-        on_reading: Called with what a placer's box has read of a table, whether this box may
-            rely on being told what follows, and the placer's zone.
-        on_alone: Called when the box that told readings is lost.
-        handovers: Learns of evacuated zones, and has what was asked for there brought elsewhere.
+        on_reading: Called with a reading of a table by a placer's box, whether this box may rely
+            on it to send the following readings, and the placer's zone.
+        on_alone: Called when the link to the home zone's placer, which sends readings, is lost.
+        handovers: Has the adapters of evacuated zones that are in demand loaded in other zones.
     """
 
     def __init__(
@@ -111,7 +112,7 @@
             lambda reading, relied_on, source_zone: None
         )
         self.on_alone: Callable[[], None] = lambda: None
-        self._around = ZoneDependencies(
+        self._dependencies = ZoneDependencies(
             incarnation=new_id(),
             store=store,
             board=board,
@@ -147,59 +148,59 @@
         self._engines: dict[str, list[ReplicaRecord]] | None = None
         self._server = LinkServer(
             settings.address,
-            incarnation=self._around.incarnation,
+            incarnation=self._dependencies.incarnation,
             links_of=self._links_of,
             state_for=state_for,
             log=log_of("link"),
         )
         self._stopping = False
-        self._most_boxes = 1
+        self._max_boxes = 1
 
     def start(self) -> None:
-        """Begin to take part in the zones that have engines, now and later."""
+        """Start to accept links and to join zones as their engines become known."""
         self._server.start()
         self._directory.on_change.append(self._replica_changed)
         self._warmup.on_observation.append(self._notify_observation)
         self._limits.on_limit_report.append(self._notify_limit)
 
     def hand_over(self) -> None:
-        """Let other boxes become placers, as this one is about to stop."""
+        """Hand this box's placer roles over to other boxes, before it stops."""
         self._stopping = True
         for zone in self._zones.values():
             zone.hand_over()
 
     def stop(self) -> None:
-        """End all tasks and links."""
+        """Stop all tasks and links."""
         for zone in self._zones.values():
             zone.stop()
         self._server.stop()
 
     @property
     def boxes(self) -> int:
-        """The most boxes that were seen at once, this one included.
+        """The highest number of boxes linked to one placer so far, this one included.
 
-        It does not fall, as boxes that a cut hides still spend their part of what is shared.
+        It never falls, as boxes behind a network cut still spend their share of common budgets.
         """
-        self._most_boxes = max(self._most_boxes, *(zone.boxes for zone in self._zones.values()), 1)
-        return self._most_boxes
+        self._max_boxes = max(self._max_boxes, *(zone.boxes for zone in self._zones.values()), 1)
+        return self._max_boxes
 
-    # What boxes of one zone share.
+    # Readings, observations and limits shared between boxes.
 
     @property
     def publishes_readings(self) -> bool:
-        """Whether other boxes go by what this one reads of the store."""
+        """Whether other boxes rely on this box's readings of the store."""
         zone = self._zones.get(self._settings.zone)
         return zone is not None and zone.notifies_home_zone
 
     def publish_reading(self, reading: TableReading, *, is_own: bool) -> None:
-        """Tell other boxes what is new of a table.
+        """Send a reading of a table to other boxes.
 
-        The boxes of the own zone are told all; other placers' boxes only what this one has read
-        itself, which they pass on.
+        The boxes of the home zone get every reading; other placers' boxes only those that this box
+        read itself, and they pass them on.
 
         Args:
-            reading: What is new.
-            is_own: Whether this box has read it itself.
+            reading: The reading.
+            is_own: Whether this box read it from the store itself.
         """
         zone = self._zones.get(self._settings.zone)
         if zone is not None:
@@ -207,10 +208,10 @@
             zone.publish_table(table_news_from(reading), also=placers)
 
     def _apply_updates(self, zone: str, updates: TableNews) -> None:
-        """Learn what the placer's box of a zone has read.
+        """Pass on a reading by the box of a zone's placer.
 
-        Of the placers' boxes the one of the first zone reads the store for all, so that two never
-        rely on each other.
+        A placer's box relies only on that of a zone earlier in the alphabet, so that two never rely
+        on each other.
         """
         home = self._settings.zone
         relied_on = zone == home or (self.publishes_readings and zone < home)
@@ -224,42 +225,42 @@
             self.on_alone()
 
     def _notify_observation(self, record: ReplicaRecord, answered: bool) -> None:
-        """Let other boxes learn, by the placer of a replica's zone, what was seen of it."""
+        """Report an observation of a replica to its zone's placer, which informs other boxes."""
         permits = self._zone(record.zone).demand.permits
         permits.record_observation(record.instance, answered=answered)
 
-    def _notify_limit(self, word: LimitReport) -> None:
-        """Let the placer of a replica's zone learn of its limit, as that counts for all boxes."""
-        replica = self._directory.find(word.instance)
+    def _notify_limit(self, limit: LimitReport) -> None:
+        """Report a replica's limit to the placer of its zone, as the limit applies to all boxes."""
+        replica = self._directory.find(limit.instance)
         if replica is not None:
-            self._zone(replica.record.zone).demand.record_limit(word)
+            self._zone(replica.record.zone).demand.record_limit(limit)
 
     def announce_leaving(self, instance: str) -> None:
-        """Let all placers learn that a replica leaves, and by them the boxes that they tell.
+        """Report a leaving replica to the placers of all zones, which inform their boxes.
 
-        Each places on in its zone, and the store may not tell of the replica for long.
+        The store may show only much later that the replica is leaving.
         """
         for zone in self._zones.values():
             zone.demand.record_leaving(instance)
 
     def counter(self, zone: str) -> ZonePlacement:
-        """Return who counts a zone's part of the teams' quotas, and what its replicas get."""
+        """Return the counter of a zone: of its part of team quotas and of its replicas' permits."""
         return self._zone(zone)
 
     @property
     def home_boxes(self) -> int:
-        """How many boxes stand in this box's zone, as its placer last told; 0 if it has not."""
+        """How many boxes the home zone has, as its placer last reported; 0 if unknown."""
         zone = self._zones.get(self._settings.zone)
         return 0 if zone is None else zone.home_boxes
 
-    # What forwarding asks.
+    # Called by forwarding.
 
     def holds(self, replica: Replica, key: AdapterKey) -> bool:
         """Whether a replica holds the newest known version of an adapter."""
         return self._residency.holds(replica, key)
 
     def deny(self, instance: str, key: AdapterKey) -> None:
-        """Learn from a replica itself that it does not hold an adapter."""
+        """Record that a replica itself said that it does not hold an adapter."""
         self._residency.deny(instance, key)
 
     def newest(self, key: AdapterKey) -> int:
@@ -267,13 +268,13 @@
         return self._versions.newest(key)
 
     def use(self, instance: str, key: AdapterKey) -> Use:
-        """Note the use of a replica that no placer granted; to be ended by the caller."""
+        """Start a use of a replica that no placer granted; the caller must end it."""
         replica = self._directory.find(instance)
         zone = self._settings.zone if replica is None else replica.record.zone
         return self._zone(zone).demand.use(instance, key)
 
     def find(self, adapter_request: AdapterRequest) -> Use | None:
-        """Return the use of a replica that a placer grants; a silent one is left for another."""
+        """Request a replica from zones' placers in turn until one answers; None if none does."""
         silent: set[str] = set()
         while True:
             name = self._choose_zone(adapter_request, silent)
@@ -285,10 +286,10 @@
                 silent.add(name)
 
     def await_placer(self, *, until: float) -> bool:
-        """Wait for a placer while none is heard and one is likely to be soon."""
+        """Wait for a link to a placer if there is none; return whether one was made."""
         if self._has_reachable_zone:
             return False
-        # It may be set yet while a link that was lost is being given up.
+        # The event may still be set while the loss of a link is being handled.
         self._placer_contact.clear()
         likely_until = min(until, self._unreachable_since + _RECONNECT_LIKELY_S)
         return self._placer_contact.wait(timeout=max(0.0, likely_until - monotonic()))
@@ -297,10 +298,10 @@
     def _has_reachable_zone(self) -> bool:
         return any(zone.reachable for zone in self._zones.values())
 
-    # Zones.
+    # Choice of zones.
 
     def _zone_views(self, bounds: Bounds, world: World) -> list[ZoneView]:
-        """Return the zones with engines that a request may go to, as they are now."""
+        """Return the current state of the zones with engines that a request may go to."""
         views = []
         for name, records in self._engines_by_zone().items():
             if zone_obstacle_of(name, bounds=bounds, world=world) is not None:
@@ -320,30 +321,30 @@
         return views
 
     def _choose_zone(self, adapter_request: AdapterRequest, silent: set[str]) -> str | None:
-        """Return the zone whose placer is to be asked; None if none can be reached."""
+        """Return the zone whose placer to ask; None if none can be reached."""
         world = self._world()
         holders = self._residency.holders(adapter_request.key)
-        staying = [
+        allowed = [
             replica for replica in holders if _may_serve(replica, adapter_request.bounds, world)
         ]
         holding = {
             replica.record.zone
-            for replica in staying
+            for replica in allowed
             if replica.instance not in adapter_request.avoid
         } or {
             replica.record.zone
-            for replica in staying
+            for replica in allowed
             if replica.instance in adapter_request.failed_at
         }
-        # Where it could not be served another zone is better.
-        spent = {replica.record.zone for replica in holders} - holding
-        carried = bytes_of_prompt(sum(part.tokens for part in adapter_request.prompt))
+        # Zones that hold the adapter only on replicas that may not or could not serve the request.
+        excluded = {replica.record.zone for replica in holders} - holding
+        prompt_bytes = bytes_of_prompt(sum(part.tokens for part in adapter_request.prompt))
         views = self._zone_views(adapter_request.bounds, world)
         home = self._settings.zone
         loadable = {view.name for view in views} - world.announced
         if self._is_spread(adapter_request.key) and home in loadable:
             holding = {home}
-        at_hand = {
+        cached_in = {
             replica.record.zone
             for replica in self._residency.cache_holders(adapter_request.key)
             if _may_serve(replica, adapter_request.bounds, world)
@@ -352,17 +353,18 @@
             adapter_request.key,
             views,
             prefer=holding,
-            avoid=spent,
-            # Where an evacuation is announced what stands serves yet, and nothing is brought.
+            avoid=excluded,
+            # A zone whose evacuation is announced still serves its adapters but loads no others.
             never=silent | (world.announced - holding),
-            at_hand=at_hand,
-            home_advantage=self._settings.prices.in_loads(Distance.OWN_REGION, carried),
+            at_hand=cached_in,
+            home_advantage=self._settings.prices.in_loads(Distance.OWN_REGION, prompt_bytes),
         )
 
     def _request_copy(self, holder: str, key: AdapterKey, saves: int) -> None:
-        """Wish for a copy near this box of an adapter that stands far away.
+        """Ask for a copy of a far adapter in a zone near this box.
 
-        A copy for the whole region is drawn by a hash, so that each of its zones does not bring it.
+        The zone is chosen by a hash of the adapter, so that one zone of the region loads the copy
+        rather than each of them.
         """
         world = self._world()
         distance = world.topology.distance(holder)
@@ -393,7 +395,7 @@
     def _zone(self, name: str) -> ZonePlacement:
         zone = self._zones.get(name)
         if zone is None:
-            zone = ZonePlacement(name, self._settings, self._around)
+            zone = ZonePlacement(name, self._settings, self._dependencies)
             self._zones[name] = zone
             if not self._stopping:
                 zone.start()
@@ -410,5 +412,5 @@
 
 
 def _may_serve(replica: Replica, bounds: Bounds, world: World) -> bool:
-    """Whether a request may go to a replica; its zone's placer counts what a metered one gets."""
+    """Whether a request may go to a replica, permits aside: the zone's placer grants those."""
     return obstacle_of(replica.record, bounds=bounds, world=world, permitted=True) is None
--- a/springrock/placement/residents_publisher.py
+++ b/springrock/placement/residents_publisher.py
@@ -1,4 +1,4 @@
-"""What engines newly hold, told to the boxes: to those of another region more seldom."""
+"""Publishes changes of engines' adapters to boxes, less often to those of other regions."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from springrock.topology import Distance, Topology
 
 FAR_EVERY_S = 2.0
-"""How often boxes of another region are told. They bring what they need in their own region first:
-what they do not know yet costs a load at most, while each byte to them goes over the link that
+"""Interval of messages to boxes of another region. Such a box loads an adapter in its own region
+first: an outdated view costs it a load at most, while each byte to it goes over the link that
 all traffic between the regions shares."""
 
 
@@ -18,11 +18,11 @@
     """The boxes linked to a zone's placer."""
 
     def send_to_zones(self, message: Message, *, far: bool) -> None:
-        """Send a message to the linked boxes of the region, or to those of other ones."""
+        """Send a message to the linked boxes of the region, or to those of other regions."""
 
 
 class ResidentsPublisher:
-    """Tells boxes what engines newly hold.
+    """Publishes changes of engines' adapters to the linked boxes.
 
     Args:
         links: The linked boxes.
@@ -34,10 +34,10 @@
         self._reported_far_at = monotonic()
 
     def notify(self, changed: Residents | None) -> None:
-        """Tell what has changed since the last time, if anything has.
+        """Publish changes, and the collected ones to other regions when they are due.
 
         Args:
-            changed: The engines that hold something else now.
+            changed: The engines whose adapters have changed since the last call; None if none have.
         """
         if changed is not None:
             self._links.send_to_zones(changed, far=False)
@@ -50,5 +50,5 @@
 
 
 def is_far(topology: Topology, zone: str, home_zone: str) -> bool:
-    """Whether a box stands in another region than a zone; one that has not said where does not."""
+    """Whether a box is in another region than a zone; False if the box named no home zone."""
     return bool(home_zone) and (topology.distance_between(zone, home_zone) is Distance.OTHER_REGION)
