--- a/springrock/eras.py
+++ b/springrock/eras.py
@@ -1,8 +1,9 @@
-"""Versions of the store's rows as numbers that never go back.
+"""Versions of the store's rows as integers that never decrease.
 
-The store counts its transactions. Where it comes back from a copy of some seconds ago it counts on
-from there, and gives numbers out again; the era that it names in its answers then rises. A version
-as this package compares it is the era and the number in one, the era first.
+The store numbers its transactions. When it is restored from a copy that is some seconds old, it
+continues from the copy's number, and so assigns some numbers again. It then increments its era,
+which its answers contain. A version in this package combines both in one integer, with the era in
+the high bits, so that versions compare correctly across restores.
 """
 
 from __future__ import annotations
@@ -10,20 +11,20 @@
 from springrock.errors import PeerRejected, SpringrockError
 
 _NUMBER_BITS = 44
-_MOST_NUMBERS = 1 << _NUMBER_BITS
-_MOST_ERAS = 1 << 19
-"""Both together fit into 63 bits, as messages carry them."""
+_NUMBERS_PER_ERA = 1 << _NUMBER_BITS
+_MAX_ERAS = 1 << 19
+"""Era and number together fit into 63 bits, so that messages can carry a version as an integer."""
 
 UNKNOWN_ERA = 0
-"""Of a store, or a box of an earlier build, that names no era."""
+"""The era of a store, or of a box with an earlier build, that names none."""
 
 
 class VersionOutOfRange(SpringrockError):
-    """An era or a number that no store can have.
+    """An era or a number outside the range of a version.
 
     Args:
         era: The era.
-        number: The number in it.
+        number: The number within the era.
     """
 
     def __init__(self, era: int, number: int) -> None:
@@ -31,21 +32,21 @@
 
 
 def version_in(era: int, number: int) -> int:
-    """Return the version of a number in an era.
+    """Return the version that combines an era and a number.
 
     Raises:
-        VersionOutOfRange: If no store can have it.
+        VersionOutOfRange: If the era or the number is out of range.
     """
-    if not (0 <= era < _MOST_ERAS and 0 <= number < _MOST_NUMBERS):
+    if not (0 <= era < _MAX_ERAS and 0 <= number < _NUMBERS_PER_ERA):
         raise VersionOutOfRange(era, number)
     return era << _NUMBER_BITS | number
 
 
 def peer_version(era: int, number: int) -> int:
-    """Return the version that another box tells.
+    """Return the version that combines an era and a number from another box.
 
     Raises:
-        PeerRejected: If no store can have it.
+        PeerRejected: If the era or the number is out of range.
     """
     try:
         return version_in(era, number)
@@ -54,13 +55,17 @@
 
 
 def shown(version: int) -> str:
-    """Return a version as logs show it: the era as the store names it, and the number."""
+    """Return a version for logs: the era as the store names it, if known, and the number."""
     era = era_of(version)
     return str(number_of(version)) if era == UNKNOWN_ERA else f"{era - 1}:{number_of(version)}"
 
 
 def era_from_reported(reported: int | None) -> int:
-    """Return the era that a store names; it may begin with 0, and another may name none."""
+    """Return the era for the one a store names.
+
+    A store's own eras start at 0, so they are shifted by one to tell them from `UNKNOWN_ERA`, the
+    result for a store that names none.
+    """
     return UNKNOWN_ERA if reported is None else reported + 1
 
 
@@ -70,5 +75,5 @@
 
 
 def number_of(version: int) -> int:
-    """Return the number that the store itself gave a version."""
-    return version & (_MOST_NUMBERS - 1)
+    """Return the number that the store itself assigned to a version."""
+    return version & (_NUMBERS_PER_ERA - 1)
--- a/springrock/kept_rows.py
+++ b/springrock/kept_rows.py
@@ -1,35 +1,37 @@
-"""How long what is known of rows outlasts a store that came back from a copy without it."""
+"""How long known rows are kept after the store was restored from a copy that differs on them."""
 
 from __future__ import annotations
 
 from springrock.quarantine.report import KEY_PREFIX as CRASHES_PREFIX
 from springrock.unconfirmed_rows import RetentionPeriods
 
-_REPLICA_S = 2.0
-"""A replica that lives writes its row again by then; one that does not is gone."""
+_REPLICA_RETENTION_S = 2.0
+"""A running replica writes its row again within this time; one that does not has stopped."""
 
-_OPERATOR_S = 10.0
-"""An operator writes again what stands; until then an evacuated zone must get nothing."""
+_OPERATOR_ROW_RETENTION_S = 10.0
+"""Time for an operator to write a lost evacuation again. Until then it stays in force, so that an
+evacuated zone gets no requests."""
 
-_CRASH_S = 10.0
-"""Boxes write the reports that were lost again within half of it."""
+_CRASH_REPORT_RETENTION_S = 10.0
+"""Boxes write lost crash reports again within half of this time."""
 
 
 def kept_replica(key: str) -> RetentionPeriods:
-    """Return how long a replica that is missing stays, and one that has left does not come back."""
-    return RetentionPeriods(missing=_REPLICA_S, removed=_REPLICA_S)
+    """Return how long a missing replica is kept, and a replica that has left is kept out."""
+    return RetentionPeriods(missing=_REPLICA_RETENTION_S, removed=_REPLICA_RETENTION_S)
 
 
 def kept_operator_row(key: str) -> RetentionPeriods:
-    """Return how long an evacuation stays; one that is there again counts at once."""
-    return RetentionPeriods(missing=_OPERATOR_S)
+    """Return how long a missing evacuation is kept; a restored one applies at once."""
+    return RetentionPeriods(missing=_OPERATOR_ROW_RETENTION_S)
 
 
 def kept_own_row(key: str) -> RetentionPeriods:
-    """Return how long a crash report stays; no report is written under a key of another.
+    """Return how long a crash report is kept, and that a removed one never returns.
 
-    Of the placers' rows only the store's word counts, as leases are taken by it.
+    The key of a removed report is never used again. Placers' rows are not kept, as leases are
+    acquired in the store and only its state counts.
     """
     if key.startswith(CRASHES_PREFIX):
-        return RetentionPeriods(missing=_CRASH_S, removed=float("inf"))
+        return RetentionPeriods(missing=_CRASH_REPORT_RETENTION_S, removed=float("inf"))
     return RetentionPeriods()
--- a/springrock/loop_watch.py
+++ b/springrock/loop_watch.py
@@ -1,6 +1,7 @@
-"""How late a process's loop runs: what tells a stall of this process from one of the other side.
+"""Measures how late a process's event loop runs, to tell own stalls from those of other processes.
 
-A loop that gets no processor, or whose process stands still, answers late and finds others silent.
+A process that gets no processor time, or is suspended, answers late and also finds that others do
+not answer in time.
 """
 
 from __future__ import annotations
@@ -14,52 +15,54 @@
 from springrock.log import Log
 from springrock.metrics import count_nothing
 
-_LOOK_S = 0.5
-"""Often enough that a stall of a second is always seen."""
+_CHECK_INTERVAL_S = 0.5
+"""Short enough that every stall of a second is detected."""
 
-_LATE_S = 0.25
-"""A third of the time for an answer of the store: later than that others take it for silence."""
+_MAX_DELAY_S = 0.25
+"""Longer delays are logged. This is a third of the time-out for answers of the store."""
 
-_SAID_EVERY_S = 5.0
+_LOG_INTERVAL_S = 5.0
 
 
 class LoopWatch:
-    """Looks at how late the loop runs, in a task of its own.
+    """Measures the delay of the event loop, in its own task.
 
     Args:
         log: The log to write to.
-        observe: Called with the seconds by which each look came late.
+        observe: Called with the delay of each check, in seconds.
     """
 
     def __init__(self, log: Log, *, observe: Callable[[float], None] = count_nothing) -> None:
         self._log = log
         self._observe = observe
-        self._said_at = float("-inf")
-        self._unsaid = 0
+        self._logged_at = float("-inf")
+        self._suppressed = 0
         self._task: gevent.Greenlet[..., Any] | None = None
 
     def start(self) -> None:
-        """Begin to look."""
+        """Start the checks."""
         self._task = gevent.spawn(self._check_loop)
 
     def stop(self) -> None:
-        """Look no more."""
+        """Stop the checks."""
         if self._task is not None:
             self._task.kill()
 
     def _check_loop(self) -> None:
         while True:
-            due_at = monotonic() + _LOOK_S
-            gevent.sleep(_LOOK_S)
+            due_at = monotonic() + _CHECK_INTERVAL_S
+            gevent.sleep(_CHECK_INTERVAL_S)
             self._record(monotonic() - due_at)
 
     def _record(self, late_s: float) -> None:
         self._observe(max(0.0, late_s))
-        if late_s < _LATE_S:
+        if late_s < _MAX_DELAY_S:
             return
         now = monotonic()
-        if now - self._said_at < _SAID_EVERY_S:
-            self._unsaid += 1
+        if now - self._logged_at < _LOG_INTERVAL_S:
+            self._suppressed += 1
             return
-        self._log.say("The loop was late.", late_ms=round(1000 * late_s), unsaid=self._unsaid)
-        self._said_at, self._unsaid = now, 0
+        self._log.say(
+            "The loop was late.", late_ms=round(1000 * late_s), suppressed=self._suppressed
+        )
+        self._logged_at, self._suppressed = now, 0
--- a/springrock/open_requests.py
+++ b/springrock/open_requests.py
@@ -1,4 +1,4 @@
-"""The count of the requests that are in a box."""
+"""The number of requests that a box is handling."""
 
 from __future__ import annotations
 
@@ -9,31 +9,31 @@
 
 
 class OpenRequests:
-    """Counts the requests that are in the box.
+    """Counts the requests that the box is handling.
 
     Args:
-        metrics: The metrics to show the count in.
+        metrics: The metrics that show the count.
     """
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
-        self._none = Event()
-        self._none.set()
+        self._idle = Event()
+        self._idle.set()
         self.count = 0
 
     def enter(self) -> None:
-        """Count a request in."""
+        """Record the start of a request."""
         self.count += 1
-        self._none.clear()
+        self._idle.clear()
         self._metrics.open_requests.set(self.count)
 
     def leave(self) -> None:
-        """Count a request out."""
+        """Record the end of a request."""
         self.count -= 1
         self._metrics.open_requests.set(self.count)
         if not self.count:
-            self._none.set()
+            self._idle.set()
 
     def wait_for_none(self, deadline: Deadline) -> bool:
-        """Wait until none is left; return whether that came in time."""
-        return bool(self._none.wait(timeout=deadline.left_s))
+        """Wait until no request is left; return whether that happened before the deadline."""
+        return bool(self._idle.wait(timeout=deadline.left_s))
--- a/springrock/remembered.py
+++ b/springrock/remembered.py
@@ -1,4 +1,4 @@
-"""What is remembered by name, of which the longest unheard is forgotten."""
+"""A dictionary of bounded size that drops the entry recorded longest ago."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class Remembered(OrderedDict[str, V]):
-    """Values by name.
+    """Values by name, with a bound on their number.
 
     Args:
-        at_most: How many names are kept.
+        at_most: The highest number of names.
     """
 
     def __init__(self, *, at_most: int) -> None:
@@ -20,7 +20,7 @@
         self._at_most = at_most
 
     def record(self, name: str, value: V) -> None:
-        """Remember a name as the one heard last."""
+        """Set the value of a name as the latest entry; drop the oldest one beyond the bound."""
         self[name] = value
         self.move_to_end(name)
         if len(self) > self._at_most:
--- a/springrock/rows.py
+++ b/springrock/rows.py
@@ -1,4 +1,4 @@
-"""A store of versioned rows, as this package needs one."""
+"""The interface to a store of versioned rows, with its data types and errors."""
 
 from __future__ import annotations
 
@@ -8,59 +8,60 @@
 from springrock.errors import SpringrockError
 
 ABSENT_VERSION = 0
-"""The expected version of a row that must not exist."""
+"""The expected version for a write that must create the row."""
 
 
 class RowStoreError(SpringrockError):
-    """A call to the store that did not do what was asked."""
+    """A call to the store that failed."""
 
 
 class RowStoreUnavailable(RowStoreError):
-    """No usable answer came; a write may or may not have taken effect."""
+    """The store gave no usable answer; a write may or may not have taken effect."""
 
 
 class WrittenInAnotherEra(RowStoreUnavailable):
-    """A write that took effect in a store which had come back from a copy since it was meant.
+    """A write that took effect after the store had been restored from a copy.
 
-    Its condition named a number that the store has given out again, or that the copy has.
+    The condition of the write held by accident: the restored store has assigned the number of the
+    expected version again, or the copy contains it.
 
     Args:
-        version: The newest of the store after it.
+        version: The newest version of the store after the write.
     """
 
     def __init__(self, version: int) -> None:
         self.version = version
-        super().__init__("the store came back from a copy before the write")
+        super().__init__("the store was restored from a copy before the write")
 
 
 class HelpersSilent(RowStoreUnavailable):
-    """No box that was to ask the store answered, so that nothing is known of the store."""
+    """No box that was asked to relay a call answered, so the state of the store is unknown."""
 
 
 class RowConflict(RowStoreError):
-    """A conditional write whose expectation did not hold; nothing was written.
+    """A conditional write whose expected version did not match; nothing was written.
 
     Args:
-        row: The row as it stands, or None if there is none.
-        version: The newest of the store; 0 if it is not told.
+        row: The current row, or None if there is none.
+        version: The newest version of the store; 0 if unknown.
     """
 
     def __init__(self, row: Row | None, *, version: int = 0) -> None:
         self.row = row
         self.version = version
-        super().__init__("the row was changed meanwhile")
+        super().__init__("the row does not have the expected version")
 
 
 class HistoryGone(RowStoreError):
-    """The changes asked for are no longer kept; the table must be read whole."""
+    """The requested changes are no longer kept; the full table must be read."""
 
 
 class Row(NamedTuple):
     """One row of a table.
 
     Attributes:
-        version: From one counter of the store, which rises with each transaction; see
-            `springrock.eras`.
+        version: The store's transaction counter at the row's last write, combined with the store's
+            era; see `springrock.eras`.
     """
 
     key: str
@@ -69,10 +70,10 @@
 
 
 class Removed(NamedTuple):
-    """Tells that a row was removed.
+    """The removal of a row.
 
     Attributes:
-        version: Of the transaction that removed it; 0 if the store does not say.
+        version: The version of the transaction that removed it; 0 if the store does not say.
     """
 
     key: str
@@ -83,11 +84,11 @@
 
 
 class Snapshot(NamedTuple):
-    """All rows of a table as of one moment.
+    """All rows of a table at one point in time.
 
     Attributes:
-        version: Where to go on from with the changes.
-        store_s: What the store's steady clock read in the answer; None if it does not say.
+        version: The version of the store at that time; pass it to `changes` to read what follows.
+        store_s: The time of the answer on the store's steady clock; None if it does not say.
     """
 
     rows: Sequence[Row]
@@ -96,11 +97,11 @@
 
 
 class Changes(NamedTuple):
-    """What changed in a table, in order; a row may change more than once.
+    """The changes of a table, in order; a row may change more than once.
 
     Attributes:
-        version: Where to go on from.
-        store_s: What the store's steady clock read in the answer; None if it does not say.
+        version: The version up to which the changes were read; the next read starts there.
+        store_s: The time of the answer on the store's steady clock; None if it does not say.
     """
 
     changes: Sequence[Change]
@@ -109,15 +110,15 @@
 
 
 class TableReading(NamedTuple):
-    """What one read of a table brought.
+    """The result of one read of a table.
 
     Attributes:
         after: The version after which the rows changed.
-        version: The version up to which all is known.
-        changes: What changed, in order.
-        whole: Whether it is the whole table, and what is not in it is gone.
-        as_of_s: A moment of the store's steady clock from before the question; nothing newer than
-            `version` had been written by then. None if it is not known.
+        version: The version that the table has with these changes.
+        changes: The changes, in order.
+        whole: Whether `changes` is the full table; rows that are not in it do not exist.
+        as_of_s: A time on the store's steady clock from before the read was sent; nothing newer
+            than `version` had been written by then. None if unknown.
     """
 
     table: str
@@ -129,26 +130,29 @@
 
 
 class RowWriter(Protocol):
-    """Writes rows under a condition."""
+    """Writes rows conditionally."""
 
     def write(self, table: str, key: str, value: bytes, *, expected: int) -> int:
-        """Write a row if it has the expected version; return its new one, or a later of the store.
+        """Write a row if it has the expected version.
+
+        Returns:
+            The new version of the row, or a later version of the store.
 
         Raises:
-            RowConflict: If it has another version.
-            RowStoreUnavailable: If no answer came; the write may take effect, even later.
+            RowConflict: If the row has another version.
+            RowStoreUnavailable: If no answer came; the write may still take effect, even later.
         """
 
 
 class RowKeeper(RowWriter, Protocol):
-    """Writes and removes rows under a condition."""
+    """Writes and removes rows conditionally."""
 
     def remove(self, table: str, key: str, *, expected: int) -> None:
         """Remove a row if it has the expected version.
 
         Raises:
-            RowConflict: If it has another version, or is gone.
-            RowStoreUnavailable: If no answer came; the removal may take effect, even later.
+            RowConflict: If the row has another version, or does not exist.
+            RowStoreUnavailable: If no answer came; the removal may still take effect, even later.
         """
 
 
@@ -156,14 +160,19 @@
     """A client of the store."""
 
     def read_all(self, table: str) -> Snapshot:
-        """Read all rows of a table as of one moment.
+        """Read all rows of a table at one point in time.
 
         Raises:
             RowStoreUnavailable: If no answer came.
         """
 
     def changes(self, table: str, *, after: int, wait_s: float) -> Changes:
-        """Wait for changes of a table after a version.
+        """Return the changes of a table after a version; wait for some if there are none yet.
+
+        Args:
+            table: The name of the table.
+            after: The version.
+            wait_s: How long to wait for a change.
 
         Raises:
             HistoryGone: If they are no longer kept.
@@ -172,40 +181,40 @@
 
 
 class TableListener(Protocol):
-    """Learns what stands in a table."""
+    """Receives the rows of a table."""
 
     def replace(self, rows: Sequence[Row]) -> None:
-        """Take the whole table."""
+        """Replace all known rows by the full table."""
 
     def change(self, row: Row) -> None:
-        """Take a new or changed row."""
+        """Add or update a row."""
 
     def remove(self, key: str) -> None:
-        """Learn that a row is gone."""
+        """Drop a row that was removed."""
 
 
 class ListenersByKey:
-    """Implements `TableListener`: hands each row to who listens to keys of its kind.
+    """Implements `TableListener`: passes each row to the listeners of its key prefix.
 
     Args:
-        listeners: By the beginning of their keys; rows of other keys are passed over.
+        listeners: The listeners by key prefix; rows with other prefixes are ignored.
     """
 
     def __init__(self, listeners: Mapping[str, TableListener]) -> None:
         self._listeners = listeners
 
     def replace(self, rows: Sequence[Row]) -> None:
-        """Take the whole table."""
+        """Replace all known rows by the full table."""
         for prefix, listener in self._listeners.items():
             listener.replace([row for row in rows if row.key.startswith(prefix)])
 
     def change(self, row: Row) -> None:
-        """Take a new or changed row."""
+        """Add or update a row."""
         for listener in self._of(row.key):
             listener.change(row)
 
     def remove(self, key: str) -> None:
-        """Learn that a row is gone."""
+        """Drop a row that was removed."""
         for listener in self._of(key):
             listener.remove(key)
 
--- a/springrock/startup.py
+++ b/springrock/startup.py
@@ -1,6 +1,7 @@
-"""What a process does around its imports so that a start costs little.
+"""Reduces the start-up time of a process: garbage collection and gevent's monkey patching.
 
-`begin` comes before anything else is imported; `end` when the process has built what lasts.
+Call `begin` before anything else is imported, and `end` once the process has created its long-lived
+objects.
 """
 
 from __future__ import annotations
@@ -12,16 +13,16 @@
 
 
 def begin() -> None:
-    """Let the standard library wait for gevent's loop, and seek no garbage meanwhile.
+    """Patch the standard library for gevent, and disable garbage collection until `end`.
 
-    Almost all that is made while modules are imported lasts, so that to seek garbage in it is in
-    vain. gevent tells subscribers and plug-ins of each module that it patches. Plug-ins are sought
-    in the metadata of every installed package, anew for each module, which takes longer than all
-    else that it does; this package has none, so only subscribers are told. What starts processes
-    is left as it is, as a process here starts no other.
+    Almost all objects that imports create are long-lived, so that collecting garbage among them
+    would be wasted time. gevent notifies subscribers and plug-ins of each module that it patches,
+    and searches the metadata of every installed package for plug-ins each time, which takes longer
+    than the rest of the patching. This package has no such plug-ins, so only subscribers are
+    notified. `subprocess` is not patched, as a process here starts no other.
     """
     gc.disable()
-    # It is looked up in its module at each call.
+    # gevent looks this name up in the module at each call.
     names = vars(events)
     names["notify_and_call_entry_points"] = names["notify"]
     monkey.patch_all(subprocess=False)
@@ -31,6 +32,6 @@
 
 
 def end() -> None:
-    """Let garbage be sought, but never among what stands now."""
+    """Enable garbage collection, without the objects that exist now."""
     gc.freeze()
     gc.enable()
--- a/springrock/store_clock.py
+++ b/springrock/store_clock.py
@@ -1,9 +1,10 @@
-"""The store's steady clock as this box knows it, so that moments can be told between boxes.
+"""Converts between the local clock and the store's, so that boxes can exchange times.
 
-Boxes share no clock of their own. Each answer of the store names the store's clock, which read so
-at some moment between the question and the answer. From that follow two bounds, and only the safe
-one of them is ever used: a moment that another box tells is taken for earlier than it was, never
-for later, however long the message was on its way.
+Boxes share no clock of their own. Each answer of the store contains the time on the store's steady
+clock, which was read between the sending of the request and the arrival of the answer. This gives a
+lower and an upper bound on the offset of the two clocks. Conversions use the safe bound: a time
+from another box may be converted to an earlier one, but never to a later one, however long its
+message was delayed.
 """
 
 from __future__ import annotations
@@ -12,15 +13,15 @@
 from springrock.eras import UNKNOWN_ERA
 
 _DRIFT = 0.0005
-"""How far two steady clocks may part, in seconds a second: ten times what crystals do."""
+"""Assumed drift between two steady clocks, in seconds per second: ten times that of crystals."""
 
-_JUMP_S = 0.005
-"""By more than this the bounds of one steady clock never cross, its grain of a millisecond and
-its drift included."""
+_TOLERANCE_S = 0.005
+"""Bounds that contradict each other by more than this come from different clocks. It covers the
+store clock's resolution of a millisecond and its drift."""
 
 
 class StoreClock:
-    """Bounds of the store's clock, learnt from this box's own calls."""
+    """Bounds on the offset of the local clock from the store's, from this box's own calls."""
 
     def __init__(self) -> None:
         self._era = UNKNOWN_ERA
@@ -31,42 +32,45 @@
     def record(
         self, store_s: float, *, sent_at: float, received_at: float, era: int = UNKNOWN_ERA
     ) -> None:
-        """Learn from one call.
+        """Update the bounds from one call.
 
         Args:
-            store_s: What the store's clock read in the answer.
-            sent_at: Before the question was sent, on the local monotonic clock.
-            received_at: After the answer had come.
-            era: The store's era; another one may have another clock.
+            store_s: The time on the store's clock that the answer contained.
+            sent_at: A time before the request was sent, on the local monotonic clock.
+            received_at: A time after the answer had arrived, on the same clock.
+            era: The store's era; the bounds of another era are dropped, as its clock may differ.
         """
         if era != self._era:
             self._era = era
             self._least_ahead = None
         least, most = sent_at - store_s, received_at - store_s
         if self._least_ahead is not None:
-            wider_s = _DRIFT * max(0.0, received_at - self._recorded_at)
-            known_least, known_most = self._least_ahead - wider_s, self._most_ahead + wider_s
-            if known_least <= most + _JUMP_S and least <= known_most + _JUMP_S:
+            drift_s = _DRIFT * max(0.0, received_at - self._recorded_at)
+            known_least, known_most = self._least_ahead - drift_s, self._most_ahead + drift_s
+            if known_least <= most + _TOLERANCE_S and least <= known_most + _TOLERANCE_S:
                 least, most = max(least, known_least), min(most, known_most)
         self._least_ahead, self._most_ahead = least, max(least, most)
         self._recorded_at = received_at
 
     def earliest_local(self, store_s: float, *, era: int = UNKNOWN_ERA) -> float | None:
-        """Return the local time before which the store's clock had not read so; None if unknown.
+        """Return the earliest local time at which the store's clock can have shown a time.
 
         Args:
-            store_s: What the clock read.
-            era: The store's era then.
+            store_s: The time on the store's clock.
+            era: The store's era at that time.
+
+        Returns:
+            The time on the local monotonic clock; None if unknown.
         """
         if self._least_ahead is None or era != self._era:
             return None
-        return store_s + self._least_ahead - self._drift_s()
+        return store_s + self._least_ahead - self._drift_since_record_s()
 
     def earliest_store(self, local: float) -> float | None:
-        """Return what the store's clock had read at least at a local time; None if unknown."""
+        """Return the earliest time on the store's clock at a local time; None if unknown."""
         if self._least_ahead is None:
             return None
-        return local - self._most_ahead - self._drift_s()
+        return local - self._most_ahead - self._drift_since_record_s()
 
-    def _drift_s(self) -> float:
+    def _drift_since_record_s(self) -> float:
         return _DRIFT * max(0.0, monotonic() - self._recorded_at)
--- a/springrock/table_follower.py
+++ b/springrock/table_follower.py
@@ -1,4 +1,4 @@
-"""Follows one table of the store, read by this box or told by another."""
+"""Follows one table of the store, by own reads or by readings that another box publishes."""
 
 from __future__ import annotations
 
@@ -27,60 +27,64 @@
 from springrock.unconfirmed_rows import RetentionPeriods, UnconfirmedRows
 
 POLL_WAIT_S = 1.8
-"""With the time for an answer it is under three seconds: so soon after a cut has healed silently a
-box must know of it."""
+"""A wait and the time for its answer are under three seconds together: within that time after the
+silent end of a network cut a box must know the current table."""
 
-_SHARED_POLL_WAIT_S = 0.5
-"""Who reads for others asks again this often although nothing changed, so that they soon know
-that it still reads."""
+_PUBLISHER_POLL_WAIT_S = 0.5
+"""A box whose readings others rely on reads at least this often even without changes, so that they
+learn soon that it still reads."""
 
-_SHARED_PAUSE_AT_MOST_S = 0.4
-_TOLD_FRESH_S = 1.3
-"""How long what another box read counts as fresh: a little more than its longest time between two
-reads. With a read of the own after it, a change is known in under two seconds all the same, if the
-store answers at once."""
+_PUBLISHER_MAX_PAUSE_S = 0.4
+"""Upper limit on the pause between the reads of such a box."""
 
-_EXTRA_WAIT_S = 0.4
-"""How much longer at most those wait who tell nobody, so that one who does reads first."""
+_PEER_READING_VALID_S = 1.3
+"""How long this box skips its own reads after a reading from another box: a little more than the
+longest time between two reads of that box. With an own read afterwards, a change is still known in
+under two seconds, if the store answers at once."""
 
-_COPY_KEPT_S = 5.0
-"""A store that tells less than a copy of another box for so long knows better: its reads may be a
-few seconds behind, but the copy may be of another store."""
+_MAX_EXTRA_WAIT_S = 0.4
+"""Extra wait, at most, of boxes that do not publish, so that one that publishes reads first."""
+
+_COPY_RETENTION_S = 5.0
+"""If the store returns an older version than a copy from another box for this long, the copy is
+dropped. Reads of the store may be a few seconds behind, but the copy may be of another store."""
 
 _FIRST_RETRY_S = 0.25
-_LONGEST_RETRY_S = 1.0
-_LONGEST_UNKNOWN_RETRY_S = 0.4
-"""A box that knows nothing of a table yet serves nobody, and so asks more often."""
+_MAX_RETRY_S = 1.0
+_MAX_UNKNOWN_TABLE_RETRY_S = 0.4
+"""A box that does not know a table yet cannot serve requests, and so retries more often."""
 
 
 class TableFollower:
-    """Keeps a listener up to date with one table, in a task of its own.
+    """Keeps a listener up to date with one table, in its own task.
 
-    Another box may tell what it reads of the same table; as long as it does, this one does not
-    ask the store. What it told last must join what is known here, else it is passed over, and so
-    is what tells less than is known, as the store may have come back from a copy.
+    Another box may send its readings of the same table. As long as it does, this one does not read
+    the store. A reading is ignored if it starts after the known version, or if it is older than
+    that, as the store may have been restored from a copy.
 
-    A store that did so is read whole. Its rows are taken, as those who wrote others write them
-    again; what it lacks or has got back stays as it is known for a while.
+    The full table is read from a restored store. Its rows are applied, as boxes write rows that the
+    copy lacks again. Rows that are missing, or that had been removed, keep their known state for
+    their retention period.
 
     Args:
         store: The store.
         table: The name of the table.
-        listener: Who learns of the rows.
-        pause_s: How long changes are let gather between two reads.
-        poll_wait_s: Returns how long the store is to wait for a change, where this box reads for
-            itself.
+        listener: Receives the rows.
+        pause_s: Pause between two reads, so that changes are batched.
+        poll_wait_s: Returns how long the store should wait for a change, while this box does not
+            publish its readings.
         clock: The store's steady clock, shared by the followers of a box.
-        eager: Whether changes are waited for at once after the whole table was read.
-        kept_s: Returns how long what is known of a row outlasts a copy that the store came back
-            from.
+        eager: Whether to read changes without a pause after the first read of the full table.
+        kept_s: Returns how long the known state of the row with a key is kept after the store was
+            restored from a copy.
         log: The log to write to.
 
     Attributes:
         table: The name of the table.
-        sharing: Says whether other boxes go by what this one learns.
-        shared_with: Told of each reading while `sharing`, and whether it was this box's own.
-        on_lost: Called with the rows that a store lacks that came back from a copy.
+        sharing: Returns whether this box publishes its readings to other boxes.
+        shared_with: Called with each reading while `sharing` returns true, and with whether this
+            box read it from the store itself.
+        on_lost: Called with the known rows that a store restored from a copy lacks.
     """
 
     def __init__(
@@ -97,13 +101,13 @@
         kept_s: Callable[[str], RetentionPeriods] = lambda key: RetentionPeriods(),
     ) -> None:
         self._unconfirmed = UnconfirmedRows(kept_s)
-        self._whole_stands = False
+        self._full_read_due = False
         self._poll_wait_s = poll_wait_s
         self._clock = StoreClock() if clock is None else clock
         self._newest_at = float("-inf")
         self._rows: dict[str, Row] = {}
-        self._copied = False
-        self._less_since: float | None = None
+        self._is_peer_copy = False
+        self._store_behind_since: float | None = None
         self._store = store
         self.table = table
         self._listener = listener
@@ -111,25 +115,25 @@
         self._eager = eager
         self._version: int | None = None
         self._log = log
-        self._unread = Condition(
+        self._read_failing = Condition(
             log, begins=f"Lost the table {table}.", ends=f"Regained the table {table}."
         )
         self._task: gevent.Greenlet[..., Any] | None = None
-        self._reported_until = 0.0
-        self._reported_by = ""
-        self._behind = Condition(
+        self._skip_reads_until = 0.0
+        self._source_zone = ""
+        self._peer_behind = Condition(
             log,
-            begins=f"Is told of the table {table} what is behind what is known.",
-            ends=f"Is told of the table {table} what follows what is known.",
+            begins=f"Another box sends older versions of the table {table} than the known one.",
+            ends=f"Another box sends current versions of the table {table} again.",
         )
-        self._alone = Event()
+        self._resume_reads = Event()
         self.read_at: float | None = None
         self.sharing: Callable[[], bool] = lambda: False
         self.shared_with: Callable[[TableReading, bool], None] = lambda reading, is_own: None
         self.on_lost: Callable[[Sequence[Row]], None] = lambda rows: None
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start following the table."""
         self._task = gevent.spawn(self._follow)
 
     def stop(self) -> None:
@@ -139,43 +143,43 @@
 
     @property
     def age_s(self) -> float:
-        """Seconds since the store last answered; infinite before the first time."""
+        """Seconds since the last reading, own or another box's; infinite before the first."""
         return float("inf") if self.read_at is None else monotonic() - self.read_at
 
     @property
     def staleness_s(self) -> float:
-        """Seconds since what is known was surely the newest; infinite if it never was.
+        """Upper bound on the age of the known table in seconds; infinite before the first read.
 
-        Unlike `age_s` it counts from before the store was asked, by whichever box asked it, so that
-        no delay of an answer or of a message between boxes makes anything look newer than it is.
+        Unlike `age_s` it counts from before the read was sent to the store, by this box or another,
+        so that a delayed answer or message never makes the table look newer than it is.
         """
         return monotonic() - self._newest_at
 
     @property
     def version(self) -> int:
-        """The version up to which the table is known; 0 if it is not."""
+        """The version of the known table; 0 if none is known."""
         return self._version or 0
 
     @property
     def origin(self) -> dict[str, object]:
-        """Where the newest of what is known comes from, as fields of a log line."""
+        """The version, source and age of the known table, as fields of a log line."""
         stale_s = self.staleness_s
         return {
             "table_version": shown(self.version),
-            "told_by": self._reported_by,
+            "told_by": self._source_zone,
             "table_stale_ms": round(1000 * stale_s) if math.isfinite(stale_s) else None,
         }
 
     def apply_reading(
         self, reading: TableReading, *, relied_on: bool = True, source_zone: str = ""
     ) -> None:
-        """Learn what another box has read just now.
+        """Apply a reading that another box has just made.
 
         Args:
-            reading: What it read.
-            source_zone: The zone whose placer's box told it, for logs.
-            relied_on: Whether it will tell what follows, so that this box need not read. A box
-                that the store does not answer relies on whoever tells.
+            reading: The reading.
+            relied_on: Whether that box will also send the following readings, so that this one need
+                not read. A box that the store does not answer relies on any sender.
+            source_zone: The zone whose placer's box sent the reading, for logs.
         """
         if self._version is None:
             return
@@ -183,162 +187,164 @@
             if era_of(reading.after) > era_of(self._version):
                 self.read_alone()
             return
-        self._record_behind(reading, source_zone)
+        self._log_behind(reading, source_zone)
         if reading.version < self._version:
             return
-        self._reported_by = source_zone
+        self._source_zone = source_zone
         self._apply(reading)
         self._record_newest(reading)
         self.read_at = monotonic()
-        if relied_on or self._unread.holds:
-            extra_wait_s = 0.0 if self.sharing() else random.uniform(0.5, 1.0) * _EXTRA_WAIT_S
-            self._reported_until = self.read_at + _TOLD_FRESH_S + extra_wait_s
+        if relied_on or self._read_failing.holds:
+            extra_wait_s = 0.0 if self.sharing() else random.uniform(0.5, 1.0) * _MAX_EXTRA_WAIT_S
+            self._skip_reads_until = self.read_at + _PEER_READING_VALID_S + extra_wait_s
         if self.sharing():
             self.shared_with(reading, False)
 
     @property
     def unread(self) -> bool:
         """Whether the store did not answer the last read."""
-        return self._unread.holds
+        return self._read_failing.holds
 
     @property
     def is_known(self) -> bool:
-        """Whether the whole table is known, from the store or another box."""
+        """Whether the full table is known, from the store or another box."""
         return self._version is not None
 
     def known(self) -> TableReading | None:
-        """Return the whole table as it is known; None if it is not."""
+        """Return the known table in full; None if it is not known."""
         if self._version is None:
             return None
         rows = [self._in_era(row) for row in self._rows.values()]
         return TableReading(self.table, 0, self._version, rows, whole=True)
 
     def _in_era(self, row: Row) -> Row:
-        """Return a row as others are told of it; one of an earlier era is older than all."""
+        """Return a row with a version of the current era: number 0 for a row of an earlier era."""
         era = era_of(self.version)
         return row if era_of(row.version) == era else row._replace(version=version_in(era, 0))
 
     def apply_copy(self, reading: TableReading, *, newest_at: float) -> None:
-        """Learn the whole table from another box, as old as it may be; never what is older.
+        """Apply a copy of the full table from another box, unless it is older than the known one.
 
         Args:
-            reading: The whole table.
-            newest_at: When it was surely the newest, on the local monotonic clock.
+            reading: The full table.
+            newest_at: A time on the local monotonic clock at which the copy was up to date.
         """
         if reading.version < (self._version or 0):
             return
-        self._copied = self._copied or self._version != reading.version
+        self._is_peer_copy = self._is_peer_copy or self._version != reading.version
         self._apply(reading)
         self._newest_at = max(self._newest_at, newest_at)
         self.read_at = newest_at if self.read_at is None else max(self.read_at, newest_at)
 
     def read_alone(self) -> None:
-        """Read the store at once, as nobody tells any more."""
-        self._reported_until = 0.0
-        self._alone.set()
+        """Read the store again at once, as no other box sends readings any more."""
+        self._skip_reads_until = 0.0
+        self._resume_reads.set()
 
     def _follow(self) -> None:
         retry_s = _FIRST_RETRY_S
         while True:
-            reported_s = self._reported_until - monotonic()
-            if reported_s > 0:
-                self._alone.clear()
-                self._alone.wait(timeout=reported_s)
+            skip_s = self._skip_reads_until - monotonic()
+            if skip_s > 0:
+                self._resume_reads.clear()
+                self._resume_reads.wait(timeout=skip_s)
                 continue
             try:
                 was_known = self._version is not None
-                self._step()
+                self._read_and_apply()
                 self.read_at = monotonic()
-                self._unread.end()
+                self._read_failing.end()
                 retry_s = _FIRST_RETRY_S
                 if was_known or not self._eager:
-                    gevent.sleep(self._pause_now_s())
+                    gevent.sleep(self._current_pause_s())
             except HistoryGone:
-                self._whole_stands = True
+                self._full_read_due = True
             except RowStoreUnavailable as error:
-                self._unread.begin(error=str(error), age_s=round(self.age_s, 1))
+                self._read_failing.begin(error=str(error), age_s=round(self.age_s, 1))
                 gevent.sleep(retry_s * random.uniform(0.8, 1.0))
                 is_known = self._version is not None
-                longest_s = _LONGEST_RETRY_S if is_known else _LONGEST_UNKNOWN_RETRY_S
-                retry_s = min(longest_s, retry_s * 1.5)
+                max_retry_s = _MAX_RETRY_S if is_known else _MAX_UNKNOWN_TABLE_RETRY_S
+                retry_s = min(max_retry_s, retry_s * 1.5)
 
-    def _step(self) -> None:
+    def _read_and_apply(self) -> None:
         asked_at = monotonic()
         reading, store_s = self._read()
-        if self._copied and not self._replaces_copy(reading):
+        if self._is_peer_copy and not self._may_replace_copy(reading):
             return
-        self._check_era(reading)
+        self._reject_earlier_era(reading)
         if store_s is not None:
             era = era_of(reading.version)
             self._clock.record(store_s, sent_at=asked_at, received_at=monotonic(), era=era)
-        self._reported_by = ""
+        self._source_zone = ""
         self._apply(reading)
-        self._whole_stands = False
+        self._full_read_due = False
         self._newest_at = max(self._newest_at, asked_at)
         if self.sharing():
             as_of_s = self._clock.earliest_store(asked_at)
             self.shared_with(reading._replace(as_of_s=as_of_s), True)
 
     def _read(self) -> tuple[TableReading, float | None]:
-        """Ask the store; return what it told, and its clock."""
+        """Read the store; return the reading, and the time on the store's clock if it gave one."""
         after = self._version
-        if after is None or self._copied or self._whole_stands:
-            # The store itself has never told this box a whole table.
+        if after is None or self._is_peer_copy or self._full_read_due:
+            # No usable full table has been read from the store itself.
             snapshot = self._store.read_all(self.table)
             whole = TableReading(self.table, 0, snapshot.version, snapshot.rows, whole=True)
             return whole, snapshot.store_s
-        wait_s = _SHARED_POLL_WAIT_S if self.sharing() else self._poll_wait_s()
+        wait_s = _PUBLISHER_POLL_WAIT_S if self.sharing() else self._poll_wait_s()
         read = self._store.changes(self.table, after=after, wait_s=wait_s)
         changes = _without_overtaken_removals(read.changes)
         return TableReading(self.table, after, read.version, changes), read.store_s
 
-    def _replaces_copy(self, reading: TableReading) -> bool:
-        """Whether the store's first word is taken in place of what another box told."""
+    def _may_replace_copy(self, reading: TableReading) -> bool:
+        """Whether the store's first reading is applied in place of a copy from another box."""
         known = self._version or 0
         now = monotonic()
         if reading.version < known:
-            self._less_since = now if self._less_since is None else self._less_since
-            if now - self._less_since < _COPY_KEPT_S:
+            self._store_behind_since = (
+                now if self._store_behind_since is None else self._store_behind_since
+            )
+            if now - self._store_behind_since < _COPY_RETENTION_S:
                 return False
             self._log.say(
-                "The store tells less than another box did.",
+                "The store has an older version than the copy from another box.",
                 table=self.table,
                 version=shown(reading.version),
-                told=shown(known),
+                copied=shown(known),
             )
             self._version = None
-        self._copied = False
-        self._whole_stands = True
+        self._is_peer_copy = False
+        self._full_read_due = True
         return True
 
-    def _record_behind(self, reading: TableReading, source_zone: str) -> None:
-        """Say when a box tells less than is known, and when it no longer does."""
+    def _log_behind(self, reading: TableReading, source_zone: str) -> None:
+        """Log when readings of another box begin and cease to be older than the known table."""
         if reading.version < self.version:
-            self._behind.begin(
-                teller=source_zone, told=shown(reading.version), known=shown(self.version)
+            self._peer_behind.begin(
+                source_zone=source_zone, reported=shown(reading.version), known=shown(self.version)
             )
         else:
-            self._behind.end(
-                teller=source_zone, told=shown(reading.version), known=shown(self.version)
+            self._peer_behind.end(
+                source_zone=source_zone, reported=shown(reading.version), known=shown(self.version)
             )
 
     def _record_newest(self, reading: TableReading) -> None:
-        """Learn up to when what another box has read was the newest."""
+        """Update the time at which the known table was up to date, from another box's reading."""
         if reading.as_of_s is None:
             return
         newest_at = self._clock.earliest_local(reading.as_of_s, era=era_of(reading.version))
         if newest_at is not None and newest_at <= monotonic():
             self._newest_at = max(self._newest_at, newest_at)
 
-    def _check_era(self, reading: TableReading) -> None:
-        """Raise `RowStoreUnavailable` if a reading is of an earlier era than what is known."""
+    def _reject_earlier_era(self, reading: TableReading) -> None:
+        """Raise `RowStoreUnavailable` if a reading is of an earlier era than the known table."""
         if era_of(reading.version) < era_of(self.version):
             raise RowStoreUnavailable(
-                f"the store tells version {shown(reading.version)}, known is {shown(self.version)}"
+                f"the store has version {shown(reading.version)}, known is {shown(self.version)}"
             )
 
     def _apply(self, reading: TableReading) -> None:
-        """Hand on what is newer than what is known."""
+        """Apply the changes that are newer than the known table, and expired unconfirmed rows."""
         if reading.whole:
             self._apply_full_table(reading)
         else:
@@ -351,7 +357,7 @@
         rows = [row for row in reading.changes if isinstance(row, Row)]
         if known is not None and era_of(reading.version) > era_of(known):
             self._apply_restored_table(rows, version=reading.version)
-        elif known is None or reading.version > known or self._whole_stands:
+        elif known is None or reading.version > known or self._full_read_due:
             self._replace(rows)
         else:
             return
@@ -379,9 +385,9 @@
                 self._listener.remove(key)
 
     def _apply_restored_table(self, rows: Sequence[Row], *, version: int) -> None:
-        """Take the whole table of a store that came back from a copy."""
-        reported = {row.key for row in rows}
-        lost = [row for key, row in self._rows.items() if key not in reported]
+        """Apply the full table of a store that was restored from a copy."""
+        present = {row.key for row in rows}
+        lost = [row for key, row in self._rows.items() if key not in present]
         for row in self._unconfirmed.apply_restored_table(rows, lost=lost):
             self._apply_change(row)
         self._log.say(
@@ -390,20 +396,20 @@
             version=shown(version),
             known=shown(self.version),
             lost=len(lost),
-            doubted=len(self._unconfirmed),
-            told_by=self._reported_by,
+            unconfirmed=len(self._unconfirmed),
+            told_by=self._source_zone,
         )
         self.on_lost(lost)
 
-    def _pause_now_s(self) -> float:
-        return min(self._pause_s, _SHARED_PAUSE_AT_MOST_S) if self.sharing() else self._pause_s
+    def _current_pause_s(self) -> float:
+        return min(self._pause_s, _PUBLISHER_MAX_PAUSE_S) if self.sharing() else self._pause_s
 
 
 def _without_overtaken_removals(changes: Sequence[Change]) -> list[Change]:
-    """Leave out each removal of a row that was put again afterwards, as if it had stayed."""
-    put_last_at = {change.key: at for at, change in enumerate(changes) if isinstance(change, Row)}
+    """Drop each removal of a row that is written again by a later change."""
+    last_write = {change.key: at for at, change in enumerate(changes) if isinstance(change, Row)}
     return [
         change
         for at, change in enumerate(changes)
-        if isinstance(change, Row) or put_last_at.get(change.key, -1) < at
+        if isinstance(change, Row) or last_write.get(change.key, -1) < at
     ]
--- a/springrock/topology.py
+++ b/springrock/topology.py
@@ -1,4 +1,4 @@
-"""Where availability zones stand: their regions, and how far each is from this box."""
+"""The availability zones of a deployment, their regions, and their distances from this box."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Distance(IntEnum):
-    """How far a zone is from this box's own, the nearest first."""
+    """How far a zone is from this box's own, in ascending order."""
 
     OWN_ZONE = 0
     OWN_REGION = 1
@@ -17,13 +17,13 @@
 
 
 class Topology(Struct, frozen=True, kw_only=True):
-    """The zones of a deployment, as the settings tell them.
+    """The zones of a deployment, from the settings.
 
     Attributes:
         home: The availability zone of this box.
-        zones: All zones; empty if the settings do not tell them.
-        regions: The region of each zone; empty if the settings do not tell them, which is taken
-            for one region.
+        zones: All zones; empty if the settings do not list them.
+        regions: The region of each zone; empty if the settings name none: all zones then count as
+            one region.
     """
 
     home: str
@@ -31,11 +31,11 @@
     regions: Mapping[str, str] = {}
 
     def knows(self, zone: str) -> bool:
-        """Whether a zone is one of the deployment's; every zone is, where none are told."""
+        """Whether a zone belongs to the deployment; true for every zone if none are listed."""
         return not self.zones or zone in self.zones
 
     def region_of(self, zone: str) -> str | None:
-        """Return the region of a zone; None if it is not told."""
+        """Return the region of a zone; None if unknown."""
         return self.regions.get(zone)
 
     def distance(self, zone: str) -> Distance:
--- a/springrock/unconfirmed_rows.py
+++ b/springrock/unconfirmed_rows.py
@@ -1,4 +1,4 @@
-"""Rows that a store tells otherwise than they are known, as it came back from a copy."""
+"""Rows on which a store that was restored from a copy differs from what was known before."""
 
 from __future__ import annotations
 
@@ -9,16 +9,18 @@
 from springrock.remembered import Remembered
 from springrock.rows import Change, Removed, Row
 
-_REMOVED_KEPT = 2_000
-"""So many removed rows of a table are remembered."""
+_MAX_REMOVED_KEYS = 2_000
+"""How many keys of removed rows are remembered for each table."""
 
 
 class RetentionPeriods(NamedTuple):
-    """How long what is known of a row outlasts a store that came back from a copy without it.
+    """How long the known state of a row is kept against a store that was restored from a copy.
 
     Attributes:
-        missing: A row that the copy lacks: removed before, or not written again yet.
-        removed: The removal of a row that the copy has: undone by it, or put again since.
+        missing: Seconds to keep a row that the copy lacks. It was removed before the copy was made,
+            or was written after that and is not written again yet.
+        removed: Seconds to keep the removal of a row that the copy has. The restoring undid the
+            removal, or the row was written again since.
     """
 
     missing: float = 0.0
@@ -26,34 +28,34 @@
 
 
 class _UnconfirmedRow(NamedTuple):
-    """What the store tells of a row.
+    """The state of a row in the restored store, which is not applied yet.
 
     Attributes:
-        reported: The row; None if there is none.
-        until: When the store's word is taken, on the local monotonic clock.
+        store_row: The store's row; None if it has none.
+        until: When the store's state is applied, on the local monotonic clock.
     """
 
-    reported: Row | None
+    store_row: Row | None
     until: float
 
 
 class UnconfirmedRows:
-    """Knows for how long which rows of a table stay as they were known.
+    """Keeps rows of a table as known for a time after the store was restored from a copy.
 
     Args:
-        kept_s: Returns how long what is known of a row outlasts a copy.
+        kept_s: Returns the retention periods of the row with a key.
     """
 
     def __init__(self, kept_s: Callable[[str], RetentionPeriods]) -> None:
         self._kept_s = kept_s
         self._unconfirmed: dict[str, _UnconfirmedRow] = {}
-        self._removed: Remembered[None] = Remembered(at_most=_REMOVED_KEPT)
+        self._removed: Remembered[None] = Remembered(at_most=_MAX_REMOVED_KEYS)
 
     def __len__(self) -> int:
         return len(self._unconfirmed)
 
     def record_applied(self, change: Change) -> None:
-        """Learn what counts for a row from now on."""
+        """Record a change that was applied; its row is no longer unconfirmed."""
         self._unconfirmed.pop(change.key, None)
         if isinstance(change, Removed):
             self._removed.record(change.key, None)
@@ -61,14 +63,14 @@
             self._removed.pop(change.key, None)
 
     def apply_restored_table(self, rows: Sequence[Row], *, lost: Sequence[Row]) -> list[Row]:
-        """Learn the whole table of a store that came back from a copy.
+        """Compare the full table of a store that was restored from a copy with the known rows.
 
         Args:
-            rows: What it has.
-            lost: What is known that it lacks.
+            rows: The rows of the restored store.
+            lost: The known rows that the restored store lacks.
 
         Returns:
-            The rows that count at once.
+            The rows to apply at once: those that were not known to be removed.
         """
         now = monotonic()
         self._unconfirmed = {
@@ -82,15 +84,19 @@
         return [row for row in rows if row.key not in self._removed]
 
     def record_full_table(self, rows: Sequence[Row], *, known: Mapping[str, Row]) -> dict[str, Row]:
-        """Learn the whole table once more; return it but for what stays as it is known."""
+        """Record a later read of the full table.
+
+        Returns:
+            The rows by key, where unconfirmed rows keep their known state.
+        """
         present = {row.key: row for row in rows}
         self._unconfirmed = {
             key: unconfirmed
             for key, unconfirmed in self._unconfirmed.items()
-            if present.get(key) == unconfirmed.reported
+            if present.get(key) == unconfirmed.store_row
         }
         for key, unconfirmed in self._unconfirmed.items():
-            if unconfirmed.reported is None:
+            if unconfirmed.store_row is None:
                 present[key] = known[key]
             else:
                 del present[key]
@@ -101,10 +107,10 @@
         return present
 
     def expired(self) -> list[Change]:
-        """Return what the store tells of rows that nobody has written again in time."""
+        """Return the store's state of the rows whose retention period has passed."""
         now = monotonic()
         return [
-            Removed(key) if unconfirmed.reported is None else unconfirmed.reported
+            Removed(key) if unconfirmed.store_row is None else unconfirmed.store_row
             for key, unconfirmed in self._unconfirmed.items()
             if unconfirmed.until <= now
         ]
--- a/springrock/unknown_messages.py
+++ b/springrock/unknown_messages.py
@@ -1,8 +1,8 @@
-"""Messages between boxes of a kind that this build does not know: left, counted and said once.
+"""Messages between boxes of a kind that this build does not know: ignored, counted and logged once.
 
-While boxes are replaced one after the other, two builds speak to each other. What a later build
-tells that an earlier one cannot know must cost what it tells and no more: cutting the link would
-take the grants and leases down that both know.
+During a rolling upgrade boxes with two builds are linked. A message that only the later build knows
+must not cost more than its own content: closing the link would also lose the grants and leases that
+both builds know.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 T = TypeVar("T")
 
 _HIGHEST_KIND = 255
-"""Kinds are numbered from 1 in the order in which they came; a frame that claims more is no frame
-of a later build."""
+"""Kinds are numbered from 1 in the order in which they were added. A frame with a higher number is
+malformed rather than from a later build."""
 
 
 class UnknownKind(SpringrockError):
@@ -33,15 +33,15 @@
 
 
 def kinds_of(messages: Any) -> frozenset[int]:
-    """Return the kinds of a union of messages."""
+    """Return the kinds (tags) of a union of message classes."""
     return frozenset(message.__struct_config__.tag for message in get_args(messages))
 
 
 def check_kind(frame: object, known: frozenset[int]) -> None:
-    """Look at the kind of an unpacked frame.
+    """Check the kind of a decoded frame.
 
     Raises:
-        UnknownKind: If a later build may have sent it.
+        UnknownKind: If the kind is unknown, so that a later build may have sent the frame.
     """
     kind = frame[0] if isinstance(frame, list) and frame else None
     if type(kind) is int and 0 < kind <= _HIGHEST_KIND and kind not in known:
@@ -49,25 +49,25 @@
 
 
 class UnknownMessages:
-    """Notes what one link brought that this build does not know.
+    """Skips the messages of one link that this build does not know.
 
     Args:
-        peer: Who sent it.
+        peer: The box at the other end of the link.
         log: The log to write to.
-        count: Called with the kind of each.
+        count: Called with the kind of each such message.
     """
 
     def __init__(self, peer: str, *, log: Log, count: Callable[[int], None]) -> None:
         self._peer = peer
         self._log = log
         self._count = count
-        self._said: set[int] = set()
+        self._logged_kinds: set[int] = set()
 
     def next_known(self, receive: Callable[[], T]) -> T:
-        """Return the next message that this build knows.
+        """Return the next message of a known kind.
 
         Args:
-            receive: Waits for a message; raises `UnknownKind` for one that is not known.
+            receive: Waits for a message; raises `UnknownKind` for one of an unknown kind.
         """
         while True:
             try:
@@ -76,8 +76,10 @@
                 self._record(unknown)
 
     def _record(self, unknown: UnknownKind) -> None:
-        """Note one message; the first of its kind on the link is said."""
+        """Count an unknown message, and log the first of its kind on the link."""
         self._count(unknown.kind)
-        if unknown.kind not in self._said:
-            self._said.add(unknown.kind)
-            self._log.say("Left a message of an unknown kind.", peer=self._peer, kind=unknown.kind)
+        if unknown.kind not in self._logged_kinds:
+            self._logged_kinds.add(unknown.kind)
+            self._log.say(
+                "Ignored a message of an unknown kind.", peer=self._peer, kind=unknown.kind
+            )
--- a/tests/placement/test_messages.py
+++ b/tests/placement/test_messages.py
@@ -1,4 +1,4 @@
-"""Frames between placers and boxes: long ones are compressed, malformed ones rejected."""
+"""Frames between placers and boxes: long ones are compressed, malformed ones are rejected."""
 
 from __future__ import annotations
 
@@ -53,14 +53,14 @@
     return TableNews("op", 7, 9, [TableRow("config", value, 9), TableRow("old", b"", 8, gone=True)])
 
 
-def test_a_whole_configuration_takes_a_tenth_of_its_bytes_and_comes_back_whole() -> None:
+def test_a_full_configuration_is_compressed_to_a_tenth_and_decoded_unchanged() -> None:
     updates = table_news(json.dumps({"routes": ROUTES}).encode())
     frame = encode(updates)
     assert len(frame) < len(updates.rows[0].value) / 10
     assert decode(frame) == updates
 
 
-def test_what_engines_hold_takes_a_third_of_its_bytes_and_comes_back_whole() -> None:
+def test_residents_of_eight_engines_are_compressed_to_a_third_and_decoded_unchanged() -> None:
     engines = [
         EngineHolds(
             f"i-{number * 7919 % 100_003:010x}@{1764720000000 + number}",
@@ -74,7 +74,7 @@
     assert decode(encode(residents)) == residents
 
 
-def test_a_short_message_stays_as_it_is() -> None:
+def test_a_short_message_is_not_compressed() -> None:
     grant = Grant(3, "i-1", saves=120)
     assert cbor2.loads(encode(grant)) == [3, 3, "i-1", False, 120]
     assert decode(encode(grant)) == grant
@@ -95,19 +95,19 @@
         decode(frame)
 
 
-def test_a_message_that_is_cut_or_too_long_is_not_unpacked(
+def test_a_truncated_or_too_long_message_is_rejected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     frame = encode(table_news(bytes(100_000)))
-    packed = cbor2.loads(frame)
-    with pytest.raises(PeerRejected, match="cut or longer"):
-        decode(cbor2.dumps(packed[:-8]))
+    compressed_message = cbor2.loads(frame)
+    with pytest.raises(PeerRejected, match="truncated message, or one longer"):
+        decode(cbor2.dumps(compressed_message[:-8]))
     monkeypatch.setattr(messages_module, "_LARGEST_BYTES", 50_000)
-    with pytest.raises(PeerRejected, match="cut or longer"):
+    with pytest.raises(PeerRejected, match="truncated message, or one longer"):
         decode(frame)
 
 
-def test_what_is_told_of_cold_replicas_comes_as_it_was() -> None:
+def test_messages_about_cold_replicas_are_decoded_unchanged() -> None:
     demand = Demand(
         permits=[PermitAsk(4, "r", "s", "i-1", True, 3)],
         observations=[ReplicaObservation("i-2", True)],
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize("compressed", [False, True])
-def test_a_kind_that_a_later_build_sends_is_told_from_a_malformed_frame(compressed: bool) -> None:
+def test_a_kind_of_a_later_build_is_unknown_rather_than_malformed(compressed: bool) -> None:
     frame = cbor2.dumps([200, "something", {"new": 1}])
     if compressed:
         frame = cbor2.dumps(zlib.compress(frame))
@@ -138,13 +138,13 @@
 
 
 @pytest.mark.parametrize("kind", [0, -1, 256, 2**40, True, "5", None, 2.0, [], {}])
-def test_what_is_no_kind_is_malformed(kind: object) -> None:
+def test_an_invalid_kind_is_malformed(kind: object) -> None:
     with pytest.raises(PeerRejected):
         decode(cbor2.dumps([kind, 1, 2]))
 
 
 @given(st.binary(max_size=60))
-def test_any_bytes_are_a_message_or_rejected_or_unknown(frame: bytes) -> None:
+def test_any_bytes_decode_to_a_message_or_raise_a_typed_error(frame: bytes) -> None:
     try:
         decode(frame)
     except (PeerRejected, UnknownKind):
--- a/tests/test_loop_watch.py
+++ b/tests/test_loop_watch.py
@@ -1,4 +1,4 @@
-"""A process tells how late its loop runs, so that its own stalls are told from those of others."""
+"""A process measures the delays of its event loop, to tell its own stalls from those of others."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 
 class Lines(Log):
-    """Keeps what is said."""
+    """Keeps the fields of log lines."""
 
     def __init__(self) -> None:
         super().__init__("loop", "test")
-        self.said: list[dict[str, object]] = []
+        self.lines: list[dict[str, object]] = []
 
     def say(self, sentence: str, **fields: object) -> None:
-        self.said.append(fields)
+        self.lines.append(fields)
 
 
-def test_a_loop_that_is_late_is_seen_and_said_once_in_a_while(
+def test_delays_of_the_loop_are_observed_and_logged_at_most_once_per_interval(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(loop_watch, "_LOOK_S", 0.05)
+    monkeypatch.setattr(loop_watch, "_CHECK_INTERVAL_S", 0.05)
     log, seen = Lines(), list[float]()
     watch = LoopWatch(log, observe=seen.append)
     watch.start()
@@ -36,14 +36,14 @@
         gevent.sleep(0.06)
     watch.stop()
     assert sum(late_s >= 0.25 for late_s in seen) == 3
-    assert len(log.said) == 1
-    late_ms = log.said[0]["late_ms"]
+    assert len(log.lines) == 1
+    late_ms = log.lines[0]["late_ms"]
     assert isinstance(late_ms, int)
     assert late_ms >= 250
 
 
-def test_a_loop_that_runs_says_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(loop_watch, "_LOOK_S", 0.01)
+def test_a_loop_without_delays_logs_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(loop_watch, "_CHECK_INTERVAL_S", 0.01)
     log, seen = Lines(), list[float]()
     watch = LoopWatch(log, observe=seen.append)
     watch.start()
--- a/tests/test_table_follower.py
+++ b/tests/test_table_follower.py
@@ -1,4 +1,4 @@
-"""Following a table of the store: what changed is taken in the order in which it changed."""
+"""Following a table of the store, by own reads and by readings of other boxes."""
 
 from __future__ import annotations
 
@@ -29,27 +29,27 @@
 
 
 class Listener:
-    """Keeps what it is told, and how."""
+    """Keeps the rows, and the calls by which it got them."""
 
     def __init__(self) -> None:
         self.rows: dict[str, bytes] = {}
-        self.reported: list[str] = []
+        self.calls: list[str] = []
 
     def replace(self, rows: Sequence[Row]) -> None:
         self.rows = {row.key: row.value for row in rows}
-        self.reported.append("all")
+        self.calls.append("all")
 
     def change(self, row: Row) -> None:
         self.rows[row.key] = row.value
-        self.reported.append(f"+{row.key}")
+        self.calls.append(f"+{row.key}")
 
     def remove(self, key: str) -> None:
         self.rows.pop(key, None)
-        self.reported.append(f"-{key}")
+        self.calls.append(f"-{key}")
 
 
 class ScriptedStore:
-    """Answers with batches of changes, one each time, and then nothing more."""
+    """Answers with one batch of changes at a time, and then never again."""
 
     def __init__(self, *batches: list[Change]) -> None:
         self._batches = list(batches)
@@ -66,95 +66,96 @@
         raise NotImplementedError
 
 
-def follow(store: RowStore) -> tuple[TableFollower, Listener]:
+def start_follower(store: RowStore) -> tuple[TableFollower, Listener]:
     listener = Listener()
     follower = TableFollower(store, TABLE, listener, pause_s=0.0, log=Log("test", "box"))
     follower.start()
     return follower, listener
 
 
-def reported(listener: Listener, *, count: int) -> list[str]:
+def wait_for_calls(listener: Listener, *, count: int) -> list[str]:
     with gevent.Timeout(10):
-        while len(listener.reported) < count:
+        while len(listener.calls) < count:
             gevent.sleep(0.01)
-    return listener.reported
+    return listener.calls
 
 
-def test_a_row_that_is_removed_and_put_again_at_once_stays() -> None:
+def test_a_row_that_is_removed_and_written_again_in_one_read_stays() -> None:
     store = ScriptedStore([Removed("a"), Removed("b"), Row("a", b"2", 4)])
-    follower, listener = follow(store)
-    assert reported(listener, count=3) == ["all", "-b", "+a"]
+    follower, listener = start_follower(store)
+    assert wait_for_calls(listener, count=3) == ["all", "-b", "+a"]
     assert listener.rows == {"a": b"2"}
     follower.stop()
 
 
-def test_a_row_that_is_put_and_removed_at_once_is_gone() -> None:
+def test_a_row_that_is_written_and_removed_in_one_read_is_gone() -> None:
     store = ScriptedStore([Row("a", b"2", 3), Removed("a")], [Row("b", b"2", 5)])
-    follower, listener = follow(store)
-    assert reported(listener, count=4) == ["all", "+a", "-a", "+b"]
+    follower, listener = start_follower(store)
+    assert wait_for_calls(listener, count=4) == ["all", "+a", "-a", "+b"]
     assert listener.rows == {"b": b"2"}
     follower.stop()
 
 
-def test_what_another_box_has_read_is_taken_where_it_joins_what_is_known() -> None:
-    follower, listener = follow(ScriptedStore())
-    assert reported(listener, count=1) == ["all"]
+def test_a_reading_of_another_box_is_applied_if_it_follows_the_known_version() -> None:
+    follower, listener = start_follower(ScriptedStore())
+    assert wait_for_calls(listener, count=1) == ["all"]
     follower.apply_reading(TableReading(TABLE, 5, 6, [Row("a", b"6", 6)]))
-    assert listener.reported == ["all"], "changes between 1 and 5 are missing"
+    assert listener.calls == ["all"], "changes between 1 and 5 are missing"
     follower.apply_reading(TableReading(TABLE, 0, 3, [Row("b", b"0", 1), Row("a", b"3", 3)]))
-    assert listener.reported == ["all", "+a"], "what was known already is passed over"
+    assert listener.calls == ["all", "+a"], "changes up to the known version are ignored"
     follower.apply_reading(TableReading(TABLE, 3, 4, [Removed("a", 4)]))
     assert listener.rows == {"b": b"1"}
     follower.stop()
 
 
-def test_a_box_that_tells_less_than_is_known_is_named_once() -> None:
+def test_a_box_that_sends_older_versions_than_known_is_logged_once() -> None:
     journal = Journal()
     log = Log("test", "box", journal=journal)
     follower = TableFollower(ScriptedStore(), TABLE, Listener(), pause_s=0.0, log=log)
     follower.apply_copy(TableReading(TABLE, 0, 9, [], whole=True), newest_at=monotonic())
     for version in (5, 6, 9):
         follower.apply_reading(TableReading(TABLE, 4, version, []), source_zone="zone-2")
-    reported = [
-        (line.fields["told"], line.fields["known"]) for line in journal.about("teller", "zone-2")
+    logged = [
+        (line.fields["reported"], line.fields["known"])
+        for line in journal.about("source_zone", "zone-2")
     ]
-    assert reported == [("5", "9"), ("9", "9")]
+    assert logged == [("5", "9"), ("9", "9")]
 
 
 class CountingStore(ScriptedStore):
-    """Counts how often it is asked for changes, and never has any."""
+    """Counts the reads of changes, and never has any."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.asked = 0
+        self.reads = 0
         self.waits: list[float] = []
 
     def changes(self, table: str, *, after: int, wait_s: float) -> Changes:
-        self.asked += 1
+        self.reads += 1
         self.waits.append(wait_s)
         gevent.sleep(0.01)
         return Changes([], after)
 
 
-def test_the_store_is_not_asked_while_another_box_tells_and_again_when_it_stops(
+def test_the_store_is_not_read_while_another_box_sends_readings_and_again_afterwards(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(follower_module, "_TOLD_FRESH_S", 0.3)
+    monkeypatch.setattr(follower_module, "_PEER_READING_VALID_S", 0.3)
     store = CountingStore()
-    follower, listener = follow(store)
-    reported(listener, count=1)
+    follower, listener = start_follower(store)
+    wait_for_calls(listener, count=1)
     follower.apply_reading(TableReading(TABLE, 1, 1, []))
     gevent.sleep(0.05)
-    asked = store.asked
+    reads = store.reads
     gevent.sleep(0.1)
-    assert store.asked == asked
+    assert store.reads == reads
     with gevent.Timeout(10):
-        while store.asked == asked:
+        while store.reads == reads:
             gevent.sleep(0.01)
     follower.stop()
 
 
-def test_who_reads_for_others_tells_every_read_and_asks_often() -> None:
+def test_a_publishing_box_publishes_every_read_and_reads_often() -> None:
     store = CountingStore()
     readings: list[TableReading] = []
     follower = TableFollower(store, TABLE, Listener(), pause_s=0.0, log=Log("test", "box"))
@@ -171,21 +172,21 @@
     follower.stop()
 
 
-def test_who_is_told_passes_it_on_to_those_who_go_by_it() -> None:
-    follower, listener = follow(ScriptedStore())
-    assert reported(listener, count=1) == ["all"]
-    passed_on: list[tuple[TableReading, bool]] = []
+def test_a_publishing_box_passes_on_the_readings_of_another_box() -> None:
+    follower, listener = start_follower(ScriptedStore())
+    assert wait_for_calls(listener, count=1) == ["all"]
+    published: list[tuple[TableReading, bool]] = []
     follower.sharing = lambda: True
-    follower.shared_with = lambda reading, is_own: passed_on.append((reading, is_own))
+    follower.shared_with = lambda reading, is_own: published.append((reading, is_own))
     reading = TableReading(TABLE, 1, 2, [Row("a", b"2", 2)])
     follower.apply_reading(reading)
-    assert passed_on == [(reading, False)]
+    assert published == [(reading, False)]
     follower.stop()
 
 
-def test_a_whole_table_replaces_what_is_known_unless_it_is_older() -> None:
-    follower, listener = follow(ScriptedStore())
-    assert reported(listener, count=1) == ["all"]
+def test_a_full_table_replaces_the_known_one_unless_it_is_older() -> None:
+    follower, listener = start_follower(ScriptedStore())
+    assert wait_for_calls(listener, count=1) == ["all"]
     follower.apply_reading(TableReading(TABLE, 0, 9, [Row("c", b"9", 9)], whole=True))
     assert listener.rows == {"c": b"9"}
     follower.apply_reading(TableReading(TABLE, 0, 8, [Row("d", b"8", 8)], whole=True))
@@ -195,64 +196,64 @@
     follower.stop()
 
 
-def test_who_may_not_rely_on_being_told_goes_on_reading() -> None:
+def test_a_box_that_may_not_rely_on_readings_of_another_keeps_reading() -> None:
     store = CountingStore()
-    follower, listener = follow(store)
-    reported(listener, count=1)
+    follower, listener = start_follower(store)
+    wait_for_calls(listener, count=1)
     follower.apply_reading(TableReading(TABLE, 1, 2, [Row("a", b"2", 2)]), relied_on=False)
     assert listener.rows["a"] == b"2"
-    asked = store.asked
+    reads = store.reads
     with gevent.Timeout(10):
-        while store.asked < asked + 3:
+        while store.reads < reads + 3:
             gevent.sleep(0.01)
     follower.stop()
 
 
 class FailingStore(ScriptedStore):
-    """Tells the whole table once, and then answers nothing."""
+    """Answers the first read of the full table, and then fails."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.asked = 0
+        self.reads = 0
 
     def changes(self, table: str, *, after: int, wait_s: float) -> Changes:
-        self.asked += 1
+        self.reads += 1
         raise RowStoreUnavailable("down")
 
 
-def test_who_the_store_does_not_answer_relies_on_whoever_tells() -> None:
+def test_a_box_that_the_store_does_not_answer_relies_on_any_reading() -> None:
     store = FailingStore()
-    follower, listener = follow(store)
+    follower, listener = start_follower(store)
     with gevent.Timeout(10):
-        while not store.asked:
+        while not store.reads:
             gevent.sleep(0.01)
     follower.apply_reading(TableReading(TABLE, 1, 2, [Row("a", b"2", 2)]), relied_on=False)
     assert listener.rows["a"] == b"2"
     assert follower.age_s < 1.0
     gevent.sleep(0.3)
-    asked = store.asked
+    reads = store.reads
     gevent.sleep(0.5)
-    assert store.asked == asked, "it is told: it need not ask"
+    assert store.reads == reads, "it gets readings, so it need not read the store"
     follower.stop()
 
 
-def test_who_is_no_longer_told_can_read_at_once() -> None:
+def test_a_box_that_gets_no_more_readings_can_read_at_once() -> None:
     store = CountingStore()
-    follower, listener = follow(store)
-    reported(listener, count=1)
+    follower, listener = start_follower(store)
+    wait_for_calls(listener, count=1)
     gevent.sleep(0.02)
     follower.apply_reading(TableReading(TABLE, 1, 1, []))
     gevent.sleep(0.05)
-    asked = store.asked
+    reads = store.reads
     follower.read_alone()
     with gevent.Timeout(0.5):
-        while store.asked == asked:
+        while store.reads == reads:
             gevent.sleep(0.01)
     follower.stop()
 
 
 class SlowStore(ScriptedStore):
-    """Answers after a while, and tells its clock."""
+    """Answers after a delay, with its clock."""
 
     def changes(self, table: str, *, after: int, wait_s: float) -> Changes:
         gevent.sleep(0.1)
@@ -263,15 +264,15 @@
         return Snapshot([Row("a", b"1", 1)], 1, store_s=50.0)
 
 
-def test_how_stale_a_table_is_counts_from_before_the_question() -> None:
-    follower, listener = follow(SlowStore())
+def test_the_staleness_of_a_table_counts_from_before_the_read_was_sent() -> None:
+    follower, listener = start_follower(SlowStore())
     assert follower.staleness_s == float("inf")
-    assert reported(listener, count=1) == ["all"]
+    assert wait_for_calls(listener, count=1) == ["all"]
     assert follower.staleness_s >= 0.1 > follower.age_s
     follower.stop()
 
 
-def test_a_reading_that_was_held_up_on_its_way_is_as_old_as_it_tells() -> None:
+def test_a_delayed_reading_is_as_old_as_its_time_says() -> None:
     clock = StoreClock()
     follower = TableFollower(
         ScriptedStore(), TABLE, Listener(), pause_s=0.0, clock=clock, log=Log("test", "box")
@@ -287,16 +288,16 @@
     assert 0.1 <= follower.staleness_s < 0.2
     follower.apply_reading(TableReading(TABLE, 1, 1, [], as_of_s=400.0))
     follower.apply_reading(TableReading(TABLE, 1, 1, []))
-    assert follower.staleness_s >= 0.1, "an older word makes nothing newer"
+    assert follower.staleness_s >= 0.1, "an older reading does not make the table newer"
     follower.apply_reading(TableReading(TABLE, 1, 1, [], as_of_s=900.0))
     assert follower.staleness_s >= 0.1, "nor does one from the future"
     follower.apply_reading(TableReading(TABLE, 5, 6, [], as_of_s=500.0))
-    assert follower.staleness_s >= 0.1, "nor does one that does not join what is known"
+    assert follower.staleness_s >= 0.1, "nor does one that does not follow the known version"
     follower.stop()
 
 
 class OneTable(ScriptedStore):
-    """Tells a whole table, of a version that rises."""
+    """Answers with a full table of one version, which tests raise."""
 
     def __init__(self, version: int) -> None:
         super().__init__()
@@ -306,12 +307,12 @@
         return Snapshot([Row("a", b"store", self.version)], self.version)
 
 
-def copied(store: RowStore, version: int) -> tuple[TableFollower, Listener]:
-    """A follower that another box has told its table."""
+def follower_with_copy(store: RowStore, version: int) -> tuple[TableFollower, Listener]:
+    """Return a follower that got a copy of the table from another box."""
     listener = Listener()
     follower = TableFollower(store, TABLE, listener, pause_s=0.01, log=Log("rows", "test"))
-    reported = TableReading(TABLE, 0, version, [Row("a", b"copy", version)], whole=True)
-    follower.apply_copy(reported, newest_at=monotonic() - 2.0)
+    copy = TableReading(TABLE, 0, version, [Row("a", b"copy", version)], whole=True)
+    follower.apply_copy(copy, newest_at=monotonic() - 2.0)
     return follower, listener
 
 
@@ -321,17 +322,17 @@
             gevent.sleep(0.005)
 
 
-def test_the_store_s_first_word_replaces_what_another_box_told() -> None:
-    follower, listener = copied(OneTable(9), 7)
+def test_the_store_s_first_reading_replaces_a_copy_from_another_box() -> None:
+    follower, listener = follower_with_copy(OneTable(9), 7)
     assert listener.rows == {"a": b"copy"}
     follower.start()
     wait_for_value(listener, b"store")
     follower.stop()
 
 
-def test_a_store_that_is_behind_what_another_box_told_reverts_nothing() -> None:
+def test_a_store_that_is_behind_a_copy_from_another_box_reverts_nothing() -> None:
     store = OneTable(6)
-    follower, listener = copied(store, 7)
+    follower, listener = follower_with_copy(store, 7)
     follower.start()
     gevent.sleep(0.1)
     assert listener.rows == {"a": b"copy"}
@@ -341,21 +342,21 @@
     follower.stop()
 
 
-def test_a_store_that_stays_behind_a_copy_is_another_one_and_right(
+def test_a_store_that_stays_behind_a_copy_replaces_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(follower_module, "_COPY_KEPT_S", 0.05)
-    follower, listener = copied(OneTable(6), 7)
+    monkeypatch.setattr(follower_module, "_COPY_RETENTION_S", 0.05)
+    follower, listener = follower_with_copy(OneTable(6), 7)
     follower.start()
     wait_for_value(listener, b"store")
     follower.stop()
 
 
-def test_a_copy_that_is_newer_than_the_store_s_own_word_gives_way_to_the_next(
+def test_a_copy_that_is_newer_than_the_store_s_first_reading_is_replaced_by_the_next(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """One table may be read already while a box asks others for the rest."""
-    monkeypatch.setattr(follower_module, "_COPY_KEPT_S", 0.05)
+    """A box may have read one table already while it asks other boxes for the rest."""
+    monkeypatch.setattr(follower_module, "_COPY_RETENTION_S", 0.05)
     listener = Listener()
     follower = TableFollower(
         OneTable(6), TABLE, listener, pause_s=0.01, log=Log("rows", "test"), poll_wait_s=lambda: 0.0
@@ -363,8 +364,8 @@
     follower.start()
     wait_for_value(listener, b"store")
     follower.stop()
-    reported = TableReading(TABLE, 0, 7, [Row("a", b"copy", 7)], whole=True)
-    follower.apply_copy(reported, newest_at=monotonic())
+    copy = TableReading(TABLE, 0, 7, [Row("a", b"copy", 7)], whole=True)
+    follower.apply_copy(copy, newest_at=monotonic())
     assert listener.rows == {"a": b"copy"}
     follower.start()
     wait_for_value(listener, b"store")
@@ -374,8 +375,8 @@
 ERA = 3
 
 
-class ReturnedStore(ScriptedStore):
-    """Came back from a copy that lacks the second row, and tells nothing more."""
+class RestoredStore(ScriptedStore):
+    """Was restored from a copy that lacks the second row, and has no further changes."""
 
     def __init__(self, *rows: Row) -> None:
         super().__init__()
@@ -385,13 +386,13 @@
         return Snapshot(self.rows, version_in(ERA, 1))
 
 
-def known(
-    store: RowStore, kept: RetentionPeriods, *changes: Change
+def follower_with_rows(
+    store: RowStore, retention: RetentionPeriods, *changes: Change
 ) -> tuple[TableFollower, Listener]:
-    """Return a follower that knows two rows of the era before, and some changes of them."""
+    """Return a follower that knows two rows of the previous era, and some changes of them."""
     listener = Listener()
     follower = TableFollower(
-        store, TABLE, listener, pause_s=0.0, kept_s=lambda key: kept, log=Log("test", "box")
+        store, TABLE, listener, pause_s=0.0, kept_s=lambda key: retention, log=Log("test", "box")
     )
     before = version_in(ERA - 1, 100)
     rows = [Row("a", b"new", before), Row("b", b"new", before)]
@@ -402,19 +403,19 @@
     return follower, listener
 
 
-def returned(number: int, *changes: Change) -> TableReading:
-    """Return what another box read of the store after its return."""
+def restored(number: int, *changes: Change) -> TableReading:
+    """Return a reading of the restored store by another box."""
     return TableReading(TABLE, 0, version_in(ERA, number), changes, whole=True)
 
 
 COPIED = Row("a", b"old", version_in(ERA, 1))
 
 
-def test_a_row_that_a_returned_store_lacks_stays_until_nobody_has_written_it_again() -> None:
-    follower, listener = known(ScriptedStore(), RetentionPeriods(missing=0.1))
+def test_a_row_that_a_restored_store_lacks_stays_for_its_retention_period() -> None:
+    follower, listener = follower_with_rows(ScriptedStore(), RetentionPeriods(missing=0.1))
     lost: list[str] = []
     follower.on_lost = lambda rows: lost.extend(row.key for row in rows)
-    follower.apply_reading(returned(1, COPIED))
+    follower.apply_reading(restored(1, COPIED))
     assert listener.rows == {"a": b"old", "b": b"new"}
     assert lost == ["b"]
     follower.apply_reading(TableReading(TABLE, version_in(ERA, 1), version_in(ERA, 2), []))
@@ -425,8 +426,8 @@
 
 
 def test_a_row_that_is_written_again_stays() -> None:
-    follower, listener = known(ScriptedStore(), RetentionPeriods(missing=0.1))
-    follower.apply_reading(returned(1, COPIED))
+    follower, listener = follower_with_rows(ScriptedStore(), RetentionPeriods(missing=0.1))
+    follower.apply_reading(restored(1, COPIED))
     again = Row("b", b"again", version_in(ERA, 2))
     follower.apply_reading(TableReading(TABLE, version_in(ERA, 1), version_in(ERA, 2), [again]))
     gevent.sleep(0.15)
@@ -434,51 +435,55 @@
     assert listener.rows == {"a": b"old", "b": b"again"}
 
 
-def test_a_row_that_was_removed_does_not_come_back_with_the_copy_at_once() -> None:
+def test_a_removed_row_is_not_restored_with_the_copy_at_once() -> None:
     removed = Removed("a", version_in(ERA - 1, 105))
-    follower, listener = known(ScriptedStore(), RetentionPeriods(missing=9.0, removed=0.1), removed)
-    follower.apply_reading(returned(1, COPIED))
+    follower, listener = follower_with_rows(
+        ScriptedStore(), RetentionPeriods(missing=9.0, removed=0.1), removed
+    )
+    follower.apply_reading(restored(1, COPIED))
     assert listener.rows == {"b": b"new"}
     gevent.sleep(0.15)
     follower.apply_reading(TableReading(TABLE, version_in(ERA, 1), version_in(ERA, 3), []))
     assert listener.rows == {"a": b"old", "b": b"new"}
 
 
-def test_what_is_kept_outlasts_a_second_reading_of_the_same_copy() -> None:
+def test_unconfirmed_rows_outlast_a_second_reading_of_the_same_copy() -> None:
     removed = Removed("a", version_in(ERA - 1, 105))
-    store = ReturnedStore(COPIED)
-    follower, listener = known(store, RetentionPeriods(missing=9.0, removed=9.0), removed)
-    follower.apply_reading(returned(1, COPIED), relied_on=False)
-    # The store itself has not told this box a whole table yet.
+    store = RestoredStore(COPIED)
+    follower, listener = follower_with_rows(
+        store, RetentionPeriods(missing=9.0, removed=9.0), removed
+    )
+    follower.apply_reading(restored(1, COPIED), relied_on=False)
+    # This box has not read the full table from the store itself yet.
     follower.start()
     gevent.sleep(0.1)
     assert not follower.unread
-    assert listener.reported[-1] == "all"
+    assert listener.calls[-1] == "all"
     assert listener.rows == {"b": b"new"}
     follower.stop()
 
 
-def test_where_nothing_is_kept_the_copy_counts_at_once() -> None:
+def test_without_retention_the_copy_applies_at_once() -> None:
     removed = Removed("a", version_in(ERA - 1, 105))
-    follower, listener = known(ScriptedStore(), RetentionPeriods(), removed)
-    follower.apply_reading(returned(1, COPIED))
+    follower, listener = follower_with_rows(ScriptedStore(), RetentionPeriods(), removed)
+    follower.apply_reading(restored(1, COPIED))
     assert listener.rows == {"a": b"old"}
 
 
-def test_who_tells_of_an_earlier_era_is_not_relied_on() -> None:
-    follower, listener = known(ScriptedStore(), RetentionPeriods())
-    follower.apply_reading(returned(1, COPIED))
+def test_a_reading_of_an_earlier_era_is_not_relied_on() -> None:
+    follower, listener = follower_with_rows(ScriptedStore(), RetentionPeriods())
+    follower.apply_reading(restored(1, COPIED))
     read_at = follower.read_at
     for era in (0, ERA - 1):
         row = Row("a", b"stale", version_in(era, 500))
         follower.apply_reading(TableReading(TABLE, 0, version_in(era, 500), [row], whole=True))
     assert listener.rows == {"a": b"old"}
-    assert follower.read_at == read_at, "the box reads for itself"
+    assert follower.read_at == read_at, "the box reads the store itself"
 
 
-def test_a_starting_box_takes_the_returned_store_in_place_of_an_older_copy_at_once() -> None:
-    store = ReturnedStore(COPIED)
-    follower, listener = known(store, RetentionPeriods())
+def test_a_starting_box_applies_the_restored_store_over_an_older_copy_at_once() -> None:
+    store = RestoredStore(COPIED)
+    follower, listener = follower_with_rows(store, RetentionPeriods())
     follower.start()
     with gevent.Timeout(1.0):
         while listener.rows != {"a": b"old"}:
@@ -486,9 +491,9 @@
     follower.stop()
 
 
-def test_a_store_of_an_earlier_era_than_another_box_told_is_not_taken() -> None:
-    store = ReturnedStore(COPIED)
-    follower, listener = known(store, RetentionPeriods())
+def test_a_store_of_an_earlier_era_than_a_reading_of_another_box_is_rejected() -> None:
+    store = RestoredStore(COPIED)
+    follower, listener = follower_with_rows(store, RetentionPeriods())
     later = Row("a", b"later", version_in(ERA + 1, 1))
     whole = TableReading(TABLE, 0, version_in(ERA + 1, 1), [later], whole=True)
     follower.apply_reading(whole, relied_on=False)
