--- a/tests/placement/test_demand.py
+++ b/tests/placement/test_demand.py
@@ -1,4 +1,4 @@
-"""What a box tells the placer, and how long its requests wait for the placer's word."""
+"""The demand that a box sends to the placer, and how long its requests wait for a grant."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
     return DemandBook(has_placer=lambda: has_placer)
 
 
-def find(book: DemandBook, wanted: AdapterRequest) -> gevent.Greenlet[..., object]:
+def start_request(book: DemandBook, wanted: AdapterRequest) -> gevent.Greenlet[..., object]:
     task = gevent.spawn(book.find, wanted)
     gevent.sleep(0)
     return task
 
 
-def test_a_request_is_told_once_granted_and_told_to_be_over() -> None:
+def test_an_ask_and_its_end_are_each_sent_once() -> None:
     book = make_book()
-    task = find(book, adapter_request())
+    task = start_request(book, adapter_request())
     reported = book.drain_updates()
     [ask] = reported.asks
     assert (ask.model, ask.adapter, ask.worth) == ("m", "a", 2.0)
@@ -55,32 +55,32 @@
     assert reported.over == [Over(ask.number, Outcome.FULL)]
 
 
-def test_all_that_stands_is_told_to_a_new_placer() -> None:
+def test_a_new_placer_gets_all_current_asks_and_uses() -> None:
     book = make_book()
-    task = find(book, adapter_request())
+    task = start_request(book, adapter_request())
     book.record_grant(book.drain_updates().asks[0].number, "i-1")
     task.get(timeout=10)
-    alone = book.use("i-2", KEY)
-    waiting = find(book, adapter_request())
+    ungranted_use = book.use("i-2", KEY)
+    waiting = start_request(book, adapter_request())
     book.drain_updates()
     whole = book.whole()
     assert [ask.adapter for ask in whole.asks] == ["a"]
     assert sorted(use.instance for use in whole.uses) == ["i-1", "i-2"]
-    alone.end(UseOutcome.ENDED)
+    ungranted_use.end(UseOutcome.ENDED)
     assert len(book.whole().uses) == 1
     waiting.kill()
 
 
-def test_what_was_never_told_needs_no_end() -> None:
+def test_no_end_is_sent_for_an_ask_or_use_that_was_not_sent() -> None:
     book = make_book()
     book.use("i-1", KEY).end(UseOutcome.ENDED)
-    find(book, adapter_request()).kill()
+    start_request(book, adapter_request()).kill()
     assert book.drain_updates() == Demand()
 
 
-def test_a_request_whose_client_leaves_is_withdrawn() -> None:
+def test_the_ask_of_a_client_that_disconnects_is_ended() -> None:
     book = make_book()
-    task = find(book, adapter_request())
+    task = start_request(book, adapter_request())
     number = book.drain_updates().asks[0].number
     task.kill()
     book.record_grant(number, "i-1")
@@ -95,9 +95,9 @@
         make_book(has_placer=False).find(adapter_request())
 
 
-def test_a_client_that_can_wait_is_told_when_to_come_back_and_is_expected() -> None:
+def test_a_client_that_can_retry_is_told_when_and_its_retry_is_expected() -> None:
     book = make_book()
-    task = find(book, adapter_request(target_s=0.5, until_s=0.9, returns_s=2.0))
+    task = start_request(book, adapter_request(target_s=0.5, until_s=0.9, returns_s=2.0))
     book.drain_updates()
     book.record_forecast(KEY, 1.0)
     with pytest.raises(NoReplica) as refusal:
@@ -110,9 +110,9 @@
     assert book.whole().promises
 
 
-def test_a_request_that_a_load_serves_late_is_held_whatever_its_client_could_wait() -> None:
+def test_a_request_that_a_load_serves_late_keeps_waiting_even_if_its_client_could_retry() -> None:
     book = make_book()
-    task = find(book, adapter_request(target_s=0.1, until_s=9.0, returns_s=3.0))
+    task = start_request(book, adapter_request(target_s=0.1, until_s=9.0, returns_s=3.0))
     number = book.drain_updates().asks[0].number
     book.record_forecast(KEY, 2.0)
     gevent.sleep(0.3)
@@ -121,9 +121,9 @@
     assert task.get(timeout=10).instance == "i-1"
 
 
-def test_a_request_is_rejected_the_moment_when_its_load_turns_out_too_late() -> None:
+def test_a_request_is_rejected_as_soon_as_its_load_is_forecast_too_late() -> None:
     book = make_book()
-    task = find(book, adapter_request(target_s=0.1, until_s=5.0, returns_s=0.0))
+    task = start_request(book, adapter_request(target_s=0.1, until_s=5.0, returns_s=0.0))
     book.record_forecast(KEY, 2.0)
     gevent.sleep(0.05)
     assert not task.ready()
@@ -133,9 +133,9 @@
     assert refusal.value.retry_after_s > 5.0
 
 
-def test_a_client_that_cannot_wait_so_long_is_told_the_truth() -> None:
+def test_a_client_that_cannot_retry_in_time_is_refused_without_a_promise() -> None:
     book = make_book()
-    task = find(book, adapter_request(target_s=0.5, until_s=0.9, returns_s=0.3))
+    task = start_request(book, adapter_request(target_s=0.5, until_s=0.9, returns_s=0.3))
     book.record_forecast(KEY, 1.0)
     with pytest.raises(NoReplica) as refusal:
         task.get(timeout=10)
@@ -143,10 +143,10 @@
     assert book.drain_updates().promises == []
 
 
-def test_a_lost_placer_ends_the_waits_on_its_word() -> None:
+def test_losing_the_placer_ends_the_waits_for_its_grants() -> None:
     reachable = [True]
     book = DemandBook(has_placer=lambda: reachable[0])
-    task = find(book, adapter_request())
+    task = start_request(book, adapter_request())
     book.record_forecast(KEY, 0.5)
     gevent.sleep(0)
     reachable[0] = False
@@ -155,28 +155,28 @@
         task.get(timeout=10)
 
 
-def test_a_demand_survives_its_frame() -> None:
+def test_a_demand_is_decoded_unchanged() -> None:
     book = make_book()
-    task = find(book, adapter_request())
+    task = start_request(book, adapter_request())
     book.use("i-2", KEY)
     reported = book.drain_updates()
     assert decode(encode(reported)) == reported
     task.kill()
 
 
-def test_who_waits_where_nothing_is_brought_any_more_asks_elsewhere() -> None:
+def test_waiting_requests_are_referred_to_another_zone_when_no_adapters_are_loaded() -> None:
     book = make_book()
-    task = find(book, adapter_request())
+    task = start_request(book, adapter_request())
     book.record_forecast(KEY, 0.5)
     book.ask_elsewhere(but_for=lambda key: key == KEY)
     gevent.sleep(0.05)
-    assert not task.ready(), "it is served here yet"
+    assert not task.ready(), "its adapter is still served here"
     book.ask_elsewhere(but_for=lambda key: False)
     with pytest.raises(PlacerSilent):
         task.get(timeout=10)
 
 
-def test_a_wish_for_a_copy_is_told_once_with_what_it_saves_last() -> None:
+def test_a_copy_request_is_sent_once_with_the_latest_savings() -> None:
     book = make_book()
     book.request_copy(KEY, 80)
     book.request_copy(KEY, 120)
@@ -186,13 +186,13 @@
     assert book.drain_updates() == Demand()
 
 
-def test_a_wish_for_a_copy_that_no_placer_hears_is_dropped() -> None:
+def test_a_copy_request_without_a_placer_is_dropped() -> None:
     book = make_book(has_placer=False)
     book.request_copy(KEY, 80)
     assert book.drain_updates() == Demand()
 
 
-def test_that_a_replica_leaves_is_told_and_told_anew_to_a_new_placer() -> None:
+def test_a_leaving_replica_is_reported_once_and_again_to_a_new_placer() -> None:
     book = DemandBook(has_placer=lambda: True, leaving=lambda: ("i-1", "i-2"))
     book.record_leaving("i-1")
     assert decode(encode(book.drain_updates())) == Demand(leaving=["i-1"])
@@ -200,9 +200,9 @@
     assert book.whole().leaving == ["i-1", "i-2"]
 
 
-def test_how_long_an_engine_wants_rest_is_told_with_the_end_of_its_use() -> None:
+def test_the_backoff_an_engine_asks_for_is_sent_with_the_end_of_its_use() -> None:
     book = make_book()
-    task = find(book, adapter_request())
+    task = start_request(book, adapter_request())
     book.record_grant(book.drain_updates().asks[0].number, "i-1")
     task.get(timeout=10).end(UseOutcome.FULL, backoff_s=2.0005)
     [over] = decode(encode(book.drain_updates())).over
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -1,4 +1,4 @@
-"""Which zone a request waits at, when placers fall silent or engines are crowded."""
+"""Which zone's placer a request is sent to, if placers do not answer or engines are crowded."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class ScriptedZone:
-    """A zone whose placer answers, is silent or cannot be reached; also its own demand book."""
+    """A zone whose placer answers, is silent or is unreachable; also acts as its demand book."""
 
     def __init__(self, name: str, settings: PlacementSettings, around: ZoneDependencies) -> None:
         self.name = name
@@ -52,20 +52,20 @@
         self.boxes = 3
         self.spread: frozenset[str] = frozenset()
         self.wait_estimate = WaitEstimate()
-        self.wished: list[tuple[AdapterKey, int]] = []
+        self.requested_copies: list[tuple[AdapterKey, int]] = []
         self.asks = 0
         self.notifies_home_zone = False
         self.reported: list[tuple[TableNews, set[str]]] = []
         self.around = around
 
     def start(self) -> None:
-        """Nothing to start."""
+        """Does nothing: there are no tasks."""
 
     def publish_table(self, updates: TableNews, *, also: Collection[str] = ()) -> None:
         self.reported.append((updates, set(also)))
 
     def request_copy(self, key: AdapterKey, saves: int) -> None:
-        self.wished.append((key, saves))
+        self.requested_copies.append((key, saves))
 
     def find(self, adapter_request: AdapterRequest) -> str:
         self.asks += 1
@@ -108,7 +108,7 @@
             self.placement._zone(zone)
 
     def record(self, zone: str, *adapters: str) -> None:
-        """Let the engine of a zone say what it holds."""
+        """Set the adapters that the engine of a zone reports."""
         held = tuple(HeldAdapter("m", adapter, 1) for adapter in adapters)
         self.directory.update(
             ReplicaRecord(
@@ -126,7 +126,7 @@
         return self.placement._zones  # type: ignore[return-value]
 
     def find(self, **changes: object) -> str | None:
-        """Return the zone that granted, if one did."""
+        """Return the zone whose placer granted the request; None if none did."""
         return self.placement.find(ADAPTER_REQUEST._replace(**changes))  # type: ignore[arg-type, return-value]
 
 
@@ -136,11 +136,13 @@
     return Deployment()
 
 
-def test_what_stands_nowhere_is_always_asked_of_the_own_zone(deployment: Deployment) -> None:
+def test_an_adapter_that_no_engine_holds_is_always_requested_in_the_own_zone(
+    deployment: Deployment,
+) -> None:
     assert [deployment.find() for _ in range(4)] == ["zone-1"] * 4
 
 
-def test_what_would_push_out_more_at_home_is_always_asked_of_one_other_zone(
+def test_an_adapter_that_would_evict_one_in_higher_demand_is_requested_in_one_other_zone(
     deployment: Deployment,
 ) -> None:
     deployment.zones["zone-1"].wait_estimate = WaitEstimate(pressure=3.0)
@@ -149,7 +151,7 @@
     assert [deployment.find() for _ in range(3)] == [first] * 3
 
 
-def test_what_is_spread_is_asked_of_its_holder_where_the_own_zone_may_not_serve_it(
+def test_a_spread_adapter_is_requested_of_its_holder_if_the_own_zone_may_not_serve_it(
     deployment: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     regions = {"zone-1": "a", "zone-2": "b", "zone-3": "b"}
@@ -167,33 +169,37 @@
 @pytest.mark.parametrize(
     ("holder", "wishers"), [("zone-1", set()), ("zone-2", {"zone-1"}), ("zone-3", {"zone-1"})]
 )
-def test_a_copy_that_pays_is_wished_for_in_the_own_zone(
+def test_a_worthwhile_copy_is_requested_in_the_own_zone(
     deployment: Deployment, holder: str, wishers: set[str]
 ) -> None:
     deployment.zones[holder].around.on_copy_worthwhile(holder, KEY, 130)
-    assert {name for name, zone in deployment.zones.items() if zone.wished} == wishers
+    assert {name for name, zone in deployment.zones.items() if zone.requested_copies} == wishers
 
 
-def test_a_copy_for_a_region_is_wished_for_in_the_same_zone_by_all_its_boxes(
+def test_all_boxes_of_a_region_request_a_copy_in_the_same_zone(
     deployment: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     regions = {"zone-1": "a", "zone-2": "a", "zone-3": "b"}
     keys = [AdapterKey("m", f"a{number}") for number in range(8)]
-    wished = []
+    requested_copies = []
     for home in ("zone-1", "zone-2"):
         world = make_world(home, regions=regions)
         monkeypatch.setattr(deployment.placement, "_world", lambda world=world: world)
         for key in keys:
             deployment.zones["zone-3"].around.on_copy_worthwhile("zone-3", key, 130)
-        wished.append({name: list(deployment.zones[name].wished) for name in ZONES})
+        requested_copies.append(
+            {name: list(deployment.zones[name].requested_copies) for name in ZONES}
+        )
         for zone in deployment.zones.values():
-            zone.wished.clear()
-    assert wished[0] == wished[1]
-    assert wished[0]["zone-3"] == []
-    assert wished[0]["zone-1"] and wished[0]["zone-2"], "the keys are shared by the region's zones"
+            zone.requested_copies.clear()
+    assert requested_copies[0] == requested_copies[1]
+    assert requested_copies[0]["zone-3"] == []
+    assert requested_copies[0]["zone-1"] and requested_copies[0]["zone-2"], (
+        "the adapters are divided among the region's zones"
+    )
 
 
-def test_a_request_that_failed_is_asked_of_the_zone_that_may_run_it_again(
+def test_a_failed_request_goes_to_the_zone_that_may_run_it_again(
     deployment: Deployment,
 ) -> None:
     first = deployment.find()
@@ -201,10 +207,12 @@
     deployment.record(holder, KEY.adapter)
     tried = frozenset({f"i-{holder}"})
     assert deployment.find(avoid=tried, failed_at=tried) == holder
-    assert deployment.find(avoid=tried) != holder, "it lacked the adapter, or was not reached"
+    assert deployment.find(avoid=tried) != holder, (
+        "the engine did not hold the adapter, or was not reached"
+    )
 
 
-def test_a_silent_zone_is_left_for_the_next(deployment: Deployment) -> None:
+def test_a_request_to_a_silent_placer_is_retried_in_the_next_zone(deployment: Deployment) -> None:
     first = deployment.find()
     assert first is not None
     deployment.zones[first].silent = True
@@ -212,7 +220,7 @@
     assert deployment.zones[first].asks == 2
 
 
-def test_each_silent_zone_is_asked_once(deployment: Deployment) -> None:
+def test_each_zone_with_a_silent_placer_is_asked_once(deployment: Deployment) -> None:
     for zone in deployment.zones.values():
         zone.silent = True
     deployment.record("zone-1", KEY.adapter)
@@ -220,7 +228,7 @@
     assert [zone.asks for zone in deployment.zones.values()] == [1, 1, 1]
 
 
-def test_without_a_placer_in_reach_none_is_asked(deployment: Deployment) -> None:
+def test_no_zone_is_asked_without_a_reachable_placer(deployment: Deployment) -> None:
     for zone in deployment.zones.values():
         zone.reachable = False
     assert deployment.find() is None
@@ -238,7 +246,7 @@
     assert deployment.find() == "zone-1"
 
 
-def test_a_zone_whose_holders_were_all_tried_is_left_for_another(deployment: Deployment) -> None:
+def test_a_zone_whose_holders_were_all_tried_is_avoided(deployment: Deployment) -> None:
     first = deployment.find()
     assert first is not None
     deployment.record(first, KEY.adapter)
@@ -246,7 +254,7 @@
     assert deployment.find(avoid=frozenset({f"i-{first}"})) not in (None, first)
 
 
-def test_what_is_asked_for_very_often_is_asked_of_the_own_zone(deployment: Deployment) -> None:
+def test_a_spread_adapter_is_requested_in_the_own_zone(deployment: Deployment) -> None:
     first = deployment.find()
     away = next(zone for zone in ZONES if zone not in ("zone-1", first))
     deployment.record(away, KEY.adapter)
@@ -254,7 +262,7 @@
     assert deployment.find() == "zone-1"
 
 
-def test_as_many_boxes_as_were_ever_seen_share_what_is_shared(deployment: Deployment) -> None:
+def test_the_number_of_boxes_never_falls(deployment: Deployment) -> None:
     assert deployment.placement.boxes == 3
     deployment.zones["zone-2"].boxes = 7
     assert deployment.placement.boxes == 7
@@ -265,17 +273,17 @@
 READING = TableReading("op", 3, 4, [Row("config", b"{}", 4)])
 
 
-def hold_lease(deployment: Deployment, zone: str, box: str) -> None:
-    """Let the board say that a box places a zone."""
+def record_lease(deployment: Deployment, zone: str, box: str) -> None:
+    """Record on the board that a box is the placer of a zone."""
     row = PlacerRow(box=box, incarnation="1", address="127.0.0.1:1", fence=1)
     deployment.board.change(Row(key_of(zone), msgspec.json.encode(row), 1))
 
 
-def test_what_a_placer_has_read_is_told_to_its_zone_and_to_the_other_placers(
+def test_a_placer_s_reading_is_sent_to_its_zone_and_to_the_other_placers(
     deployment: Deployment,
 ) -> None:
-    hold_lease(deployment, "zone-2", "box-2")
-    hold_lease(deployment, "zone-3", "box-3")
+    record_lease(deployment, "zone-2", "box-2")
+    record_lease(deployment, "zone-3", "box-3")
     deployment.placement.publish_reading(READING, is_own=True)
     deployment.placement.publish_reading(READING, is_own=False)
     (own, to_placers), (passed_on, to_none) = deployment.zones["zone-1"].reported
@@ -299,15 +307,15 @@
     placement = deployment.placement
     placement._settings = placement._settings._replace(zone=home)
     deployment.zones[home].notifies_home_zone = places
-    taken: list[tuple[TableReading, bool]] = []
-    placement.on_reading = lambda reading, relied_on, teller: taken.append((reading, relied_on))
+    readings: list[tuple[TableReading, bool]] = []
+    placement.on_reading = lambda reading, relied_on, teller: readings.append((reading, relied_on))
     deployment.placement.publish_reading(READING, is_own=True)
     ((updates, _),) = deployment.zones[home].reported
     deployment.zones[teller].around.on_table_news(teller, updates)
-    assert taken == [(READING, relies)]
+    assert readings == [(READING, relies)]
 
 
-def test_only_the_loss_of_the_own_zone_s_placer_leaves_a_box_alone(deployment: Deployment) -> None:
+def test_only_the_loss_of_the_own_zone_s_placer_ends_its_readings(deployment: Deployment) -> None:
     alone: list[str] = []
     deployment.placement.on_alone = lambda: alone.append("alone")
     for zone in ("zone-3", "zone-2"):
@@ -317,7 +325,7 @@
     assert alone == ["alone"]
 
 
-def test_an_adapter_that_an_engine_has_given_up_is_asked_of_its_zone(
+def test_an_adapter_that_an_engine_has_evicted_is_requested_in_its_zone(
     deployment: Deployment,
 ) -> None:
     first = deployment.find()
@@ -328,7 +336,7 @@
     assert deployment.find() == other
 
 
-def test_a_request_waits_for_a_placer_that_is_likely_to_be_heard_soon(
+def test_a_request_waits_for_a_placer_that_is_likely_to_be_linked_soon(
     deployment: Deployment,
 ) -> None:
     for zone in deployment.zones.values():
@@ -339,20 +347,22 @@
     deployment.zones["zone-2"].reachable = True
     deployment.zones["zone-2"].around.on_placer_contact()
     assert waiter.get(timeout=10)
-    assert not deployment.placement.await_placer(until=monotonic() + 60.0), "it is heard already"
+    assert not deployment.placement.await_placer(until=monotonic() + 60.0), (
+        "it is reachable already"
+    )
 
 
-def test_a_request_does_not_take_a_placer_for_heard_whose_link_is_being_given_up(
+def test_a_link_whose_loss_is_being_handled_does_not_count_as_reachable(
     deployment: Deployment,
 ) -> None:
-    """It would ask again at once for ever, and keep who gives up the link from going on."""
+    """Otherwise the request would retry without a pause, and the loss would never be handled."""
     deployment.zones["zone-1"].around.on_placer_contact()
     for zone in deployment.zones.values():
         zone.reachable = False
     assert not deployment.placement.await_placer(until=monotonic() + 0.05)
 
 
-def test_a_request_waits_for_no_placer_where_none_was_heard_for_long(
+def test_a_request_does_not_wait_if_no_placer_was_linked_for_long(
     deployment: Deployment,
 ) -> None:
     for zone in deployment.zones.values():
@@ -365,7 +375,7 @@
         assert not deployment.placement.await_placer(until=monotonic() + 0.05)
 
 
-def test_nothing_new_is_asked_of_a_zone_whose_evacuation_is_announced(
+def test_no_loads_are_requested_in_a_zone_whose_evacuation_is_announced(
     deployment: Deployment,
 ) -> None:
     first = deployment.find()
@@ -374,12 +384,12 @@
     second = deployment.find()
     assert second not in (None, first)
     deployment.record(first, KEY.adapter)
-    assert deployment.find() == first, "what stands there serves yet"
+    assert deployment.find() == first, "its adapters are still served"
     deployment.evacuated = (first,)
     assert deployment.find() == second
 
 
-def test_what_each_zone_does_better_to_serve_is_served_elsewhere_while_the_own_is_evacuated(
+def test_a_spread_adapter_is_requested_elsewhere_while_the_own_zone_is_evacuated(
     deployment: Deployment,
 ) -> None:
     first = deployment.find()
@@ -390,7 +400,7 @@
     assert deployment.find() == away
 
 
-def test_where_all_zones_are_evacuated_no_placer_is_asked(deployment: Deployment) -> None:
+def test_no_placer_is_asked_if_all_zones_are_evacuated(deployment: Deployment) -> None:
     deployment.evacuated = ZONES
     assert deployment.find() is None
     assert sum(zone.asks for zone in deployment.zones.values()) == 0
--- a/tests/placement/test_residents_publisher.py
+++ b/tests/placement/test_residents_publisher.py
@@ -1,4 +1,4 @@
-"""Who is told when what engines newly hold."""
+"""Which boxes get changes of engines' adapters, and when."""
 
 from __future__ import annotations
 
@@ -12,32 +12,32 @@
 
 
 class Clock:
-    """A clock that tests move."""
+    """A clock that tests advance."""
 
     now = 1000.0
 
 
 class Links:
-    """Notes what is told, near and far."""
+    """Records the messages to the own region (`False`) and to other regions (`True`)."""
 
     def __init__(self) -> None:
-        self.reported: dict[bool, list[Message]] = {False: [], True: []}
+        self.sent: dict[bool, list[Message]] = {False: [], True: []}
 
     def send_to_zones(self, message: Message, *, far: bool) -> None:
-        self.reported[far].append(message)
+        self.sent[far].append(message)
 
 
 def holds(instance: str, *adapters: str) -> EngineHolds:
     return EngineHolds(instance, [HeldAdapter("m", name, 1) for name in adapters])
 
 
-def test_boxes_of_another_region_are_told_the_newest_of_each_engine_every_two_seconds(
+def test_boxes_of_another_region_get_the_latest_of_each_engine_every_two_seconds(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     clock = Clock()
     monkeypatch.setattr(residents_publisher_module, "monotonic", lambda: clock.now)
     links = Links()
-    updates = ResidentsPublisher(links)
+    publisher = ResidentsPublisher(links)
     changes = [
         Residents([holds("i-1", "a"), holds("i-2", "b")]),
         Residents([holds("i-1", "a", "c")]),
@@ -45,17 +45,17 @@
     ]
     for changed in changes:
         clock.now += 0.5
-        updates.notify(changed)
-    assert links.reported[False] == changes[:2]
-    assert links.reported[True] == []
+        publisher.notify(changed)
+    assert links.sent[False] == changes[:2]
+    assert links.sent[True] == []
     clock.now += 0.5
-    updates.notify(None)
-    assert links.reported[True] == [Residents([holds("i-1", "a", "c"), holds("i-2", "b")])]
+    publisher.notify(None)
+    assert links.sent[True] == [Residents([holds("i-1", "a", "c"), holds("i-2", "b")])]
     clock.now += 9.0
-    updates.notify(None)
-    assert len(links.reported[True]) == 1, "nothing is new"
-    updates.notify(changes[1])
-    assert links.reported[True][1:] == [changes[1]]
+    publisher.notify(None)
+    assert len(links.sent[True]) == 1, "nothing is new"
+    publisher.notify(changes[1])
+    assert links.sent[True][1:] == [changes[1]]
 
 
 @pytest.mark.parametrize(
--- a/tests/samples.py
+++ b/tests/samples.py
@@ -1,6 +1,6 @@
-"""A sample of every message between boxes, each field of it set and told from all others.
+"""A sample of every message between boxes, with a distinct value in each field.
 
-It runs under earlier builds as well, so it asks nothing of the messages but their types.
+It also runs under earlier builds, so it depends on nothing but the types of the messages' fields.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 from springrock.wire import peer
 
 PROTOCOLS: dict[str, Any] = {"placement": placement, "peer": peer}
-"""The modules of both link protocols, by the name under which their frames are kept."""
+"""The modules of both link protocols, by the name under which their frames are stored."""
 
 
 def messages_of(protocol: str) -> tuple[type[Struct], ...]:
-    """Return the kinds of messages of a protocol."""
+    """Return the message classes of a protocol."""
     union = placement.Message if protocol == "placement" else peer.PeerMessage
     kinds: tuple[type[Struct], ...] = get_args(union)
     return kinds
 
 
 def sample_of(kind: type[Struct]) -> Struct:
-    """Return a message of a kind."""
+    """Return a sample of a message class."""
     sample: Struct = _sample(kind, count(1))
     return sample
 
@@ -68,7 +68,7 @@
 
 
 def main() -> None:
-    """Write the frames of this build, or say which of those on the input it cannot read."""
+    """Print this build's frames, or the errors of those on the input that it cannot decode."""
     if sys.argv[1:] == ["write"]:
         print(json.dumps({name: frames_of(name) for name in PROTOCOLS}, indent=1))
         return
--- a/tests/test_counted_store.py
+++ b/tests/test_counted_store.py
@@ -1,4 +1,4 @@
-"""Each call to the store is counted, whatever came of it."""
+"""Each call to the store is counted with its outcome."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     return metrics.registry.get_sample_value("springrock_store_calls_total", labels)
 
 
-def test_calls_are_handed_on_and_counted() -> None:
+def test_calls_are_forwarded_and_counted() -> None:
     metrics = ForwardingMetrics()
     store = CountedStore(ScriptedStore(), calls=metrics.store_calls)
     assert store.read_all("t").version == 1
@@ -63,7 +63,7 @@
         (RuntimeError("a fault"), "failed"),
     ],
 )
-def test_what_failed_is_counted_and_told(failure: Exception, answer: str) -> None:
+def test_a_failed_call_is_counted_and_its_error_raised(failure: Exception, answer: str) -> None:
     metrics = ForwardingMetrics()
     store = CountedStore(ScriptedStore(failure), calls=metrics.store_calls)
     with pytest.raises(type(failure)):
--- a/tests/test_freshness_model.py
+++ b/tests/test_freshness_model.py
@@ -1,8 +1,8 @@
-"""The age of a key's knowledge as a model, explored whole.
+"""A model of the age of a box's state of a key, explored exhaustively.
 
-A relay reads the store and tells a box. Every question, answer and message may be delayed for any
-time or lost, either process may stand still, and the box may restart. Whatever happens, the box
-must not trust a key for longer after its removal than is allowed.
+A relay reads the store and sends its readings to a box. Every request, answer and message may be
+delayed for any time or lost, either process may be suspended, and the box may restart. In no case
+may the box trust a key for longer after its removal than is allowed.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 TRUST = 1
 LAST_TICK = 4
 STORE_AHEAD, RELAY_AHEAD, BOX_AHEAD = 100, 10, 40
-"""Each process has a clock of its own."""
+"""The offset of each process's own clock."""
 
 
-class Question(NamedTuple):
-    """One on its way to the store or back; `read_at` and `valid` once the store has answered."""
+class Call(NamedTuple):
+    """A call to the store; `read_at` and `valid` are set once the store has answered."""
 
     sent_at: int
     read_at: int | None = None
     valid: bool = True
 
 
-class News(NamedTuple):
-    """What the relay tells the box."""
+class Message(NamedTuple):
+    """A message of the relay to the box."""
 
     valid: bool
     as_of: int
@@ -40,26 +40,26 @@
 class State(NamedTuple):
     tick: int = 0
     removed_at: int | None = None
-    relay_asks: Question | None = None
+    relay_asks: Call | None = None
     relay_clock: tuple[int, int, int] | None = None
-    updates: tuple[News, ...] = ()
-    box_asks: Question | None = None
+    messages: tuple[Message, ...] = ()
+    box_asks: Call | None = None
     box_clock: tuple[int, int, int] | None = None
     box_valid: bool = False
     box_newest: int | None = None
 
     @property
     def trusts(self) -> bool:
-        """Whether the box serves the key now."""
+        """Whether the box accepts the key now."""
         newest = self.box_newest
         return self.box_valid and newest is not None and self.tick + BOX_AHEAD - newest <= TRUST
 
     @property
-    def broken(self) -> bool:
+    def violated(self) -> bool:
         return self.trusts and self.removed_at is not None and self.tick - self.removed_at > REVOKE
 
 
-Take = Callable[[State, News], int | None]
+AgeRule = Callable[[State, Message], int | None]
 
 
 @cache
@@ -70,36 +70,36 @@
     return clock
 
 
-def by_the_stores_clock(state: State, updates: News) -> int | None:
-    """When what is told was surely the newest, as the product reckons it."""
+def by_the_stores_clock(state: State, messages: Message) -> int | None:
+    """The time at which a message was up to date, as the implementation computes it."""
     if state.box_clock is None:
         return None
     now = state.tick + BOX_AHEAD
-    newest = clock_from(state.box_clock).earliest_local(updates.as_of)
+    newest = clock_from(state.box_clock).earliest_local(messages.as_of)
     assert newest is not None
     return round(newest) if newest <= now else None
 
 
-def by_receipt(state: State, updates: News) -> int | None:
-    """The mutation: what is told counts as the newest when it is received."""
+def by_receipt(state: State, messages: Message) -> int | None:
+    """A mutation: a message counts as up to date when it is received."""
     return state.tick + BOX_AHEAD
 
 
-def steps(state: State, take: Take) -> Iterator[State]:
-    """Yield all that may come next."""
+def steps(state: State, rule: AgeRule) -> Iterator[State]:
+    """Yield all possible next states."""
     if state.tick < LAST_TICK:
         yield state._replace(tick=state.tick + 1)
     if state.removed_at is None:
         yield state._replace(removed_at=state.tick)
     yield from _relay_steps(state)
-    yield from _box_steps(state, take)
+    yield from _box_steps(state, rule)
 
 
 def _relay_steps(state: State) -> Iterator[State]:
     now = state.tick + RELAY_AHEAD
     asked = state.relay_asks
     if asked is None:
-        yield state._replace(relay_asks=Question(now))
+        yield state._replace(relay_asks=Call(now))
         return
     yield state._replace(relay_asks=None)
     if asked.read_at is None:
@@ -108,31 +108,31 @@
     recorded = (asked.read_at, asked.sent_at, now)
     as_of = clock_from(recorded).earliest_store(asked.sent_at)
     assert as_of is not None
-    updates = News(asked.valid, round(as_of))
-    if len(state.updates) < 2:
-        yield state._replace(relay_asks=None, updates=(*state.updates, updates))
+    messages = Message(asked.valid, round(as_of))
+    if len(state.messages) < 2:
+        yield state._replace(relay_asks=None, messages=(*state.messages, messages))
 
 
-def _box_steps(state: State, take: Take) -> Iterator[State]:
+def _box_steps(state: State, rule: AgeRule) -> Iterator[State]:
     now = state.tick + BOX_AHEAD
-    # The box restarts and knows nothing.
+    # The box restarts and loses its state.
     yield state._replace(
-        box_asks=None, box_clock=None, box_valid=False, box_newest=None, updates=state.updates
+        box_asks=None, box_clock=None, box_valid=False, box_newest=None, messages=state.messages
     )
-    if state.updates:
-        first, *rest = state.updates
-        yield state._replace(updates=tuple(rest))
+    if state.messages:
+        first, *rest = state.messages
+        yield state._replace(messages=tuple(rest))
         if state.box_clock is not None:
-            newest = take(state, first)
+            newest = rule(state, first)
             known = state.box_newest
             later = max((at for at in (known, newest) if at is not None), default=None)
-            # A removal is never taken back: rising versions.
+            # A removal is never undone, as versions rise.
             valid = state.box_valid and first.valid
-            yield state._replace(updates=tuple(rest), box_valid=valid, box_newest=later)
+            yield state._replace(messages=tuple(rest), box_valid=valid, box_newest=later)
     asked = state.box_asks
     if asked is None:
         if state.box_clock is None:
-            yield state._replace(box_asks=Question(now))
+            yield state._replace(box_asks=Call(now))
         return
     yield state._replace(box_asks=None)
     if asked.read_at is None:
@@ -146,32 +146,32 @@
     )
 
 
-def _read(state: State, asked: Question) -> Question:
+def _read(state: State, asked: Call) -> Call:
     return asked._replace(read_at=state.tick + STORE_AHEAD, valid=state.removed_at is None)
 
 
-def explore(take: Take) -> tuple[int, State | None]:
-    """Return how many states there are, and one in which the promise is broken."""
+def explore(rule: AgeRule) -> tuple[int, State | None]:
+    """Return the number of states explored, and one that violates the bound, if any."""
     with patch.object(store_clock, "_DRIFT", 0.0):
         seen = {State()}
         left = [State()]
         while left:
             state = left.pop()
-            if state.broken:
+            if state.violated:
                 return len(seen), state
-            for following in steps(state, take):
-                if following not in seen:
-                    seen.add(following)
-                    left.append(following)
+            for next_state in steps(state, rule):
+                if next_state not in seen:
+                    seen.add(next_state)
+                    left.append(next_state)
         return len(seen), None
 
 
 def test_no_delay_loss_or_restart_makes_a_removed_key_trusted_too_long() -> None:
-    states, broken = explore(by_the_stores_clock)
-    assert broken is None
+    states, violated = explore(by_the_stores_clock)
+    assert violated is None
     assert states > 50_000
 
 
 def test_the_model_finds_an_age_that_is_counted_from_the_receipt() -> None:
-    _, broken = explore(by_receipt)
-    assert broken is not None
+    _, violated = explore(by_receipt)
+    assert violated is not None
--- a/tests/test_kept_rows.py
+++ b/tests/test_kept_rows.py
@@ -1,4 +1,4 @@
-"""What a box knows outlasts a store that comes back from an older copy, as far as it must."""
+"""Rows that a box keeps after the store was restored from an older copy, and for how long."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Table:
-    """A follower that is told readings of two eras."""
+    """A follower that gets readings of two eras."""
 
     def __init__(self, listener: TableListener, kept_s: Callable[[str], RetentionPeriods]) -> None:
         store: RowStore = None  # type: ignore[assignment]
@@ -36,18 +36,18 @@
         whole = TableReading("table", 0, version_in(1, 0), [], whole=True)
         self.follower.apply_copy(whole, newest_at=monotonic())
 
-    def notify(self, version: int, *changes: Change) -> None:
+    def apply(self, version: int, *changes: Change) -> None:
         after = self.follower.version
         self.follower.apply_reading(TableReading("table", after, version, changes))
 
-    def return_with(self, *rows: Row) -> None:
+    def restore(self, *rows: Row) -> None:
         whole = TableReading("table", 0, version_in(2, 1), rows, whole=True)
         self.follower.apply_reading(whole)
 
 
 @pytest.fixture
 def pass_s(monkeypatch: pytest.MonkeyPatch) -> Callable[[float], None]:
-    """Lets time pass for followers."""
+    """Advances the clock of followers."""
     offset_s = 0.0
 
     def _pass(seconds: float) -> None:
@@ -83,23 +83,23 @@
     )
 
 
-def test_a_zone_stays_evacuated_until_the_operator_could_write_it_again(
+def test_a_zone_stays_evacuated_while_the_operator_may_write_it_again(
     pass_s: Callable[[float], None],
 ) -> None:
     evacuated = evacuations()
     table = Table(operator_table(evacuated), kept_operator_row)
-    table.notify(version_in(1, 5), Row("evacuate/zone-1", b"{}", version_in(1, 5)))
-    table.return_with()
+    table.apply(version_in(1, 5), Row("evacuate/zone-1", b"{}", version_in(1, 5)))
+    table.restore()
     assert evacuated.announced == {"zone-1"}
     pass_s(9.0)
-    table.notify(version_in(2, 2))
+    table.apply(version_in(2, 2))
     assert evacuated.announced == {"zone-1"}
     pass_s(2.0)
-    table.notify(version_in(2, 3))
-    assert evacuated.announced == frozenset(), "the store's word stands in the end"
+    table.apply(version_in(2, 3))
+    assert evacuated.announced == frozenset(), "the store's state applies in the end"
 
 
-def test_a_replica_that_left_does_not_come_back_with_the_copy(
+def test_a_replica_that_left_is_not_restored_with_the_copy(
     pass_s: Callable[[float], None],
 ) -> None:
     directory = Directory(LOG)
@@ -109,37 +109,37 @@
         ),
         kept_replica,
     )
-    table.notify(
+    table.apply(
         version_in(1, 5),
         replica_row("i-gone", version_in(1, 3)),
         replica_row("i-leaving", version_in(1, 4)),
         replica_row("i-young", version_in(1, 5)),
     )
-    table.notify(
+    table.apply(
         version_in(1, 7),
         Removed("i-gone", version_in(1, 6)),
         replica_row("i-leaving", version_in(1, 7), state="draining"),
     )
-    table.return_with(
+    table.restore(
         replica_row("i-gone", version_in(2, 1)), replica_row("i-leaving", version_in(2, 1))
     )
     assert directory.find("i-gone") is None
     assert directory.leaving() == ("i-leaving",)
     assert directory.find("i-young") is not None, "its row was written after the copy was made"
     pass_s(2.5)
-    table.notify(version_in(2, 2))
+    table.apply(version_in(2, 2))
     assert directory.find("i-young") is None, "it has not written its row again"
-    assert directory.find("i-gone") is not None, "nor has anybody removed this one again"
+    assert directory.find("i-gone") is not None, "its row was not removed again"
 
 
-def test_a_request_stays_quarantined_and_a_swept_report_stays_swept(
+def test_a_request_stays_quarantined_and_a_removed_report_stays_removed(
     pass_s: Callable[[float], None],
 ) -> None:
     book = CrashBook(terms=lambda: QuarantineTerms(crashes=1, for_s=60.0), log=LOG)
     table = Table(book, kept_own_row)
-    table.notify(version_in(1, 2), report_row("lost", "a"), report_row("swept", "b"))
-    table.notify(version_in(1, 3), Removed("crash/swept", version_in(1, 3)))
-    table.return_with(report_row("swept", "b")._replace(version=version_in(2, 1)))
+    table.apply(version_in(1, 2), report_row("lost", "a"), report_row("swept", "b"))
+    table.apply(version_in(1, 3), Removed("crash/swept", version_in(1, 3)))
+    table.restore(report_row("swept", "b")._replace(version=version_in(2, 1)))
     assert book.quarantined_count == 1
     pass_s(3600.0)
     again = report_row("lost", "a")._replace(version=version_in(2, 2))
--- a/tests/test_remembered.py
+++ b/tests/test_remembered.py
@@ -1,11 +1,11 @@
-"""Memory of so many names."""
+"""A dictionary of bounded size."""
 
 from __future__ import annotations
 
 from springrock.remembered import Remembered
 
 
-def test_the_longest_unheard_is_forgotten_first() -> None:
+def test_the_entry_recorded_longest_ago_is_dropped_first() -> None:
     remembered: Remembered[int] = Remembered(at_most=2)
     remembered.record("a", 1)
     remembered.record("b", 2)
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -1,4 +1,4 @@
-"""A start imports only what an entry box runs, and finds the bytecode that the build makes."""
+"""A start imports only modules that an entry box runs, and the build compiles them in advance."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     "springrock.serving": "`springrock serve`",
     "springrock.statements": "`springrock serve`",
 }
-"""Who needs what an entry box does not need at its start."""
+"""Modules that an entry box does not need at its start, and what does need them."""
 
 _BUILD_A_BOX = """
 import importlib.metadata, json, sys
@@ -79,13 +79,13 @@
     assert imported == {}
 
 
-def test_the_build_makes_bytecode_that_goes_by_the_sources_contents(tmp_path: Path) -> None:
+def test_the_build_compiles_bytecode_that_is_validated_by_source_hash(tmp_path: Path) -> None:
     build = tomllib.loads((ROOT / "deploy/system.toml").read_text())["build"]
     shutil.copytree(
         ROOT / "springrock", tmp_path / "springrock", ignore=shutil.ignore_patterns("__pycache__")
     )
     shutil.copytree(ROOT / "deploy", tmp_path / "deploy")
-    stand_in_for_installed_packages(tmp_path)
+    create_installed_packages(tmp_path)
     program = tmp_path / "bin" / "python3"
     program.parent.mkdir()
     program.symlink_to(sys.executable)
@@ -96,7 +96,7 @@
 
 
 _HASHED_AND_CHECKED = 0b11
-"""PEP 552's flags of bytecode that counts while the hash of its source is that it names."""
+"""PEP 552 flags of bytecode that is valid if its recorded hash matches the source."""
 
 
 def flags_of_bytecode(source: Path) -> int | None:
@@ -104,8 +104,8 @@
     return int.from_bytes(bytecode.read_bytes()[4:8], "little") if bytecode.exists() else None
 
 
-def stand_in_for_installed_packages(folder: Path) -> None:
-    """Lay packages that are newer than their list, so that the build installs none."""
+def create_installed_packages(folder: Path) -> None:
+    """Create packages that are newer than the lock file, so that the build installs none."""
     lock = folder / "requirements-run.lock"
     lock.touch()
     packages = folder / "target" / "deps"
--- a/tests/test_store_clock.py
+++ b/tests/test_store_clock.py
@@ -1,4 +1,4 @@
-"""What a box knows of the store's clock, and how old told readings are by it."""
+"""Bounds on the store's clock, from which the age of readings is computed."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
     return clock
 
 
-def test_before_any_call_nothing_is_known() -> None:
+def test_conversions_are_unknown_before_the_first_call() -> None:
     assert StoreClock().earliest_local(5.0) is None
     assert StoreClock().earliest_store(5.0) is None
 
 
-def test_moments_are_bounded_by_question_and_answer(now: list[float]) -> None:
+def test_a_call_bounds_times_by_its_start_and_end(now: list[float]) -> None:
     clock = StoreClock()
     clock.record(50.0, sent_at=999.0, received_at=1000.0)
     assert clock.earliest_local(50.0) == pytest.approx(999.0)
     assert clock.earliest_store(1000.0) == pytest.approx(50.0)
 
 
-def test_a_quicker_call_narrows_the_bounds_and_a_slow_one_does_not_widen_them(
+def test_a_fast_call_narrows_the_bounds_and_a_slow_one_does_not_widen_them(
     now: list[float],
 ) -> None:
     clock = StoreClock()
@@ -40,14 +40,14 @@
     assert clock.earliest_store(999.7) == pytest.approx(50.1, abs=0.01)
 
 
-def test_what_was_learnt_long_ago_counts_for_less(now: list[float]) -> None:
+def test_bounds_widen_with_their_age(now: list[float]) -> None:
     clock = StoreClock()
     clock.record(50.0, sent_at=1000.0, received_at=1000.0)
     now[0] = 2000.0
     assert clock.earliest_local(1050.0) == pytest.approx(1999.5)
 
 
-def test_a_store_that_starts_its_clock_anew_is_learnt_anew(now: list[float]) -> None:
+def test_bounds_are_replaced_when_the_store_s_clock_restarts(now: list[float]) -> None:
     clock = StoreClock()
     clock.record(50.0, sent_at=999.9, received_at=1000.0)
     clock.record(1.0, sent_at=1000.1, received_at=1000.2)
