--- a/springrock/table_follower.py
+++ b/springrock/table_follower.py
@@ -251,7 +251,7 @@
                 continue
             try:
                 was_known = self._version is not None
-                self._read_and_apply()
+                self._step()
                 self.read_at = monotonic()
                 self._read_failing.end()
                 retry_s = _FIRST_RETRY_S
@@ -266,7 +266,7 @@
                 max_retry_s = _MAX_RETRY_S if is_known else _MAX_UNKNOWN_TABLE_RETRY_S
                 retry_s = min(max_retry_s, retry_s * 1.5)
 
-    def _read_and_apply(self) -> None:
+    def _step(self) -> None:
         asked_at = monotonic()
         reading, store_s = self._read()
         if self._is_peer_copy and not self._may_replace_copy(reading):
