--- a/springrock/placement/ask_book.py
+++ b/springrock/placement/ask_book.py
@@ -9,7 +9,7 @@
 from springrock.placement.messages import Ask, Promise
 from springrock.placement.planner import CombinedWant
 
-RETURN_GRACE_S = 0.4
+RETRY_GRACE_S = 0.4
 """How long after its announced time a client's retry is still expected."""
 
 _RETRY_TARGET_S = 1.0
@@ -131,7 +131,7 @@
 
     def _drop_missed_retries(self, now: float) -> None:
         for key, expected in list(self._expected_retries.items()):
-            coming = [item for item in expected if item.back_at + RETURN_GRACE_S > now]
+            coming = [item for item in expected if item.back_at + RETRY_GRACE_S > now]
             if coming:
                 self._expected_retries[key] = coming
             else:
--- a/springrock/placement/demand.py
+++ b/springrock/placement/demand.py
@@ -16,7 +16,7 @@
 from springrock.permits.messages import LimitReport
 from springrock.permits.permit_book import PermitBook
 from springrock.permits.terms import PERMIT_LIFE_S
-from springrock.placement.ask_book import RETURN_GRACE_S
+from springrock.placement.ask_book import RETRY_GRACE_S
 from springrock.placement.errors import PlacerSilent
 from springrock.placement.messages import (
     Ask,
@@ -173,7 +173,7 @@
         self._mark_changed(urgent=True)
         try:
             while requester.granted is None:
-                self._check(requester)
+                self._check_wait(requester)
                 requester.changed.wait(timeout=max(0.01, self._next_check_s(requester)))
                 requester.changed.clear()
             self._uses[requester.number] = _ActiveUse(requester.granted, adapter_request.key)
@@ -207,12 +207,14 @@
         self._add_end(Over(number, _OUTCOMES[outcome], math.ceil(1000 * backoff_s)))
 
     def _end_ask(self, number: int) -> None:
+        """Withdraw an ask that was not granted, or whose grant was not used."""
         if number in self._updates.asks:
             self._updates.asks.discard(number)
             return
         self._add_end(Over(number))
 
     def _add_end(self, over: Over) -> None:
+        """Queue the end of an ask or use for the placer."""
         if self._has_placer():
             # Without a placer no end is sent: the next placer gets all current asks and uses.
             self._updates.over.append(over)
@@ -223,7 +225,8 @@
         if urgent:
             self.urgent.set()
 
-    def _check(self, requester: _Requester) -> None:
+    def _check_wait(self, requester: _Requester) -> None:
+        """Raise if a request should not wait for its grant any longer."""
         now = monotonic()
         terms = requester.adapter_request.terms
         if now >= terms.until:
@@ -236,9 +239,9 @@
                 raise PlacerSilent()
             return
         if max(ready_at, now) + _FIRST_EVENT_DELAY_S > terms.until:
-            self._reject_for_retry(requester.adapter_request, max(0.0, ready_at - now))
+            self._reject(requester.adapter_request, max(0.0, ready_at - now))
 
-    def _reject_for_retry(self, adapter_request: AdapterRequest, ready_in_s: float) -> NoReturn:
+    def _reject(self, adapter_request: AdapterRequest, ready_in_s: float) -> NoReturn:
         """Raise `NoReplica` for a request whose adapter is not ready before its deadline.
 
         Requests that a load can still serve in time keep waiting: a late answer has some worth,
@@ -360,7 +363,7 @@
         self._updates.asks.update(number for number in self._requesters)
         self._updates.uses.update(self._uses)
         self._expected_retries = [
-            item for item in self._expected_retries if item.back_at + RETURN_GRACE_S > now
+            item for item in self._expected_retries if item.back_at + RETRY_GRACE_S > now
         ]
         self._updates.expected_retries = list(self._expected_retries)
         self._updates.leaving.update(self._leaving())
--- a/springrock/placement/messages.py
+++ b/springrock/placement/messages.py
@@ -188,7 +188,7 @@
 
     Attributes:
         asks: Requests that wait for an engine.
-        uses: Requests that were sent to an engine without a grant.
+        uses: Requests that run at an engine, and that the placer does not know from its own grant.
         began: Requests whose first event arrived.
         over: Asks that were given up and uses that ended.
         promises: Clients that were told when to retry.
--- a/springrock/table_follower.py
+++ b/springrock/table_follower.py
@@ -62,9 +62,9 @@
     the store. A reading is ignored if it starts after the known version, or if it is older than
     that, as the store may have been restored from a copy.
 
-    The full table is read from a restored store. Its rows are applied, as boxes write rows that the
-    copy lacks again. Rows that are missing, or that had been removed, keep their known state for
-    their retention period.
+    After a restore the full table is read. Its rows are applied at once, as the writers of newer
+    values write these again. Two kinds of rows keep their known state for a retention period: rows
+    that the copy lacks, and rows in the copy that are known to be removed.
 
     Args:
         store: The store.
@@ -148,7 +148,7 @@
 
     @property
     def staleness_s(self) -> float:
-        """Upper bound on the age of the known table in seconds; infinite before the first read.
+        """Upper bound on the age of the known table in seconds; infinite if unknown.
 
         Unlike `age_s` it counts from before the read was sent to the store, by this box or another,
         so that a delayed answer or message never makes the table look newer than it is.
@@ -289,8 +289,8 @@
         if after is None or self._is_peer_copy or self._full_read_due:
             # No usable full table has been read from the store itself.
             snapshot = self._store.read_all(self.table)
-            whole = TableReading(self.table, 0, snapshot.version, snapshot.rows, whole=True)
-            return whole, snapshot.store_s
+            reading = TableReading(self.table, 0, snapshot.version, snapshot.rows, whole=True)
+            return reading, snapshot.store_s
         wait_s = _PUBLISHER_POLL_WAIT_S if self.sharing() else self._poll_wait_s()
         read = self._store.changes(self.table, after=after, wait_s=wait_s)
         changes = _without_overtaken_removals(read.changes)
--- a/springrock/unconfirmed_rows.py
+++ b/springrock/unconfirmed_rows.py
@@ -17,10 +17,10 @@
     """How long the known state of a row is kept against a store that was restored from a copy.
 
     Attributes:
-        missing: Seconds to keep a row that the copy lacks. It was removed before the copy was made,
-            or was written after that and is not written again yet.
-        removed: Seconds to keep the removal of a row that the copy has. The restoring undid the
-            removal, or the row was written again since.
+        missing: Seconds to keep a row that the copy lacks. The row may have been removed without
+            this box knowing, or its writer has not written it again yet.
+        removed: Seconds to keep the removal of a row that the copy has. The restore may have undone
+            the removal, or the row may have been written again since.
     """
 
     missing: float = 0.0
--- a/tests/placement/test_demand.py
+++ b/tests/placement/test_demand.py
@@ -63,9 +63,9 @@
     ungranted_use = book.use("i-2", KEY)
     waiting = start_request(book, adapter_request())
     book.drain_updates()
-    whole = book.whole()
-    assert [ask.adapter for ask in whole.asks] == ["a"]
-    assert sorted(use.instance for use in whole.uses) == ["i-1", "i-2"]
+    full = book.whole()
+    assert [ask.adapter for ask in full.asks] == ["a"]
+    assert sorted(use.instance for use in full.uses) == ["i-1", "i-2"]
     ungranted_use.end(UseOutcome.ENDED)
     assert len(book.whole().uses) == 1
     waiting.kill()
--- a/tests/test_kept_rows.py
+++ b/tests/test_kept_rows.py
@@ -33,16 +33,16 @@
     def __init__(self, listener: TableListener, kept_s: Callable[[str], RetentionPeriods]) -> None:
         store: RowStore = None  # type: ignore[assignment]
         self.follower = TableFollower(store, "table", listener, pause_s=0.0, kept_s=kept_s, log=LOG)
-        whole = TableReading("table", 0, version_in(1, 0), [], whole=True)
-        self.follower.apply_copy(whole, newest_at=monotonic())
+        full = TableReading("table", 0, version_in(1, 0), [], whole=True)
+        self.follower.apply_copy(full, newest_at=monotonic())
 
     def apply(self, version: int, *changes: Change) -> None:
         after = self.follower.version
         self.follower.apply_reading(TableReading("table", after, version, changes))
 
     def restore(self, *rows: Row) -> None:
-        whole = TableReading("table", 0, version_in(2, 1), rows, whole=True)
-        self.follower.apply_reading(whole)
+        full = TableReading("table", 0, version_in(2, 1), rows, whole=True)
+        self.follower.apply_reading(full)
 
 
 @pytest.fixture
--- a/tests/test_table_follower.py
+++ b/tests/test_table_follower.py
@@ -165,8 +165,8 @@
     with gevent.Timeout(10):
         while len(readings) < 3:
             gevent.sleep(0.01)
-    whole = [Row("a", b"1", 1), Row("b", b"1", 1)]
-    assert readings[0] == TableReading(TABLE, 0, 1, whole, whole=True)
+    full = [Row("a", b"1", 1), Row("b", b"1", 1)]
+    assert readings[0] == TableReading(TABLE, 0, 1, full, whole=True)
     assert readings[1] == TableReading(TABLE, 1, 1, [])
     assert max(store.waits) <= 0.5
     follower.stop()
@@ -396,8 +396,8 @@
     )
     before = version_in(ERA - 1, 100)
     rows = [Row("a", b"new", before), Row("b", b"new", before)]
-    whole = TableReading(TABLE, 0, before, rows, whole=True)
-    follower.apply_copy(whole, newest_at=monotonic())
+    full = TableReading(TABLE, 0, before, rows, whole=True)
+    follower.apply_copy(full, newest_at=monotonic())
     reading = TableReading(TABLE, before, before + 9, changes)
     follower.apply_reading(reading, relied_on=False)
     return follower, listener
@@ -495,8 +495,8 @@
     store = RestoredStore(COPIED)
     follower, listener = follower_with_rows(store, RetentionPeriods())
     later = Row("a", b"later", version_in(ERA + 1, 1))
-    whole = TableReading(TABLE, 0, version_in(ERA + 1, 1), [later], whole=True)
-    follower.apply_reading(whole, relied_on=False)
+    full = TableReading(TABLE, 0, version_in(ERA + 1, 1), [later], whole=True)
+    follower.apply_reading(full, relied_on=False)
     follower.start()
     gevent.sleep(0.1)
     assert listener.rows == {"a": b"later"}
