--- a/springrock/placement/placement.py
+++ b/springrock/placement/placement.py
@@ -76,7 +76,8 @@
     Attributes:
         on_reading: Called with a reading of a table by a placer's box, whether this box may rely
             on it to send the following readings, and the placer's zone.
-        on_alone: Called when the link to the home zone's placer, which sends readings, is lost.
+        on_alone: Called when the link to the home zone's placer, which sends readings, is
+            lost.
         handovers: Has the adapters of evacuated zones that are in demand loaded in other zones.
     """
 
