--- a/springrock/table_follower.py
+++ b/springrock/table_follower.py
@@ -74,8 +74,7 @@
         poll_wait_s: Returns how long the store should wait for a change, while this box does not
             publish its readings.
         clock: The store's steady clock, shared by the followers of a box.
-        eager: Whether to read changes at once after the first read of the full table, without
-            a pause.
+        eager: Whether to read changes without a pause after the first full read.
         kept_s: Returns how long the known state of the row with a key is kept after the
             store was restored from a copy.
         log: The log to write to.
