--- a/springrock/forwarding/directory.py
+++ b/springrock/forwarding/directory.py
@@ -1,4 +1,4 @@
-"""The replicas that are known now, with what this box has seen of each."""
+"""The directory of known replicas, with their connections and health as seen by this box."""
 
 from __future__ import annotations
 
@@ -17,26 +17,28 @@
 from springrock.remembered import Remembered
 
 _LATE_ROW_S = 5.0
-"""How long a row of a lower sequence is taken for a late write of the replica's past; after that
-the replica surely writes no more of what it told last, and a lower sequence is its word."""
+"""How long a record with a lower sequence counts as a late write and is deferred. After that the
+replica no longer repeats the record with the higher sequence, so the lower one is its current
+state."""
 
 _INCARNATIONS_KEPT = 10_000
-"""So many incarnations that left, and so many ids with their newest start, are remembered."""
+"""Bounds the memory for each kind of previous state, such as leaving incarnations and the newest
+start of each id."""
 
 
 class LeavingSign(StrEnum):
-    """By what this box learnt that a replica leaves; logs name it."""
+    """The source from which this box learned that a replica is leaving; shown in logs."""
 
     ROW = "row"
-    """Its row in the store."""
+    """The row of the replica in the store."""
     ANSWER = "answer"
-    """An answer that it gave to this box."""
+    """An answer of the replica to this box."""
     BOX = "box"
-    """Another box, which may have learnt it by any sign."""
+    """Another box, which may have learned it from any source."""
 
 
 class HeldAdapter(Struct, frozen=True, array_like=True):
-    """An adapter that a replica holds."""
+    """A version of an adapter that a replica holds."""
 
     model: str
     adapter: str
@@ -44,24 +46,29 @@
 
     @property
     def key(self) -> AdapterKey:
-        """The adapter, whatever its version."""
+        """The key of the adapter, without the version."""
         return AdapterKey(self.model, self.adapter)
 
 
 class ReplicaRecord(Struct, frozen=True, kw_only=True):
-    """What a replica says of itself.
+    """The state that a replica reports about itself.
 
     Attributes:
-        instance: Its incarnation: its id, and its start where that is told.
-        running_limit: How many requests it runs at once.
-        leaving: Whether it gets no new work.
-        models: The base models that it holds.
-        adapters: The adapters that it holds.
-        born_ms: When it started, in Unix milliseconds; None if that is not told.
-        sequence: Moves with what it says; counts anew after a start.
-        cold_s: How much longer it is slow from its start, in seconds from when it said so.
-        understood: Whether what it last said can be read; if not, it gets no new work until it
-            says something sound.
+        instance: The incarnation: the replica id, with the start time if that is known.
+        service: The service that the replica belongs to.
+        address: Where the replica accepts requests.
+        zone: The availability zone.
+        running_limit: How many requests the replica runs at once.
+        leaving: Whether the replica is leaving and gets no new work.
+        models: The base models that the replica holds.
+        adapters: The adapters that the replica holds.
+        born_ms: When the replica started, in Unix milliseconds; None if unknown.
+        sequence: Rises as the reported state changes and begins again after a start; 0 if
+            the replica sends none.
+        cold_s: For how many more seconds after the report the replica is slow because it started
+            recently.
+        understood: Whether the latest row of the replica could be read. If not, the replica gets
+            no new work until a readable row arrives.
     """
 
     instance: str
@@ -79,30 +86,31 @@
 
     @property
     def replica_id(self) -> str:
-        """Its id, which another start of it may have had."""
+        """The id, which other incarnations of the replica may share."""
         return self.instance if self.born_ms is None else self.instance.rpartition("@")[0]
 
 
 def incarnation_of(replica_id: str, born_ms: int | None) -> str:
-    """Return what tells one start of a replica from every other one.
+    """Return the id of the incarnation, which is different for each start of a replica.
 
     Args:
-        replica_id: Its id, which it may keep when it starts again.
-        born_ms: When it started; None if that is not told, and each start has an id of its own.
+        replica_id: The id of the replica, which may stay the same after a restart.
+        born_ms: When the replica started, in Unix milliseconds. None if unknown; the replica id
+            itself must then change with each start.
     """
     return replica_id if born_ms is None else f"{replica_id}@{born_ms}"
 
 
 class Replica:
-    """One known replica.
+    """A known incarnation of a replica.
 
     Attributes:
-        record: What it last said of itself.
-        recorded_at: When this box learnt that, on the local monotonic clock.
-        health: What requests have seen of it.
-        backoff: The rest that it asks this box for.
-        pool: The connections of this box to it.
-        running: Requests of this box that it now works on.
+        record: The latest record of the replica.
+        recorded_at: When this box received the record, on the local monotonic clock.
+        health: The outcomes of requests of this box to the replica.
+        backoff: The back-off that the replica requested from this box.
+        pool: The connections of this box to the replica.
+        running: The number of requests of this box that the replica is running.
     """
 
     def __init__(self, record: ReplicaRecord, backoff: Backoff | None = None) -> None:
@@ -115,194 +123,204 @@
 
     @property
     def instance(self) -> str:
-        """The id of its incarnation."""
+        """The id of the incarnation."""
         return self.record.instance
 
 
 class Directory:
-    """All known replicas, by incarnation; of each id the newest start alone.
+    """All known replicas by incarnation. Each replica id has at most one, the newest known.
 
     Args:
         log: The log to write to.
-        rows_origin: Returns where the newest of the replicas' rows comes from, for logs.
+        rows_origin: Returns log fields for the origin of the latest replica rows.
 
     Attributes:
-        on_change: Called with each new or changed record, or with None and the incarnation that
-            is gone. A replica that started anew is told as gone first.
+        on_change: Called with each new or changed record and its incarnation, or with None and
+            an incarnation that was removed. When a replica restarts, the removal of the earlier
+            incarnation is reported first.
     """
 
     def __init__(self, log: Log, *, rows_origin: Callable[[], Mapping[str, object]] = dict) -> None:
         self._log = log
         self._rows_origin = rows_origin
         self._replicas: dict[str, Replica] = {}
-        self._by_id: dict[str, str] = {}
-        self._starts: Remembered[int] = Remembered(at_most=_INCARNATIONS_KEPT)
+        self._instance_by_id: dict[str, str] = {}
+        self._newest_starts: Remembered[int] = Remembered(at_most=_INCARNATIONS_KEPT)
         self._backoffs: Remembered[Backoff] = Remembered(at_most=_INCARNATIONS_KEPT)
-        self._left: Remembered[None] = Remembered(at_most=_INCARNATIONS_KEPT)
-        self._passed_over: Remembered[int | None] = Remembered(at_most=_INCARNATIONS_KEPT)
-        self._held_back: dict[str, ReplicaRecord] = {}
+        self._left_incarnations: Remembered[None] = Remembered(at_most=_INCARNATIONS_KEPT)
+        self._ignored_starts: Remembered[int | None] = Remembered(at_most=_INCARNATIONS_KEPT)
+        self._deferred: dict[str, ReplicaRecord] = {}
         self.on_change: list[Callable[[ReplicaRecord | None, str], None]] = []
 
     def find(self, instance: str) -> Replica | None:
-        """Return a known replica."""
+        """Return the replica with an incarnation; None if it is unknown."""
         return self._replicas.get(instance)
 
     def find_id(self, replica_id: str) -> Replica | None:
-        """Return the known replica of an id, whichever start of it that is."""
-        return self._replicas.get(self._by_id.get(replica_id, ""))
+        """Return the known incarnation of a replica id; None if there is none."""
+        return self._replicas.get(self._instance_by_id.get(replica_id, ""))
 
     def of_service(self, service: str) -> list[Replica]:
-        """Return the known replicas of a service, leaving ones included."""
+        """Return the known replicas of a service, including leaving ones."""
         return [item for item in self._replicas.values() if item.record.service == service]
 
     def in_zone(self, zone: str) -> list[Replica]:
-        """Return the known replicas of a zone, leaving ones included."""
+        """Return the known replicas of a zone, including leaving ones."""
         return [item for item in self._replicas.values() if item.record.zone == zone]
 
     @property
     def count(self) -> int:
-        """How many replicas are known and may get new work."""
+        """The number of known replicas that may get new work."""
         records = (replica.record for replica in self._replicas.values())
         return sum(record.understood and not record.leaving for record in records)
 
     def leaving(self) -> tuple[str, ...]:
-        """Return the known replicas that leave."""
+        """Return the incarnations of the known replicas that are leaving."""
         return tuple(instance for instance, item in self._replicas.items() if item.record.leaving)
 
     def is_leaving(self, instance: str) -> bool:
-        """Whether it is known of an incarnation that it leaves, be its row there or not."""
-        return instance in self._left
+        """Whether an incarnation is known to be leaving, even if there is no row for it."""
+        return instance in self._left_incarnations
 
     def newest_start(self, replica_id: str) -> int | None:
-        """Return the newest start that was told of an id, in Unix milliseconds."""
-        return self._starts.get(replica_id)
+        """Return the newest known start of a replica id in Unix milliseconds; None if unknown."""
+        return self._newest_starts.get(replica_id)
 
-    def record_leaving(self, instance: str, sign: LeavingSign) -> None:
-        """Learn otherwise than by its row that a replica leaves, which may come much later.
+    def record_leaving(self, instance: str, source: LeavingSign) -> None:
+        """Mark an incarnation as leaving before a row in the store says so.
 
-        That a replica that is not known yet leaves is remembered.
+        The mark is also kept for an incarnation that is not known yet.
+
+        Args:
+            instance: The incarnation.
+            source: Where this box learned it from.
         """
         known = self._replicas.get(instance)
         if known is None:
-            self._left.record(instance, None)
+            self._left_incarnations.record(instance, None)
         elif not known.record.leaving:
-            self._apply(msgspec.structs.replace(known.record, leaving=True), sign=sign)
+            self._apply(msgspec.structs.replace(known.record, leaving=True), source=source)
 
     def record_backoff(self, replica_id: str, seconds: float) -> None:
-        """Learn that the replica of an id wants nothing from this box for so long.
+        """Record that the replica with an id asked this box to send nothing for some time.
 
-        It holds for whatever start stands under the id, and after its row went for a while: what
-        asked for rest may be a start whose row is yet to be read.
+        The back-off applies to every incarnation with the id, also after the row was removed and
+        came back: the replica that asked may be a newer incarnation whose row was not read yet.
         """
         known = self.find_id(replica_id)
-        remembered = self._backoffs.get(replica_id) if known is None else known.backoff
-        backoff = remembered or Backoff()
+        previous = self._backoffs.get(replica_id) if known is None else known.backoff
+        backoff = previous or Backoff()
         backoff.extend(seconds)
         self._backoffs.record(replica_id, backoff)
 
     def record_not_understood(self, replica_id: str) -> None:
-        """Learn that what stands under an id is not understood: it gets no new work.
+        """Record that the row of a replica id cannot be read, so the replica gets no new work.
 
-        What is known of it stays until it says something sound, or is gone.
+        The rest of the last record stays in force until a readable row arrives or the row is
+        removed.
         """
         known = self.find_id(replica_id)
         if known is None or not known.record.understood:
             return
         record = msgspec.structs.replace(known.record, understood=False)
         known.record = record
-        self._say(record, "A replica is not understood.")
+        self._log_record(record, "The row of a replica cannot be read.")
         self._notify(record, record.instance)
 
     def replace(
         self, records: Iterable[ReplicaRecord], *, not_understood: Iterable[str] = ()
     ) -> None:
-        """Take the whole list; what is not in it is gone.
+        """Replace all records; a replica without a row is removed.
 
         Args:
-            records: What is understood.
-            not_understood: Ids under which something else stands.
+            records: The readable records.
+            not_understood: The replica ids whose rows cannot be read.
         """
         by_id = {record.replica_id: record for record in records}
-        doubtful = set(not_understood)
-        for replica_id in self._by_id.keys() - by_id.keys() - doubtful:
+        unreadable_ids = set(not_understood)
+        for replica_id in self._instance_by_id.keys() - by_id.keys() - unreadable_ids:
             self.remove(replica_id)
-        for replica_id in doubtful:
+        for replica_id in unreadable_ids:
             self.record_not_understood(replica_id)
         for record in by_id.values():
             self.update(record)
 
     def update(self, record: ReplicaRecord) -> None:
-        """Take a new or changed record; an incarnation that once was leaving stays so."""
-        if not self._is_overtaken(record):
-            self._held_back.pop(record.replica_id, None)
+        """Apply a new or changed record; an incarnation that was leaving remains leaving."""
+        if not self._is_out_of_date(record):
+            self._deferred.pop(record.replica_id, None)
             self._apply(record)
-        self._release()
+        self._apply_deferred()
 
     def remove(self, replica_id: str) -> None:
-        """Forget the replica of an id, whichever start of it is known, as it is gone."""
-        self._held_back.pop(replica_id, None)
-        self._forget(self._by_id.get(replica_id, ""))
+        """Remove the replica with an id, whichever of its incarnations is known."""
+        self._deferred.pop(replica_id, None)
+        self._remove_incarnation(self._instance_by_id.get(replica_id, ""))
 
-    def _is_overtaken(self, record: ReplicaRecord) -> bool:
-        """Whether a record is older than what is known; it is held back if it may be news yet."""
-        newest_ms = self._starts.get(record.replica_id)
+    def _is_out_of_date(self, record: ReplicaRecord) -> bool:
+        """Whether a record is out of date, compared with the known start and sequence.
+
+        A record that may still turn out to be current is deferred.
+        """
+        newest_ms = self._newest_starts.get(record.replica_id)
         if newest_ms is None:
             return False
         if record.born_ms is None or record.born_ms < newest_ms:
-            self._say_passed_over(record)
+            self._log_ignored_start(record)
             return True
         known = self._replicas.get(record.instance)
-        # Without a sequence there is nothing to compare; that it leaves is true however late.
+        # A record without a sequence cannot be compared. A late "leaving" still holds, as leaving
+        # is final.
         if known is None or record.leaving or not 0 < record.sequence < known.record.sequence:
             return False
         if monotonic() - known.recorded_at > _LATE_ROW_S:
             return False
-        self._held_back[record.replica_id] = record
-        self._say(record, "Held back an overtaken record of a replica.")
+        self._deferred[record.replica_id] = record
+        self._log_record(record, "Deferred an out-of-date record of a replica.")
         return True
 
-    def _say_passed_over(self, record: ReplicaRecord) -> None:
-        """Say that a record is of an earlier start; once for each such start."""
-        if self._passed_over.get(record.replica_id, -1) != record.born_ms:
-            self._say(record, "Passed over an earlier start of a replica.")
-        self._passed_over.record(record.replica_id, record.born_ms)
+    def _log_ignored_start(self, record: ReplicaRecord) -> None:
+        """Log that a record of an earlier start is ignored, once for each such start."""
+        if self._ignored_starts.get(record.replica_id, -1) != record.born_ms:
+            self._log_record(record, "Ignored a record of an earlier start of a replica.")
+        self._ignored_starts.record(record.replica_id, record.born_ms)
 
-    def _release(self) -> None:
-        """Take what was held back and nothing newer has followed."""
-        for replica_id, record in list(self._held_back.items()):
+    def _apply_deferred(self) -> None:
+        """Apply the deferred records that no newer record followed in time."""
+        for replica_id, record in list(self._deferred.items()):
             known = self._replicas.get(record.instance)
             if known is None or monotonic() - known.recorded_at > _LATE_ROW_S:
-                del self._held_back[replica_id]
+                del self._deferred[replica_id]
                 self._apply(record)
 
-    def _apply(self, record: ReplicaRecord, *, sign: LeavingSign = LeavingSign.ROW) -> None:
-        before = self._by_id.get(record.replica_id)
+    def _apply(self, record: ReplicaRecord, *, source: LeavingSign = LeavingSign.ROW) -> None:
+        before = self._instance_by_id.get(record.replica_id)
         if before is not None and before != record.instance:
-            self._forget(before)
-        record = self._with_leaving(record)
+            self._remove_incarnation(before)
+        record = self._keep_leaving(record)
         if record.born_ms is not None:
-            self._starts.record(record.replica_id, record.born_ms)
+            self._newest_starts.record(record.replica_id, record.born_ms)
         known = self._replicas.get(record.instance)
         if known is None:
             backoff = self._backoffs.get(record.replica_id)
             self._replicas[record.instance] = Replica(record, backoff)
-            self._by_id[record.replica_id] = record.instance
-            self._say(record, "Saw a replica.")
+            self._instance_by_id[record.replica_id] = record.instance
+            self._log_record(record, "Discovered a replica.")
         else:
-            self._renew(known, record, sign)
+            self._update_known(known, record, source)
         self._notify(record, record.instance)
 
-    def _with_leaving(self, record: ReplicaRecord) -> ReplicaRecord:
-        """Return a record as it counts: an incarnation that once was leaving stays so."""
+    def _keep_leaving(self, record: ReplicaRecord) -> ReplicaRecord:
+        """Return a record with `leaving` set if its incarnation is known to be leaving."""
         known = self._replicas.get(record.instance)
         was_leaving = known is not None and known.record.leaving
         if record.leaving or was_leaving:
-            self._left.record(record.instance, None)
-        if record.leaving or record.instance not in self._left:
+            self._left_incarnations.record(record.instance, None)
+        if record.leaving or record.instance not in self._left_incarnations:
             return record
         return msgspec.structs.replace(record, leaving=True)
 
-    def _renew(self, known: Replica, record: ReplicaRecord, sign: LeavingSign) -> None:
+    def _update_known(self, known: Replica, record: ReplicaRecord, source: LeavingSign) -> None:
         before = known.record
         recorded_at = known.recorded_at
         known.record = record
@@ -312,29 +330,29 @@
             known.pool = ConnectionPool(record.address)
         if record.leaving and not before.leaving:
             known.pool.close()
-            self._say_leaving(known, sign, recorded_at)
+            self._log_leaving(known, source, recorded_at)
         if record.understood and not before.understood:
-            self._say(record, "A replica is understood again.")
+            self._log_record(record, "The row of a replica can be read again.")
 
-    def _forget(self, instance: str) -> None:
-        """Forget an incarnation, and have nothing sent there by whoever has chosen it already."""
+    def _remove_incarnation(self, instance: str) -> None:
+        """Remove an incarnation and mark it as leaving for requests that have already chosen it."""
         replica = self._replicas.pop(instance, None)
         if replica is None:
             return
-        del self._by_id[replica.record.replica_id]
+        del self._instance_by_id[replica.record.replica_id]
         replica.pool.close()
-        self._say(replica.record, "A replica is gone.")
+        self._log_record(replica.record, "A replica is gone.")
         replica.record = msgspec.structs.replace(replica.record, leaving=True)
         self._notify(None, instance)
 
-    def _say_leaving(self, replica: Replica, sign: LeavingSign, recorded_at: float) -> None:
+    def _log_leaving(self, replica: Replica, source: LeavingSign, recorded_at: float) -> None:
         record = replica.record
         self._log.say(
             "A replica is leaving.",
             instance=record.instance,
             service=record.service,
             zone=record.zone,
-            sign=sign,
+            sign=source,
             running=replica.running,
             record_age_s=round(monotonic() - recorded_at, 3),
             **self._rows_origin(),
@@ -344,7 +362,7 @@
         for listener in self.on_change:
             listener(record, instance)
 
-    def _say(self, record: ReplicaRecord, sentence: str) -> None:
+    def _log_record(self, record: ReplicaRecord, sentence: str) -> None:
         self._log.say(
             sentence,
             instance=record.instance,
--- a/tests/forwarding/test_directory.py
+++ b/tests/forwarding/test_directory.py
@@ -86,7 +86,7 @@
     directory.update(make_record(5, leaving=True))
     for number in range(10):
         directory.record_leaving(f"i-other-{number}", LeavingSign.BOX)
-    assert len(directory._left) == 3
+    assert len(directory._left_incarnations) == 3
     directory.update(make_record(5, sequence=8))
     assert directory.leaving() == ("i-1@5",)
 
