--- a/springrock/forwarding/notices.py
+++ b/springrock/forwarding/notices.py
@@ -1,6 +1,7 @@
-"""Takes what replicas tell of themselves in their answers, whoever got the answer.
+"""Applies the notices that replicas send in the heads of their answers.
 
-The store tells of a replica late, or not at all while it is silent; its answers come from itself.
+A notice arrives earlier than the row of the replica in the store, and also while the store does
+not answer.
 """
 
 from __future__ import annotations
@@ -16,26 +17,26 @@
 from springrock.remembered import Remembered
 
 _UNKNOWN_KEPT = 1000
-"""So many replicas with a name that this build does not know are remembered as shown."""
+"""Bounds the memory of replicas and unknown names that were already logged."""
 
-_SAYS_NOTHING = (NO_NOTICE, NOTHING_SAID)
+_EMPTY_NOTICES = (NO_NOTICE, NOTHING_SAID)
 
 NoticeTaker = Callable[[ReplicaNotice], None]
-"""Takes what the answer to one call told of the replica that the call was sent to."""
+"""Handles the notice in the answer to one call to a replica."""
 
 
 class ReplicaNotices:
-    """Notes what answers tell of replicas, before anything else becomes of the answers.
+    """Applies notices to the directory and the named limits, before answers are used otherwise.
 
     Args:
         directory: The known replicas.
-        limits: Learns the limits that replicas name.
+        limits: Records the limits that replicas name.
         log: The log to write to.
-        count: Called with one word for each thing told.
+        count: Called with the kind of each part of a notice, such as "leaving".
 
     Attributes:
-        on_leaving: Called with a replica's incarnation when an answer was the first to tell that
-            it leaves.
+        on_leaving: Called with the incarnation of a replica when an answer is the first sign that
+            it is leaving.
     """
 
     def __init__(
@@ -44,7 +45,7 @@
         *,
         limits: NamedLimits,
         log: Log,
-        count: Callable[[str], None] = lambda word: None,
+        count: Callable[[str], None] = lambda kind: None,
     ) -> None:
         self._directory = directory
         self._limits = limits
@@ -54,22 +55,34 @@
         self.on_leaving: list[Callable[[str], None]] = []
 
     def handle_answer(self, replica: Replica, notice: ReplicaNotice, *, sent_at: float) -> None:
-        """Take what the answer to a request that was sent at a time told of its replica.
+        """Apply the notice in the answer to a client's request.
 
-        One that names no limit tells that none stands; answers to orders and reports do not.
+        If the notice names no limit, the replica has no limit any more. That does not hold for
+        answers to control calls, such as orders and reports; pass their notices to `apply`.
+
+        Args:
+            replica: The replica that the request was sent to.
+            notice: The notice in the answer.
+            sent_at: When the request was sent, on the local monotonic clock.
         """
         if notice.of_replica and notice.limit_per_s is None and not notice.unreadable:
             self._limits.record_silent(replica.instance, sent_at=sent_at)
         self.apply(replica, notice, sent_at=sent_at)
 
     def apply(self, replica: Replica, notice: ReplicaNotice, *, sent_at: float) -> None:
-        """Take what an answer told of the replica that the call was sent to at a time."""
-        if notice in _SAYS_NOTHING:
+        """Apply the notice in the answer to a call.
+
+        Args:
+            replica: The replica that the call was sent to.
+            notice: The notice in the answer.
+            sent_at: When the call was sent, on the local monotonic clock.
+        """
+        if notice in _EMPTY_NOTICES:
             return
         if notice.unreadable:
             self._count("unreadable")
             self._log.say(
-                "A replica says what cannot be understood.",
+                "A replica sent a notice that cannot be read.",
                 instance=replica.instance,
                 said=notice.unreadable,
             )
@@ -77,7 +90,7 @@
             self._count("backoff")
             self._directory.record_backoff(replica.record.replica_id, notice.backoff_s)
             self._log.say(
-                "A replica asks for rest.",
+                "A replica asked for a back-off.",
                 instance=replica.instance,
                 service=replica.record.service,
                 seconds=round(notice.backoff_s, 3),
@@ -86,33 +99,38 @@
         if notice.limit_per_s is not None:
             self._count("limit")
             self._limits.record_limit_named(replica.instance, notice.limit_per_s, sent_at=sent_at)
-        for word in notice.unknown:
-            self._record_unknown(replica, word)
-        # One whose row went may come back: what it said is remembered of its incarnation.
+        for name in notice.unknown:
+            self._record_unknown(replica, name)
+        # Also for a replica whose row was removed: the row may come back, and the directory
+        # remembers which incarnations are leaving.
         if notice.leaving and not self._directory.is_leaving(replica.instance):
             self._count("leaving")
             self._directory.record_leaving(replica.instance, LeavingSign.ANSWER)
             for listener in self.on_leaving:
                 listener(replica.instance)
 
-    def _record_unknown(self, replica: Replica, word: str) -> None:
-        """Show that a replica says what no part reads, once for each replica and name."""
-        said = f"{replica.instance} {word}"
-        if said in self._unknown:
+    def _record_unknown(self, replica: Replica, name: str) -> None:
+        """Log a notice name that this build does not know, once for each replica and name."""
+        key = f"{replica.instance} {name}"
+        if key in self._unknown:
             return
-        self._unknown.record(said, None)
+        self._unknown.record(key, None)
         self._count("unknown")
         self._log.say(
-            "A replica says what this build does not know.",
+            "A replica sent a notice that this build does not know.",
             instance=replica.instance,
             service=replica.record.service,
-            said=word,
+            said=name,
         )
 
     def notice_handler(self, replica_id: str) -> NoticeTaker:
-        """Return what takes the answer to a call that is about to be sent to the replica of an id.
+        """Return the handler for the notice in the answer to a call that is about to be sent.
+
+        The handler is bound to the incarnation that is known now, as a newer one may be known
+        when the answer arrives.
 
-        It binds the start that is known now: by the time of the answer a later one may stand there.
+        Args:
+            replica_id: The id of the replica that the call will be sent to.
         """
         replica = self._directory.find_id(replica_id)
         if replica is None:
@@ -121,4 +139,4 @@
 
 
 def pass_over(notice: ReplicaNotice) -> None:
-    """Take the notice of a replica that is not known, or of which nobody learns."""
+    """Ignore a notice, for instance that of an unknown replica."""
