--- a/springrock/forwarding/health.py
+++ b/springrock/forwarding/health.py
@@ -1,4 +1,4 @@
-"""What requests have seen of a replica: how often it failed, and whether to leave it alone."""
+"""Health of a replica by the outcomes of requests: failure rate, rest periods and fullness."""
 
 from __future__ import annotations
 
@@ -6,93 +6,98 @@
 
 from springrock.clock import monotonic
 
-_FIRST_REST_S = 0.3
-_LONGEST_REST_S = 4.0
+_MIN_REST_S = 0.3
+_MAX_REST_S = 4.0
 _RATE_STEP = 0.15
 """How far one outcome moves the failure rate."""
 
 _FAILURES_TO_REST = 2
-"""Failures in a row after which a replica that can be reached is left alone."""
+"""Consecutive failures after which a reachable replica gets a rest period."""
 
 
 _FULL_HALF_LIFE_S = 0.05
-"""How fast a replica that said it is full is believed to have a place again: of several that run
-at once one soon ends."""
+"""How fast the assumption that a full replica is still full decays. It is short because one of the
+several requests that run at once ends soon."""
 
 _FAILURE_HALF_LIFE_S = 20.0
-"""How fast failures stop to keep requests of this box away: one that is not tried shows nothing."""
+"""How fast past failures lose their effect on the choice of replicas. Without this decay a replica
+that gets no requests would never get the chance to show a success."""
 
 
 class Health:
-    """The evidence on one replica; a failure rate decays only by later successes.
+    """The health of one replica, by the outcomes of requests of this box.
+
+    A rest period is a time in which the replica should get no requests, after failures. Rest
+    periods double from one to the next until a request succeeds.
 
     Attributes:
-        failure_rate: The part of the latest requests that failed, as of the last one.
+        failure_rate: A moving average of the failed share of requests, as of the last outcome. It
+            does not decay with time; see `recent_failure_rate`.
     """
 
     def __init__(self) -> None:
         self._recorded_at = 0.0
         self._full_at: float | None = None
-        self._in_a_row = 0
-        self._rests = 0
+        self._consecutive_failures = 0
+        self._consecutive_rests = 0
         self._rest_until = 0.0
         self.failure_rate = 0.0
 
     @property
     def resting(self) -> bool:
-        """Whether the replica is left alone now."""
+        """Whether the replica is in a rest period."""
         return monotonic() < self._rest_until
 
     @property
     def rest_left_s(self) -> float:
-        """Seconds until it is tried again."""
+        """Seconds until the rest period ends; 0 if there is none."""
         return max(0.0, self._rest_until - monotonic())
 
     @property
     def recent_failure_rate(self) -> float:
-        """The failure rate, the less so the longer ago this box saw the last outcome."""
+        """The failure rate, halved for each half-life that passed since the last outcome."""
         if not self.failure_rate:
             return 0.0
-        return self.failure_rate * _half_lives(self._recorded_at, _FAILURE_HALF_LIFE_S)
+        return self.failure_rate * _decay_factor(self._recorded_at, _FAILURE_HALF_LIFE_S)
 
     @property
     def fullness(self) -> float:
-        """How likely the replica is full yet, from 1 right after it said so down to 0."""
+        """The likelihood that the replica is still full: 1 right after the report, decaying to 0."""
         if self._full_at is None:
             return 0.0
-        return _half_lives(self._full_at, _FULL_HALF_LIFE_S)
+        return _decay_factor(self._full_at, _FULL_HALF_LIFE_S)
 
     def record_full(self) -> None:
-        """Note that the replica did not run a request for want of room."""
+        """Record that the replica did not run a request because it was full."""
         self._full_at = monotonic()
 
     def record_success(self) -> None:
-        """Note an answer."""
+        """Record an answer."""
         self._recorded_at = monotonic()
-        self._in_a_row = 0
-        self._rests = 0
+        self._consecutive_failures = 0
+        self._consecutive_rests = 0
         self.failure_rate *= 1 - _RATE_STEP
 
     def record_failure(self) -> None:
-        """Note an exchange that failed after the replica was reached."""
+        """Record an exchange that failed after the replica was reached."""
         self._recorded_at = monotonic()
-        self._in_a_row += 1
+        self._consecutive_failures += 1
         self.failure_rate += (1 - self.failure_rate) * _RATE_STEP
-        if self._in_a_row >= _FAILURES_TO_REST:
-            self._rest()
+        if self._consecutive_failures >= _FAILURES_TO_REST:
+            self._start_rest()
 
     def record_unreachable(self) -> None:
-        """Note that no connection came up."""
-        self._in_a_row += 1
-        self._rest()
+        """Record that no connection could be opened."""
+        self._consecutive_failures += 1
+        self._start_rest()
 
-    def _rest(self) -> None:
+    def _start_rest(self) -> None:
         if self.resting:
             return
-        self._rest_until = monotonic() + min(_LONGEST_REST_S, _FIRST_REST_S * 2**self._rests)
-        self._rests += 1
+        self._rest_until = monotonic() + min(_MAX_REST_S, _MIN_REST_S * 2**self._consecutive_rests)
+        self._consecutive_rests += 1
 
 
-def _half_lives(since: float, half_life_s: float) -> float:
-    """Return what is left of one since a time on the local monotonic clock."""
+def _decay_factor(since: float, half_life_s: float) -> float:
+    """Return the factor of an exponential decay since a time on the local monotonic clock."""
     return math.exp2((since - monotonic()) / half_life_s)
--- a/springrock/forwarding/pages.py
+++ b/springrock/forwarding/pages.py
@@ -1,6 +1,7 @@
-"""The small pages of a forwarding box: readiness and metrics.
+"""The readiness and metrics pages of a forwarding box.
 
-They are plain WSGI, as is the door: a framework for two pages would take part of every start.
+They are plain WSGI applications, as is the door: importing a web framework for two pages would
+lengthen every start.
 """
 
 from __future__ import annotations
@@ -16,22 +17,28 @@
 _METRICS_TEXT = "text/plain; version=0.0.4"
 
 
-class _Answer(NamedTuple):
+class _Response(NamedTuple):
     body: bytes
     status: HTTPStatus = HTTPStatus.OK
     content_type: str = _TEXT
 
 
 class _Page:
-    """Serves one page at one address."""
+    """An HTTP server for one page.
 
-    def __init__(self, address: str, path: str, answer: Callable[[], _Answer]) -> None:
+    Args:
+        address: Where to listen.
+        path: The path of the page.
+        respond: Returns the response to a GET or HEAD request.
+    """
+
+    def __init__(self, address: str, path: str, respond: Callable[[], _Response]) -> None:
         self._path = path
-        self._answer = answer
+        self._respond = respond
         self._server = HttpServer(self._serve, address)
 
     def start(self) -> None:
-        """Begin listening."""
+        """Start listening."""
         self._server.start()
 
     def stop(self) -> None:
@@ -41,51 +48,51 @@
     def _serve(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        answer = self._answer_to(environ["REQUEST_METHOD"], environ["PATH_INFO"])
+        response = self._response_to(environ["REQUEST_METHOD"], environ["PATH_INFO"])
         headers = [
-            ("Content-Type", answer.content_type),
-            ("Content-Length", str(len(answer.body))),
+            ("Content-Type", response.content_type),
+            ("Content-Length", str(len(response.body))),
         ]
-        if answer.status == HTTPStatus.METHOD_NOT_ALLOWED:
+        if response.status == HTTPStatus.METHOD_NOT_ALLOWED:
             headers.append(("Allow", "GET, HEAD"))
-        start_response(f"{answer.status.value} {answer.status.phrase}", headers)
-        return [] if environ["REQUEST_METHOD"] == "HEAD" else [answer.body]
+        start_response(f"{response.status.value} {response.status.phrase}", headers)
+        return [] if environ["REQUEST_METHOD"] == "HEAD" else [response.body]
 
-    def _answer_to(self, method: str, path: str) -> _Answer:
+    def _response_to(self, method: str, path: str) -> _Response:
         if path != self._path:
-            return _Answer(b"not found\n", HTTPStatus.NOT_FOUND)
+            return _Response(b"not found\n", HTTPStatus.NOT_FOUND)
         if method not in ("GET", "HEAD"):
-            return _Answer(b"method not allowed\n", HTTPStatus.METHOD_NOT_ALLOWED)
-        return self._answer()
+            return _Response(b"method not allowed\n", HTTPStatus.METHOD_NOT_ALLOWED)
+        return self._respond()
 
 
 class ReadinessPage(_Page):
-    """Answers whether the balancer should send clients here.
+    """Tells load balancers whether the box accepts requests, by status 200 or 503.
 
     Args:
         address: Where to listen.
-        path: The path of the question.
-        ready: Tells.
+        path: The path of the page.
+        ready: Returns whether the box accepts requests.
     """
 
     def __init__(self, address: str, path: str, *, ready: Callable[[], bool]) -> None:
-        def _answer() -> _Answer:
+        def _respond() -> _Response:
             if ready():
-                return _Answer(b"ready\n")
-            return _Answer(b"not ready\n", HTTPStatus.SERVICE_UNAVAILABLE)
+                return _Response(b"ready\n")
+            return _Response(b"not ready\n", HTTPStatus.SERVICE_UNAVAILABLE)
 
-        super().__init__(address, path, _answer)
+        super().__init__(address, path, _respond)
 
 
 class MetricsPage(_Page):
-    """Shows the metrics to Prometheus.
+    """Serves the metrics at /metrics in the text format of Prometheus.
 
     Args:
         address: Where to listen.
-        metrics: The metrics.
+        metrics: The metrics to serve.
     """
 
     def __init__(self, address: str, metrics: ForwardingMetrics) -> None:
         super().__init__(
-            address, "/metrics", lambda: _Answer(metrics.render(), content_type=_METRICS_TEXT)
+            address, "/metrics", lambda: _Response(metrics.render(), content_type=_METRICS_TEXT)
         )
