--- a/springrock/forwarding/health.py
+++ b/springrock/forwarding/health.py
@@ -62,7 +62,7 @@
 
     @property
     def fullness(self) -> float:
-        """The likelihood that the replica is still full: 1 right after the report, decaying to 0."""
+        """The likelihood that the replica is still full, decaying from 1 after a report to 0."""
         if self._full_at is None:
             return 0.0
         return _decay_factor(self._full_at, _FULL_HALF_LIFE_S)
