--- a/springrock/forwarding/evacuation_watch.py
+++ b/springrock/forwarding/evacuation_watch.py
@@ -1,4 +1,4 @@
-"""What operators see of evacuations: how far each zone is, and what of this box runs there."""
+"""Metrics and log lines on the progress of evacuations and the requests still running there."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from springrock.log import Log
 from springrock.metrics import ForwardingMetrics
 
-_LOOK_S = 0.25
-"""How often is looked how many requests still run in an evacuated zone."""
+_COUNT_INTERVAL_S = 0.25
+"""The interval between counts of the requests that still run in an evacuated zone."""
 
 
 class EvacuationWatch:
-    """Shows and logs each evacuation, from its announcement until nothing runs there any more.
+    """Reports each evacuation from its announcement until the zone runs no more requests.
 
     Args:
         evacuations: The evacuated zones.
-        directory: The known replicas, with what runs at each.
-        metrics: The metrics to show it in.
+        directory: The known replicas, with the number of running requests of each.
+        metrics: The metrics to set.
         log: The log to write to.
     """
 
@@ -39,34 +39,34 @@
         evacuations.on_change.append(self._handle_change)
 
     def show(self, zone: str) -> None:
-        """Show a zone in the metrics, evacuated or not."""
+        """Add the metrics of a zone, whether it is evacuated or not."""
         self._metrics.zone_evacuated.labels(zone).set_function(lambda: self._is_evacuated(zone))
         self._metrics.zone_evacuated_seconds.labels(zone).set_function(lambda: self._age_s(zone))
         running = self._metrics.evacuated_running.labels(zone)
-        running.set_function(lambda: float(self._running(zone)))
+        running.set_function(lambda: float(self._count_running(zone)))
 
     def _handle_change(self, zone: str, evacuated: bool) -> None:
         self.show(zone)
         if evacuated:
-            gevent.spawn(self._watch, zone, self._evacuations.learned_at(zone))
+            gevent.spawn(self._watch_evacuation, zone, self._evacuations.learned_at(zone))
 
-    def _watch(self, zone: str, learned_at: float | None) -> None:
-        """Log each change of what still runs in a zone after its cut, until nothing does."""
+    def _watch_evacuation(self, zone: str, learned_at: float | None) -> None:
+        """Log each change in the number of running requests after the cut, until it is 0."""
         while left_s := self._evacuations.cut_in_s(zone):
             gevent.sleep(left_s)
-        reported: int | None = None
+        last_count: int | None = None
         while self._evacuations.learned_at(zone) == learned_at:
-            running = self._running(zone)
-            if running != reported:
+            running = self._count_running(zone)
+            if running != last_count:
                 self._log.say("Requests still run in an evacuated zone.", zone=zone, count=running)
-            reported = running
+            last_count = running
             if not running:
                 self._log.say("An evacuation is done.", zone=zone, after_s=self._age_s(zone))
                 return
-            gevent.sleep(_LOOK_S)
+            gevent.sleep(_COUNT_INTERVAL_S)
 
-    def _running(self, zone: str) -> int:
-        """Return how many requests of this box run in a zone that is evacuated; 0 in any other."""
+    def _count_running(self, zone: str) -> int:
+        """Return how many requests of this box run in an evacuated zone; 0 for other zones."""
         if self._evacuations.learned_at(zone) is None:
             return 0
         return sum(replica.running for replica in self._directory.in_zone(zone))
--- a/springrock/forwarding/evacuations.py
+++ b/springrock/forwarding/evacuations.py
@@ -1,7 +1,7 @@
-"""The availability zones that an operator has evacuated: announced first, then cut.
+"""Evacuations of availability zones by an operator, in two phases: announced, then cut.
 
-While an evacuation is announced what stands in the zone still serves, and what is newly brought is
-brought elsewhere. From the cut on the zone's replicas get nothing.
+While an evacuation is announced, the adapters that are loaded in the zone still serve requests, but
+new loads go to other zones. After the cut, the replicas of the zone get no requests.
 """
 
 from __future__ import annotations
@@ -16,22 +16,25 @@
 from springrock.topology import Topology
 
 _ANNOUNCED_PART = 0.4
-"""Of the bound: so long an evacuation is announced at most, from when this box learnt of it. Some
-tens of adapters come in two seconds; the rest is for news that is late."""
+"""The longest announcement, as a part of the bound, from when this box learned of the evacuation.
+Some tens of adapters can be loaded elsewhere in two seconds. The rest of the bound allows for boxes
+that learn of the evacuation late."""
 
 _CUT_PART = 0.8
-"""Of the bound, counted from the last moment at which the evacuation was surely not acknowledged
-yet: what is left is for requests sent just before, and for one repetition of a lost segment."""
+"""The latest time of the cut, as a part of the bound. It counts from the last moment at which the
+evacuation was certainly not acknowledged yet. The rest of the bound allows for requests that are
+sent just before the cut, and for one TCP retransmission."""
 
 DEFAULT_WITHIN_S = 5.0
+"""The default bound, from the acknowledgement of an evacuation to the last request to the zone."""
 
 
 class _Evacuation(NamedTuple):
-    """An evacuation that was not taken back.
+    """An evacuation that has not ended.
 
     Attributes:
-        learned_at: When this box learnt of it, on the local monotonic clock.
-        cut_at: From when on nothing is sent to the zone.
+        learned_at: When this box learned of the evacuation, on the local monotonic clock.
+        cut_at: When requests to the zone stop, on the local monotonic clock.
     """
 
     learned_at: float
@@ -39,18 +42,20 @@
 
 
 class Evacuations:
-    """The zones that are evacuated now, as this box knows.
+    """The evacuated zones, as far as this box knows them.
 
     Args:
-        topology: The zones that there are.
-        within_s: Returns how long after its acknowledgement an evacuated zone may get requests.
-        staleness_s: Returns, while news is handed on, the seconds since a moment at which what the
-            news tells had surely not been acknowledged yet.
+        topology: The zones of the deployment.
+        within_s: Returns the bound: for how many seconds after the operator's request was
+            acknowledged an evacuated zone may still get requests.
+        staleness_s: Returns an upper limit for the seconds since the change that is being applied
+            was acknowledged. Called while a change is applied.
         log: The log to write to.
 
     Attributes:
-        on_change: Called with each zone that is newly evacuated, or taken back.
-        on_cut: Called with each zone that newly gets nothing any more.
+        on_change: Called with a zone and whether it is evacuated, when an evacuation begins or
+            ends.
+        on_cut: Called with a zone at its cut.
     """
 
     def __init__(
@@ -65,61 +70,69 @@
         self._within_s = within_s
         self._staleness_s = staleness_s
         self._log = log
-        self._standing: dict[str, _Evacuation] = {}
+        self._evacuations: dict[str, _Evacuation] = {}
         self._ended_at: dict[str, float] = {}
         self.on_change: list[Callable[[str, bool], None]] = []
         self.on_cut: list[Callable[[str], None]] = []
 
     @property
     def announced(self) -> frozenset[str]:
-        """The zones that are evacuated, or are about to be: nothing new is brought there."""
-        return frozenset(self._standing)
+        """All evacuated zones, before and after the cut. They get no new loads."""
+        return frozenset(self._evacuations)
 
     @property
     def zones(self) -> frozenset[str]:
-        """The zones that get nothing now."""
-        if not self._standing:
+        """The evacuated zones after their cut, which get no requests."""
+        if not self._evacuations:
             return frozenset()
         now = monotonic()
-        return frozenset(zone for zone, item in self._standing.items() if item.cut_at <= now)
+        return frozenset(zone for zone, item in self._evacuations.items() if item.cut_at <= now)
 
     def learned_at(self, zone: str) -> float | None:
-        """Return when this box learnt that a zone is evacuated; None if it is not."""
-        existing = self._standing.get(zone)
+        """Return when this box learned that a zone is evacuated, on the local monotonic clock.
+
+        Returns:
+            None if the zone is not evacuated.
+        """
+        existing = self._evacuations.get(zone)
         return None if existing is None else existing.learned_at
 
     def cut_in_s(self, zone: str) -> float | None:
-        """Return in how many seconds a zone gets nothing any more; None if it is not evacuated."""
-        existing = self._standing.get(zone)
+        """Return the seconds until the cut of a zone; None if the zone is not evacuated."""
+        existing = self._evacuations.get(zone)
         return None if existing is None else max(0.0, existing.cut_at - monotonic())
 
     def ended_at(self, zone: str) -> float | None:
-        """Return when a zone was taken back, on the local monotonic clock; None if never."""
+        """Return when the last evacuation of a zone ended, on the local monotonic clock.
+
+        Returns:
+            None if no evacuation of the zone has ended.
+        """
         return self._ended_at.get(zone)
 
     def replace(self, zones: Collection[str]) -> None:
-        """Take all zones that are evacuated; whatever else was is taken back.
+        """Replace the evacuated zones; evacuations of all other zones end.
 
-        It is not known for how long they have been: those that are new here are cut at once.
+        A zone that is new to this box is cut at once, as it may have been evacuated long ago.
         """
-        for zone in sorted(self._standing.keys() - set(zones)):
+        for zone in sorted(self._evacuations.keys() - set(zones)):
             self.end(zone)
         for zone in sorted(zones):
             self._begin(zone, age_s=float("inf"))
 
     def begin(self, zone: str) -> None:
-        """Learn as news that a zone is evacuated; one that is evacuated stays so."""
+        """Begin the evacuation of a zone after a change of its row, unless it has begun already."""
         self._begin(zone, age_s=self._staleness_s())
 
     def end(self, zone: str) -> None:
-        """Take a zone back."""
-        existing = self._standing.pop(zone, None)
+        """End the evacuation of a zone."""
+        existing = self._evacuations.pop(zone, None)
         if existing is None:
             return
         now = monotonic()
         self._ended_at[zone] = now
         self._log.say(
-            "A zone is taken back.", zone=zone, after_s=round(now - existing.learned_at, 3)
+            "A zone is no longer evacuated.", zone=zone, after_s=round(now - existing.learned_at, 3)
         )
         self._notify(zone, False)
 
@@ -127,17 +140,17 @@
         """Evacuate a zone.
 
         Args:
-            zone: The zone; one that is none is passed over.
-            age_s: How long ago at most the evacuation was acknowledged.
+            zone: The zone; unknown zones are ignored.
+            age_s: An upper limit for the seconds since the evacuation was acknowledged.
         """
-        if zone in self._standing:
+        if zone in self._evacuations:
             return
         if not self._topology.knows(zone):
-            self._log.say("Passed over the evacuation of an unknown zone.", zone=zone)
+            self._log.say("Ignored the evacuation of an unknown zone.", zone=zone)
             return
         now = monotonic()
         announced_s = max(0.0, self._announced_s(age_s))
-        existing = self._standing[zone] = _Evacuation(now, now + announced_s)
+        existing = self._evacuations[zone] = _Evacuation(now, now + announced_s)
         self._log.say(
             "A zone is evacuated.",
             zone=zone,
@@ -146,20 +159,20 @@
         )
         self._notify(zone, True)
         if announced_s:
-            gevent.spawn(self._cut_in_time, zone, existing)
+            gevent.spawn(self._cut_on_time, zone, existing)
         else:
             self._cut(zone)
 
     def _announced_s(self, age_s: float) -> float:
-        """Return for how long an evacuation may be announced; 0 or less if not at all."""
+        """Return the seconds between announcement and cut; 0 or less to cut at once."""
         within_s = self._within_s()
         return min(_ANNOUNCED_PART * within_s, _CUT_PART * within_s - age_s)
 
-    def _cut_in_time(self, zone: str, existing: _Evacuation) -> None:
-        # A timer may end a little early by the clock that everybody compares with.
+    def _cut_on_time(self, zone: str, existing: _Evacuation) -> None:
+        # The sleep may end slightly before `cut_at` by the monotonic clock.
         while (left_s := existing.cut_at - monotonic()) > 0:
             gevent.sleep(left_s)
-            if self._standing.get(zone) is not existing:
+            if self._evacuations.get(zone) is not existing:
                 return
         self._cut(zone)
 
--- a/tests/forwarding/test_evacuation_watch.py
+++ b/tests/forwarding/test_evacuation_watch.py
@@ -36,7 +36,7 @@
 def test_an_evacuation_is_shown_from_its_announcement_until_nothing_runs_there(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(watch_module, "_LOOK_S", 0.01)
+    monkeypatch.setattr(watch_module, "_COUNT_INTERVAL_S", 0.01)
     metrics, log = ForwardingMetrics(), KeptLog()
     directory = Directory(Log("test", "box-1"))
     directory.update(ReplicaRecord(instance="i", service="s", address="127.0.0.1:1", zone="z-2"))
