--- a/springrock/forwarding/keys.py
+++ b/springrock/forwarding/keys.py
@@ -1,11 +1,11 @@
-"""Keys of clients at the door: which team a request is of, and whether that is known surely.
+"""Authentication of requests by the API keys of teams, with a bound on stale configurations.
 
-A key is known by its digest only; no key stands in a log, a metric, an error or a message.
+Keys are held as digests only. No key appears in a log, a metric, an error or a message.
 
-A key that was taken away must not be served longer than a bound after that was acknowledged, on any
-box. So a box trusts the keys that it knows only while its configuration was surely the newest a
-shorter time ago than that, and a key that it does not know is called unknown only while a newer
-configuration could hardly have added it.
+No box may accept a key for longer than a bound after its revocation was acknowledged. A box
+therefore trusts the keys of its configuration only while the configuration was certainly the newest
+one less than that bound ago. A key that is not in the configuration is rejected as unknown only if
+the configuration is so fresh that a newer one with the key is unlikely.
 """
 
 from __future__ import annotations
@@ -18,26 +18,28 @@
 from springrock.forwarding.errors import KeysStale, KeyUnknown
 
 _TRUST_MARGIN_S = 0.25
-"""By so much less than allowed are keys trusted: for the time between the check and the sending,
-and for clocks that drift apart."""
+"""How much shorter keys are trusted than the bound allows. It covers the time between the check and
+the sending of the request, and clock drift."""
 
-_FRESH_ENOUGH_TO_DENY_S = 2.0
-"""With older knowledge an unknown key may be new: boxes that are told what others read learn of a
-change within 1.3 s of their last news."""
+_MAX_STALENESS_TO_REJECT_S = 2.0
+"""The greatest staleness of the configuration at which a missing key counts as unknown. Beyond it,
+the key may be new: boxes that get the readings of other boxes learn of a change within 1.3 s of
+their last update."""
 
 _RETRY_S = 0.5
-"""When to come back while keys are not trusted: a box that reaches nobody asks again by then."""
+"""The Retry-After value while keys are not trusted: a box that has lost contact with the store and
+all other boxes tries again within this time."""
 
-_SHOWN_BYTES = 4
+_LOGGED_BYTES = 4
 
 
 class KeyTerms(NamedTuple):
-    """How long keys are trusted.
+    """The settings for how long keys are trusted.
 
     Attributes:
-        revoke_s: So long after it was acknowledged that a key is taken away it may still be served.
-        fail_closed: Whether keys are no longer served once that cannot be known; else they go on
-            as they are known.
+        revoke_s: For how long after its revocation was acknowledged a key may still be accepted.
+        fail_closed: Whether known keys are rejected once the configuration is too stale to ensure
+            that bound. If not, they are accepted however stale the configuration is.
     """
 
     revoke_s: float
@@ -45,20 +47,21 @@
 
     @property
     def trust_s(self) -> float:
-        """How old the knowledge of a key may be."""
+        """The greatest staleness of the configuration at which its keys are trusted."""
         if not self.fail_closed:
             return float("inf")
         return self.revoke_s - _TRUST_MARGIN_S
 
 
 class Admission(NamedTuple):
-    """What was found of a request's key, once for all that is done for the request.
+    """The result of the check of a request's key, which holds for the whole request.
 
     Attributes:
-        team: The team whose key it is; None if it needs none and has none that is known.
-        keyed: Whether the request runs by right of its key.
-        has_teams: Whether the configuration has teams, so that what the client sent of a key or a
-            team is dropped.
+        team: The team that holds the key. None if the route needs no key and the request has no
+            known key.
+        keyed: Whether the request was admitted because of its key.
+        has_teams: Whether the configuration has teams. If so, key and team headers of the client
+            are not passed on to replicas.
     """
 
     team: Team | None = None
@@ -67,14 +70,17 @@
 
     @property
     def reported(self) -> str | None:
-        """What replicas are told; None to leave the client's own headers as they are."""
+        """The team name that is sent to replicas, empty without a team.
+
+        None if there are no teams and the headers of the client are passed on unchanged.
+        """
         if not self.has_teams:
             return None
         return "" if self.team is None else self.team.name
 
 
 UNKEYED = Admission()
-"""Of a request where there are no teams."""
+"""The admission of all requests if the configuration has no teams."""
 
 
 class KeyGate:
@@ -82,8 +88,8 @@
 
     Args:
         routes: Returns the routes and teams in force.
-        staleness_s: Returns the seconds since they were surely the newest.
-        terms: Returns how long keys are trusted.
+        staleness_s: Returns the seconds since `routes` were certainly the newest.
+        terms: Returns the settings for how long keys are trusted.
     """
 
     def __init__(
@@ -99,20 +105,20 @@
 
     @property
     def stale_s(self) -> float:
-        """Seconds since what is known of keys was surely the newest."""
+        """Seconds since the known keys were certainly the newest."""
         return self._staleness_s()
 
     def admit(self, table: RouteTable, route: Route, digest: bytes | None) -> Admission:
-        """Return what a request is admitted as.
+        """Check the key of a request and return its admission.
 
         Args:
-            table: The routes and teams by which the whole request is served.
-            route: Its route.
-            digest: The digest of its key, if it has one.
+            table: The routes and teams that are used for the whole request.
+            route: The route of the request.
+            digest: The digest of the request's key; None if it has no key.
 
         Raises:
             KeyUnknown: If no team holds the key.
-            KeysStale: If that is not known surely enough now.
+            KeysStale: If the configuration is too stale to decide.
         """
         if not table.needs_keys:
             return UNKEYED
@@ -123,32 +129,32 @@
         return Admission(team, keyed=True, has_teams=True)
 
     def check_again(self, admission: Admission, digest: bytes | None) -> None:
-        """Check the key of a request that has waited, just before it is sent.
+        """Check the key of a request again, just before the request is sent after a wait.
 
         Raises:
-            KeyUnknown: If its team holds it no more.
-            KeysStale: If that is not known surely enough now.
+            KeyUnknown: If the team no longer holds the key.
+            KeysStale: If the configuration is too stale to decide.
         """
         if not admission.keyed:
             return
         team = self._routes().team_of(digest)
         admitted = admission.team
-        is_same = team is not None and admitted is not None and team.name == admitted.name
-        self._check(team if is_same else None)
+        is_same_team = team is not None and admitted is not None and team.name == admitted.name
+        self._check(team if is_same_team else None)
 
     def _check(self, team: Team | None) -> None:
         stale_s = self._staleness_s()
-        if team is None and stale_s <= _FRESH_ENOUGH_TO_DENY_S:
+        if team is None and stale_s <= _MAX_STALENESS_TO_REJECT_S:
             raise KeyUnknown()
         if team is None or stale_s > self._terms().trust_s:
             raise KeysStale(_RETRY_S)
 
 
 def digest_of(key: str) -> bytes:
-    """Return the digest by which a key is known."""
+    """Return the digest that represents a key."""
     return hashlib.sha256(key.encode()).digest()
 
 
 def shown(digest: bytes | None) -> str:
-    """Return what of a key's digest a log shows: enough to tell keys apart."""
-    return "" if digest is None else digest[:_SHOWN_BYTES].hex()
+    """Return the start of a key's digest for logs, long enough to tell keys apart."""
+    return "" if digest is None else digest[:_LOGGED_BYTES].hex()
