--- a/springrock/forwarding/configuration.py
+++ b/springrock/forwarding/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of routes and services, as one immutable value."""
+"""The configuration of routes, services, teams and limits as an immutable value."""
 
 from __future__ import annotations
 
@@ -10,43 +10,44 @@
 
 
 class RouteKind(StrEnum):
-    """What may be done with a request of a route after it was sent once."""
+    """Whether a request of a route may run again after it was sent."""
 
     SAFE = "safe"
-    """It may run more than once."""
+    """The request may run more than once."""
     UNSAFE = "unsafe"
-    """It runs at most once for each try of a client."""
+    """The request runs at most once for each try of a client."""
     STREAMING = "streaming"
-    """It answers with events; it counts as unsafe unless the route is resumable."""
+    """The answer is a stream of events. The request is unsafe unless the route is resumable."""
 
 
 class Share(NamedTuple):
-    """A service of a route and its weight in the split of the traffic."""
+    """A service of a route with its weight in the split of the traffic."""
 
     service: str
     weight: float
 
 
 class QuotaUnit(StrEnum):
-    """What a team's rate and burst are counted in."""
+    """The unit of the rate and burst of a team."""
 
     REQUESTS = "requests"
     TOKENS = "tokens"
-    """Those of the prompt and the most of the answer together."""
+    """The tokens of the prompt plus the maximum tokens of the answer."""
 
 
 class Team(Struct, frozen=True, kw_only=True):
-    """Who may use the deployment, and how much.
+    """A team that may use the deployment, with its quota.
 
     Attributes:
-        name: What replicas are told.
-        key_digests: The digests of its keys; the keys themselves are kept nowhere.
-        priority: The rank of its requests, before that of the route; None leaves it to the route.
-        unit: What rate and burst are counted in.
-        rate: Units a second over all boxes together; 0 for no limit.
-        burst: Units beyond the rate that may come at once.
-        plain_units: What a request counts that states no tokens, where those are counted.
-        regions: Where its requests may be served, cached and stored; None for anywhere.
+        name: The name that is sent to replicas.
+        key_digests: The digests of the team's keys; the keys themselves are not stored.
+        priority: The priority of the team's requests, which overrides that of the route. None to
+            use the priority of the route.
+        unit: The unit of rate and burst.
+        rate: Units per second over all boxes together; 0 for no limit.
+        burst: Units beyond the rate that may be used at once.
+        plain_units: The cost of a request without stated tokens if the unit is tokens.
+        regions: Where the team's requests may be served, cached and stored; None for anywhere.
     """
 
     name: str
@@ -60,14 +61,14 @@
 
     @property
     def limited(self) -> bool:
-        """Whether it has a quota."""
+        """Whether the team has a quota."""
         return self.rate > 0
 
     def cost(self, tokens: int | None) -> int:
-        """Return what a request counts.
+        """Return the cost of a request in units.
 
         Args:
-            tokens: Those that it states; None if it states none.
+            tokens: The tokens that the request states; None if it states none.
         """
         if self.unit is QuotaUnit.REQUESTS:
             return 1
@@ -75,22 +76,22 @@
 
 
 class Route(Struct, frozen=True, kw_only=True):
-    """Where requests of a host and a path prefix go.
+    """A route for the requests of a host and a path prefix.
 
     Attributes:
-        name: Its name, for logs.
-        host: The host it belongs to, in lower case.
-        path_prefix: Begins and ends with a slash.
-        kind: What may be repeated.
-        shares: The services, with the weights of the split.
-        timeout_s: The longest that a request is held; None for no bound of the operator's.
-        target_s: The time within which an answer is worth most.
-        priority: The rank, 0 the highest.
-        attempts: The most replicas that one request may be run on.
-        resumable: Whether a stream may be taken up elsewhere after its last event.
-        gap_s: The longest pause between events of an answer in time; 0 for no such bound.
-        public: Whether it needs no key where there are teams.
-        regions: Where its requests may be served, cached and stored; None for anywhere.
+        name: The name of the route, for logs.
+        host: The host in lower case.
+        path_prefix: The prefix of the paths, which begins and ends with a slash.
+        kind: Whether requests may run more than once.
+        shares: The services with their weights in the split of the traffic.
+        timeout_s: The longest time that a request is held; None if the operator sets no bound.
+        target_s: The target for the time to answer. Later answers are worth less.
+        priority: The priority of requests; 0 is the highest.
+        attempts: The most replicas that one request may run on.
+        resumable: Whether a broken stream may be resumed at another replica after its last event.
+        gap_s: The longest allowed pause between two events of an answer; 0 for no bound.
+        public: Whether requests need no key even if the configuration has teams.
+        regions: Where requests may be served, cached and stored; None for anywhere.
     """
 
     name: str
@@ -109,35 +110,41 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may be run again after it may have run."""
+        """Whether a request that may have run already may be run again."""
         if self.kind is RouteKind.STREAMING:
             return self.resumable
         return self.kind is RouteKind.SAFE
 
-    def pick_service(self, chance: random.Random) -> str:
-        """Return one of the services, by the weights of the split."""
+    def pick_service(self, rng: random.Random) -> str:
+        """Choose one of the services at random by the weights of the split."""
         if len(self.shares) == 1:
             return self.shares[0].service
         weights = [share.weight for share in self.shares]
-        return chance.choices(self.shares, weights=weights)[0].service
+        return rng.choices(self.shares, weights=weights)[0].service
 
 
 class BaseModel(Struct, frozen=True, kw_only=True):
-    """A base model that engines of a service may hold."""
+    """A base model that the engines of a service may hold.
+
+    Attributes:
+        name: The name of the model.
+        adapters: The number of adapters of the model.
+    """
 
     name: str
     adapters: int = 0
 
 
 class Engine(Struct, frozen=True, kw_only=True):
-    """What all model engines of a service have in common.
+    """The common properties of all model engines of a service.
 
     Attributes:
         running_limit: How many requests one engine runs at once.
-        adapter_slots: How many adapters one engine holds.
-        loads_per_s: Loads from the weight store allowed a second, for all engines together.
+        adapter_slots: How many adapters one engine can hold.
+        loads_per_s: The limit of loads from the weight store per second, over all engines.
         models: The base models.
-        memory_tokens: Tokens that an engine keeps, of running requests and of prompts read before.
+        memory_tokens: How many tokens one engine can keep in its cache, of running requests and of
+            earlier prompts together.
     """
 
     running_limit: int
@@ -148,11 +155,11 @@
 
 
 class SlowStart(Struct, frozen=True, kw_only=True):
-    """What replicas of a service bear while they are cold.
+    """The limits of the replicas of a service while they are cold.
 
     Attributes:
-        lasts_s: How long one is cold after a start, in seconds.
-        per_s: Requests a second that a cold one bears, from all boxes together.
+        lasts_s: How many seconds a replica is cold after a start.
+        per_s: How many requests per second a cold replica can take from all boxes together.
     """
 
     lasts_s: float
@@ -160,12 +167,14 @@
 
 
 class Service(Struct, frozen=True, kw_only=True):
-    """A pool of replicas that serve the same thing.
+    """A pool of equivalent replicas.
 
     Attributes:
-        connection_limit: Connections that one replica accepts from all boxes together.
-        engine: What is common to its model engines; None for a plain service.
-        slow_start: What cold replicas bear; None if its replicas are never cold.
+        name: The name of the service.
+        health_path: The path of the health check at each replica.
+        connection_limit: How many connections one replica accepts from all boxes together.
+        engine: The properties of the model engines; None if the replicas are no model engines.
+        slow_start: The limits of cold replicas; None if replicas are never cold.
     """
 
     name: str
@@ -176,7 +185,12 @@
 
 
 class ClientLimits(Struct, frozen=True, kw_only=True):
-    """What a client may send and how long it may rest."""
+    """The limits for clients.
+
+    Attributes:
+        body_bytes: The largest request body.
+        idle_s: For how many seconds a client connection may be idle.
+    """
 
     body_bytes: int = 4_194_304
     idle_s: float = 15.0
@@ -186,8 +200,11 @@
     """One version of the whole configuration.
 
     Attributes:
-        version: Rises with each change; 0 for none yet.
-        teams: Who may use the deployment; None if requests need no keys.
+        version: The version, which rises with each change; 0 if there is no configuration yet.
+        routes: The routes.
+        services: The services by name.
+        limits: The limits for clients.
+        teams: The teams that may use the deployment; None if requests need no keys.
     """
 
     version: int = 0
@@ -198,7 +215,7 @@
 
     @property
     def engine_services(self) -> dict[str, Engine]:
-        """The services of model engines, by name."""
+        """The properties of the model engines by service; services without engines are left out."""
         return {
             name: service.engine
             for name, service in self.services.items()
@@ -207,40 +224,40 @@
 
 
 class RouteTable:
-    """Finds the route and the team of a request; built once for each configuration.
+    """An index to find the route and the team of a request, built once per configuration.
 
     Args:
-        configuration: The configuration whose routes it holds.
+        configuration: The configuration to index.
     """
 
     def __init__(self, configuration: Configuration) -> None:
         self.configuration = configuration
-        self._by_host: dict[str, list[Route]] = {}
+        self._routes_by_host: dict[str, list[Route]] = {}
         for route in configuration.routes:
-            self._by_host.setdefault(route.host, []).append(route)
-        for routes in self._by_host.values():
+            self._routes_by_host.setdefault(route.host, []).append(route)
+        for routes in self._routes_by_host.values():
             routes.sort(key=lambda route: len(route.path_prefix), reverse=True)
-        self._by_digest = {
+        self._team_by_digest = {
             digest: team for team in configuration.teams or () for digest in team.key_digests
         }
 
     @property
     def needs_keys(self) -> bool:
-        """Whether requests on routes that are not public need a key."""
+        """Whether requests need a key unless their route is public."""
         return self.configuration.teams is not None
 
     def team_of(self, digest: bytes | None) -> Team | None:
-        """Return the team that holds a key, by the key's digest."""
-        return None if digest is None else self._by_digest.get(digest)
+        """Return the team that holds the key with a digest; None if there is none."""
+        return None if digest is None else self._team_by_digest.get(digest)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of the path, if there is one."""
-        routes = self._by_host.get(_plain_host(host), ())
+        """Return the route with the longest matching prefix; None if no route matches."""
+        routes = self._routes_by_host.get(_normalize_host(host), ())
         return next((route for route in routes if path.startswith(route.path_prefix)), None)
 
 
-def _plain_host(host: str) -> str:
-    """Return a host header without its port, in lower case."""
+def _normalize_host(host: str) -> str:
+    """Return the host of a Host header in lower case and without the port."""
     name, colon, port = host.strip().rpartition(":")
     if colon and port.isdigit():
         host = name
