--- a/springrock/forwarding/adapters.py
+++ b/springrock/forwarding/adapters.py
@@ -1,4 +1,4 @@
-"""What forwarding needs of the placement of adapters."""
+"""The interface between forwarding and the placement of adapters."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class WaitTerms(NamedTuple):
-    """How long a wait for an adapter is worth while.
+    """The terms for how long a request may wait for an adapter.
 
     Attributes:
-        worth: What the request is worth beside others.
-        target_at: When its answer is late, on the local monotonic clock.
-        until: When its client gives up.
-        returns_within_s: How soon its client would come back at the latest, if told to; 0 if it
-            is not expected to come back.
+        worth: The value of the request relative to other requests.
+        target_at: The time after which an answer counts as late, on the local monotonic clock.
+        until: When the client gives up, on the local monotonic clock.
+        returns_within_s: The longest delay after which the client retries if it is asked to; 0 if
+            no retry is expected.
     """
 
     worth: float
@@ -31,14 +31,14 @@
     """A request that needs a replica with its adapter.
 
     Attributes:
-        request_id: The client's id of the request.
+        request_id: The id that the client gave to the request.
         key: The adapter.
-        terms: How long a wait is worth while.
-        prompt: The parts of its prompt, in order.
-        avoid: Replicas that it is not to be sent to while another holds its adapter.
-        failed_at: Those of them that were reached and failed it: it may be sent there again where
-            that is better than a load elsewhere.
-        bounds: Where it may be served.
+        terms: The terms for a wait.
+        prompt: The parts of the prompt in order.
+        avoid: Replicas that the request must not be sent to while another one holds the adapter.
+        failed_at: The replicas of `avoid` that were reached and failed the request. It may be sent
+            there again if that is better than loading the adapter elsewhere.
+        bounds: The regions in which the request may be served.
     """
 
     request_id: str
@@ -51,10 +51,10 @@
 
 
 class UseOutcome(Enum):
-    """How the use of a replica ended, as far as that tells something of the replica."""
+    """How the use of a replica ended, as far as it says something about the replica."""
 
     ENDED = "ended"
-    """The request ran, or was never sent."""
+    """The request ran, or was not sent."""
     LACKING = "lacking"
     """The replica does not hold the adapter."""
     FULL = "full"
@@ -63,13 +63,13 @@
 
 
 class Use(Protocol):
-    """A request's use of a replica with an adapter.
+    """A request's use of a replica for an adapter.
 
     Attributes:
         instance: The incarnation of the replica.
-        number: This box's own number of it at the placer.
-        permit_until: Until when, on the local monotonic clock, the request may be sent there
-            although the replica is cold; None if the placer has permitted nothing.
+        number: The number that identifies the use in messages of this box to the placer.
+        permit_until: Until when the request may be sent to the replica although it is cold, on the
+            local monotonic clock. None without a permit of the placer.
     """
 
     instance: str
@@ -77,48 +77,49 @@
     permit_until: float | None
 
     def began(self) -> None:
-        """Note that the first event of the answer came."""
+        """Record the arrival of the first event of the answer."""
 
     def end(self, outcome: UseOutcome, *, backoff_s: float = 0.0) -> None:
-        """Note the end; safe to call again.
+        """Record the end of the use. Repeated calls have no effect.
 
         Args:
-            outcome: How it ended.
-            backoff_s: For how long the replica asked this box for rest.
+            outcome: How the use ended.
+            backoff_s: The back-off in seconds that the replica requested from this box.
         """
 
 
 class Adapters(Protocol):
-    """Tells where adapters stand, and has them brought where they are needed."""
+    """Finds replicas that hold an adapter, and has adapters loaded on demand."""
 
     def holds(self, replica: Replica, key: AdapterKey) -> bool:
         """Whether a replica holds the newest known version of an adapter."""
 
     def deny(self, instance: str, key: AdapterKey) -> None:
-        """Learn from a replica itself that it does not hold an adapter."""
+        """Record that a replica answered that it does not hold an adapter."""
 
     def newest(self, key: AdapterKey) -> int:
-        """Return the newest named version; 0 if none was named."""
+        """Return the newest announced version of an adapter; 0 if there is none."""
 
     def find(self, adapter_request: AdapterRequest) -> Use | None:
-        """Return the use of a replica that a placer grants, after a wait if need be.
+        """Request a replica from the placers and wait until one grants it.
 
         Returns:
-            The use, to be ended by the caller; None if no placer is heard.
+            The use of the granted replica, which the caller must end; None if no placer is
+            reachable.
 
         Raises:
-            NoReplica: As soon as the request should come back later instead.
+            NoReplica: If the client should retry later instead.
         """
 
     def await_placer(self, *, until: float) -> bool:
-        """Wait for a placer while none is heard and one is likely to be soon.
+        """Wait for a placer if none is reachable but one is expected soon.
 
         Args:
-            until: How long a wait makes sense, on the local monotonic clock.
+            until: The end of the wait, on the local monotonic clock.
 
         Returns:
-            Whether one is heard now that was not before.
+            Whether a placer became reachable during the wait.
         """
 
     def use(self, instance: str, key: AdapterKey) -> Use:
-        """Note the use of a replica that no placer granted; to be ended by the caller."""
+        """Record the use of a replica without a grant of a placer; the caller must end the use."""
--- a/springrock/forwarding/fingerprint.py
+++ b/springrock/forwarding/fingerprint.py
@@ -1,4 +1,4 @@
-"""What tells a request from all others, by whichever box and under whatever id it comes again."""
+"""Fingerprints that identify a request across its tries, at all boxes and under all ids."""
 
 from __future__ import annotations
 
@@ -7,22 +7,24 @@
 from springrock.forwarding.message import ClientRequest
 
 DIGITS = 32
-"""Hexadecimal ones. Two of a million requests have the same fingerprint by a chance of 10^-26."""
+"""The number of hexadecimal digits. Any two of a million requests have the same fingerprint with a
+probability of 10^-26."""
 
-_SHOWN_DIGITS = 12
+_LOGGED_DIGITS = 12
 
 
 class Fingerprint(str):
     """The digest of a request's caller, method, host, target and body.
 
-    Ids, deadlines and where a stream is taken up are not in it, as they differ from try to try.
+    The request id, the deadline and the last event id are left out, as they differ between the
+    tries of one request.
     """
 
     __slots__ = ()
 
     @classmethod
     def from_request(cls, request: ClientRequest) -> Fingerprint:
-        """Return the fingerprint of a request; its caller is known by its key, if it sent one."""
+        """Return the fingerprint of a request, whose caller is identified by its key, if any."""
         digest = hashlib.blake2b(digest_size=DIGITS // 2)
         head = (
             request.key_digest or b"",
@@ -31,12 +33,12 @@
             request.target.encode(),
         )
         for part in head:
-            # The length keeps what one part ends with apart from what the next begins with.
+            # The length prefix makes the boundaries between the parts unambiguous.
             digest.update(len(part).to_bytes(4) + part)
         digest.update(request.body)
         return cls(digest.hexdigest())
 
     @property
     def shown(self) -> str:
-        """What of it a log shows: enough to find the tries of one request."""
-        return self[:_SHOWN_DIGITS]
+        """The start of the fingerprint for logs, long enough to find the tries of one request."""
+        return self[:_LOGGED_DIGITS]
