--- a/tests/forwarding/test_directory.py
+++ b/tests/forwarding/test_directory.py
@@ -1,4 +1,4 @@
-"""Replicas that start again under their id, and records that come out of order."""
+"""The replica directory: restarts under the same id, and records that arrive out of order."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     return now
 
 
-def test_a_new_start_begins_with_nothing_of_the_old_one() -> None:
+def test_a_new_incarnation_has_no_state_of_the_old_one() -> None:
     directory = make_directory()
     directory.update(make_record(5, sequence=90))
     old = directory.find("i-1@5")
@@ -43,7 +43,7 @@
     assert directory.find("i-1@5") is None
 
 
-def test_who_has_chosen_a_replica_that_is_gone_sees_it_as_leaving() -> None:
+def test_a_removed_replica_is_marked_as_leaving_for_requests_that_chose_it() -> None:
     directory = make_directory()
     directory.update(make_record(5))
     old = directory.find("i-1@5")
@@ -66,7 +66,7 @@
     assert directory.find("i-1@6") is not None
 
 
-def test_a_replica_that_left_and_started_anew_is_not_leaving() -> None:
+def test_a_replica_that_left_and_started_again_is_not_leaving() -> None:
     directory = make_directory()
     directory.update(make_record(5, leaving=True))
     directory.remove("i-1")
@@ -80,7 +80,7 @@
     assert directory.leaving() == ("i-1@6",)
 
 
-def test_what_left_is_remembered_of_so_many_only(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_memory_of_leaving_incarnations_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(directory_module, "_INCARNATIONS_KEPT", 3)
     directory = make_directory()
     directory.update(make_record(5, leaving=True))
@@ -91,7 +91,7 @@
     assert directory.leaving() == ("i-1@5",)
 
 
-def test_a_record_of_a_lower_sequence_is_held_back_until_nothing_newer_follows(
+def test_a_record_with_a_lower_sequence_is_deferred_and_dropped_if_a_newer_one_follows(
     clock: list[float],
 ) -> None:
     directory = make_directory()
@@ -106,7 +106,7 @@
     assert known.record.running_limit == 9
 
 
-def test_a_lower_sequence_is_news_where_the_higher_one_was_not_the_replicas(
+def test_a_lower_sequence_is_applied_after_a_delay_if_no_higher_one_follows(
     clock: list[float],
 ) -> None:
     directory = make_directory()
@@ -120,7 +120,9 @@
 
 
 @pytest.mark.parametrize("born_ms, sequence", [(5, 8), (5, 0), (None, 3)])
-def test_equal_and_missing_sequences_are_news(born_ms: int | None, sequence: int) -> None:
+def test_records_with_equal_or_missing_sequences_are_applied(
+    born_ms: int | None, sequence: int
+) -> None:
     directory = make_directory()
     directory.update(make_record(born_ms, sequence=8, running_limit=8))
     directory.update(make_record(born_ms, sequence=sequence, running_limit=9))
@@ -128,7 +130,7 @@
     assert known.record.running_limit == 9
 
 
-def test_a_replica_at_another_address_gets_connections_there() -> None:
+def test_connections_follow_a_change_of_the_address() -> None:
     directory = make_directory()
     directory.update(make_record(5))
     directory.update(make_record(5, address="127.0.0.1:2"))
@@ -137,26 +139,26 @@
     assert known.pool.address == "127.0.0.1:2"
 
 
-class Kept:
-    """A connection that could carry another request."""
+class PooledConnection:
+    """A connection that can be reused."""
 
     reusable = True
     closed = False
 
     def record_kept(self) -> None:
-        """Rest."""
+        """Do nothing."""
 
     def close(self) -> None:
         self.closed = True
 
 
-def test_a_connection_to_an_earlier_start_carries_no_other_request() -> None:
+def test_connections_to_an_earlier_incarnation_are_not_reused() -> None:
     directory = make_directory()
     directory.update(make_record(5))
     old = directory.find("i-1@5")
     assert old is not None
-    resting, in_use = Kept(), Kept()
-    old.pool.give_back(resting)  # type: ignore[arg-type]
+    idle, in_use = PooledConnection(), PooledConnection()
+    old.pool.give_back(idle)  # type: ignore[arg-type]
     directory.update(make_record(6))
     old.pool.give_back(in_use)  # type: ignore[arg-type]
-    assert (resting.closed, in_use.closed) == (True, True)
+    assert (idle.closed, in_use.closed) == (True, True)
--- a/tests/forwarding/test_evacuation_watch.py
+++ b/tests/forwarding/test_evacuation_watch.py
@@ -1,4 +1,4 @@
-"""What operators see of an evacuation."""
+"""The metrics and log lines of an evacuation."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from springrock.topology import Topology
 
 
-class KeptLog(Log):
-    """Keeps what is said."""
+class RecordingLog(Log):
+    """A log that keeps the sentence and the count of each line."""
 
     def __init__(self) -> None:
         super().__init__("test", "box-1")
@@ -33,11 +33,11 @@
             gevent.sleep(0.005)
 
 
-def test_an_evacuation_is_shown_from_its_announcement_until_nothing_runs_there(
+def test_an_evacuation_is_reported_until_no_request_runs_in_the_zone(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(watch_module, "_COUNT_INTERVAL_S", 0.01)
-    metrics, log = ForwardingMetrics(), KeptLog()
+    metrics, log = ForwardingMetrics(), RecordingLog()
     directory = Directory(Log("test", "box-1"))
     directory.update(ReplicaRecord(instance="i", service="s", address="127.0.0.1:1", zone="z-2"))
     evacuations = Evacuations(Topology(home="z-1", zones=("z-1", "z-2")), log=Log("test", "box-1"))
@@ -46,26 +46,26 @@
     assert replica is not None
     replica.running = 2
 
-    def _shown(name: str) -> float | None:
+    def _metric(name: str) -> float | None:
         return metrics.registry.get_sample_value(f"springrock_evacuation_{name}", {"zone": "z-2"})
 
-    assert (_shown("zone"), _shown("running_requests"), _shown("seconds")) == (0.0, 0.0, 0.0)
+    assert (_metric("zone"), _metric("running_requests"), _metric("seconds")) == (0.0, 0.0, 0.0)
     evacuations.begin("z-2")
-    assert (_shown("zone"), _shown("running_requests")) == (1.0, 2.0)
+    assert (_metric("zone"), _metric("running_requests")) == (1.0, 2.0)
     wait_for(lambda: len(log.lines) == 1)
     replica.running = 1
     wait_for(lambda: len(log.lines) == 2)
     replica.running = 0
     wait_for(lambda: len(log.lines) == 4)
-    runs = "Requests still run in an evacuated zone."
+    still_running = "Requests still run in an evacuated zone."
     done = "An evacuation is done."
-    assert log.lines == [(runs, 2), (runs, 1), (runs, 0), (done, None)]
+    assert log.lines == [(still_running, 2), (still_running, 1), (still_running, 0), (done, None)]
     evacuations.end("z-2")
-    assert (_shown("zone"), _shown("seconds")) == (0.0, 0.0)
+    assert (_metric("zone"), _metric("seconds")) == (0.0, 0.0)
 
 
-def test_an_evacuation_that_is_taken_back_is_watched_no_longer() -> None:
-    log = KeptLog()
+def test_an_evacuation_that_ended_is_no_longer_watched() -> None:
+    log = RecordingLog()
     evacuations = Evacuations(
         Topology(home="z-1"),
         within_s=lambda: 0.5,
--- a/tests/forwarding/test_evacuations.py
+++ b/tests/forwarding/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Which zones are evacuated, as the operator's rows tell it, and from when on they get nothing."""
+"""Evacuations by rows of the operator's table: which zones are announced and when they are cut."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Clock:
-    """A clock that tests move, and the age of the news that is handed on."""
+    """A clock that tests advance, and the staleness of the change that is applied."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -39,7 +39,7 @@
 
 
 def make_evacuations(clock: Clock | None = None, *, within_s: float = WITHIN_S) -> Evacuations:
-    """Return the evacuations of a box; without a clock it never knows how old news is."""
+    """Return the evacuations of a box; without a clock the staleness of changes is unknown."""
     return Evacuations(
         Topology(home="z-1", zones=ZONES),
         within_s=lambda: within_s,
@@ -62,7 +62,7 @@
     return Row(f"evacuate/{zone}", b"{}", version)
 
 
-def test_a_row_evacuates_a_zone_and_its_removal_takes_it_back() -> None:
+def test_a_row_evacuates_a_zone_and_its_removal_ends_the_evacuation() -> None:
     evacuations = make_evacuations()
     reported: list[tuple[str, bool]] = []
     evacuations.on_change.append(lambda zone, evacuated: reported.append((zone, evacuated)))
@@ -77,7 +77,7 @@
     assert reported == [("z-2", True), ("z-2", False)]
 
 
-def test_a_whole_table_tells_of_every_zone() -> None:
+def test_a_full_table_replaces_the_evacuations_of_all_zones() -> None:
     evacuations = make_evacuations()
     table = make_table(evacuations)
     table.replace([evacuate("z-2"), evacuate("z-3")])
@@ -88,13 +88,13 @@
     assert evacuations.zones == frozenset()
 
 
-def test_a_row_that_cannot_be_read_evacuates_its_zone_all_the_same() -> None:
+def test_an_unreadable_row_evacuates_its_zone() -> None:
     evacuations = make_evacuations()
     make_table(evacuations).change(Row("evacuate/z-2", b"\xff{", 1))
     assert evacuations.zones == {"z-2"}
 
 
-def test_an_unknown_zone_is_passed_over() -> None:
+def test_an_unknown_zone_is_ignored() -> None:
     evacuations = make_evacuations()
     evacuations.begin("elsewhere")
     evacuations.end("elsewhere")
@@ -102,7 +102,7 @@
     assert evacuations.ended_at("elsewhere") is None
 
 
-def test_fresh_news_is_announced_for_two_fifths_of_the_bound(clock: Clock) -> None:
+def test_a_fresh_evacuation_is_announced_for_two_fifths_of_the_bound(clock: Clock) -> None:
     clock.staleness_s = 0.6
     evacuations = make_evacuations(clock)
     evacuations.begin("z-2")
@@ -116,7 +116,7 @@
 @pytest.mark.parametrize(
     "staleness_s, announced_s", [(2.0, 2.0), (3.0, 1.0), (3.75, 0.25), (4.0, 0.0), (60.0, 0.0)]
 )
-def test_news_that_may_be_old_is_cut_before_the_bound(
+def test_an_evacuation_that_may_be_old_is_cut_before_the_bound(
     clock: Clock, staleness_s: float, announced_s: float
 ) -> None:
     clock.staleness_s = staleness_s
@@ -127,7 +127,7 @@
     assert evacuations.zones == {"z-2"}
 
 
-def test_what_a_whole_table_tells_is_cut_at_once_unless_it_was_announced(clock: Clock) -> None:
+def test_a_full_table_cuts_new_evacuations_at_once_but_not_announced_ones(clock: Clock) -> None:
     evacuations = make_evacuations(clock)
     table = make_table(evacuations)
     table.change(evacuate("z-2"))
@@ -138,7 +138,7 @@
     assert evacuations.zones == {"z-2", "z-3"}
 
 
-def test_evacuated_again_right_after_it_was_taken_back_a_zone_has_a_bound_of_its_own(
+def test_a_repeated_evacuation_of_a_zone_has_its_own_bound(
     clock: Clock,
 ) -> None:
     evacuations = make_evacuations(clock)
@@ -153,7 +153,7 @@
     assert evacuations.zones == {"z-2"}
 
 
-def test_who_listens_is_told_of_the_cut_once_and_not_after_it_was_taken_back() -> None:
+def test_listeners_are_notified_of_a_cut_once_and_not_after_the_evacuation_ended() -> None:
     clock = Clock()
     evacuations = make_evacuations(clock, within_s=0.05)
     cut: list[str] = []
@@ -171,18 +171,18 @@
     assert cut == ["z-2", "z-1"]
 
 
-# With the follower of the operator's table.
+# With a follower of the operator's table.
 
 
 def test_a_box_knows_evacuations_before_it_has_a_configuration() -> None:
     evacuations = make_evacuations()
-    cut_then: list[frozenset[str]] = []
+    zones_at_configuration: list[frozenset[str]] = []
 
-    def _take(configuration: Configuration) -> None:
-        cut_then.append(evacuations.zones)
+    def _record_zones(configuration: Configuration) -> None:
+        zones_at_configuration.append(evacuations.zones)
 
     table = OperatorTable(
-        on_configuration=_take,
+        on_configuration=_record_zones,
         on_unreadable=lambda: None,
         on_version=lambda key, version: None,
         evacuations=evacuations,
@@ -190,10 +190,10 @@
     )
     configuration = Row("config", b'{"version": 1, "routes": [], "services": []}', 1)
     table.replace([configuration, evacuate("z-2", 2)])
-    assert cut_then == [frozenset({"z-2"})]
+    assert zones_at_configuration == [frozenset({"z-2"})]
 
 
-def test_a_box_that_has_read_nothing_takes_no_word_of_another_one_for_the_whole_table() -> None:
+def test_a_partial_reading_of_another_box_does_not_count_as_the_full_table() -> None:
     evacuations = make_evacuations()
     follower = make_follower(evacuations)
     follower.apply_reading(TableReading("op", 4, 5, [Row("config", b"{}", 5)]))
@@ -201,7 +201,7 @@
 
 
 def make_follower(evacuations: Evacuations, *, clock: StoreClock | None = None) -> TableFollower:
-    """Return a follower of the operator's table that has not begun to read."""
+    """Return a follower of the operator's table that has not started to read."""
     return TableFollower(
         ScriptedStore(),
         "op",
@@ -212,7 +212,7 @@
     )
 
 
-def read_whole(evacuations: Evacuations, *, clock: StoreClock | None = None) -> TableFollower:
+def read_full_table(evacuations: Evacuations, *, clock: StoreClock | None = None) -> TableFollower:
     follower = make_follower(evacuations, clock=clock)
     follower.start()
     with gevent.Timeout(10):
@@ -222,9 +222,9 @@
     return follower
 
 
-def test_what_one_box_reads_takes_a_zone_back_at_another_in_the_order_of_the_store() -> None:
+def test_relayed_readings_are_applied_in_the_order_of_the_store() -> None:
     evacuations = make_evacuations()
-    follower = read_whole(evacuations)
+    follower = read_full_table(evacuations)
     gone = Removed("evacuate/z-2", 3)
     readings = [
         TableReading("op", 1, 2, [evacuate("z-2", 2)]),
@@ -242,9 +242,9 @@
     assert seen == [True, False, False, True, True, False, False]
 
 
-def test_what_is_missing_between_two_readings_is_never_passed_over() -> None:
+def test_a_gap_between_two_readings_is_not_skipped() -> None:
     evacuations = make_evacuations()
-    follower = read_whole(evacuations)
+    follower = read_full_table(evacuations)
     follower.apply_reading(TableReading("op", 1, 2, [evacuate("z-2", 2)]))
     follower.apply_reading(TableReading("op", 3, 4, [Row("version/m.a", b"{}", 4)]))
     assert evacuations.announced == {"z-2"}
@@ -252,8 +252,9 @@
     assert evacuations.announced == frozenset()
 
 
-def test_what_is_told_counts_from_what_was_known_before_it_was_told() -> None:
-    # Two fifths of the bound are announced, and four fifths are over when the news comes.
+def test_the_age_of_a_relayed_evacuation_counts_from_the_staleness_before_it_arrived() -> None:
+    # The announcement would take two fifths of the bound, but the latest time of the cut, at four
+    # fifths, is over when the relayed reading arrives.
     evacuations = Evacuations(
         Topology(home="z-1", zones=ZONES),
         within_s=lambda: 0.25,
@@ -262,9 +263,9 @@
     )
     clock = StoreClock()
     clock.record(monotonic(), sent_at=monotonic(), received_at=monotonic())
-    follower = read_whole(evacuations, clock=clock)
+    follower = read_full_table(evacuations, clock=clock)
     gevent.sleep(0.25)
     as_of_s = clock.earliest_store(monotonic())
     follower.apply_reading(TableReading("op", 1, 2, [evacuate("z-2", 2)], as_of_s=as_of_s))
-    assert follower.staleness_s < 0.1, "from now on it is known to be fresh"
+    assert follower.staleness_s < 0.1, "the table counts as fresh afterwards"
     assert evacuations.zones == {"z-2"}
--- a/tests/forwarding/test_fingerprint.py
+++ b/tests/forwarding/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""What a request is known by from try to try."""
+"""Fingerprints: the same for all tries of a request, different for other requests."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize(
-    "of_the_try",
+    "difference",
     [
         {"request_id": "another"},
         {"deadline_s": 0.5},
@@ -25,12 +25,12 @@
     ],
     ids=str,
 )
-def test_what_differs_from_try_to_try_is_not_in_it(of_the_try: dict[str, object]) -> None:
-    assert fingerprint(**of_the_try) == fingerprint()
+def test_tries_of_one_request_have_the_same_fingerprint(difference: dict[str, object]) -> None:
+    assert fingerprint(**difference) == fingerprint()
 
 
 @pytest.mark.parametrize(
-    "of_another",
+    "difference",
     [
         {"method": "PUT"},
         {"host": "other.example"},
@@ -42,10 +42,10 @@
     ],
     ids=str,
 )
-def test_another_request_or_caller_has_another(of_another: dict[str, object]) -> None:
-    assert fingerprint(**of_another) != fingerprint()
+def test_other_requests_and_callers_have_another_fingerprint(difference: dict[str, object]) -> None:
+    assert fingerprint(**difference) != fingerprint()
 
 
-def test_a_log_shows_a_part_of_it() -> None:
+def test_logs_show_the_start_of_the_fingerprint() -> None:
     assert fingerprint().startswith(fingerprint().shown)
     assert len(fingerprint().shown) == 12
--- a/tests/forwarding/test_keys.py
+++ b/tests/forwarding/test_keys.py
@@ -1,4 +1,4 @@
-"""Which requests are admitted by their keys, as the knowledge of keys ages."""
+"""The admission of requests by their keys, depending on the staleness of the configuration."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 TERMS = KeyTerms(revoke_s=5.0, fail_closed=True)
 
 
-class Door:
-    """A gate whose configuration and knowledge may be changed."""
+class GateFixture:
+    """A key gate whose configuration and staleness can be changed."""
 
     def __init__(self, *teams: Team, fail_closed: bool = True) -> None:
         self.stale_s = 0.0
@@ -31,96 +31,96 @@
 
 
 def test_a_known_key_gives_the_team() -> None:
-    admission = Door(ONE).admit()
+    admission = GateFixture(ONE).admit()
     assert (admission.team, admission.reported) == (ONE, "one")
 
 
 @pytest.mark.parametrize("digest", [None, digest_of("other")])
 def test_a_missing_or_unknown_key_is_rejected(digest: bytes | None) -> None:
     with pytest.raises(KeyUnknown) as rejection:
-        Door(ONE).admit(digest)
+        GateFixture(ONE).admit(digest)
     assert (rejection.value.status, rejection.value.retry_after_s) == (401, None)
 
 
-def test_without_teams_nothing_is_asked_and_the_clients_headers_stand() -> None:
+def test_without_teams_no_key_is_needed_and_client_headers_are_unchanged() -> None:
     table = RouteTable(Configuration(version=1))
-    admission = Door().gate.admit(table, make_route(), None)
+    admission = GateFixture().gate.admit(table, make_route(), None)
     assert (admission.team, admission.reported) == (None, None)
 
 
-def test_no_team_at_all_admits_nobody() -> None:
+def test_an_empty_list_of_teams_rejects_every_request() -> None:
     with pytest.raises(KeyUnknown):
-        Door().admit()
+        GateFixture().admit()
 
 
-def test_a_public_route_needs_no_key_and_tells_the_team_of_a_known_one() -> None:
-    door = Door(ONE)
-    door.stale_s = float("inf")
-    assert door.admit(None, public=True).reported == ""
-    assert door.admit(digest_of("other"), public=True).reported == ""
-    assert door.admit(KEY, public=True).reported == "one"
+def test_a_public_route_needs_no_key_but_reports_the_team_of_a_known_key() -> None:
+    fixture = GateFixture(ONE)
+    fixture.stale_s = float("inf")
+    assert fixture.admit(None, public=True).reported == ""
+    assert fixture.admit(digest_of("other"), public=True).reported == ""
+    assert fixture.admit(KEY, public=True).reported == "one"
 
 
-def test_a_key_is_trusted_for_less_than_a_removal_may_take() -> None:
-    door = Door(ONE)
-    door.stale_s = 4.7
-    assert door.admit().team == ONE
-    door.stale_s = 4.8
+def test_a_key_is_trusted_for_less_than_the_revocation_bound() -> None:
+    fixture = GateFixture(ONE)
+    fixture.stale_s = 4.7
+    assert fixture.admit().team == ONE
+    fixture.stale_s = 4.8
     with pytest.raises(KeysStale) as rejection:
-        door.admit()
+        fixture.admit()
     assert rejection.value.status == 503
     assert rejection.value.retry_after_s
 
 
-def test_a_key_that_may_be_new_is_not_called_unknown() -> None:
-    door = Door(ONE)
-    door.stale_s = 2.1
+def test_a_key_that_may_be_new_is_not_rejected_as_unknown() -> None:
+    fixture = GateFixture(ONE)
+    fixture.stale_s = 2.1
     with pytest.raises(KeysStale):
-        door.admit(digest_of("new"))
+        fixture.admit(digest_of("new"))
 
 
-def test_where_it_does_not_fail_closed_known_keys_go_on() -> None:
-    door = Door(ONE, fail_closed=False)
-    door.stale_s = float("inf")
-    assert door.admit().team == ONE
+def test_without_fail_closed_known_keys_are_accepted_from_a_stale_configuration() -> None:
+    fixture = GateFixture(ONE, fail_closed=False)
+    fixture.stale_s = float("inf")
+    assert fixture.admit().team == ONE
     with pytest.raises(KeysStale):
-        door.admit(digest_of("new"))
+        fixture.admit(digest_of("new"))
 
 
-def test_a_request_that_waited_is_not_sent_with_a_key_that_was_taken_away() -> None:
-    door = Door(ONE)
-    admission = door.admit()
-    door.gate.check_again(admission, KEY)
-    door.table = RouteTable(Configuration(version=2, teams=(Team(name="one"),)))
+def test_a_request_that_waited_is_not_sent_if_its_key_was_revoked() -> None:
+    fixture = GateFixture(ONE)
+    admission = fixture.admit()
+    fixture.gate.check_again(admission, KEY)
+    fixture.table = RouteTable(Configuration(version=2, teams=(Team(name="one"),)))
     with pytest.raises(KeyUnknown):
-        door.gate.check_again(admission, KEY)
+        fixture.gate.check_again(admission, KEY)
 
 
-def test_a_key_that_went_to_another_team_does_not_serve_the_first_one() -> None:
-    door = Door(ONE)
-    admission = door.admit()
+def test_a_request_that_waited_is_rejected_if_its_key_moved_to_another_team() -> None:
+    fixture = GateFixture(ONE)
+    admission = fixture.admit()
     other = Team(name="other", key_digests=frozenset({KEY}))
-    door.table = RouteTable(Configuration(version=2, teams=(other,)))
+    fixture.table = RouteTable(Configuration(version=2, teams=(other,)))
     with pytest.raises(KeyUnknown):
-        door.gate.check_again(admission, KEY)
+        fixture.gate.check_again(admission, KEY)
 
 
-def test_a_request_that_waited_beyond_the_age_is_not_sent() -> None:
-    door = Door(ONE)
-    admission = door.admit()
-    door.stale_s = 4.8
+def test_a_request_that_waited_is_not_sent_if_the_configuration_became_stale() -> None:
+    fixture = GateFixture(ONE)
+    admission = fixture.admit()
+    fixture.stale_s = 4.8
     with pytest.raises(KeysStale):
-        door.gate.check_again(admission, KEY)
-    door.gate.check_again(door.admit(KEY, public=True), KEY)
+        fixture.gate.check_again(admission, KEY)
+    fixture.gate.check_again(fixture.admit(KEY, public=True), KEY)
 
 
-def test_the_rank_of_a_team_goes_before_that_of_the_route() -> None:
+def test_the_priority_of_a_team_overrides_that_of_the_route() -> None:
     route = make_route(priority=2)
     assert RequestProgress(make_request(), route, "s").priority == 2
     assert RequestProgress(make_request(), route, "s", Admission(ONE)).priority == 0
     assert RequestProgress(make_request(), route, "s", Admission(Team(name="two"))).priority == 2
 
 
-def test_what_is_shown_of_a_key_tells_keys_apart_and_nothing_else() -> None:
+def test_logs_show_only_the_start_of_a_keys_digest() -> None:
     assert shown(KEY) == KEY[:4].hex()
     assert shown(None) == ""
--- a/tests/forwarding/test_notices.py
+++ b/tests/forwarding/test_notices.py
@@ -1,4 +1,4 @@
-"""What answers tell of their replicas: whom it binds, and who learns it."""
+"""Notices in answers: which incarnation they apply to, and who is notified."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 
 class Box:
-    """One box's directory and what its replicas told it."""
+    """The directory of one box, and the leaving incarnations that listeners were notified of."""
 
     def __init__(self) -> None:
         self.directory = Directory(Log("directory", "box-1"))
         self.notices: ReplicaNotices = make_notices(self.directory)
-        self.reported: list[str] = []
-        self.notices.on_leaving.append(self.reported.append)
+        self.leaving_instances: list[str] = []
+        self.notices.on_leaving.append(self.leaving_instances.append)
 
     def start(self, born_ms: int) -> None:
-        """Let the row of a start of the replica be read."""
+        """Add the row of an incarnation of the replica."""
         record = ReplicaRecord(
             instance=incarnation_of("i-1", born_ms),
             service="s",
@@ -46,7 +46,7 @@
     return box
 
 
-def test_an_answer_makes_its_replica_leave_and_others_are_told_once(box: Box) -> None:
+def test_a_leaving_notice_marks_its_replica_and_notifies_listeners_once(box: Box) -> None:
     replica = box.directory.find("i-1@5")
     assert replica is not None
     box.notices.apply(replica, NO_NOTICE, sent_at=monotonic())
@@ -54,10 +54,10 @@
     box.notices.apply(replica, LEAVES, sent_at=monotonic())
     box.notices.apply(replica, LEAVES, sent_at=monotonic())
     assert box.directory.leaving() == ("i-1@5",)
-    assert box.reported == ["i-1@5"]
+    assert box.leaving_instances == ["i-1@5"]
 
 
-def test_what_a_replica_said_outlasts_its_row(box: Box) -> None:
+def test_a_leaving_notice_is_kept_after_the_row_was_removed(box: Box) -> None:
     replica = box.directory.find("i-1@5")
     assert replica is not None
     box.directory.remove("i-1")
@@ -66,17 +66,17 @@
     assert box.directory.leaving() == ("i-1@5",)
 
 
-def test_a_late_answer_of_an_earlier_start_says_nothing_of_the_new_one(box: Box) -> None:
+def test_a_late_notice_of_an_earlier_incarnation_does_not_affect_the_new_one(box: Box) -> None:
     replica = box.directory.find("i-1@5")
     assert replica is not None
-    take = box.notices.notice_handler("i-1")
+    handle = box.notices.notice_handler("i-1")
     box.start(6)
     box.notices.apply(replica, LEAVES, sent_at=monotonic())
-    take(LEAVES)
+    handle(LEAVES)
     assert box.directory.leaving() == ()
 
 
-def test_an_answer_to_an_order_tells_as_much_as_one_to_a_request(box: Box) -> None:
+def test_notices_in_answers_to_control_calls_are_applied(box: Box) -> None:
     box.notices.notice_handler("i-1")(LEAVES)
     assert box.directory.leaving() == ("i-1@5",)
     box.notices.notice_handler("i-unknown")(LEAVES)
@@ -92,17 +92,19 @@
         max_size=6,
     ),
 )
-def test_any_head_tells_something_or_nothing(status: int, headers: list[tuple[str, str]]) -> None:
+def test_any_head_gives_a_valid_notice(status: int, headers: list[tuple[str, str]]) -> None:
     notice = notice_from(status, Headers.from_pairs(headers))
     assert 0.0 <= notice.backoff_s < float("inf")
-    says = any(name == "Server-Leaving" and value.strip() == "1" for name, value in headers)
-    assert notice.leaving == (says and status != 421)
+    has_leaving_header = any(
+        name == "Server-Leaving" and value.strip() == "1" for name, value in headers
+    )
+    assert notice.leaving == (has_leaving_header and status != 421)
     assert not notice.backoff_s or status == 503
     assert notice.limit_per_s is None or 0.0 <= notice.limit_per_s < float("inf")
     assert notice.limit_per_s is None or status != 421
 
 
-def test_what_an_answer_says_of_its_limit_is_read() -> None:
+def test_the_limit_in_an_answer_is_read() -> None:
     def _read(status: int, *values: str) -> ReplicaNotice:
         return notice_from(status, Headers.from_pairs(("Server-Limit", value) for value in values))
 
@@ -114,7 +116,7 @@
     assert _read(200, "-1").limit_per_s is None
 
 
-def test_a_rest_is_kept_by_whatever_start_stands_under_the_id(box: Box) -> None:
+def test_a_backoff_applies_to_all_incarnations_with_the_id(box: Box) -> None:
     replica = box.directory.find("i-1@5")
     assert replica is not None
     box.notices.apply(replica, ReplicaNotice(backoff_s=3.0), sent_at=monotonic())
@@ -125,17 +127,17 @@
     assert restarted is not None and restarted.backoff.active
     box.directory.remove("i-1")
     box.start(6)
-    back = box.directory.find("i-1@6")
-    assert back is not None and back is not restarted and back.backoff.active
+    restored = box.directory.find("i-1@6")
+    assert restored is not None and restored is not restarted and restored.backoff.active
 
 
-def test_a_word_that_no_part_reads_is_shown_once_for_each_replica(
+def test_an_unknown_notice_name_is_logged_once_for_each_replica(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     counted: list[str] = []
-    shown: list[object] = []
+    logged: list[object] = []
     monkeypatch.setattr(
-        Log, "say", lambda self, sentence, **fields: shown.append(fields.get("said"))
+        Log, "say", lambda self, sentence, **fields: logged.append(fields.get("said"))
     )
     box = Box()
     box.notices = ReplicaNotices(
@@ -148,4 +150,4 @@
     for _ in range(3):
         box.notices.apply(replica, notice_from(200, headers), sent_at=monotonic())
     assert counted.count("unknown") == 1
-    assert shown.count("server-mood") == 1
+    assert logged.count("server-mood") == 1
--- a/tests/forwarding/test_notices_model.py
+++ b/tests/forwarding/test_notices_model.py
@@ -1,4 +1,7 @@
-"""Answers, rows, restarts and waits in any order: nothing is sent against a replica's own word."""
+"""A model test of notices: answers, rows, restarts and waits in any order.
+
+No request may be sent to a replica that has announced to leave or asked for a back-off.
+"""
 
 from __future__ import annotations
 
@@ -30,28 +33,28 @@
 
 
 class RowRead(NamedTuple):
-    """The row of a start of a replica is read, for the first time or again."""
+    """The row of an incarnation is read, for the first time or again."""
 
     replica_id: str
     born_ms: int
 
 
 class RowGone(NamedTuple):
-    """The row of a replica is gone, as the store is down or the replica is."""
+    """The row of a replica is removed, because the store or the replica is down."""
 
     replica_id: str
 
 
 class Answered(NamedTuple):
-    """A replica that some request was sent to, lately or long ago, answers."""
+    """A replica answers a request that was sent recently or long ago."""
 
     sent: int
     leaving: bool
     backoff_s: float
 
 
-class ToldByBox(NamedTuple):
-    """Another box tells that a start of a replica leaves."""
+class ReportedByBox(NamedTuple):
+    """Another box reports that an incarnation is leaving."""
 
     replica_id: str
     born_ms: int
@@ -63,16 +66,16 @@
     seconds: float
 
 
-Step = RowRead | RowGone | Answered | ToldByBox | Waited
+Step = RowRead | RowGone | Answered | ReportedByBox | Waited
 
 _ids = st.sampled_from(IDS)
-_births = st.integers(1, 3)
+_start_times = st.integers(1, 3)
 _steps = st.lists(
     st.one_of(
-        st.builds(RowRead, _ids, _births),
+        st.builds(RowRead, _ids, _start_times),
         st.builds(RowGone, _ids),
         st.builds(Answered, st.integers(0, 20), st.booleans(), st.sampled_from([0.0, 0.2, 3.0])),
-        st.builds(ToldByBox, _ids, _births),
+        st.builds(ReportedByBox, _ids, _start_times),
         st.builds(Waited, st.sampled_from([0.1, 0.5, 1.0, 6.0])),
     ),
     max_size=30,
@@ -80,7 +83,7 @@
 
 
 class Box:
-    """A box that sends a request wherever it may, after each step."""
+    """A box that sends a request to every eligible replica after each step."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -88,18 +91,18 @@
         self._notices = make_notices(self._directory)
         self._balancer = Balancer(world=make_world, chance=random.Random(1))
         self._sent: list[Replica] = []
-        self._left: set[str] = set()
-        self._rests: dict[str, float] = {}
+        self._left_incarnations: set[str] = set()
+        self._backoff_until: dict[str, float] = {}
 
-    def take(self, step: Step) -> None:
+    def execute(self, step: Step) -> None:
         match step:
             case RowRead(replica_id, born_ms):
                 self._directory.update(_record(replica_id, born_ms))
             case RowGone(replica_id):
                 self._directory.remove(replica_id)
-            case ToldByBox(replica_id, born_ms):
+            case ReportedByBox(replica_id, born_ms):
                 instance = incarnation_of(replica_id, born_ms)
-                self._left.add(instance)
+                self._left_incarnations.add(instance)
                 self._directory.record_leaving(instance, LeavingSign.BOX)
             case Waited(seconds):
                 self.now += seconds
@@ -111,13 +114,13 @@
         replica = self._sent[step.sent % len(self._sent)]
         self._notices.apply(replica, ReplicaNotice(step.leaving, step.backoff_s), sent_at=self.now)
         if step.leaving:
-            self._left.add(replica.instance)
+            self._left_incarnations.add(replica.instance)
         replica_id = replica.record.replica_id
         until = self.now + step.backoff_s
-        self._rests[replica_id] = max(self._rests.get(replica_id, 0.0), until)
+        self._backoff_until[replica_id] = max(self._backoff_until.get(replica_id, 0.0), until)
 
     def _send(self) -> None:
-        """Send to each replica that may get a request, and look at whether it wants one."""
+        """Send to each eligible replica, and check that it accepts requests."""
         replicas = self._directory.of_service(SERVICE)
         for replica in replicas:
             if self._balancer.obstacle(replica, bounds=ANYWHERE) is None:
@@ -129,8 +132,8 @@
                 self._check(chosen)
 
     def _check(self, replica: Replica) -> None:
-        assert replica.instance not in self._left
-        assert self.now >= self._rests.get(replica.record.replica_id, 0.0)
+        assert replica.instance not in self._left_incarnations
+        assert self.now >= self._backoff_until.get(replica.record.replica_id, 0.0)
 
 
 def _record(replica_id: str, born_ms: int) -> ReplicaRecord:
@@ -145,7 +148,7 @@
 
 @settings(max_examples=400, deadline=None)
 @given(steps=_steps)
-def test_nothing_is_sent_against_a_replicas_own_word(steps: list[Step]) -> None:
+def test_nothing_is_sent_to_a_replica_against_its_notices(steps: list[Step]) -> None:
     box = Box()
     with (
         patch.object(health_module, "monotonic", lambda: box.now),
@@ -153,4 +156,4 @@
         patch.object(backoff_module, "monotonic", lambda: box.now),
     ):
         for step in steps:
-            box.take(step)
+            box.execute(step)
--- a/tests/forwarding/test_pages.py
+++ b/tests/forwarding/test_pages.py
@@ -1,4 +1,4 @@
-"""The small pages: readiness and metrics."""
+"""The readiness and metrics pages."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from springrock.settings import split_address
 
 
-def answer_to(address: str, request_line: str) -> tuple[str, str]:
-    """Return the head and the body of the answer."""
+def send_request(address: str, request_line: str) -> tuple[str, str]:
+    """Return the head and the body of the response."""
     request = f"{request_line} HTTP/1.1\r\nHost: box\r\nConnection: close\r\n\r\n"
     with create_connection(split_address(address)) as connection:
         connection.sendall(request.encode())
-        with connection.makefile("rb") as answer:
-            head, _, body = answer.read().decode().partition("\r\n\r\n")
+        with connection.makefile("rb") as response:
+            head, _, body = response.read().decode().partition("\r\n\r\n")
     return head, body
 
 
@@ -46,33 +46,35 @@
     page.stop()
 
 
-def test_readiness_follows_the_box(readiness: str, is_ready: list[bool]) -> None:
-    head, body = answer_to(readiness, "GET /ready")
+def test_the_readiness_page_follows_the_state_of_the_box(
+    readiness: str, is_ready: list[bool]
+) -> None:
+    head, body = send_request(readiness, "GET /ready")
     assert head.startswith("HTTP/1.1 200 OK\r\n")
     assert body == "ready\n"
     is_ready[0] = False
-    head, body = answer_to(readiness, "GET /ready")
+    head, body = send_request(readiness, "GET /ready")
     assert head.startswith("HTTP/1.1 503 Service Unavailable\r\n")
     assert body == "not ready\n"
 
 
-def test_metrics_are_told_as_prometheus_reads_them(metrics: str) -> None:
-    head, body = answer_to(metrics, "GET /metrics")
+def test_metrics_are_served_in_the_prometheus_text_format(metrics: str) -> None:
+    head, body = send_request(metrics, "GET /metrics")
     assert head.startswith("HTTP/1.1 200 OK\r\n")
     assert "Content-Type: text/plain; version=0.0.4" in head
     assert "springrock_forwarding_replicas 0.0\n" in body
 
 
 def test_a_head_request_gets_the_length_and_no_body(readiness: str) -> None:
-    head, body = answer_to(readiness, "HEAD /ready")
+    head, body = send_request(readiness, "HEAD /ready")
     assert head.startswith("HTTP/1.1 200 OK\r\n")
     assert "Content-Length: 6" in head
     assert body == ""
 
 
 def test_other_paths_and_methods_are_refused(readiness: str) -> None:
-    head, _ = answer_to(readiness, "GET /other")
+    head, _ = send_request(readiness, "GET /other")
     assert head.startswith("HTTP/1.1 404 Not Found\r\n")
-    head, _ = answer_to(readiness, "POST /ready")
+    head, _ = send_request(readiness, "POST /ready")
     assert head.startswith("HTTP/1.1 405 Method Not Allowed\r\n")
     assert "Allow: GET, HEAD" in head
