--- a/springrock/forwarding/adapters.py
+++ b/springrock/forwarding/adapters.py
@@ -58,8 +58,11 @@
     LACKING = "lacking"
     """The replica does not hold the adapter."""
     FULL = "full"
+    """The replica did not run the request because it was full."""
     UNREACHABLE = "unreachable"
+    """No connection to the replica could be opened."""
     FAILED = "failed"
+    """The replica was reached, but broke off, stayed silent or failed the request."""
 
 
 class Use(Protocol):
--- a/springrock/forwarding/directory.py
+++ b/springrock/forwarding/directory.py
@@ -147,7 +147,7 @@
         self._instance_by_id: dict[str, str] = {}
         self._newest_starts: Remembered[int] = Remembered(at_most=_INCARNATIONS_KEPT)
         self._backoffs: Remembered[Backoff] = Remembered(at_most=_INCARNATIONS_KEPT)
-        self._left_incarnations: Remembered[None] = Remembered(at_most=_INCARNATIONS_KEPT)
+        self._leaving_incarnations: Remembered[None] = Remembered(at_most=_INCARNATIONS_KEPT)
         self._ignored_starts: Remembered[int | None] = Remembered(at_most=_INCARNATIONS_KEPT)
         self._deferred: dict[str, ReplicaRecord] = {}
         self.on_change: list[Callable[[ReplicaRecord | None, str], None]] = []
@@ -156,7 +156,7 @@
         """Return the replica with an incarnation; None if it is unknown."""
         return self._replicas.get(instance)
 
-    def find_id(self, replica_id: str) -> Replica | None:
+    def find_by_id(self, replica_id: str) -> Replica | None:
         """Return the known incarnation of a replica id; None if there is none."""
         return self._replicas.get(self._instance_by_id.get(replica_id, ""))
 
@@ -180,7 +180,7 @@
 
     def is_leaving(self, instance: str) -> bool:
         """Whether an incarnation is known to be leaving, even if there is no row for it."""
-        return instance in self._left_incarnations
+        return instance in self._leaving_incarnations
 
     def newest_start(self, replica_id: str) -> int | None:
         """Return the newest known start of a replica id in Unix milliseconds; None if unknown."""
@@ -197,7 +197,7 @@
         """
         known = self._replicas.get(instance)
         if known is None:
-            self._left_incarnations.record(instance, None)
+            self._leaving_incarnations.record(instance, None)
         elif not known.record.leaving:
             self._apply(msgspec.structs.replace(known.record, leaving=True), source=source)
 
@@ -207,7 +207,7 @@
         The back-off applies to every incarnation with the id, also after the row was removed and
         came back: the replica that asked may be a newer incarnation whose row was not read yet.
         """
-        known = self.find_id(replica_id)
+        known = self.find_by_id(replica_id)
         previous = self._backoffs.get(replica_id) if known is None else known.backoff
         backoff = previous or Backoff()
         backoff.extend(seconds)
@@ -219,7 +219,7 @@
         The rest of the last record stays in force until a readable row arrives or the row is
         removed.
         """
-        known = self.find_id(replica_id)
+        known = self.find_by_id(replica_id)
         if known is None or not known.record.understood:
             return
         record = msgspec.structs.replace(known.record, understood=False)
@@ -294,9 +294,9 @@
                 self._apply(record)
 
     def _apply(self, record: ReplicaRecord, *, source: LeavingSign = LeavingSign.ROW) -> None:
-        before = self._instance_by_id.get(record.replica_id)
-        if before is not None and before != record.instance:
-            self._remove_incarnation(before)
+        previous = self._instance_by_id.get(record.replica_id)
+        if previous is not None and previous != record.instance:
+            self._remove_incarnation(previous)
         record = self._keep_leaving(record)
         if record.born_ms is not None:
             self._newest_starts.record(record.replica_id, record.born_ms)
@@ -315,23 +315,23 @@
         known = self._replicas.get(record.instance)
         was_leaving = known is not None and known.record.leaving
         if record.leaving or was_leaving:
-            self._left_incarnations.record(record.instance, None)
-        if record.leaving or record.instance not in self._left_incarnations:
+            self._leaving_incarnations.record(record.instance, None)
+        if record.leaving or record.instance not in self._leaving_incarnations:
             return record
         return msgspec.structs.replace(record, leaving=True)
 
     def _update_known(self, known: Replica, record: ReplicaRecord, source: LeavingSign) -> None:
-        before = known.record
+        previous = known.record
         recorded_at = known.recorded_at
         known.record = record
         known.recorded_at = monotonic()
         if record.address != known.pool.address:
             known.pool.close()
             known.pool = ConnectionPool(record.address)
-        if record.leaving and not before.leaving:
+        if record.leaving and not previous.leaving:
             known.pool.close()
             self._log_leaving(known, source, recorded_at)
-        if record.understood and not before.understood:
+        if record.understood and not previous.understood:
             self._log_record(record, "The row of a replica can be read again.")
 
     def _remove_incarnation(self, instance: str) -> None:
--- a/springrock/forwarding/evacuations.py
+++ b/springrock/forwarding/evacuations.py
@@ -94,13 +94,13 @@
         Returns:
             None if the zone is not evacuated.
         """
-        existing = self._evacuations.get(zone)
-        return None if existing is None else existing.learned_at
+        evacuation = self._evacuations.get(zone)
+        return None if evacuation is None else evacuation.learned_at
 
     def cut_in_s(self, zone: str) -> float | None:
         """Return the seconds until the cut of a zone; None if the zone is not evacuated."""
-        existing = self._evacuations.get(zone)
-        return None if existing is None else max(0.0, existing.cut_at - monotonic())
+        evacuation = self._evacuations.get(zone)
+        return None if evacuation is None else max(0.0, evacuation.cut_at - monotonic())
 
     def ended_at(self, zone: str) -> float | None:
         """Return when the last evacuation of a zone ended, on the local monotonic clock.
@@ -126,13 +126,15 @@
 
     def end(self, zone: str) -> None:
         """End the evacuation of a zone."""
-        existing = self._evacuations.pop(zone, None)
-        if existing is None:
+        evacuation = self._evacuations.pop(zone, None)
+        if evacuation is None:
             return
         now = monotonic()
         self._ended_at[zone] = now
         self._log.say(
-            "A zone is no longer evacuated.", zone=zone, after_s=round(now - existing.learned_at, 3)
+            "A zone is no longer evacuated.",
+            zone=zone,
+            after_s=round(now - evacuation.learned_at, 3),
         )
         self._notify(zone, False)
 
@@ -150,7 +152,7 @@
             return
         now = monotonic()
         announced_s = max(0.0, self._announced_s(age_s))
-        existing = self._evacuations[zone] = _Evacuation(now, now + announced_s)
+        evacuation = self._evacuations[zone] = _Evacuation(now, now + announced_s)
         self._log.say(
             "A zone is evacuated.",
             zone=zone,
@@ -159,7 +161,7 @@
         )
         self._notify(zone, True)
         if announced_s:
-            gevent.spawn(self._cut_on_time, zone, existing)
+            gevent.spawn(self._cut_on_time, zone, evacuation)
         else:
             self._cut(zone)
 
@@ -168,11 +170,11 @@
         within_s = self._within_s()
         return min(_ANNOUNCED_PART * within_s, _CUT_PART * within_s - age_s)
 
-    def _cut_on_time(self, zone: str, existing: _Evacuation) -> None:
+    def _cut_on_time(self, zone: str, evacuation: _Evacuation) -> None:
         # The sleep may end slightly before `cut_at` by the monotonic clock.
-        while (left_s := existing.cut_at - monotonic()) > 0:
+        while (left_s := evacuation.cut_at - monotonic()) > 0:
             gevent.sleep(left_s)
-            if self._evacuations.get(zone) is not existing:
+            if self._evacuations.get(zone) is not evacuation:
                 return
         self._cut(zone)
 
--- a/springrock/forwarding/health.py
+++ b/springrock/forwarding/health.py
@@ -9,7 +9,7 @@
 _MIN_REST_S = 0.3
 _MAX_REST_S = 4.0
 _RATE_STEP = 0.15
-"""How far one outcome moves the failure rate."""
+"""The weight of one outcome in the moving average of the failure rate."""
 
 _FAILURES_TO_REST = 2
 """Consecutive failures after which a reachable replica gets a rest period."""
@@ -99,5 +99,5 @@
 
 
 def _decay_factor(since: float, half_life_s: float) -> float:
-    """Return the factor of an exponential decay since a time on the local monotonic clock."""
+    """Return 0.5 to the power of the half-lives since a time on the local monotonic clock."""
     return math.exp2((since - monotonic()) / half_life_s)
--- a/springrock/forwarding/notices.py
+++ b/springrock/forwarding/notices.py
@@ -84,7 +84,7 @@
             self._log.say(
                 "A replica sent a notice that cannot be read.",
                 instance=replica.instance,
-                said=notice.unreadable,
+                notice=notice.unreadable,
             )
         if notice.backoff_s:
             self._count("backoff")
@@ -120,7 +120,7 @@
             "A replica sent a notice that this build does not know.",
             instance=replica.instance,
             service=replica.record.service,
-            said=name,
+            notice=name,
         )
 
     def notice_handler(self, replica_id: str) -> NoticeTaker:
@@ -132,7 +132,7 @@
         Args:
             replica_id: The id of the replica that the call will be sent to.
         """
-        replica = self._directory.find_id(replica_id)
+        replica = self._directory.find_by_id(replica_id)
         if replica is None:
             return pass_over
         return partial(self.apply, replica, sent_at=monotonic())
--- a/tests/forwarding/test_directory.py
+++ b/tests/forwarding/test_directory.py
@@ -86,7 +86,7 @@
     directory.update(make_record(5, leaving=True))
     for number in range(10):
         directory.record_leaving(f"i-other-{number}", LeavingSign.BOX)
-    assert len(directory._left_incarnations) == 3
+    assert len(directory._leaving_incarnations) == 3
     directory.update(make_record(5, sequence=8))
     assert directory.leaving() == ("i-1@5",)
 
--- a/tests/forwarding/test_notices.py
+++ b/tests/forwarding/test_notices.py
@@ -137,7 +137,7 @@
     counted: list[str] = []
     logged: list[object] = []
     monkeypatch.setattr(
-        Log, "say", lambda self, sentence, **fields: logged.append(fields.get("said"))
+        Log, "say", lambda self, sentence, **fields: logged.append(fields.get("notice"))
     )
     box = Box()
     box.notices = ReplicaNotices(
