--- a/springrock/forwarding/keys.py
+++ b/springrock/forwarding/keys.py
@@ -3,8 +3,8 @@
 Keys are held as digests only. No key appears in a log, a metric, an error or a message.
 
 No box may accept a key for longer than a bound after its revocation was acknowledged. A box
-therefore trusts the keys of its configuration only while the configuration was certainly the newest
-one less than that bound ago. A key that is not in the configuration is rejected as unknown only if
+therefore trusts the keys of its configuration only if the configuration was certainly up to date at
+some moment within that bound. A key that is not in the configuration is rejected as unknown only if
 the configuration is so fresh that a newer one with the key is unlikely.
 """
 
--- a/springrock/forwarding/notices.py
+++ b/springrock/forwarding/notices.py
@@ -101,8 +101,8 @@
             self._limits.record_limit_named(replica.instance, notice.limit_per_s, sent_at=sent_at)
         for name in notice.unknown:
             self._record_unknown(replica, name)
-        # Also for a replica whose row was removed: the row may come back, and the directory
-        # remembers which incarnations are leaving.
+        # This includes a replica whose row was removed: the row may come back, and the directory
+        # keeps the mark that its incarnation is leaving.
         if notice.leaving and not self._directory.is_leaving(replica.instance):
             self._count("leaving")
             self._directory.record_leaving(replica.instance, LeavingSign.ANSWER)
--- a/tests/forwarding/test_directory.py
+++ b/tests/forwarding/test_directory.py
@@ -15,8 +15,8 @@
     return Directory(Log("directory", "test"))
 
 
-def make_record(born_ms: int | None, replica_id: str = "i-1", **more: Any) -> ReplicaRecord:
-    fields = {"service": "s", "address": "127.0.0.1:1", "zone": "z", **more}
+def make_record(born_ms: int | None, replica_id: str = "i-1", **overrides: Any) -> ReplicaRecord:
+    fields = {"service": "s", "address": "127.0.0.1:1", "zone": "z", **overrides}
     instance = incarnation_of(replica_id, born_ms)
     return ReplicaRecord(instance=instance, born_ms=born_ms, **fields)
 
--- a/tests/forwarding/test_fingerprint.py
+++ b/tests/forwarding/test_fingerprint.py
@@ -10,8 +10,8 @@
 BASE = {"method": "POST", "host": "h.example", "target": "/a/b?c", "body": b"words"}
 
 
-def fingerprint(**more: object) -> Fingerprint:
-    return Fingerprint.from_request(make_request(**{**BASE, **more}))
+def fingerprint(**overrides: object) -> Fingerprint:
+    return Fingerprint.from_request(make_request(**{**BASE, **overrides}))
 
 
 @pytest.mark.parametrize(
--- a/tests/forwarding/test_notices.py
+++ b/tests/forwarding/test_notices.py
@@ -27,7 +27,7 @@
         self.leaving_instances: list[str] = []
         self.notices.on_leaving.append(self.leaving_instances.append)
 
-    def start(self, born_ms: int) -> None:
+    def add_incarnation(self, born_ms: int) -> None:
         """Add the row of an incarnation of the replica."""
         record = ReplicaRecord(
             instance=incarnation_of("i-1", born_ms),
@@ -42,7 +42,7 @@
 @pytest.fixture
 def box() -> Box:
     box = Box()
-    box.start(5)
+    box.add_incarnation(5)
     return box
 
 
@@ -62,7 +62,7 @@
     assert replica is not None
     box.directory.remove("i-1")
     box.notices.apply(replica, LEAVES, sent_at=monotonic())
-    box.start(5)
+    box.add_incarnation(5)
     assert box.directory.leaving() == ("i-1@5",)
 
 
@@ -70,7 +70,7 @@
     replica = box.directory.find("i-1@5")
     assert replica is not None
     handle = box.notices.notice_handler("i-1")
-    box.start(6)
+    box.add_incarnation(6)
     box.notices.apply(replica, LEAVES, sent_at=monotonic())
     handle(LEAVES)
     assert box.directory.leaving() == ()
@@ -122,11 +122,11 @@
     box.notices.apply(replica, ReplicaNotice(backoff_s=3.0), sent_at=monotonic())
     box.notices.apply(replica, ReplicaNotice(backoff_s=1.0), sent_at=monotonic())
     assert 2.0 < replica.backoff.left_s <= 3.0
-    box.start(6)
+    box.add_incarnation(6)
     restarted = box.directory.find("i-1@6")
     assert restarted is not None and restarted.backoff.active
     box.directory.remove("i-1")
-    box.start(6)
+    box.add_incarnation(6)
     restored = box.directory.find("i-1@6")
     assert restored is not None and restored is not restarted and restored.backoff.active
 
@@ -143,7 +143,7 @@
     box.notices = ReplicaNotices(
         box.directory, limits=make_limits(), log=Log("directory", "box-1"), count=counted.append
     )
-    box.start(5)
+    box.add_incarnation(5)
     replica = box.directory.find("i-1@5")
     assert replica is not None
     headers = Headers.from_pairs([("Server-Mood", "low"), ("Server", "x"), ("Server-Limit", "2")])
