--- a/bench/calibration.py
+++ b/bench/calibration.py
@@ -21,7 +21,7 @@
 
 _GRANTED = "placer: Granted an engine."
 _ASSIGNED = "placer: Assigned an adapter."
-_CAME = "placer: An adapter came."
+_CAME = "placer: Loaded an adapter."
 _ANSWERED = "forwarder: Answered a request."
 
 _TEXTS = (_GRANTED, _ASSIGNED, _CAME, _ANSWERED)
--- a/bench/loads.py
+++ b/bench/loads.py
@@ -16,10 +16,10 @@
 import defopt
 
 from bench.lines import said_in
-from springrock.placement.residency import LATELY_KEPT
+from springrock.placement.residency import MAX_CACHED_ADAPTERS
 
 _ASSIGNED = "placer: Assigned an adapter."
-_CAME = "placer: An adapter came."
+_CAME = "placer: Loaded an adapter."
 _UNLOADED = "placer: Ordered: unload."
 _TEXTS = (_ASSIGNED, _CAME, _UNLOADED)
 _GIVEN_UP = ("taken", "done")
@@ -96,7 +96,7 @@
 
     def _reconcilers(self, adapter: str) -> Iterator[str]:
         for instance, number in self._came_as[adapter].items():
-            if self._arrivals[instance] - number < LATELY_KEPT:
+            if self._arrivals[instance] - number < MAX_CACHED_ADAPTERS:
                 yield instance
 
     def _zones_of(self, instances: Iterable[str]) -> set[str]:
--- a/springrock/forwarding/adapters.py
+++ b/springrock/forwarding/adapters.py
@@ -97,7 +97,7 @@
     def holds(self, replica: Replica, key: AdapterKey) -> bool:
         """Whether a replica holds the newest known version of an adapter."""
 
-    def deny(self, instance: str, key: AdapterKey) -> None:
+    def record_missing(self, instance: str, key: AdapterKey) -> None:
         """Record that a replica answered that it does not hold an adapter."""
 
     def newest(self, key: AdapterKey) -> int:
--- a/springrock/forwarding/sending.py
+++ b/springrock/forwarding/sending.py
@@ -236,6 +236,6 @@
         elif not isinstance(error, ReplicaChanged):
             return
         elif key is not None:
-            self._adapters.deny(replica.instance, key)
+            self._adapters.record_missing(replica.instance, key)
         else:
             replica.health.record_failure()
--- a/springrock/placement/engine_book.py
+++ b/springrock/placement/engine_book.py
@@ -18,7 +18,7 @@
 from springrock.forwarding.message import AdapterKey
 from springrock.placement.control import EngineState
 from springrock.placement.late_orders import LateOrders
-from springrock.placement.residency import LATELY_KEPT
+from springrock.placement.residency import MAX_CACHED_ADAPTERS
 
 _REPORTS_LAG_S = 1.0
 """Age of the last order from which a report counts whatever its sequence.
@@ -282,5 +282,5 @@
     def _remember(self, key: AdapterKey, version: int) -> None:
         self._cached[key] = version
         self._cached.move_to_end(key)
-        while len(self._cached) > LATELY_KEPT:
+        while len(self._cached) > MAX_CACHED_ADAPTERS:
             self._cached.popitem(last=False)
--- a/springrock/placement/engine_reconciler.py
+++ b/springrock/placement/engine_reconciler.py
@@ -216,15 +216,15 @@
                 del book.assigned[key]
         for load in book.completed_loads:
             self._log.say(
-                "An adapter came.",
+                "Loaded an adapter.",
                 instance=book.instance,
                 adapter=str(load.key),
                 seconds=round(load.seconds, 3),
                 cold=load.cold,
-                at_once=round(self._planner.loads.at_once, 1),
+                at_once=round(self._planner.load_concurrency.limit, 1),
             )
             if load.cold:
-                self._planner.loads.record(load.seconds)
+                self._planner.load_concurrency.record(load.seconds)
         book.completed_loads.clear()
         ready = frozenset((held.key, held.version) for held in book.ready())
         if ready != self._published_ready:
--- a/springrock/placement/handover.py
+++ b/springrock/placement/handover.py
@@ -14,7 +14,7 @@
 from springrock.metrics import ForwardingMetrics
 from springrock.placement.demand import DemandBook
 from springrock.placement.handover_messages import AskedFor, Handover
-from springrock.placement.planner import CombinedWant, unasked
+from springrock.placement.planner import CombinedWant, want_without_requests
 from springrock.placement.popularity import Popularity
 from springrock.placement.residency import Residency
 from springrock.placement.zone_choice import ZoneView, choose_zone
@@ -44,7 +44,7 @@
 
 def handover_of(popularity: Popularity) -> Handover:
     """Return the adapters requested in a zone, the most requested first."""
-    ranked = popularity.ranked(least=_MIN_REQUEST_COUNT)[:_MAX_HANDED_OVER]
+    ranked = popularity.ranked(min_count=_MIN_REQUEST_COUNT)[:_MAX_HANDED_OVER]
     return Handover([AskedFor(*key, round(count, 2)) for key, count in ranked])
 
 
@@ -140,7 +140,7 @@
             counts.update(prefetch.missing)
         self._missing_gauge.set(len(counts))
         ranked = sorted(counts, key=lambda key: -counts[key])[:_MAX_PLANNED]
-        return [unasked(key, now) for key in ranked]
+        return [want_without_requests(key, now) for key in ranked]
 
     def handle_cut(self, from_zone: str) -> None:
         """Log the progress of the prefetch when an evacuated zone is cut off from requests."""
@@ -277,7 +277,7 @@
         age_s = monotonic() - self._handover_at.get(zone, float("-inf"))
         if age_s < 2 * _HANDOVER_TIMEOUT_S or zone not in self._world().announced:
             return
-        keys = self._residency.held_in(zone)
+        keys = self._residency.adapters_in_zone(zone)
         self._log.say(
             "No handover from the placer of an evacuated zone.", zone=zone, held=len(keys)
         )
--- a/springrock/placement/load_concurrency.py
+++ b/springrock/placement/load_concurrency.py
@@ -38,11 +38,11 @@
     """Adjusts the number of concurrent loads by the duration of each load.
 
     Attributes:
-        at_once: The current limit on concurrent loads.
+        limit: The current limit on concurrent loads.
     """
 
     def __init__(self) -> None:
-        self.at_once = _INITIAL_LIMIT
+        self.limit = _INITIAL_LIMIT
         self._full_speed_s: float | None = None
 
     def record(self, seconds: float) -> None:
@@ -52,6 +52,6 @@
         full_speed_s += _FASTER_LOAD_WEIGHT * min(0.0, seconds - full_speed_s)
         self._full_speed_s = full_speed_s
         if seconds > full_speed_s * _SLOW_FACTOR:
-            self.at_once = max(_MIN_LIMIT, self.at_once * _DECREASE_FACTOR)
+            self.limit = max(_MIN_LIMIT, self.limit * _DECREASE_FACTOR)
         else:
-            self.at_once = min(_MAX_LIMIT, self.at_once + _INCREASE_PER_LOAD)
+            self.limit = min(_MAX_LIMIT, self.limit + _INCREASE_PER_LOAD)
--- a/springrock/placement/placement.py
+++ b/springrock/placement/placement.py
@@ -260,9 +260,9 @@
         """Whether a replica holds the newest known version of an adapter."""
         return self._residency.holds(replica, key)
 
-    def deny(self, instance: str, key: AdapterKey) -> None:
+    def record_missing(self, instance: str, key: AdapterKey) -> None:
         """Record that a replica itself said that it does not hold an adapter."""
-        self._residency.deny(instance, key)
+        self._residency.record_missing(instance, key)
 
     def newest(self, key: AdapterKey) -> int:
         """Return the newest named version; 0 if none was named."""
--- a/springrock/placement/placer.py
+++ b/springrock/placement/placer.py
@@ -135,7 +135,7 @@
         self._popularity = Popularity()
         self._planners: dict[str, Planner] = {}
         self._changed: set[str] = set()
-        self._spread = SpreadAdapters(self._popularity)
+        self._spread_adapters = SpreadAdapters(self._popularity)
         self._model_loads = ModelLoads(
             zone,
             configuration=configuration,
@@ -199,7 +199,7 @@
         self._model_loads.clear()
         self.requests.clear()
         self._changed.clear()
-        self._spread.clear()
+        self._spread_adapters.clear()
         self.prefetch.clear()
         self._copy_requests.clear()
 
@@ -236,14 +236,14 @@
             return None
         return Residents([EngineHolds(book.instance, book.ready()) for book in books])
 
-    def spread(self) -> tuple[str, ...]:
+    def spread_adapters(self) -> tuple[str, ...]:
         """Return the adapters, as MODEL/NAME, that each zone should serve itself."""
         copies = Counter(
             held.key
             for reconciler in self._reconcilers.values()
             for held in reconciler.book.ready()
         )
-        return self._spread.evaluate(copies, zones=self._zones_with_engines())
+        return self._spread_adapters.evaluate(copies, zones=self._zones_with_engines())
 
     def handover(self) -> Handover:
         """Return this zone's popular adapters, for the zones that remain when it is evacuated."""
--- a/springrock/placement/planner.py
+++ b/springrock/placement/planner.py
@@ -124,7 +124,7 @@
         newest: Returns the newest version of an adapter; 0 if none was named.
 
     Attributes:
-        loads: The limit on concurrent loads of the service's engines.
+        load_concurrency: The limit on concurrent loads of the service's engines.
     """
 
     def __init__(self, popularity: Popularity, newest: Callable[[AdapterKey], int]) -> None:
@@ -136,7 +136,7 @@
         self._backing_off: Collection[str] = ()
         self._victims_of: dict[str, list[AdapterKey]] = {}
         self._place_interval = PlaceInterval()
-        self.loads = LoadConcurrency()
+        self.load_concurrency = LoadConcurrency()
 
     def plan(
         self,
@@ -174,7 +174,10 @@
         wanted = {want.key for want in wants}
         wants += self._popular_wants(engines, index, wanted, now)
         wants += self._copy_wants(index, wanted, crowded, now)
-        wants += [unasked(key, now, saves=saves) for key, saves in _without(near_copies, wanted)]
+        wants += [
+            want_without_requests(key, now, saves=saves)
+            for key, saves in _without(near_copies, wanted)
+        ]
         # Ties go to the earliest target: otherwise newer wants would postpone it repeatedly.
         ranked = sorted(wants, key=lambda want: (-self._value(want, index, now), want.target_at))
         loads_under_way = sum(len(engine.assigned) for engine in engines)
@@ -200,7 +203,7 @@
             warm = engine.is_cached(want.key, version=self._newest(want.key))
             expected_s = WARM_LOAD_S if warm else COLD_LOAD_S
             loads_under_way += 1
-            max_loads = int(self.loads.at_once)
+            max_loads = int(self.load_concurrency.limit)
             if loads_under_way > max_loads:
                 rounds = (loads_under_way - 1) // max_loads
                 plan.ready_in_s[want.key] = expected_s + rounds * COLD_LOAD_S
@@ -291,7 +294,7 @@
         """Return wants for popular adapters that no engine holds."""
         models = {model for engine in engines for model in engine.models}
         return [
-            unasked(key, now)
+            want_without_requests(key, now)
             for key in self._popularity.above(_POPULAR_COUNT)
             if key not in wanted and key.model in models and not index.holding(key)
         ]
@@ -316,7 +319,7 @@
                 and holders
                 and not is_assigned_or_loading
             ):
-                copies.append(unasked(key, now, is_copy=True))
+                copies.append(want_without_requests(key, now, is_copy=True))
         return copies
 
     def _existing_ready_in(self, want: CombinedWant, index: PlanIndex, now: float) -> float | None:
@@ -404,7 +407,7 @@
         return place.version >= self._newest(key), self._popularity.of(key)
 
 
-def unasked(
+def want_without_requests(
     key: AdapterKey, now: float, *, is_copy: bool = False, saves: float = 0.0
 ) -> CombinedWant:
     """Return a want for an adapter that no request waits for."""
--- a/springrock/placement/popularity.py
+++ b/springrock/placement/popularity.py
@@ -26,11 +26,11 @@
         """Raise an adapter's count to the one that it had in the zone that served it before."""
         self._counts[key] = (max(self.of(key), count), monotonic())
 
-    def ranked(self, *, least: float) -> list[tuple[AdapterKey, float]]:
-        """Return the adapters whose count is at least `least`, the most popular first."""
+    def ranked(self, *, min_count: float) -> list[tuple[AdapterKey, float]]:
+        """Return the adapters whose count is at least `min_count`, the most popular first."""
         counts = {key: self.of(key) for key in self._counts}
         ranked = sorted(counts.items(), key=lambda item: -item[1])
-        return [(key, count) for key, count in ranked if count >= least]
+        return [(key, count) for key, count in ranked if count >= min_count]
 
     def above(self, count: float) -> list[AdapterKey]:
         """Return the adapters with a higher count; drop rarely requested ones."""
--- a/springrock/placement/residency.py
+++ b/springrock/placement/residency.py
@@ -16,7 +16,7 @@
 _DENIAL_VALID_S = 1.0
 """Time for which a replica's answer that it lacks an adapter overrides unchanged other sources."""
 
-LATELY_KEPT = 30
+MAX_CACHED_ADAPTERS = 30
 """Number of unloaded adapters that a replica is assumed to keep in its cache.
 
 Of 197 adapters that a replica loaded again from the weight store although it had held them, 143 had
@@ -70,7 +70,7 @@
         known = (self._directory.find(instance) for instance in self._versions_at.get(key, {}))
         return [replica for replica in known if replica is not None and self.holds(replica, key)]
 
-    def held_in(self, zone: str) -> list[AdapterKey]:
+    def adapters_in_zone(self, zone: str) -> list[AdapterKey]:
         """Return the adapters on the replicas of a zone, those with the most copies first."""
         copies = Counter(
             held.key
@@ -89,7 +89,7 @@
         )
         return [replica for replica in known if replica is not None]
 
-    def deny(self, instance: str, key: AdapterKey) -> None:
+    def record_missing(self, instance: str, key: AdapterKey) -> None:
         """Record a replica's answer that it does not hold an adapter."""
         self._missing_until[(instance, key)] = monotonic() + _DENIAL_VALID_S
 
@@ -162,7 +162,7 @@
             if held.key not in existing:
                 cached_adapters[held.key] = held.version
                 self._cached_at.setdefault(held.key, set()).add(instance)
-        while len(cached_adapters) > LATELY_KEPT:
+        while len(cached_adapters) > MAX_CACHED_ADAPTERS:
             key, _ = cached_adapters.popitem(last=False)
             self._forget_cached(instance, key)
 
--- a/springrock/placement/zone.py
+++ b/springrock/placement/zone.py
@@ -300,7 +300,7 @@
             lease_left_ms=round(self._lease.left_s * 1000),
             room=self._placer.room(),
             boxes=self.links.count + 1,
-            spread=self._placer.spread(),
+            spread=self._placer.spread_adapters(),
             leaving=self._directory.leaving(),
             suspected=self._warmup.suspected(self._zone),
             pressure=round(100 * wait_estimate.pressure),
--- a/tests/forwarding/test_choosing.py
+++ b/tests/forwarding/test_choosing.py
@@ -49,7 +49,7 @@
     def holds(self, replica: Replica, key: AdapterKey) -> bool:
         return self.is_held
 
-    def deny(self, instance: str, key: AdapterKey) -> None:
+    def record_missing(self, instance: str, key: AdapterKey) -> None:
         """Do nothing."""
 
     def newest(self, key: AdapterKey) -> int:
--- a/tests/forwarding/test_regions.py
+++ b/tests/forwarding/test_regions.py
@@ -53,7 +53,7 @@
     def holds(self, replica: Replica, key: AdapterKey) -> bool:
         return True
 
-    def deny(self, instance: str, key: AdapterKey) -> None:
+    def record_missing(self, instance: str, key: AdapterKey) -> None:
         """Do nothing."""
 
     def newest(self, key: AdapterKey) -> int:
--- a/tests/placement/test_handover.py
+++ b/tests/placement/test_handover.py
@@ -87,7 +87,7 @@
     assert not any(want.waiting or want.promised for want in wants)
     engines = [make_engine("i-1", slots=4)]
     planner = make_planner(popularity)
-    planner.loads.at_once = 2.0
+    planner.load_concurrency.limit = 2.0
     plan = planner.plan(wants, engines, used={}, now=now)
     assert [item.key.adapter for item in plan.assignments] == ["a", "b"]
 
@@ -98,7 +98,7 @@
     prefetch.add("zone-1", asked_for("a"))
     now = monotonic()
     planner = make_planner(popularity)
-    planner.loads.at_once = 1.0
+    planner.load_concurrency.limit = 1.0
     wants = [*prefetch.wants(is_nowhere, now), want("waited", worth=3.0)]
     plan = planner.plan(wants, [make_engine("i-1")], used={}, now=now)
     assert [item.key.adapter for item in plan.assignments] == ["waited"]
--- a/tests/placement/test_load_concurrency.py
+++ b/tests/placement/test_load_concurrency.py
@@ -7,17 +7,17 @@
 
 def test_the_limit_rises_with_fast_loads_and_falls_with_slow_ones() -> None:
     concurrency = LoadConcurrency()
-    first = concurrency.at_once
+    first = concurrency.limit
     for _ in range(50):
         concurrency.record(0.25)
-    most = concurrency.at_once
+    most = concurrency.limit
     assert most > first
     for _ in range(10):
         concurrency.record(0.6)
-    assert concurrency.at_once < most
+    assert concurrency.limit < most
     for _ in range(200):
-        concurrency.record(0.24 if concurrency.at_once < 12 else 0.6)
-    assert 10 < concurrency.at_once < 14, "it stays near the number at which loads become slow"
+        concurrency.record(0.24 if concurrency.limit < 12 else 0.6)
+    assert 10 < concurrency.limit < 14, "it stays near the number at which loads become slow"
 
 
 def test_the_limit_stays_within_its_bounds() -> None:
@@ -25,10 +25,10 @@
     concurrency.record(0.1)
     for _ in range(500):
         concurrency.record(5.0)
-    assert concurrency.at_once >= 4
+    assert concurrency.limit >= 4
     for _ in range(5000):
         concurrency.record(0.1)
-    assert concurrency.at_once <= 40
+    assert concurrency.limit <= 40
 
 
 def test_the_full_speed_duration_follows_a_lasting_slowdown() -> None:
@@ -36,7 +36,7 @@
     concurrency.record(0.1)
     for _ in range(1000):
         concurrency.record(0.3)
-    assert concurrency.at_once > 8
+    assert concurrency.limit > 8
 
 
 def test_one_load_of_half_the_duration_does_not_make_the_others_count_as_slow() -> None:
@@ -44,9 +44,9 @@
     concurrency = LoadConcurrency()
     for _ in range(400):
         concurrency.record(0.32)
-    most = concurrency.at_once
+    most = concurrency.limit
     for _ in range(20):
         concurrency.record(0.154)
         for _ in range(60):
             concurrency.record(0.32)
-    assert concurrency.at_once == most
+    assert concurrency.limit == most
--- a/tests/placement/test_residency.py
+++ b/tests/placement/test_residency.py
@@ -5,7 +5,7 @@
 from springrock.forwarding.directory import Directory, HeldAdapter, ReplicaRecord
 from springrock.forwarding.message import AdapterKey
 from springrock.log import Log
-from springrock.placement.residency import LATELY_KEPT, Residency, Versions
+from springrock.placement.residency import MAX_CACHED_ADAPTERS, Residency, Versions
 
 KEY = AdapterKey("m", "a")
 
@@ -62,7 +62,7 @@
 def test_a_replicas_denial_counts_until_the_placer_newly_reports_the_adapter() -> None:
     world = World()
     world.record(HeldAdapter("m", "a", 1))
-    world.residency.deny("i-1", KEY)
+    world.residency.record_missing("i-1", KEY)
     assert world.holders == []
     world.residency.record_reported("i-1", [])
     world.residency.record_reported("i-1", [HeldAdapter("m", "a", 1)])
@@ -98,7 +98,7 @@
     world = World()
     world.record(HeldAdapter("m", "a", 1))
     world.residency.record_reported("i-1", [])
-    for number in range(LATELY_KEPT - 1):
+    for number in range(MAX_CACHED_ADAPTERS - 1):
         world.residency.record_reported("i-1", [HeldAdapter("m", f"x{number}", 1)])
     world.residency.record_reported("i-1", [])
     assert world.residency.cache_holders(KEY)
@@ -128,7 +128,7 @@
             )
         )
         world.residency.record_reported(f"i-1@{born_ms}", [HeldAdapter("m", "b", 1)])
-        world.residency.deny("i-1@1", KEY)
+        world.residency.record_missing("i-1@1", KEY)
     assert world.holders == []
     assert world.residency.cache_holders(KEY) == []
     world.residency.record_reported("i-1@1", [HeldAdapter("m", "a", 1)])
--- a/tests/test_calibration.py
+++ b/tests/test_calibration.py
@@ -67,8 +67,8 @@
     where = {"instance": "i-1", "adapter": "m/a"}
     lines = [
         line("placer: Assigned an adapter.", 1.0, **where),
-        line("placer: An adapter came.", 1.0 + 2 * COLD_LOAD_S, cold=True, **where),
-        line("placer: An adapter came.", 9.0, cold=True, **where),
+        line("placer: Loaded an adapter.", 1.0 + 2 * COLD_LOAD_S, cold=True, **where),
+        line("placer: Loaded an adapter.", 9.0, cold=True, **where),
     ]
     [outcome] = outcomes_in(lines)
     assert outcome.kind == "cold load"
--- a/tests/test_loads.py
+++ b/tests/test_loads.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from bench.loads import Cause, loads_in
-from springrock.placement.residency import LATELY_KEPT
+from springrock.placement.residency import MAX_CACHED_ADAPTERS
 
 ZONES = {"i-1": "zone-1", "i-2": "zone-1", "i-3": "zone-2"}
 
@@ -15,7 +15,7 @@
     """The placers' lines, a second apart."""
 
     def __init__(self) -> None:
-        self.lines = ["not JSON {", "placer: An adapter came. {broken"]
+        self.lines = ["not JSON {", "placer: Loaded an adapter. {broken"]
 
     def say(self, text: str, **fields: Any) -> None:
         said = {"text": f"placer: {text}", "timestamp": float(len(self.lines)), **fields}
@@ -26,7 +26,7 @@
     ) -> None:
         where = {"adapter": adapter, "instance": instance}
         self.say("Assigned an adapter.", zone=ZONES[instance], is_copy=is_copy, **where)
-        self.say("An adapter came.", cold=cold, **where)
+        self.say("Loaded an adapter.", cold=cold, **where)
 
     def unload(self, adapter: str, instance: str, *, answer: str = "done") -> None:
         self.say("Ordered: unload.", adapter=adapter, instance=instance, answer=answer)
@@ -61,7 +61,7 @@
     log.load("a", "i-2")
     log.unload("a", "i-2")
     for engine in ("i-1", "i-2", "i-3"):
-        for number in range(LATELY_KEPT + 1):
+        for number in range(MAX_CACHED_ADAPTERS + 1):
             log.load(f"{engine}-{number}", engine)
     log.load("a", "i-1")
     causes = log.causes()
