--- a/springrock/placement/control.py
+++ b/springrock/placement/control.py
@@ -84,7 +84,7 @@
 class OrderAnswer(Enum):
     """An engine's answer to an order."""
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     """The order was accepted and is being carried out."""
     DONE = "done"
     """The engine is already in the requested state."""
--- a/springrock/placement/engine_reconciler.py
+++ b/springrock/placement/engine_reconciler.py
@@ -153,7 +153,7 @@
 
     def _run(self) -> None:
         while True:
-            if not self._lease.holds:
+            if not self._lease.may_order:
                 gevent.sleep(_POLL_INTERVAL_S)
                 continue
             if self._stale and not self._read_report():
@@ -305,7 +305,7 @@
 
     def _order(self, kind: OrderKind, key: AdapterKey) -> bool:
         book = self.book
-        if not self._lease.holds:
+        if not self._lease.may_order:
             # The lease may have ended while the report was read.
             return False
         version = self._newest(key) if kind is OrderKind.LOAD else 0
@@ -340,7 +340,7 @@
         if answer is OrderAnswer.DONE and order.kind is OrderKind.LOAD:
             book.loaded(order.key, version=order.version)
             return
-        if answer in (OrderAnswer.TAKEN, OrderAnswer.DONE):
+        if answer in (OrderAnswer.ACCEPTED, OrderAnswer.DONE):
             self._record_executed(order, answer, sent_at)
             return
         place = book.places.get(order.key)
@@ -349,7 +349,7 @@
             book.unload_failed(order.key)
         self._stale = True
         if answer is OrderAnswer.OLDER_FENCE:
-            self._lease.lose(reason="an engine saw a newer fence")
+            self._lease.record_lost(reason="an engine saw a newer fence")
         elif answer in (OrderAnswer.REFUSED, OrderAnswer.CHANGED):
             book.assigned.pop(order.key, None)
         gevent.sleep(_CONFLICT_PAUSE_S)
--- a/springrock/placement/handover.py
+++ b/springrock/placement/handover.py
@@ -114,7 +114,7 @@
         self._by_zone[from_zone] = prefetch
         self._ends_at.setdefault(from_zone, monotonic() + _PREFETCH_DURATION_S)
         self._log.say(
-            "Brings adapters of an evacuated zone.",
+            "Prefetching adapters of an evacuated zone.",
             zone=self._zone,
             from_zone=from_zone,
             count=len(new),
--- a/springrock/placement/lease.py
+++ b/springrock/placement/lease.py
@@ -140,7 +140,7 @@
         return self._own.row.fence if self._own is not None else 0
 
     @property
-    def holds(self) -> bool:
+    def may_order(self) -> bool:
         """Whether this box may give orders now."""
         if self._own is None:
             return False
@@ -215,7 +215,7 @@
                 return True
         return True
 
-    def lose(self, *, reason: str) -> None:
+    def record_lost(self, *, reason: str) -> None:
         """Drop the lease without writing to the store, as after an engine refused an older fence.
 
         Args:
@@ -248,7 +248,7 @@
             return None
         handover = self._handover(own, handover_target)
         is_silent = self.store_is_silent
-        self.lose(reason=reason)
+        self.record_lost(reason=reason)
         if handover is None or not is_silent:
             if not self._checks_fence:
                 # Orders still in flight must not arrive after a successor's orders.
@@ -391,7 +391,7 @@
         own = self._own
         resolved = None if own is None else self._resolve_row(own, conflict)
         if own is None or resolved is None:
-            self.lose(reason="another box holds it")
+            self.record_lost(reason="another box holds it")
             return False
         self._log.say(
             "Found the lease at another version.",
@@ -411,7 +411,7 @@
         """
         own = self._own
         if own is None or self._has_expired(own):
-            self.lose(reason="the store was restored from a copy")
+            self.record_lost(reason="the store was restored from a copy")
             return False
         self._own = own._replace(version=version)
         return True
@@ -437,7 +437,7 @@
 
     def _handover(self, own: Tenure, handover_target: HandoverTarget | None) -> Successor | None:
         """Return the handover to another box; None if the lease cannot be handed over."""
-        may_continue = self.holds or own.unconfirmed_handover is not None
+        may_continue = self.may_order or own.unconfirmed_handover is not None
         if handover_target is None or not self._checks_fence or not may_continue:
             return None
         handover = own.handover(handover_target)
@@ -532,7 +532,7 @@
             row=self._key,
             fence=self.fence,
             left_ms=round(self.left_s * 1000),
-            goes_on=self.holds,
+            goes_on=self.may_order,
             error=str(error),
         )
 
--- a/springrock/placement/placement.py
+++ b/springrock/placement/placement.py
@@ -404,7 +404,7 @@
 
     def _links_of(self, name: str) -> BoxLinks | None:
         zone = self._zones.get(name)
-        return zone.links if zone is not None and zone.takes_links else None
+        return zone.links if zone is not None and zone.accepts_links else None
 
     def _replica_changed(self, record: ReplicaRecord | None, instance: str) -> None:
         self._engines = None
--- a/springrock/placement/placer.py
+++ b/springrock/placement/placer.py
@@ -362,7 +362,7 @@
             self._plan_event.wait(timeout=_PLAN_INTERVAL_S if has_pending_wants else None)
             self._plan_event.clear()
             started_at = monotonic()
-            if self._lease.holds and self._has_engine_reports():
+            if self._lease.may_order and self._has_engine_reports():
                 self._plan()
             took_s = monotonic() - started_at
             gevent.sleep(max(_MIN_PLAN_PAUSE_S, _PAUSE_FACTOR * took_s))
--- a/springrock/placement/zone.py
+++ b/springrock/placement/zone.py
@@ -128,7 +128,7 @@
             terms=dependencies.slow_start_terms,
             limits=dependencies.limits,
             lease_left_s=lambda: self._lease.left_s,
-            goes_on=lambda: self._lease.holds,
+            goes_on=lambda: self._lease.may_order,
             answer=self._send,
             on_counted=dependencies.metrics.count_permit,
             log=dependencies.log_of("permits"),
@@ -215,13 +215,13 @@
     @property
     def placing(self) -> bool:
         """Whether this box is the placer now."""
-        return self._placer.active and self._lease.holds
+        return self._placer.active and self._lease.may_order
 
     @property
-    def takes_links(self) -> bool:
+    def accepts_links(self) -> bool:
         """Whether boxes may link to this one: it is the placer, or is taking over from one."""
         is_taking_over = self._lease.held and not self._lease.confirmed
-        return self._placer.active and (is_taking_over or self._lease.holds)
+        return self._placer.active and (is_taking_over or self._lease.may_order)
 
     def send_handover(self, boxes: Collection[str]) -> None:
         """Send boxes the adapters requested in the zone."""
--- a/springrock/platform/engine.py
+++ b/springrock/platform/engine.py
@@ -29,7 +29,7 @@
 
 _ANSWERS = {
     200: OrderAnswer.DONE,
-    202: OrderAnswer.TAKEN,
+    202: OrderAnswer.ACCEPTED,
     400: OrderAnswer.REFUSED,
     409: OrderAnswer.CONFLICT,
     412: OrderAnswer.OLDER_FENCE,
--- a/tests/placement/test_engine_reconciler.py
+++ b/tests/placement/test_engine_reconciler.py
@@ -39,10 +39,10 @@
     """A lease that is held until `lose` is called."""
 
     fence = 5
-    holds = True
+    may_order = True
 
-    def lose(self, *, reason: str) -> None:
-        self.holds = False
+    def record_lost(self, *, reason: str) -> None:
+        self.may_order = False
 
 
 class Engine:
@@ -90,14 +90,14 @@
             if name in self.adapters:
                 return OrderAnswer.DONE
             if name in self.coming:
-                return OrderAnswer.TAKEN
+                return OrderAnswer.ACCEPTED
             self.coming.add(name)
             gevent.spawn_later(0.05, self._arrive, name)
         else:
             self.adapters.discard(name)
         self.sequence += 1
         self.most_places = max(self.most_places, len(self.adapters) + len(self.coming))
-        return OrderAnswer.TAKEN if order.kind is OrderKind.LOAD else OrderAnswer.DONE
+        return OrderAnswer.ACCEPTED if order.kind is OrderKind.LOAD else OrderAnswer.DONE
 
     def _arrive(self, name: str) -> None:
         self.coming.discard(name)
@@ -223,7 +223,7 @@
     wait_for(lambda: reconciler.book.sequence is not None, "a report of the engine is read")
     engine.newest_fence = 6
     assign(reconciler, "a")
-    wait_for(lambda: not lease.holds, "the lease is lost")
+    wait_for(lambda: not lease.may_order, "the lease is lost")
     given = len(engine.orders)
     assign(reconciler, "b")
     gevent.sleep(0.2)
@@ -280,7 +280,7 @@
     reconciler = make_reconciler(engine, lease, [])
     reconciler._read_report()
     reconciler.book.assigned[key("a")] = monotonic()
-    lease.holds = False
+    lease.may_order = False
     assert not reconciler._order_next()
     assert not engine.coming
     assert not engine.adapters
--- a/tests/placement/test_lease.py
+++ b/tests/placement/test_lease.py
@@ -93,7 +93,7 @@
     assert two.known_row() is None
     assert one.challenge(no_row)
     assert not two.challenge(None)
-    assert one.holds
+    assert one.may_order
     assert not two.challenge(two.known_row())
 
 
@@ -105,7 +105,7 @@
     clock.now += LEASE_S
     assert not two.challenge(two.known_row()), "the margin is not over"
     clock.now += 0.5
-    assert not one.holds
+    assert not one.may_order
     assert two.challenge(two.known_row())
     assert two.fence == one.last_fence + 1
     assert not one.renew()
@@ -133,7 +133,7 @@
     assert one.renew()
     assert one.renew()
     clock.now += LEASE_S - 0.1
-    assert one.holds
+    assert one.may_order
 
 
 def test_a_holder_cut_off_from_the_store_continues_if_fences_are_checked(clock: Clock) -> None:
@@ -142,9 +142,9 @@
     assert one.challenge(one.known_row())
     store.down = True
     clock.now += LEASE_S + 1
-    assert not one.holds, "no renewal has failed yet: this process may have been paused"
+    assert not one.may_order, "no renewal has failed yet: this process may have been paused"
     assert one.renew()
-    assert one.holds
+    assert one.may_order
 
 
 def test_a_holder_cut_off_from_the_store_stops_if_fences_are_not_checked(clock: Clock) -> None:
@@ -154,7 +154,7 @@
     store.down = True
     clock.now += LEASE_S + 1
     one.renew()
-    assert not one.holds
+    assert not one.may_order
 
 
 def test_without_fence_checks_no_order_is_in_flight_when_the_lease_expires(
@@ -164,10 +164,10 @@
     checked = make_lease(Store(), "one")
     for lease in (strict, checked):
         assert lease.challenge(lease.known_row())
-        assert lease.holds
+        assert lease.may_order
     clock.now += LEASE_S - 0.5
-    assert not strict.holds
-    assert checked.holds
+    assert not strict.may_order
+    assert checked.may_order
 
 
 def test_without_fence_checks_a_release_waits_for_orders_in_flight(
@@ -180,7 +180,7 @@
 
     def _sleep(seconds: float) -> None:
         waits.append(seconds)
-        assert not one.holds
+        assert not one.may_order
         assert not two.challenge(two.known_row()), "it is not free while an order may be in flight"
 
     monkeypatch.setattr(lease_module.gevent, "sleep", _sleep)
@@ -197,9 +197,9 @@
     two.known_row()
     clock.now += LEASE_S + 1
     assert two.challenge(two.known_row())
-    assert not one.holds
+    assert not one.may_order
     assert not one.renew()
-    assert not one.holds
+    assert not one.may_order
 
 
 def test_a_released_lease_is_free_at_once(clock: Clock) -> None:
@@ -208,7 +208,7 @@
     assert one.challenge(one.known_row())
     reserved = one.last_fence
     one.release(reason="a test", successor=True)
-    assert not one.holds
+    assert not one.may_order
     assert two.challenge(two.known_row())
     assert two.fence == reserved + 1
 
@@ -287,7 +287,7 @@
     clock.now += LEASE_S - 0.5
     assert not two.challenge(two.known_row())
     assert rows.kept == store.row, "the conflict supplied the newer row"
-    assert one.holds
+    assert one.may_order
 
 
 def test_a_box_that_knows_of_a_newer_version_does_not_acquire_by_an_outdated_row(
@@ -354,7 +354,7 @@
 
     monkeypatch.setattr(store, "write", _pause_and_fail)
     assert one.renew()
-    assert not one.holds
+    assert not one.may_order
 
 
 def test_an_overlong_renewal_counts_only_for_the_longest_attempt(
@@ -371,4 +371,4 @@
 
     monkeypatch.setattr(store, "write", _pause_and_fail)
     assert one.renew()
-    assert not one.holds
+    assert not one.may_order
--- a/tests/placement/test_lease_model.py
+++ b/tests/placement/test_lease_model.py
@@ -89,7 +89,7 @@
     @rule(holder=boxes, other=boxes)
     def receive_heartbeat(self, holder: str, other: str) -> None:
         sender, receiver = self.leases[holder], self.leases[other]
-        if sender.holds and not receiver.held:
+        if sender.may_order and not receiver.held:
             receiver.record_heartbeat(sender.version, sender.left_s)
 
     @rule(down=st.booleans())
@@ -106,7 +106,7 @@
 
     @invariant()
     def one_box_holds(self) -> None:
-        assert sum(lease.holds for lease in self.leases.values()) <= 1
+        assert sum(lease.may_order for lease in self.leases.values()) <= 1
 
     @invariant()
     def fences_rise(self) -> None:
--- a/tests/placement/test_lease_relayed.py
+++ b/tests/placement/test_lease_relayed.py
@@ -81,7 +81,7 @@
     clock.now += LEASE_S + 1
     assert two.challenge(two.known_row())
     one.renew()
-    assert not one.holds, "silent linked boxes say nothing about the store"
+    assert not one.may_order, "silent linked boxes say nothing about the store"
     assert not one.renew(), "the store is asked next"
 
 
@@ -134,5 +134,5 @@
     renewal.began_at -= LEASE_S * 0.1
     for _ in range(30):
         clock.now = renewal.began_at = renewal.began_at + LEASE_S * 0.4
-        assert lease.holds
+        assert lease.may_order
         assert lease.renew()
--- a/tests/placement/test_lease_return.py
+++ b/tests/placement/test_lease_return.py
@@ -23,7 +23,7 @@
         self.one, self.two, self.three = (self._lease(box) for box in ("one", "two", "three"))
         for lease in (self.one, self.two, self.three):
             lease.challenge(lease.known_row())
-        assert self.one.holds
+        assert self.one.may_order
 
     def _lease(self, box: str) -> PlacerLease:
         client = Client(self.store)
@@ -58,7 +58,7 @@
     fence = boxes.one.fence
     boxes.store.restore(EMPTY)
     assert boxes.one.renew()
-    assert boxes.one.holds
+    assert boxes.one.may_order
     assert boxes.one.fence == fence
     assert boxes.holder == "one"
 
@@ -73,7 +73,7 @@
     clock.now += 0.5
     boxes.store.skip_number()
     assert boxes.two.challenge(boxes.two.known_row())
-    assert not boxes.one.holds
+    assert not boxes.one.may_order
     assert boxes.two.fence > boxes.one.last_fence, (
         "also above the fences that the lost row had reserved"
     )
@@ -89,7 +89,7 @@
     assert boxes.two.challenge(boxes.two.known_row())
     boxes.one.renew()
     assert boxes.holder == "one", "its version number was reused for the row of two"
-    assert not boxes.one.holds
+    assert not boxes.one.may_order
     assert not boxes.two.renew()
     assert not boxes.one.renew()
 
--- a/tests/placement/test_placer.py
+++ b/tests/placement/test_placer.py
@@ -64,7 +64,7 @@
         return EngineState(sequence=0, models=self._models, adapters=held)
 
     def order(self, address: str, *, instance: str, order: Order) -> OrderAnswer:
-        return OrderAnswer.TAKEN
+        return OrderAnswer.ACCEPTED
 
 
 @pytest.fixture
--- a/tests/placement/test_places_model.py
+++ b/tests/placement/test_places_model.py
@@ -87,7 +87,7 @@
     def _execute(self, order: Order) -> OrderAnswer:
         known = self._ready_at.get(order.key)
         if order.kind is OrderKind.LOAD and known is not None:
-            return OrderAnswer.DONE if known <= self._world.now else OrderAnswer.TAKEN
+            return OrderAnswer.DONE if known <= self._world.now else OrderAnswer.ACCEPTED
         if order.expected_sequence not in (None, self._sequence):
             return OrderAnswer.CONFLICT
         self._sequence += 1
@@ -99,7 +99,7 @@
         self.overbooked += len(self._ready_at) >= SLOTS
         self._ready_at[order.key] = self._world.now + LOAD_S
         self._record()
-        return OrderAnswer.TAKEN
+        return OrderAnswer.ACCEPTED
 
     def _record(self) -> None:
         self._history.append((self._world.now, self._state()))
@@ -137,7 +137,7 @@
         return EngineReconciler(
             book,
             control=self.engine,
-            lease=SimpleNamespace(holds=True, fence=1),  # type: ignore[arg-type]
+            lease=SimpleNamespace(may_order=True, fence=1),  # type: ignore[arg-type]
             planner=self.planner,
             used=lambda: set(),
             known_runs=lambda: 0,
--- a/tests/placement/test_return_model.py
+++ b/tests/placement/test_return_model.py
@@ -169,8 +169,8 @@
     def order(self, order: list[str]) -> None:
         for box in order:
             lease = self.leases[box]
-            if lease.holds and not self.engine.accepts(lease.fence, by=box):
-                lease.lose(reason="an engine saw a newer fence")
+            if lease.may_order and not self.engine.accepts(lease.fence, by=box):
+                lease.record_lost(reason="an engine saw a newer fence")
 
     @rule(down=st.booleans())
     def set_store_down(self, down: bool) -> None:
--- a/tests/placement/test_succession.py
+++ b/tests/placement/test_succession.py
@@ -40,10 +40,10 @@
     one, two = make_held_lease(store, "one"), make_lease(store, "two")
     first = one.fence
     assert two.adopt(hand_over_in_outage(store, one))
-    assert not one.holds
-    assert not two.holds, "the store may still answer this box"
+    assert not one.may_order
+    assert not two.may_order, "the store may still answer this box"
     assert two.renew()
-    assert two.holds
+    assert two.may_order
     assert two.fence == first + 1
     assert two.left_s == 0.0, "quotas and permits are counted only under a confirmed lease"
 
@@ -56,7 +56,7 @@
     store.down = False
     assert two.renew()
     assert two.confirmed
-    assert two.holds
+    assert two.may_order
     assert two.fence == reserved + 1
 
 
--- a/tests/placement/test_succession_model.py
+++ b/tests/placement/test_succession_model.py
@@ -149,8 +149,8 @@
     def order(self, order: list[str]) -> None:
         for box in order:
             lease = self.leases[box]
-            if lease.holds and not self.engine.accepts(lease.fence, by=self.incarnations[box]):
-                lease.lose(reason="an engine saw a newer fence")
+            if lease.may_order and not self.engine.accepts(lease.fence, by=self.incarnations[box]):
+                lease.record_lost(reason="an engine saw a newer fence")
 
     @rule(down=st.booleans(), delays_writes=st.booleans(), lose=st.booleans())
     def set_store_faults(self, down: bool, delays_writes: bool, lose: bool) -> None:
--- a/tests/routed/test_evacuation.py
+++ b/tests/routed/test_evacuation.py
@@ -124,7 +124,7 @@
         "A zone is evacuated.",
         "Nothing more is sent to a zone.",
         "An evacuation is done.",
-        "Brings adapters of an evacuated zone.",
+        "Prefetching adapters of an evacuated zone.",
         "A zone is no longer evacuated.",
     ):
         assert sentence in logs
