--- a/bench/soak/mechanisms.py
+++ b/bench/soak/mechanisms.py
@@ -69,15 +69,15 @@
 
 @_takes_out("quota_lease")
 def _count_without_a_lease() -> None:
-    from springrock.quotas.part_counter import PartCounter
+    from springrock.quotas.quota_counter import QuotaCounter
 
-    begin = PartCounter.__init__
+    begin = QuotaCounter.__init__
 
     def _begin(self: Any, *args: Any, **kwargs: Any) -> None:
         begin(self, *args, **kwargs)
         self._lease_left_s = lambda: float("inf")
 
-    PartCounter.__init__ = _begin  # type: ignore[method-assign]
+    QuotaCounter.__init__ = _begin  # type: ignore[method-assign]
 
 
 @_takes_out("not_run_honesty")
--- a/springrock/entry.py
+++ b/springrock/entry.py
@@ -51,7 +51,7 @@
 from springrock.platform.tables import OperatorTable, ReplicaTable
 from springrock.quarantine.quarantine import Quarantine
 from springrock.quarantine.report import KEY_PREFIX as CRASHES_PREFIX
-from springrock.quotas.charging import Charging
+from springrock.quotas.charging import QuotaCharger
 from springrock.quotas.shares import QuotaTerms
 from springrock.rows import ListenersByKey, TableReading
 from springrock.store_clock import StoreClock
@@ -365,7 +365,7 @@
         forwarder = Forwarder(
             routes=lambda: self._routes,
             gate=gate,
-            charging=Charging(zones=self._quota_zones, counter=self._placement.counter),
+            charging=QuotaCharger(zones=self._quota_zones, counter=self._placement.counter),
             chooser=chooser,
             sender=sender,
             relay=StreamRelay(chooser=chooser, sender=sender, log=log),
--- a/springrock/forwarding/balancing.py
+++ b/springrock/forwarding/balancing.py
@@ -68,7 +68,7 @@
         tried: Collection[str] = (),
         fits: Callable[[Replica], bool] = lambda _: True,
         even_resting: bool = False,
-        even_metered: bool = False,
+        include_metered: bool = False,
         size: RequestSize = TYPICAL_SIZE,
     ) -> Replica | None:
         """Return the usable replica of the lowest cost, or None.
@@ -79,7 +79,7 @@
             tried: Instances that the request was already sent to.
             fits: Whether a candidate has what the request needs.
             even_resting: Whether to fall back to replicas that cool down after failures.
-            even_metered: Whether replicas that need a permit are candidates too.
+            include_metered: Whether replicas that need a permit are candidates too.
             size: The size of the request and its target latency.
         """
         world = self._world()
@@ -90,7 +90,7 @@
             if replica.instance in tried or not fits(replica):
                 continue
             obstacle = _obstacle(replica, bounds, world)
-            if obstacle in METERED and even_metered:
+            if obstacle in METERED and include_metered:
                 metered.add(replica.instance)
                 (resting if replica.health.resting else usable).append(replica)
             elif obstacle is None:
--- a/springrock/forwarding/choosing.py
+++ b/springrock/forwarding/choosing.py
@@ -18,8 +18,8 @@
 from springrock.forwarding.fingerprint import Fingerprint
 from springrock.forwarding.message import AdapterKey
 from springrock.forwarding.request_progress import RequestProgress
-from springrock.permits.choice import AsksPermits, Pick, pick
-from springrock.permits.terms import LEAST_PERMIT_S
+from springrock.permits.choice import PermitRequester, Pick, pick
+from springrock.permits.terms import MIN_PERMIT_LEFT_S
 
 MIN_SEND_TIME_S = 0.02
 """A request with less time left is not sent."""
@@ -141,7 +141,7 @@
         balancer: Balancer,
         adapters: Adapters,
         budget_of: Callable[[str], RetryBudget],
-        permits: AsksPermits,
+        permits: PermitRequester,
         check_key: Callable[[RequestProgress], None] = lambda progress: None,
         quarantine: Quarantine = NO_QUARANTINE,
     ) -> None:
@@ -304,18 +304,18 @@
         """Return a granted engine, with a permit if it needs one; None if the permit is refused."""
         chosen = Chosen(replica, use, use.permit_until)
         left_s = 0.0 if use.permit_until is None else use.permit_until - monotonic()
-        if left_s >= LEAST_PERMIT_S or self._permit_obstacle(progress, replica) is None:
+        if left_s >= MIN_PERMIT_LEFT_S or self._permit_obstacle(progress, replica) is None:
             return chosen
         permit = self._permits.ask(
             replica.record,
             request=progress.request.request_id,
-            returns=False,
+            reserve_retry=False,
             grant=use.number,
         )
-        if permit.good_until is None:
+        if permit.valid_until is None:
             use.end(UseOutcome.ENDED)
             return None
-        return chosen._replace(permit_until=permit.good_until)
+        return chosen._replace(permit_until=permit.valid_until)
 
     def _permit_obstacle(self, progress: RequestProgress, replica: Replica) -> Obstacle | None:
         """Return why a replica needs a permit; None if it needs none, or is unusable anyway."""
@@ -346,14 +346,16 @@
         replicas = self._directory.of_service(progress.service)
         size = RequestSize(len(request.body), progress.route.target_s)
 
-        def _best(*, even_metered: bool, but: frozenset[str] = frozenset()) -> Replica | None:
+        def _best(
+            *, include_metered: bool, excluded: frozenset[str] = frozenset()
+        ) -> Replica | None:
             return self._balancer.choose(
                 replicas,
                 bounds=progress.bounds,
-                tried=progress.tried_instances | but,
+                tried=progress.tried_instances | excluded,
                 fits=_fits,
                 even_resting=key is None,
-                even_metered=even_metered,
+                include_metered=include_metered,
                 size=size,
             )
 
--- a/springrock/forwarding/forwarder.py
+++ b/springrock/forwarding/forwarder.py
@@ -28,7 +28,7 @@
 class Receipt(Protocol):
     """The charge of a request to its team's quota."""
 
-    def give_back(self) -> None:
+    def refund(self) -> None:
         """Refund the charge, as the request did not run."""
 
 
@@ -110,7 +110,7 @@
             )
         finally:
             if not progress.runs:
-                receipt.give_back()
+                receipt.refund()
 
     # Plain requests.
 
--- a/springrock/forwarding/notices.py
+++ b/springrock/forwarding/notices.py
@@ -66,7 +66,7 @@
             sent_at: When the request was sent, on the local monotonic clock.
         """
         if notice.of_replica and notice.limit_per_s is None and not notice.unreadable:
-            self._limits.record_silent(replica.instance, sent_at=sent_at)
+            self._limits.record_limit_absent(replica.instance, sent_at=sent_at)
         self.apply(replica, notice, sent_at=sent_at)
 
     def apply(self, replica: Replica, notice: ReplicaNotice, *, sent_at: float) -> None:
--- a/springrock/permits/choice.py
+++ b/springrock/permits/choice.py
@@ -18,17 +18,21 @@
 trip within the zone."""
 
 
-class AsksPermits(Protocol):
+class PermitRequester(Protocol):
     """Asks for permits to send requests to metered replicas."""
 
-    def ask(self, record: ReplicaRecord, *, request: str, returns: bool, grant: int = 0) -> Permit:
+    def ask(
+        self, record: ReplicaRecord, *, request: str, reserve_retry: bool, grant: int = 0
+    ) -> Permit:
         """Ask for a permit to send a request to a metered replica."""
 
 
 class NoPermits:
-    """Implements `AsksPermits`; refuses everything, for boxes without a permit counter."""
+    """Implements `PermitRequester`; refuses everything, for boxes without a permit counter."""
 
-    def ask(self, record: ReplicaRecord, *, request: str, returns: bool, grant: int = 0) -> Permit:
+    def ask(
+        self, record: ReplicaRecord, *, request: str, reserve_retry: bool, grant: int = 0
+    ) -> Permit:
         """Refuse."""
         return Permit(None)
 
@@ -36,12 +40,14 @@
 class ReplicaSelector(Protocol):
     """Selects the best of the replicas that could run a request."""
 
-    def __call__(self, *, even_metered: bool, but: frozenset[str] = frozenset()) -> Replica | None:
+    def __call__(
+        self, *, include_metered: bool, excluded: frozenset[str] = frozenset()
+    ) -> Replica | None:
         """Return the best replica; None if there is none.
 
         Args:
-            even_metered: Whether metered replicas are candidates.
-            but: Instances that are no candidates.
+            include_metered: Whether metered replicas are candidates.
+            excluded: Instances that are no candidates.
         """
 
 
@@ -61,7 +67,7 @@
     choose: ReplicaSelector,
     *,
     metered: Callable[[Replica], Obstacle | None],
-    permits: AsksPermits,
+    permits: PermitRequester,
     request: str,
 ) -> Pick | None:
     """Select the best replica for which no permit is needed or one was granted.
@@ -82,21 +88,21 @@
     retry_delays_s: list[float] = []
     reason = Obstacle.COLD
     while len(retry_delays_s) < _MAX_ASKS:
-        best = choose(even_metered=True, but=refused)
+        best = choose(include_metered=True, excluded=refused)
         if best is None:
             break
         obstacle = metered(best)
         if obstacle is None:
             return Pick(best)
-        is_last_resort = choose(even_metered=False) is None
-        permit = permits.ask(best.record, request=request, returns=is_last_resort)
-        if permit.good_until is not None:
-            return Pick(best, permit.good_until)
+        is_last_resort = choose(include_metered=False) is None
+        permit = permits.ask(best.record, request=request, reserve_retry=is_last_resort)
+        if permit.valid_until is not None:
+            return Pick(best, permit.valid_until)
         refused |= {best.instance}
         if permit.retry_after_s < min(retry_delays_s, default=float("inf")):
             reason = obstacle
         retry_delays_s.append(permit.retry_after_s)
-    unmetered = choose(even_metered=False)
+    unmetered = choose(include_metered=False)
     if unmetered is not None:
         return Pick(unmetered)
     if retry_delays_s:
--- a/springrock/permits/counter.py
+++ b/springrock/permits/counter.py
@@ -41,7 +41,7 @@
 full as well."""
 
 
-class GrantsPermits(Protocol):
+class PermitGranter(Protocol):
     """Issues permits for requests to which a placer grants an engine."""
 
     def room_in_s(self, record: ReplicaRecord, *, cold: bool) -> float:
@@ -111,7 +111,7 @@
         terms: Returns the tolerances of the bound on cold replicas.
         limits: The limits that replicas have named.
         lease_left_s: Returns how much longer the lease is certainly valid, in seconds.
-        goes_on: Returns whether this box continues as the placer without a
+        continues_without_lease: Returns whether this box continues as the placer without a
             confirmed lease, because the store answers no box that could take the lease over.
         answer: Sends an answer to one box.
         on_counted: Called for each ask with whether it was granted.
@@ -126,7 +126,7 @@
         terms: Callable[[], SlowStartTerms],
         limits: NamedLimits,
         lease_left_s: Callable[[], float],
-        goes_on: Callable[[], bool],
+        continues_without_lease: Callable[[], bool],
         answer: Callable[[str, Permitted], None],
         on_counted: Callable[[bool], None],
         log: Log,
@@ -136,13 +136,13 @@
         self._terms = terms
         self._limits = limits
         self._lease_left_s = lease_left_s
-        self._continues_without_lease = goes_on
+        self._continues_without_lease = continues_without_lease
         self._answer = answer
         self._on_counted = on_counted
         self._log = log
-        self.begin()
+        self.reset()
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         """Start with empty buckets after taking the lease.
 
         The previous placer may have issued all available permits just before.
@@ -163,7 +163,7 @@
             self._record(box, ask, verdict)
             self._answer(box, Permitted.from_verdict(ask.number, verdict))
 
-    # Implements `GrantsPermits` for the placer.
+    # Implements `PermitGranter` for the placer.
 
     def room_in_s(self, record: ReplicaRecord, *, cold: bool) -> float:
         """Return the seconds until a request may be sent to a metered replica."""
@@ -219,13 +219,13 @@
         room_in_s = min(room_in_s, _MAX_RETRY_AFTER_S)
         retry_after_s = (
             self._reserve_retry(account, room_in_s, now)
-            if ask.returns
+            if ask.reserve_retry
             else self._staggered_retry(account, room_in_s)
         )
         # A box that has other replicas does not ask again before its staggered delay has passed.
         return PermitVerdict(
             False,
-            room_in_s if ask.returns else retry_after_s,
+            room_in_s if ask.reserve_retry else retry_after_s,
             retry_after_s,
             limited=bound.limited,
         )
--- a/springrock/permits/messages.py
+++ b/springrock/permits/messages.py
@@ -15,7 +15,7 @@
         request: The client's id of the request, for logs.
         service: The replica's service.
         instance: The replica's incarnation.
-        returns: Whether to reserve a retry time for the caller if no permit is available.
+        reserve_retry: Whether to reserve a retry time for the caller if no permit is available.
         grant: The box's number of the engine grant whose permit has expired; 0 if there was none.
         cold: Whether the box treats the replica as cold.
         limit_per_s: The named limit that the box knows of; None if it knows none.
@@ -25,7 +25,7 @@
     request: str
     service: str
     instance: str
-    returns: bool = False
+    reserve_retry: bool = False
     grant: int = 0
     cold: bool = True
     limit_per_s: float | None = None
--- a/springrock/permits/named_limits.py
+++ b/springrock/permits/named_limits.py
@@ -124,7 +124,7 @@
         self._repeated_at.record(instance, now)
         self._notify(LimitReport(instance, per_s))
 
-    def record_silent(self, instance: str, *, sent_at: float) -> None:
+    def record_limit_absent(self, instance: str, *, sent_at: float) -> None:
         """Record that an answer names no limit.
 
         Args:
@@ -146,7 +146,7 @@
 
     # From other boxes, through the placer of the replica's zone.
 
-    def arguments(self, instances: Iterable[str]) -> list[LimitReport]:
+    def reports_for(self, instances: Iterable[str]) -> list[LimitReport]:
         """Return what answers have said about some replicas, for a new placer."""
         if not self._limits:
             return []
@@ -179,15 +179,15 @@
                 before=before,
             )
 
-    def named(self, instances: Iterable[str]) -> tuple[NamedLimit, ...]:
+    def in_force(self, instances: Iterable[str]) -> tuple[NamedLimit, ...]:
         """Return the limits of some replicas that are in force according to answers."""
         return tuple(
             NamedLimit(report.instance, report.per_s)
-            for report in self.arguments(instances)
+            for report in self.reports_for(instances)
             if report.per_s is not None
         )
 
-    def apply_reported(self, zone: str, limits: Iterable[NamedLimit]) -> None:
+    def apply_placer_limits(self, zone: str, limits: Iterable[NamedLimit]) -> None:
         """Replace the limits that a zone's placer reports by those of its new heartbeat."""
         per_s = {limit.instance: limit.per_s for limit in limits}
         known = self._from_placers.get(zone)
--- a/springrock/permits/permit_book.py
+++ b/springrock/permits/permit_book.py
@@ -49,7 +49,7 @@
         Raises:
             PermitsUnheard: If no answer comes. A permit that the placer may have issued is lost.
         """
-        good_until = monotonic() + PERMIT_LIFE_S
+        valid_until = monotonic() + PERMIT_LIFE_S
         ask = msgspec.structs.replace(permit_ask, number=next(self._numbers))
         answer = self._pending[ask.number] = AsyncResult()
         self._unsent_asks.append(ask)
@@ -62,7 +62,7 @@
                 self._unsent_asks.remove(ask)
         if verdict is None:
             raise PermitsUnheard()
-        return verdict, good_until
+        return verdict, valid_until
 
     def record_observation(self, instance: str, *, answered: bool) -> None:
         """Queue an observation of a replica for the placer, unless the same one is queued."""
--- a/springrock/permits/permits.py
+++ b/springrock/permits/permits.py
@@ -40,11 +40,11 @@
     """The outcome of an ask.
 
     Attributes:
-        good_until: When the permit expires, on the local monotonic clock; None if refused.
+        valid_until: When the permit expires, on the local monotonic clock; None if refused.
         retry_after_s: If refused, the seconds until the caller should retry.
     """
 
-    good_until: float | None
+    valid_until: float | None
     retry_after_s: float = UNANSWERED_RETRY_S
 
 
@@ -76,13 +76,15 @@
         self._skipped_until: dict[str, float] = {}
         self._no_room_until: dict[str, float] = {}
 
-    def ask(self, record: ReplicaRecord, *, request: str, returns: bool, grant: int = 0) -> Permit:
+    def ask(
+        self, record: ReplicaRecord, *, request: str, reserve_retry: bool, grant: int = 0
+    ) -> Permit:
         """Ask for a permit to send a request to a metered replica.
 
         Args:
             record: The replica.
             request: The client's id of the request, for logs.
-            returns: Whether to reserve a retry time for the caller if no permit is
+            reserve_retry: Whether to reserve a retry time for the caller if no permit is
                 available. If not, a replica that had no permits a moment ago is refused without
                 asking.
             grant: The number of the engine grant whose permit has expired; 0 if there was none.
@@ -93,20 +95,20 @@
         if now < self._skipped_until.get(record.zone, 0.0):
             return self._uncounted(record, cold=cold, limit_per_s=limit_per_s)
         no_room_until = self._no_room_until.get(record.instance, 0.0)
-        if not returns and not grant and now < no_room_until:
+        if not reserve_retry and not grant and now < no_room_until:
             return Permit(None, no_room_until - now)
         permit_ask = PermitAsk(
             0,
             request,
             record.service,
             record.instance,
-            returns=returns,
+            reserve_retry=reserve_retry,
             grant=grant,
             cold=cold,
             limit_per_s=limit_per_s,
         )
         try:
-            verdict, good_until = self._counter(record.zone).permit(permit_ask)
+            verdict, valid_until = self._counter(record.zone).permit(permit_ask)
         except PermitsUnheard:
             self._on_unanswered()
             self._skipped_until[record.zone] = monotonic() + _SKIP_ZONE_S
@@ -117,7 +119,7 @@
         if limit_per_s is not None and not verdict.limited:
             # A placer of an earlier build took only the cold start into account.
             return self._uncounted(record, cold=False, limit_per_s=limit_per_s)
-        return Permit(good_until)
+        return Permit(valid_until)
 
     def _uncounted(self, record: ReplicaRecord, *, cold: bool, limit_per_s: float | None) -> Permit:
         """Return what this box may send without a placer: nothing to a cold replica."""
--- a/springrock/permits/terms.py
+++ b/springrock/permits/terms.py
@@ -13,7 +13,7 @@
 lifetime may all be used within one second, so a longer lifetime lowers the usable rate. A shorter
 one wastes permits of busy boxes. An ask and its answer take a few milliseconds within a zone."""
 
-LEAST_PERMIT_S = 0.05
+MIN_PERMIT_LEFT_S = 0.05
 """The remaining validity below which a new permit is asked for, as connecting to the replica takes
 time."""
 
--- a/springrock/placement/demand.py
+++ b/springrock/placement/demand.py
@@ -376,7 +376,7 @@
         self.changed.clear()
         self.urgent.clear()
         now = monotonic()
-        charges, given_back = self.charges.drain_updates()
+        charges, refunds = self.charges.drain_updates()
         permits, observations = self.permits.drain_updates()
         written, self._written = self._written, []
         wanted = {requester.adapter_request.key for requester in self._requesters.values()}
@@ -400,7 +400,7 @@
             ],
             stopping=self.stopping,
             charges=charges,
-            given_back=given_back,
+            refunds=refunds,
             written=written,
             permits=permits,
             observations=observations,
--- a/springrock/placement/messages.py
+++ b/springrock/placement/messages.py
@@ -25,7 +25,7 @@
 )
 from springrock.placement.handover_messages import Handover
 from springrock.placement.succession import Successor
-from springrock.quotas.messages import Charge, Charged, GiveBack
+from springrock.quotas.messages import Charge, Charged, Refund
 from springrock.unknown_messages import check_kind, kinds_of
 
 
@@ -194,7 +194,7 @@
         promises: Clients that were told when to retry.
         stopping: Whether the box is about to stop, and so acquires no lease.
         charges: Requests whose cost is to be charged to their teams.
-        given_back: Charges to refund, as their requests did not run.
+        refunds: Charges to refund, as their requests did not run.
         written: Results of the rows that the placer asked the box to write.
         permits: Requests that need a permit for a cold or limited replica.
         observations: Observations of replicas that may have restarted.
@@ -210,7 +210,7 @@
     promises: list[Promise] = []
     stopping: bool = False
     charges: list[Charge] = []
-    given_back: list[GiveBack] = []
+    refunds: list[Refund] = []
     written: list[Written] = []
     permits: list[PermitAsk] = []
     observations: list[ReplicaObservation] = []
--- a/springrock/placement/placer.py
+++ b/springrock/placement/placer.py
@@ -20,7 +20,7 @@
 from springrock.forwarding.message import AdapterKey
 from springrock.log import Log
 from springrock.metrics import ForwardingMetrics
-from springrock.permits.counter import GrantsPermits
+from springrock.permits.counter import PermitGranter
 from springrock.placement.control import EngineControl
 from springrock.placement.engine_book import EngineBook
 from springrock.placement.engine_reconciler import EngineReconciler
@@ -112,7 +112,7 @@
         world: Callable[[], World],
         control: EngineControl,
         lease: PlacerLease,
-        permits: GrantsPermits,
+        permits: PermitGranter,
         box: str,
         ceiling_ratio: float,
         ceiling_burst: float,
--- a/springrock/placement/requests.py
+++ b/springrock/placement/requests.py
@@ -18,7 +18,7 @@
 )
 from springrock.forwarding.message import AdapterKey
 from springrock.log import Log
-from springrock.permits.counter import GrantsPermits
+from springrock.permits.counter import PermitGranter
 from springrock.placement.ask_book import AskBook, WaitingAsk
 from springrock.placement.backoffs import Backoffs
 from springrock.placement.dispatcher import Dispatcher
@@ -71,7 +71,7 @@
         directory: Directory,
         versions: Versions,
         world: Callable[[], World],
-        permits: GrantsPermits,
+        permits: PermitGranter,
         popularity: Popularity,
         send: Callable[[str, Message], None],
         on_unserved: Callable[[], None],
--- a/springrock/placement/zone.py
+++ b/springrock/placement/zone.py
@@ -41,7 +41,7 @@
 from springrock.placement.zone_dependencies import ZoneDependencies
 from springrock.quotas.charge_book import CounterSilent
 from springrock.quotas.messages import Charged, Verdict
-from springrock.quotas.part_counter import PartCounter
+from springrock.quotas.quota_counter import QuotaCounter
 from springrock.topology import Distance
 
 _FLUSH_TIMEOUT_S = 0.2
@@ -93,7 +93,7 @@
         self.demand = DemandBook(
             has_placer=lambda: self.reachable,
             leaving=dependencies.directory.leaving,
-            limits=lambda: dependencies.limits.arguments(self._instances()),
+            limits=lambda: dependencies.limits.reports_for(self._instances()),
         )
         self.room = 0
         self.boxes = 1
@@ -128,7 +128,7 @@
             terms=dependencies.slow_start_terms,
             limits=dependencies.limits,
             lease_left_s=lambda: self._lease.left_s,
-            goes_on=lambda: self._lease.may_order,
+            continues_without_lease=lambda: self._lease.may_order,
             answer=self._send,
             on_counted=dependencies.metrics.count_permit,
             log=dependencies.log_of("permits"),
@@ -176,7 +176,7 @@
             incarnation=dependencies.incarnation,
             holder=self,
         )
-        self._quota_counter = PartCounter(
+        self._quota_counter = QuotaCounter(
             zone,
             configuration=dependencies.configuration,
             terms=dependencies.quota_terms,
@@ -237,8 +237,8 @@
 
     def apply_demand(self, box: str, demand: Demand) -> None:
         """Apply a box's update of its requests for engines and its uses of them."""
-        if demand.charges or demand.given_back:
-            self._quota_counter.answer(box, demand.charges, demand.given_back)
+        if demand.charges or demand.refunds:
+            self._quota_counter.answer(box, demand.charges, demand.refunds)
         if demand.permits:
             self._permits.answer(box, demand.permits)
         for observation in demand.observations:
@@ -268,9 +268,9 @@
             raise CounterSilent()
         return self.demand.charges.charge(team, units, request=request)
 
-    def give_back(self, number: int) -> None:
+    def refund(self, number: int) -> None:
         """Refund the charge of a request that did not run."""
-        self.demand.charges.give_back(number)
+        self.demand.charges.refund(number)
 
     def permit(self, adapter_request: PermitAsk) -> tuple[PermitVerdict, float]:
         """Ask the zone's placer whether a request may be sent to a cold or limited replica.
@@ -305,7 +305,7 @@
             suspected=self._warmup.suspected(self._zone),
             pressure=round(100 * wait_estimate.pressure),
             wait_ms=round(1000 * wait_estimate.wait_s),
-            limits=self._limits.named(self._instances()),
+            limits=self._limits.in_force(self._instances()),
             home_boxes=self.links.count_of(self._zone) + (self._settings.zone == self._zone),
         )
 
@@ -377,7 +377,7 @@
         for instance in heartbeat.leaving:
             self._directory.record_leaving(instance, LeavingSign.BOX)
         self._warmup.apply_suspected(self._zone, heartbeat.suspected)
-        self._limits.apply_reported(self._zone, heartbeat.limits)
+        self._limits.apply_placer_limits(self._zone, heartbeat.limits)
         # A placer with an earlier build sends only the number of all boxes.
         self.home_boxes = heartbeat.home_boxes or heartbeat.boxes
         self._on_placer_contact()
@@ -409,8 +409,8 @@
 
     def begin_placing(self) -> None:
         """Start placing after the lease was acquired."""
-        self._quota_counter.begin()
-        self._permits.begin()
+        self._quota_counter.reset()
+        self._permits.reset()
         self._placer.start()
         self._under_lease = [
             gevent.spawn(self._apply_own_demand_loop),
--- a/springrock/quarantine/crash_detector.py
+++ b/springrock/quarantine/crash_detector.py
@@ -36,7 +36,7 @@
     requests: list[Fingerprint]
 
 
-class Publishes(Protocol):
+class Publisher(Protocol):
     """Publishes crash reports to all boxes."""
 
     def publish(self, key: str, report: CrashReport) -> None:
@@ -58,7 +58,7 @@
         log: The log to write to.
     """
 
-    def __init__(self, *, box: str, book: CrashBook, reports: Publishes, log: Log) -> None:
+    def __init__(self, *, box: str, book: CrashBook, reports: Publisher, log: Log) -> None:
         self._box = box
         self._book = book
         self._reports = reports
--- a/springrock/quarantine/reporter.py
+++ b/springrock/quarantine/reporter.py
@@ -36,7 +36,7 @@
 
 
 class Reporter:
-    """Implements `springrock.quarantine.crash_detector.Publishes`.
+    """Implements `springrock.quarantine.crash_detector.Publisher`.
 
     Reports are written to the store instead of being sent over links only: a box that starts must
     know them before it sends any request, and a box that collected them could die between two
--- a/springrock/quotas/charge_book.py
+++ b/springrock/quotas/charge_book.py
@@ -8,7 +8,7 @@
 from gevent.event import AsyncResult
 
 from springrock.errors import SpringrockError
-from springrock.quotas.messages import Charge, Charged, GiveBack, Verdict
+from springrock.quotas.messages import Charge, Charged, Refund, Verdict
 
 _ANSWER_TIMEOUT_S = 0.15
 """How long a request waits for the placer's answer before it asks another zone: half of the
@@ -32,7 +32,7 @@
         self._numbers = count(1)
         self._pending: dict[int, AsyncResult[Verdict | None]] = {}
         self._unsent_charges: list[Charge] = []
-        self._unsent_refunds: list[GiveBack] = []
+        self._unsent_refunds: list[Refund] = []
 
     def charge(self, team: str, units: int, *, request: str) -> tuple[Verdict, int]:
         """Send a charge and wait for the answer; return the answer and the charge's number.
@@ -55,9 +55,9 @@
             raise CounterSilent()
         return verdict, charge.number
 
-    def give_back(self, number: int) -> None:
+    def refund(self, number: int) -> None:
         """Refund a charge, as its request did not run."""
-        self._unsent_refunds.append(GiveBack(number))
+        self._unsent_refunds.append(Refund(number))
         self._on_update(False)
 
     def _cancel(self, charge: Charge) -> None:
@@ -65,7 +65,7 @@
         if charge in self._unsent_charges:
             self._unsent_charges.remove(charge)
         else:
-            self.give_back(charge.number)
+            self.refund(charge.number)
 
     def record_charged(self, charged: Charged) -> None:
         """Pass the placer's answer on to the request that waits for it.
@@ -86,7 +86,7 @@
         for answer in self._pending.values():
             answer.set(None)
 
-    def drain_updates(self) -> tuple[list[Charge], list[GiveBack]]:
+    def drain_updates(self) -> tuple[list[Charge], list[Refund]]:
         """Return the charges and refunds to send to the placer, and clear them."""
         charges, self._unsent_charges = self._unsent_charges, []
         refunds, self._unsent_refunds = self._unsent_refunds, []
--- a/springrock/quotas/charging.py
+++ b/springrock/quotas/charging.py
@@ -30,7 +30,7 @@
             CounterSilent: If no answer comes.
         """
 
-    def give_back(self, number: int) -> None:
+    def refund(self, number: int) -> None:
         """Refund a charge whose request did not run."""
 
 
@@ -40,13 +40,13 @@
     counter: ZoneQuota | None = None
     number: int = 0
 
-    def give_back(self) -> None:
+    def refund(self) -> None:
         """Refund the charge, as its request did not run."""
         if self.counter is not None:
-            self.counter.give_back(self.number)
+            self.counter.refund(self.number)
 
 
-class Charging:
+class QuotaCharger:
     """Charges the requests of one box.
 
     Args:
--- a/springrock/quotas/messages.py
+++ b/springrock/quotas/messages.py
@@ -36,7 +36,7 @@
     units: int
 
 
-class GiveBack(Struct, frozen=True, array_like=True):
+class Refund(Struct, frozen=True, array_like=True):
     """Refunds a charge whose request did not run."""
 
     number: int
--- a/springrock/quotas/part_counter.py
+++ b/springrock/quotas/quota_counter.py
@@ -8,11 +8,11 @@
 from springrock.forwarding.configuration import Configuration
 from springrock.log import Log
 from springrock.quotas.ledger import Ledger
-from springrock.quotas.messages import Charge, Charged, GiveBack, Verdict
+from springrock.quotas.messages import Charge, Charged, Refund, Verdict
 from springrock.quotas.shares import QuotaTerms
 
 
-class PartCounter:
+class QuotaCounter:
     """Answers charges while this box certainly holds the zone's lease.
 
     Args:
@@ -43,9 +43,9 @@
         self._answer = answer
         self._on_counted = on_counted
         self._log = log
-        self.begin()
+        self.reset()
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         """Start with empty buckets after taking the lease."""
         self._ledger = Ledger(configuration=self._configuration, terms=self._terms, now=monotonic())
 
@@ -53,7 +53,7 @@
         """Refund no charges of a box any more, as its process has changed."""
         self._ledger.forget_box(box)
 
-    def answer(self, box: str, charges: Iterable[Charge], refunds: Iterable[GiveBack]) -> None:
+    def answer(self, box: str, charges: Iterable[Charge], refunds: Iterable[Refund]) -> None:
         """Answer a box's charges, then refund those whose requests did not run."""
         now = monotonic()
         counts = self._lease_left_s() > 0
--- a/tests/permits/limit_world.py
+++ b/tests/permits/limit_world.py
@@ -91,7 +91,10 @@
     def try_send(self) -> bool:
         """Send a request if that is allowed; return whether it was sent."""
         limited = self.limits.per_s(RECORD.instance) is not None
-        if limited and self.permits.ask(RECORD, request="r", returns=False).good_until is None:
+        if (
+            limited
+            and self.permits.ask(RECORD, request="r", reserve_retry=False).valid_until is None
+        ):
             return False
         self.world.send(self.number)
         return True
@@ -109,7 +112,7 @@
             terms=lambda: SlowStartTerms(1.0, 0.0),
             limits=self.limits,
             lease_left_s=lambda: 1.0,
-            goes_on=lambda: True,
+            continues_without_lease=lambda: True,
             answer=lambda box, permitted: self._answers.append(permitted),
             on_counted=lambda granted: None,
             log=Log("permits", "placer"),
@@ -149,7 +152,7 @@
     def broadcast(self, box: Box) -> None:
         """Let a box report what it knows to a placer to which it was not linked before."""
         if self.placer is not None:
-            for report in box.limits.arguments([RECORD.instance]):
+            for report in box.limits.reports_for([RECORD.instance]):
                 self.placer.limits.apply_limit_report(report)
 
     def send(self, box: int) -> None:
@@ -169,12 +172,14 @@
             self._heartbeat_at = self.now
             for box in self.boxes:
                 if box.linked:
-                    box.limits.apply_reported(ZONE, self.placer.limits.named([RECORD.instance]))
+                    box.limits.apply_placer_limits(
+                        ZONE, self.placer.limits.in_force([RECORD.instance])
+                    )
 
     def _deliver(self, answer: Answer) -> None:
         box = self.boxes[answer.box]
         if answer.per_s is None:
-            box.limits.record_silent(RECORD.instance, sent_at=answer.sent_at)
+            box.limits.record_limit_absent(RECORD.instance, sent_at=answer.sent_at)
             return
         box.limits.record_limit_named(RECORD.instance, answer.per_s, sent_at=answer.sent_at)
         self.first_named_at = self.now if self.first_named_at is None else self.first_named_at
--- a/tests/permits/test_bound.py
+++ b/tests/permits/test_bound.py
@@ -55,7 +55,7 @@
                 terms=lambda: terms,
                 limits=make_limits(),
                 lease_left_s=self._lease_left_s(number),
-                goes_on=lambda: False,
+                continues_without_lease=lambda: False,
                 answer=lambda box, permitted: self._answers.append(permitted),
                 on_counted=lambda granted: None,
                 log=Log("slow_start", "box-1"),
@@ -75,7 +75,7 @@
         if number not in self._started:
             self._started.add(number)
             self.now = self._starts[number]
-            self._counters[number].begin()
+            self._counters[number].reset()
         self.now = at
         self._counters[number].answer("box", [PermitAsk(1, "r", "s", "i-1")])
         return self._answers[-1].granted
--- a/tests/permits/test_choosing.py
+++ b/tests/permits/test_choosing.py
@@ -30,8 +30,10 @@
         self.permit = permit
         self.asked: list[tuple[str, bool, int]] = []
 
-    def ask(self, record: ReplicaRecord, *, request: str, returns: bool, grant: int = 0) -> Permit:
-        self.asked.append((record.instance, returns, grant))
+    def ask(
+        self, record: ReplicaRecord, *, request: str, reserve_retry: bool, grant: int = 0
+    ) -> Permit:
+        self.asked.append((record.instance, reserve_retry, grant))
         return self.permit
 
 
--- a/tests/permits/test_counter.py
+++ b/tests/permits/test_counter.py
@@ -27,7 +27,7 @@
         self.answers: list[Permitted] = []
         self.counted: list[bool] = []
         self.limits = make_limits()
-        self.goes_on = False
+        self.continues_without_lease = False
         monkeypatch.setattr(module, "monotonic", lambda: self.now)
         monkeypatch.setattr(named_limits, "monotonic", lambda: self.now)
         slow = Service(name="s", slow_start=SlowStart(lasts_s=5.0, per_s=4.0))
@@ -38,14 +38,16 @@
             terms=lambda: SlowStartTerms(2.0, 0.0),
             limits=self.limits,
             lease_left_s=lambda: self.lease_left_s,
-            goes_on=lambda: self.goes_on,
+            continues_without_lease=lambda: self.continues_without_lease,
             answer=lambda box, permitted: self.answers.append(permitted),
             on_counted=self.counted.append,
             log=Log("slow_start", "box-1"),
         )
 
-    def ask(self, *, instance: str = "i-1", service: str = "s", returns: bool = False) -> Permitted:
-        self.counter.answer("box-2", [PermitAsk(7, "r", service, instance, returns)])
+    def ask(
+        self, *, instance: str = "i-1", service: str = "s", reserve_retry: bool = False
+    ) -> Permitted:
+        self.counter.answer("box-2", [PermitAsk(7, "r", service, instance, reserve_retry)])
         return self.answers[-1]
 
 
@@ -80,17 +82,17 @@
 
 def test_after_taking_the_lease_the_buckets_are_empty(setup: Setup) -> None:
     setup.now += 2.0
-    setup.counter.begin()
+    setup.counter.reset()
     assert not setup.ask().granted
 
 
 def test_callers_get_successive_retry_slots_and_boxes_with_other_replicas_none(
     setup: Setup,
 ) -> None:
-    back = [setup.ask(returns=True).retry_after_ms for _ in range(3)]
+    back = [setup.ask(reserve_retry=True).retry_after_ms for _ in range(3)]
     assert back == [250, 500, 750]
     assert setup.ask().retry_after_ms == 250
-    assert setup.ask(returns=True).retry_after_ms == 1000
+    assert setup.ask(reserve_retry=True).retry_after_ms == 1000
 
 
 def test_a_grant_takes_a_permit_and_the_next_is_available_after_a_refill(setup: Setup) -> None:
@@ -145,7 +147,7 @@
     setup.lease_left_s = 0.0
     setup.now += 9.0
     assert setup.counter.room_in_s(RECORD, cold=False) == float("inf")
-    setup.goes_on = True
+    setup.continues_without_lease = True
     assert setup.counter.room_in_s(RECORD, cold=False) < float("inf")
     assert setup.counter.room_in_s(RECORD, cold=True) == float("inf")
 
--- a/tests/permits/test_named_limits.py
+++ b/tests/permits/test_named_limits.py
@@ -24,7 +24,7 @@
         self.limits.record_limit_named("i-1", per_s, sent_at=self.now - sent_ago_s)
 
     def answer_without_limit(self, *, sent_ago_s: float = 0.1) -> None:
-        self.limits.record_silent("i-1", sent_at=self.now - sent_ago_s)
+        self.limits.record_limit_absent("i-1", sent_at=self.now - sent_ago_s)
 
     @property
     def per_s(self) -> float | None:
@@ -78,7 +78,7 @@
     box.limits.apply_limit_report(LimitReport("i-1", None, 0))
     assert not box.limits.has_report("i-1")
     box.limits.apply_limit_report(LimitReport("i-1", 1.5, 10))
-    assert box.limits.named(["i-1", "i-2"]) == (NamedLimit("i-1", 1.5),)
+    assert box.limits.in_force(["i-1", "i-2"]) == (NamedLimit("i-1", 1.5),)
     box.limits.apply_limit_report(LimitReport("i-1", None, 5))
     assert box.per_s == 1.5, "its request may have been sent before the limit was named"
     box.now += 1.0
@@ -90,22 +90,22 @@
 
 
 def test_a_limit_from_the_placer_holds_until_the_placer_or_an_answer_ends_it(box: Box) -> None:
-    box.limits.apply_reported("zone-1", [NamedLimit("i-1", 2.0)])
+    box.limits.apply_placer_limits("zone-1", [NamedLimit("i-1", 2.0)])
     assert (box.per_s, box.limits.count) == (2.0, 1)
-    assert box.limits.named(["i-1"]) == (), "a limit known from a placer only is not reported on"
+    assert box.limits.in_force(["i-1"]) == (), "a limit known from a placer only is not reported on"
     box.answer_naming(5.0)
     assert box.per_s == 2.0, "the stricter of both applies"
     box.now += 0.3
-    box.limits.apply_reported("zone-1", [NamedLimit("i-1", 2.0)])
+    box.limits.apply_placer_limits("zone-1", [NamedLimit("i-1", 2.0)])
     box.answer_without_limit()
     assert box.per_s is None, "the placer has reported it since before that answer's request"
-    box.limits.apply_reported("zone-1", [])
-    box.limits.apply_reported("zone-1", [NamedLimit("i-1", 2.0)])
+    box.limits.apply_placer_limits("zone-1", [])
+    box.limits.apply_placer_limits("zone-1", [NamedLimit("i-1", 2.0)])
     assert box.per_s == 2.0, "reported again after a pause"
 
 
 def test_the_limits_of_a_lost_placer_remain_valid_for_a_while(box: Box) -> None:
-    box.limits.apply_reported("zone-1", [NamedLimit("i-1", 2.0)])
+    box.limits.apply_placer_limits("zone-1", [NamedLimit("i-1", 2.0)])
     box.now += 5.0
     assert box.per_s == 2.0
     box.now += 6.0
@@ -114,6 +114,6 @@
 
 def test_a_new_placer_is_sent_the_limits_read_in_answers(box: Box) -> None:
     box.answer_naming(1.5)
-    box.limits.apply_reported("zone-1", [NamedLimit("i-2", 2.0)])
+    box.limits.apply_placer_limits("zone-1", [NamedLimit("i-2", 2.0)])
     box.now += 0.5
-    assert box.limits.arguments(["i-1", "i-2"]) == [LimitReport("i-1", 1.5, 500)]
+    assert box.limits.reports_for(["i-1", "i-2"]) == [LimitReport("i-1", 1.5, 500)]
--- a/tests/permits/test_permits.py
+++ b/tests/permits/test_permits.py
@@ -39,9 +39,9 @@
     gevent.sleep(0.02)
     assert (book.drain_updates(), urgent) == (([PermitAsk(1, "r", "s", "i-1", True)], []), [True])
     book.record_permitted(Permitted(1, counts=True, granted=True))
-    verdict, good_until = task.get(timeout=5)
+    verdict, valid_until = task.get(timeout=5)
     assert verdict == PermitVerdict(True)
-    assert asked_at + PERMIT_LIFE_S <= good_until < asked_at + 0.02 + PERMIT_LIFE_S
+    assert asked_at + PERMIT_LIFE_S <= valid_until < asked_at + 0.02 + PERMIT_LIFE_S
 
 
 @pytest.mark.parametrize("permitted", [None, Permitted(1, counts=False)])
@@ -117,23 +117,23 @@
 
 def test_a_granted_ask_returns_a_permit() -> None:
     permits = make_permits(ScriptedCounter(PermitVerdict(True)))
-    assert permits.ask(COLD.record, request="r", returns=False) == Permit(77.0)
+    assert permits.ask(COLD.record, request="r", reserve_retry=False) == Permit(77.0)
 
 
 def test_a_replica_without_room_is_not_asked_again_unless_a_caller_needs_a_retry_slot() -> None:
     counter = ScriptedCounter(PermitVerdict(False, 60.0, 60.0), PermitVerdict(False, 60.0, 61.0))
     permits = make_permits(counter)
-    assert permits.ask(COLD.record, request="r", returns=False) == Permit(None, 60.0)
-    assert permits.ask(COLD.record, request="r", returns=False).good_until is None
+    assert permits.ask(COLD.record, request="r", reserve_retry=False) == Permit(None, 60.0)
+    assert permits.ask(COLD.record, request="r", reserve_retry=False).valid_until is None
     assert counter.asked == 1
-    assert permits.ask(COLD.record, request="r", returns=True) == Permit(None, 61.0)
+    assert permits.ask(COLD.record, request="r", reserve_retry=True) == Permit(None, 61.0)
 
 
 def test_a_zone_that_does_not_answer_is_skipped_for_a_while() -> None:
     counter, unanswered_permits = ScriptedCounter(), list[int]()
     permits = make_permits(counter, unanswered_permits)
     for _ in range(3):
-        assert permits.ask(COLD.record, request="r", returns=True).good_until is None
+        assert permits.ask(COLD.record, request="r", reserve_retry=True).valid_until is None
     assert (counter.asked, len(unanswered_permits)) == (1, 1)
 
 
@@ -148,29 +148,29 @@
 
 def test_without_a_placer_a_box_sends_its_share_to_its_own_zone() -> None:
     permits = make_permits(ScriptedCounter(), cold=False, limits=limited_to(1.0), boxes=2)
-    assert permits.ask(COLD.record, request="r", returns=True).good_until is not None
-    refused = permits.ask(COLD.record, request="r", returns=True)
-    assert refused.good_until is None
+    assert permits.ask(COLD.record, request="r", reserve_retry=True).valid_until is not None
+    refused = permits.ask(COLD.record, request="r", reserve_retry=True)
+    assert refused.valid_until is None
     assert 1.5 < refused.retry_after_s <= 2.0
 
 
 def test_nothing_is_sent_uncounted_to_a_limited_replica_that_is_cold() -> None:
     permits = make_permits(ScriptedCounter(), cold=True, limits=limited_to(1.0))
-    assert permits.ask(COLD.record, request="r", returns=True).good_until is None
+    assert permits.ask(COLD.record, request="r", reserve_retry=True).valid_until is None
 
 
 @pytest.mark.parametrize(("boxes", "sends"), [(0, False), (4, True), (5, False)])
 def test_if_there_are_too_many_boxes_none_sends_uncounted(boxes: int, sends: bool) -> None:
     permits = make_permits(ScriptedCounter(), cold=False, limits=limited_to(1.0), boxes=boxes)
-    permit = permits.ask(COLD.record, request="r", returns=True)
-    assert (permit.good_until is not None) is sends
+    permit = permits.ask(COLD.record, request="r", reserve_retry=True)
+    assert (permit.valid_until is not None) is sends
 
 
 def test_a_permit_from_a_placer_without_named_limits_is_charged_to_the_share() -> None:
     counter = ScriptedCounter(PermitVerdict(True), PermitVerdict(True))
     permits = make_permits(counter, cold=True, limits=limited_to(1.0))
-    assert permits.ask(COLD.record, request="r", returns=True).good_until is not None
-    assert permits.ask(COLD.record, request="r", returns=True).good_until is None
+    assert permits.ask(COLD.record, request="r", reserve_retry=True).valid_until is not None
+    assert permits.ask(COLD.record, request="r", reserve_retry=True).valid_until is None
 
 
 # The choice of a replica.
@@ -182,11 +182,13 @@
     def __init__(self, *replicas: Replica) -> None:
         self.replicas = replicas
 
-    def __call__(self, *, even_metered: bool, but: frozenset[str] = frozenset()) -> Replica | None:
+    def __call__(
+        self, *, include_metered: bool, excluded: frozenset[str] = frozenset()
+    ) -> Replica | None:
         fitting = [
             item
             for item in self.replicas
-            if item.instance not in but and (even_metered or item is WARM)
+            if item.instance not in excluded and (include_metered or item is WARM)
         ]
         return fitting[0] if fitting else None
 
--- a/tests/permits/test_returns.py
+++ b/tests/permits/test_returns.py
@@ -95,7 +95,7 @@
             terms=lambda: TERMS,
             limits=make_limits(),
             lease_left_s=lambda: 1.0,
-            goes_on=lambda: False,
+            continues_without_lease=lambda: False,
             answer=lambda box, permitted: self._answers.append(permitted),
             on_counted=lambda granted: None,
             log=Log("slow_start", "box"),
@@ -120,7 +120,7 @@
         for tick in range(int(LENGTH_S / TICK_S)):
             self.now = tick * TICK_S
             if tick == int(self.scenario.takeover_at / TICK_S):
-                self._counter.begin()
+                self._counter.reset()
             for number in range(BOXES):
                 self._step(number, tick)
 
--- a/tests/quotas/test_charging.py
+++ b/tests/quotas/test_charging.py
@@ -8,8 +8,8 @@
 from springrock.forwarding.configuration import Team
 from springrock.forwarding.errors import OverQuota, QuotaUnheard
 from springrock.quotas.charge_book import ChargeBook, CounterSilent
-from springrock.quotas.charging import Charging, Receipt
-from springrock.quotas.messages import Charge, Charged, GiveBack, Verdict
+from springrock.quotas.charging import QuotaCharger, Receipt
+from springrock.quotas.messages import Charge, Charged, Refund, Verdict
 
 TEAM = Team(name="one", rate=5.0, burst=5.0)
 
@@ -28,31 +28,31 @@
             raise CounterSilent()
         return self.answer, len(self.asked)
 
-    def give_back(self, number: int) -> None:
+    def refund(self, number: int) -> None:
         self.refunds.append(number)
 
 
 def charge(**counters: ScriptedCounter) -> Receipt:
-    charging = Charging(zones=lambda: list(counters), counter=counters.__getitem__)
+    charging = QuotaCharger(zones=lambda: list(counters), counter=counters.__getitem__)
     return charging.charge(TEAM, tokens=7, request="r")
 
 
 def test_only_the_own_zone_is_charged_if_it_has_room() -> None:
     own, other = ScriptedCounter(Verdict(True)), ScriptedCounter(Verdict(True))
-    charge(own=own, other=other).give_back()
+    charge(own=own, other=other).refund()
     assert (own.asked, own.refunds, other.asked) == ([("one", 1)], [1], [])
 
 
 def test_another_zone_is_charged_if_the_own_has_no_room() -> None:
     own, other = ScriptedCounter(Verdict(False, 1.0)), ScriptedCounter(Verdict(True))
-    charge(own=own, other=other).give_back()
+    charge(own=own, other=other).refund()
     assert other.refunds == [1]
 
 
 def test_after_a_missing_answer_another_zone_is_charged_and_the_silent_one_skipped() -> None:
     own, other = ScriptedCounter(None), ScriptedCounter(Verdict(True))
     counters = {"own": own, "other": other}
-    charging = Charging(zones=lambda: list(counters), counter=counters.__getitem__)
+    charging = QuotaCharger(zones=lambda: list(counters), counter=counters.__getitem__)
     for _ in range(3):
         charging.charge(TEAM, tokens=None, request="r")
     assert (len(own.asked), len(other.asked)) == (1, 3)
@@ -76,9 +76,9 @@
 
 def test_teams_without_a_limit_are_not_charged() -> None:
     counter = ScriptedCounter(None)
-    charging = Charging(zones=lambda: ["a"], counter=lambda zone: counter)
+    charging = QuotaCharger(zones=lambda: ["a"], counter=lambda zone: counter)
     for team in (None, Team(name="free")):
-        charging.charge(team, tokens=None, request="r").give_back()
+        charging.charge(team, tokens=None, request="r").refund()
     assert counter.asked == counter.refunds == []
 
 
@@ -98,8 +98,8 @@
     assert book.drain_updates() == ([Charge(1, "r", "one", 7)], [])
     book.record_charged(Charged(1, counts=True, taken=False, retry_after_ms=250))
     assert task.get(timeout=10) == (Verdict(False, 0.25), 1)
-    book.give_back(1)
-    assert book.drain_updates() == ([], [GiveBack(1)])
+    book.refund(1)
+    assert book.drain_updates() == ([], [Refund(1)])
     assert urgent == [True, False]
 
 
@@ -109,7 +109,7 @@
     book.drain_updates()
     with pytest.raises(CounterSilent):
         task.get(timeout=10)
-    assert book.drain_updates() == ([], [GiveBack(1)])
+    assert book.drain_updates() == ([], [Refund(1)])
     book.record_charged(Charged(1, counts=True, taken=True))
 
 
@@ -125,7 +125,7 @@
     task = start_charge(book)
     book.drain_updates()
     task.kill()
-    assert book.drain_updates() == ([], [GiveBack(1)])
+    assert book.drain_updates() == ([], [Refund(1)])
 
 
 def test_a_lost_or_unauthorized_placer_ends_the_wait_at_once() -> None:
--- a/tests/quotas/test_part_counter.py
+++ b/tests/quotas/test_quota_counter.py
@@ -6,9 +6,9 @@
 
 from springrock.forwarding.configuration import Configuration, Team
 from springrock.log import Log
-from springrock.quotas import part_counter as module
-from springrock.quotas.messages import Charge, Charged, GiveBack
-from springrock.quotas.part_counter import PartCounter
+from springrock.quotas import quota_counter as module
+from springrock.quotas.messages import Charge, Charged, Refund
+from springrock.quotas.quota_counter import QuotaCounter
 from springrock.quotas.shares import QuotaTerms
 
 TEAM = Team(name="one", rate=10.0, burst=10.0)
@@ -24,7 +24,7 @@
         self.answers: list[tuple[str, Charged]] = []
         self.counted: list[tuple[str, bool]] = []
         monkeypatch.setattr(module, "monotonic", lambda: self.now)
-        self.counter = PartCounter(
+        self.counter = QuotaCounter(
             "zone-1",
             configuration=lambda: Configuration(version=1, teams=(TEAM,)),
             terms=lambda: TERMS,
@@ -36,7 +36,7 @@
 
     def charge(self, number: int, *, units: int = 1, refunds: tuple[int, ...] = ()) -> Charged:
         charges = [Charge(number, "r", "one", units)]
-        self.counter.answer("box-2", charges, [GiveBack(refunded) for refunded in refunds])
+        self.counter.answer("box-2", charges, [Refund(refunded) for refunded in refunds])
         box, charged = self.answers[-1]
         assert box == "box-2"
         return charged
@@ -68,5 +68,5 @@
 def test_after_taking_the_lease_the_share_is_empty(monkeypatch: pytest.MonkeyPatch) -> None:
     setup = Setup(monkeypatch)
     setup.now += 2.0
-    setup.counter.begin()
+    setup.counter.reset()
     assert not setup.charge(1).taken
--- a/tests/worlds.py
+++ b/tests/worlds.py
@@ -58,7 +58,7 @@
 
 
 class NoReports:
-    """Implements `springrock.quarantine.crash_detector.Publishes`; keeps what was published."""
+    """Implements `springrock.quarantine.crash_detector.Publisher`; keeps what was published."""
 
     def __init__(self) -> None:
         self.published: list[CrashReport] = []
