--- a/springrock/entry.py
+++ b/springrock/entry.py
@@ -15,9 +15,10 @@
 from springrock.forwarding.budget import RetryBudget, RetryLimits
 from springrock.forwarding.choosing import ReplicaChooser
 from springrock.forwarding.configuration import Configuration, RouteTable
+from springrock.forwarding.cross_zone_bytes import CrossZoneBytes
 from springrock.forwarding.directory import Directory
 from springrock.forwarding.door import ForwardingDoor
-from springrock.forwarding.eligibility import World
+from springrock.forwarding.eligibility import RoutingState
 from springrock.forwarding.evacuation_watch import EvacuationWatch
 from springrock.forwarding.evacuations import Evacuations
 from springrock.forwarding.forwarder import Forwarder
@@ -26,7 +27,6 @@
 from springrock.forwarding.pages import MetricsPage, ReadinessPage
 from springrock.forwarding.sending import Sender
 from springrock.forwarding.streaming import StreamRelay
-from springrock.forwarding.way_bytes import WayBytes
 from springrock.kept_rows import kept_operator_row, kept_own_row, kept_replica
 from springrock.log import Log
 from springrock.loop_watch import LoopWatch
@@ -292,7 +292,7 @@
             configuration=lambda: self._routes.configuration,
             directory=self.directory,
             versions=self._versions,
-            world=self._world,
+            routing_state=self._routing_state,
             control=PlatformEngines(notice_taker=self._notices.notice_handler),
             quota_terms=self._quota_terms,
             slow_start_terms=lambda: self.settings.slow_start.terms,
@@ -327,7 +327,7 @@
             terms=lambda: self.settings.keys.terms,
         )
         balancer = Balancer(
-            world=self._world, chance=random.Random(), costs=settings.distance.costs
+            routing_state=self._routing_state, rng=random.Random(), costs=settings.distance.costs
         )
         chooser = ReplicaChooser(
             configuration=lambda: self._routes.configuration,
@@ -356,7 +356,7 @@
             adapters=self._placement,
             warmup=self._warmup,
             may_send=chooser.may_send,
-            ways=WayBytes(self.metrics, self._topology),
+            byte_counters=CrossZoneBytes(self.metrics, self._topology),
             log=log,
             crash_detector=self._quarantine.crash_detector,
             notices=self._notices,
@@ -450,10 +450,10 @@
             return POLL_WAIT_S
         return min(POLL_WAIT_S, self.settings.keys.terms.trust_s / _CONFIGURATION_POLLS_OF_TRUST)
 
-    def _world(self) -> World:
+    def _routing_state(self) -> RoutingState:
         """Return what is known beside the replicas of where requests may go."""
         evacuations = self._evacuations
-        return World(
+        return RoutingState(
             self._topology,
             evacuations.zones,
             self._warmup.is_cold,
--- a/springrock/forwarding/balancing.py
+++ b/springrock/forwarding/balancing.py
@@ -18,7 +18,7 @@
     METERED,
     Bounds,
     Obstacle,
-    World,
+    RoutingState,
     obstacle_of,
 )
 
@@ -44,20 +44,20 @@
     replica is full from the replica's answers.
 
     Args:
-        world: Returns the state of zones and permits that routing depends on.
-        chance: The random source for ties.
+        routing_state: Returns the state of zones and permits that routing depends on.
+        rng: The random source for ties.
         costs: The costs of distances.
     """
 
     def __init__(
         self,
         *,
-        world: Callable[[], World],
-        chance: random.Random,
+        routing_state: Callable[[], RoutingState],
+        rng: random.Random,
         costs: DistanceCosts = DEFAULT_COSTS,
     ) -> None:
-        self._world = world
-        self._random = chance
+        self._routing_state = routing_state
+        self._random = rng
         self._costs = costs
 
     def choose(
@@ -67,7 +67,7 @@
         bounds: Bounds = ANYWHERE,
         tried: Collection[str] = (),
         fits: Callable[[Replica], bool] = lambda _: True,
-        even_resting: bool = False,
+        allow_resting: bool = False,
         include_metered: bool = False,
         size: RequestSize = TYPICAL_SIZE,
     ) -> Replica | None:
@@ -78,18 +78,18 @@
             bounds: The regions where the request may be served.
             tried: Instances that the request was already sent to.
             fits: Whether a candidate has what the request needs.
-            even_resting: Whether to fall back to replicas that cool down after failures.
+            allow_resting: Whether to fall back to replicas that cool down after failures.
             include_metered: Whether replicas that need a permit are candidates too.
             size: The size of the request and its target latency.
         """
-        world = self._world()
+        routing_state = self._routing_state()
         usable: list[Replica] = []
         resting: list[Replica] = []
         metered: set[str] = set()
         for replica in replicas:
             if replica.instance in tried or not fits(replica):
                 continue
-            obstacle = _obstacle(replica, bounds, world)
+            obstacle = _obstacle(replica, bounds, routing_state)
             if obstacle in METERED and include_metered:
                 metered.add(replica.instance)
                 (resting if replica.health.resting else usable).append(replica)
@@ -97,26 +97,26 @@
                 usable.append(replica)
             elif obstacle is Obstacle.RESTING:
                 resting.append(replica)
-        if even_resting:
+        if allow_resting:
             usable = usable or resting
 
         def _cost(replica: Replica) -> float:
-            cost = self._cost(replica, world, size)
+            cost = self._cost(replica, routing_state, size)
             return cost + (_PERMIT_COST if replica.instance in metered else 0.0)
 
         return min(usable, key=_cost, default=None)
 
     def in_bounds(self, replicas: Collection[Replica], *, bounds: Bounds) -> list[Replica]:
         """Return the replicas in the regions that a request allows, regardless of their state."""
-        topology = self._world().topology
+        topology = self._routing_state().topology
         return [item for item in replicas if bounds.allow(item.record.zone, topology)]
 
     def count_obstacles(
         self, replicas: Collection[Replica], *, bounds: Bounds = ANYWHERE
     ) -> Counter[Obstacle]:
         """Return how many replicas each obstacle applies to."""
-        world = self._world()
-        found = (_obstacle(replica, bounds, world) for replica in replicas)
+        routing_state = self._routing_state()
+        found = (_obstacle(replica, bounds, routing_state) for replica in replicas)
         return Counter(obstacle for obstacle in found if obstacle is not None)
 
     def obstacle(
@@ -126,24 +126,24 @@
         return obstacle_of(
             replica.record,
             bounds=bounds,
-            world=self._world(),
+            routing_state=self._routing_state(),
             backing_off=replica.backoff.active,
             permitted=permitted,
         )
 
-    def _cost(self, replica: Replica, world: World, size: RequestSize) -> float:
+    def _cost(self, replica: Replica, routing_state: RoutingState, size: RequestSize) -> float:
         health = replica.health
         cost = replica.running / max(1, replica.record.running_limit) + health.fullness
         cost += _FAILURE_WEIGHT * health.recent_failure_rate**2
-        cost += self._costs.of(world.topology.distance(replica.record.zone), size)
+        cost += self._costs.of(routing_state.topology.distance(replica.record.zone), size)
         return cost + self._random.random() * _RANDOM_COST
 
 
-def _obstacle(replica: Replica, bounds: Bounds, world: World) -> Obstacle | None:
+def _obstacle(replica: Replica, bounds: Bounds, routing_state: RoutingState) -> Obstacle | None:
     return obstacle_of(
         replica.record,
         bounds=bounds,
-        world=world,
+        routing_state=routing_state,
         backing_off=replica.backoff.active,
         resting=replica.health.resting,
     )
--- a/springrock/forwarding/choosing.py
+++ b/springrock/forwarding/choosing.py
@@ -76,7 +76,7 @@
         return deadline_s is not None and deadline_s < longest_s * _SHORT_DEADLINE_RATIO
 
 
-class Chosen(NamedTuple):
+class ChosenReplica(NamedTuple):
     """A replica that a request is to be sent to.
 
     Attributes:
@@ -165,7 +165,7 @@
         """Whether the request is a client's retry, judged by its shortened deadline."""
         return self._deadlines.is_shortened(progress)
 
-    def next_replica(self, progress: RequestProgress, *, until: float) -> Chosen:
+    def next_replica(self, progress: RequestProgress, *, until: float) -> ChosenReplica:
         """Return the replica to try next; waits for the adapter to be loaded if necessary.
 
         Args:
@@ -194,7 +194,7 @@
             raise
         return chosen
 
-    def may_send(self, progress: RequestProgress, chosen: Chosen) -> bool:
+    def may_send(self, progress: RequestProgress, chosen: ChosenReplica) -> bool:
         """Whether the chosen replica may still be sent the request.
 
         Checked right before sending, as the wait for a connection may have taken long.
@@ -203,12 +203,12 @@
             return False
         return self._obstacle(progress, chosen) is None
 
-    def _obstacle(self, progress: RequestProgress, chosen: Chosen) -> Obstacle | None:
+    def _obstacle(self, progress: RequestProgress, chosen: ChosenReplica) -> Obstacle | None:
         return self._balancer.obstacle(
             chosen.replica, bounds=progress.bounds, permitted=chosen.permitted
         )
 
-    def _check_sending(self, progress: RequestProgress, chosen: Chosen) -> None:
+    def _check_sending(self, progress: RequestProgress, chosen: ChosenReplica) -> None:
         """Raise if the request may no longer be sent after the wait for its replica."""
         obstacle = self._obstacle(progress, chosen)
         if obstacle is not None:
@@ -227,12 +227,12 @@
         if progress.runs and not self._quarantine.may_be_retried(progress.fingerprint):
             raise NoReplica("crashes_suspected", RETRY_AFTER_S)
 
-    def _find(self, progress: RequestProgress, *, until: float) -> Chosen:
+    def _find(self, progress: RequestProgress, *, until: float) -> ChosenReplica:
         key = progress.request.adapter_key
         self._check_regions(progress)
         if key is None or not self._has_engines(progress.service):
             picked = self._choose(progress)
-            return Chosen(picked.replica, None, picked.send_by)
+            return ChosenReplica(picked.replica, None, picked.send_by)
         while True:
             granted = self._find_granted(progress, key, until=until)
             if granted is not None:
@@ -255,7 +255,7 @@
 
     def _find_granted(
         self, progress: RequestProgress, key: AdapterKey, *, until: float
-    ) -> Chosen | None:
+    ) -> ChosenReplica | None:
         """Return the replica that a placer grants; None without a placer or a usable grant."""
         without_permit: frozenset[str] = frozenset()
         for _ in range(_MAX_PLACER_ASKS):
@@ -300,9 +300,11 @@
             bounds=progress.bounds,
         )
 
-    def _with_permit(self, progress: RequestProgress, replica: Replica, use: Use) -> Chosen | None:
+    def _with_permit(
+        self, progress: RequestProgress, replica: Replica, use: Use
+    ) -> ChosenReplica | None:
         """Return a granted engine, with a permit if it needs one; None if the permit is refused."""
-        chosen = Chosen(replica, use, use.permit_until)
+        chosen = ChosenReplica(replica, use, use.permit_until)
         left_s = 0.0 if use.permit_until is None else use.permit_until - monotonic()
         if left_s >= MIN_PERMIT_LEFT_S or self._permit_obstacle(progress, replica) is None:
             return chosen
@@ -322,7 +324,7 @@
         obstacle = self._balancer.obstacle(replica, bounds=progress.bounds)
         return obstacle if obstacle in METERED else None
 
-    def _find_without_placer(self, progress: RequestProgress, key: AdapterKey) -> Chosen:
+    def _find_without_placer(self, progress: RequestProgress, key: AdapterKey) -> ChosenReplica:
         """Return a replica chosen from this box's own state, as no placer answers."""
         try:
             picked = self._choose(progress)
@@ -331,7 +333,7 @@
                 raise
             raise NoReplica("no_placer_heard", _NO_PLACER_RETRY_S) from None
         use = self._adapters.use(picked.replica.instance, key)
-        return Chosen(picked.replica, use, picked.send_by)
+        return ChosenReplica(picked.replica, use, picked.send_by)
 
     def _choose(self, progress: RequestProgress) -> Pick:
         request = progress.request
@@ -354,7 +356,7 @@
                 bounds=progress.bounds,
                 tried=progress.tried_instances | excluded,
                 fits=_fits,
-                even_resting=key is None,
+                allow_resting=key is None,
                 include_metered=include_metered,
                 size=size,
             )
--- a/springrock/forwarding/connection.py
+++ b/springrock/forwarding/connection.py
@@ -160,7 +160,7 @@
             return False
         return response.isclosed() or response.length == 0
 
-    def record_kept(self) -> None:
+    def mark_idle(self) -> None:
         """Mark the connection as idle from now on."""
         self._idle_since = monotonic()
         self._response = None
@@ -253,16 +253,16 @@
         self.opened += 1
         return Connection(self.address, connect_timeout_s=min(self._connect_timeout_s, timeout_s))
 
-    def give_back(self, connection: Connection) -> None:
+    def release(self, connection: Connection) -> None:
         """Keep a connection for another request if it is reusable, else close it."""
         if self._closed or not connection.reusable or len(self._idle) >= _MAX_IDLE_CONNECTIONS:
             connection.close()
             return
-        connection.record_kept()
+        connection.mark_idle()
         self._idle.append(connection)
 
     def close(self) -> None:
-        """Close the idle connections, and from now on those given back."""
+        """Close the idle connections, and from now on those released."""
         self._closed = True
         while self._idle:
             self._idle.pop().close()
--- a/springrock/forwarding/way_bytes.py
+++ b/springrock/forwarding/cross_zone_bytes.py
@@ -7,7 +7,7 @@
 from springrock.topology import Distance, Topology
 
 
-class WayBytes:
+class CrossZoneBytes:
     """Byte counters for each distance, looked up once in advance.
 
     Args:
--- a/springrock/forwarding/dialect.py
+++ b/springrock/forwarding/dialect.py
@@ -41,7 +41,7 @@
         unreadable: Notices that could not be parsed, for logs.
         limit_per_s: Requests a second that the replica accepts from all boxes together, until it
             states another limit or none; None if not stated.
-        of_replica: Whether the answer comes from the addressed replica.
+        from_addressed_replica: Whether the answer comes from the addressed replica.
         unknown: Names of notices that this build does not know.
     """
 
@@ -49,14 +49,14 @@
     backoff_s: float = 0.0
     unreadable: str = ""
     limit_per_s: float | None = None
-    of_replica: bool = True
+    from_addressed_replica: bool = True
     unknown: tuple[str, ...] = ()
 
 
-NOTHING_SAID = ReplicaNotice()
+EMPTY_NOTICE = ReplicaNotice()
 """The replica answered, and its answer says nothing about itself."""
 
-NO_NOTICE = ReplicaNotice(of_replica=False)
+NO_NOTICE = ReplicaNotice(from_addressed_replica=False)
 """There is no answer, or it comes from another replica."""
 
 
--- a/springrock/forwarding/distance_cost.py
+++ b/springrock/forwarding/distance_cost.py
@@ -32,7 +32,7 @@
     region_mb: float = 2.0
     adapter_load: float = 0.03
 
-    def in_loads(self, distance: Distance, transferred_bytes: float) -> float:
+    def price_in_loads(self, distance: Distance, transferred_bytes: float) -> float:
         """Return the price of bytes over a distance, in multiples of an adapter load's price."""
         if distance is Distance.OWN_ZONE:
             return 0.0
@@ -40,7 +40,7 @@
         return price * transferred_bytes / _BYTES_PER_MB / max(_MIN_LOAD_PRICE, self.adapter_load)
 
 
-USUAL_PRICES = DistancePrices()
+DEFAULT_PRICES = DistancePrices()
 
 _OTHER_ZONE_COST = 0.25
 """Cost of another zone, on the scale of a replica's utilization: a replica of another zone is
@@ -104,6 +104,6 @@
 DEFAULT_COSTS = DistanceCosts()
 
 
-def bytes_of_prompt(tokens: int) -> int:
+def estimate_request_bytes(tokens: int) -> int:
     """Estimate the bytes on the wire of a request with a prompt and its answer together."""
     return _OVERHEAD_BYTES + _BYTES_PER_TOKEN * tokens
--- a/springrock/forwarding/eligibility.py
+++ b/springrock/forwarding/eligibility.py
@@ -52,7 +52,7 @@
         return self.regions is None or topology.region_of(zone) in self.regions
 
 
-class World(NamedTuple):
+class RoutingState(NamedTuple):
     """The state that routing depends on, apart from the replicas themselves.
 
     Attributes:
@@ -70,7 +70,7 @@
     announced: frozenset[str] = frozenset()
     is_limited: Callable[[ReplicaRecord], bool] = lambda record: False
 
-    def metered(self, record: ReplicaRecord) -> Obstacle | None:
+    def permit_obstacle(self, record: ReplicaRecord) -> Obstacle | None:
         """Return why a replica gets requests only with a permit; None if it needs none."""
         if self.is_cold(record):
             return Obstacle.COLD
@@ -84,7 +84,7 @@
     record: ReplicaRecord,
     *,
     bounds: Bounds,
-    world: World,
+    routing_state: RoutingState,
     backing_off: bool = False,
     resting: bool = False,
     permitted: bool = False,
@@ -94,7 +94,7 @@
     Args:
         record: The replica's record.
         bounds: The regions where the request may be served.
-        world: The state of zones and permits that routing depends on.
+        routing_state: The state of zones and permits that routing depends on.
         backing_off: Whether the replica has asked the sending box for a back-off.
         resting: Whether the replica cools down after recent failures.
         permitted: Whether there is a permit to send the request although the replica is cold or
@@ -104,28 +104,28 @@
         return Obstacle.NOT_UNDERSTOOD
     if record.leaving:
         return Obstacle.LEAVING
-    zone_obstacle = zone_obstacle_of(record.zone, bounds=bounds, world=world)
+    zone_obstacle = zone_obstacle_of(record.zone, bounds=bounds, routing_state=routing_state)
     if zone_obstacle is not None:
         return zone_obstacle
     if backing_off:
         return Obstacle.BACKING_OFF
-    metered = None if permitted else world.metered(record)
+    metered = None if permitted else routing_state.permit_obstacle(record)
     if metered is not None:
         return metered
     return Obstacle.RESTING if resting else None
 
 
-def may_be_loaded(record: ReplicaRecord, *, world: World) -> bool:
+def may_be_loaded(record: ReplicaRecord, *, routing_state: RoutingState) -> bool:
     """Whether a replica may load adapters; a cold one may, as it warms up in the meantime."""
-    if record.zone in world.announced:
+    if record.zone in routing_state.announced:
         return False
-    return obstacle_of(record, bounds=ANYWHERE, world=world, permitted=True) is None
+    return obstacle_of(record, bounds=ANYWHERE, routing_state=routing_state, permitted=True) is None
 
 
-def zone_obstacle_of(zone: str, *, bounds: Bounds, world: World) -> Obstacle | None:
+def zone_obstacle_of(zone: str, *, bounds: Bounds, routing_state: RoutingState) -> Obstacle | None:
     """Return why a request may not be sent to any replica of a zone; None if it may."""
-    if zone in world.evacuated:
+    if zone in routing_state.evacuated:
         return Obstacle.EVACUATED
-    if not bounds.allow(zone, world.topology):
+    if not bounds.allow(zone, routing_state.topology):
         return Obstacle.OUTSIDE_REGIONS
     return None
--- a/springrock/forwarding/exchange.py
+++ b/springrock/forwarding/exchange.py
@@ -86,7 +86,7 @@
         """Return the connection to the pool if the answer was read completely, else close it."""
         self._on_close(self._connection.sent_bytes, self._received_bytes)
         if self._complete:
-            self._pool.give_back(self._connection)
+            self._pool.release(self._connection)
         else:
             self._connection.close()
 
--- a/springrock/forwarding/forwarder.py
+++ b/springrock/forwarding/forwarder.py
@@ -10,7 +10,12 @@
 from typing import Protocol
 
 from springrock.clock import Deadline
-from springrock.forwarding.choosing import MIN_SEND_TIME_S, RETRY_AFTER_S, Chosen, ReplicaChooser
+from springrock.forwarding.choosing import (
+    MIN_SEND_TIME_S,
+    RETRY_AFTER_S,
+    ChosenReplica,
+    ReplicaChooser,
+)
 from springrock.forwarding.configuration import Route, RouteTable, Team
 from springrock.forwarding.errors import ExchangeError, OutcomeUnknown, Rejection
 from springrock.forwarding.keys import KeyGate, shown
@@ -32,7 +37,7 @@
         """Refund the charge, as the request did not run."""
 
 
-class Charges(Protocol):
+class QuotaCharger(Protocol):
     """Charges requests to their teams' quotas."""
 
     def charge(self, team: Team | None, *, tokens: int | None, request: str) -> Receipt:
@@ -61,7 +66,7 @@
         *,
         routes: Callable[[], RouteTable],
         gate: KeyGate,
-        charging: Charges,
+        charging: QuotaCharger,
         chooser: ReplicaChooser,
         sender: Sender,
         relay: StreamRelay,
@@ -128,9 +133,9 @@
                 return reply
             failure_reply = reply
 
-    def _attempt_plain(self, progress: RequestProgress, chosen: Chosen) -> Reply:
+    def _attempt_plain(self, progress: RequestProgress, chosen: ChosenReplica) -> Reply:
         replica = chosen.replica
-        attempt = self._sender.begin(progress, replica)
+        attempt = self._sender.start_attempt(progress, replica)
         try:
             answer = self._sender.send(progress, chosen, attempt, head_timeout_s=progress.left_s)
             try:
@@ -141,7 +146,7 @@
             self._sender.record_failure(progress, replica, attempt, error)
             raise
         finally:
-            self._sender.end(chosen, attempt)
+            self._sender.finish_attempt(chosen, attempt)
         self._sender.record_answer(progress, replica, attempt, answer.head.status)
         self._sender.record_completion(progress)
         return relayed_reply(answer.head, [body])
--- a/springrock/forwarding/notices.py
+++ b/springrock/forwarding/notices.py
@@ -10,7 +10,7 @@
 from functools import partial
 
 from springrock.clock import monotonic
-from springrock.forwarding.dialect import NO_NOTICE, NOTHING_SAID, ReplicaNotice
+from springrock.forwarding.dialect import EMPTY_NOTICE, NO_NOTICE, ReplicaNotice
 from springrock.forwarding.directory import Directory, LeavingSign, Replica
 from springrock.log import Log
 from springrock.permits.named_limits import NamedLimits
@@ -19,7 +19,7 @@
 _UNKNOWN_KEPT = 1000
 """Bounds the memory of replicas and unknown names that were already logged."""
 
-_EMPTY_NOTICES = (NO_NOTICE, NOTHING_SAID)
+_EMPTY_NOTICES = (NO_NOTICE, EMPTY_NOTICE)
 
 NoticeTaker = Callable[[ReplicaNotice], None]
 """Handles the notice in the answer to one call to a replica."""
@@ -65,7 +65,7 @@
             notice: The notice in the answer.
             sent_at: When the request was sent, on the local monotonic clock.
         """
-        if notice.of_replica and notice.limit_per_s is None and not notice.unreadable:
+        if notice.from_addressed_replica and notice.limit_per_s is None and not notice.unreadable:
             self._limits.record_limit_absent(replica.instance, sent_at=sent_at)
         self.apply(replica, notice, sent_at=sent_at)
 
--- a/springrock/forwarding/sending.py
+++ b/springrock/forwarding/sending.py
@@ -6,7 +6,8 @@
 
 from springrock.clock import monotonic
 from springrock.forwarding.adapters import Adapters, UseOutcome
-from springrock.forwarding.choosing import Chosen
+from springrock.forwarding.choosing import ChosenReplica
+from springrock.forwarding.cross_zone_bytes import CrossZoneBytes
 from springrock.forwarding.dialect import Dialect, ReplicaNotice, SendTerms
 from springrock.forwarding.directory import Replica
 from springrock.forwarding.errors import (
@@ -23,7 +24,6 @@
 from springrock.forwarding.exchange import Answer, exchange
 from springrock.forwarding.notices import ReplicaNotices
 from springrock.forwarding.request_progress import Attempt, AttemptOutcome, RequestProgress
-from springrock.forwarding.way_bytes import WayBytes
 from springrock.log import Log
 from springrock.permits.warmup import WarmupTracker
 from springrock.quarantine.crash_detector import CrashDetector
@@ -61,7 +61,7 @@
         may_send: Whether a request may still be sent to a replica; asked once the connection is
             open.
         log: The log to write to.
-        ways: Counts the bytes exchanged with replicas of other zones.
+        byte_counters: Counts the bytes exchanged with replicas of other zones.
         crash_detector: Receives the outcomes that show whether a request crashes replicas.
         notices: Receives what the heads of answers say about their replicas.
         count_attempt: Called with the outcome of each attempt.
@@ -73,8 +73,8 @@
         dialect: Dialect,
         adapters: Adapters,
         warmup: WarmupTracker,
-        may_send: Callable[[RequestProgress, Chosen], bool],
-        ways: WayBytes,
+        may_send: Callable[[RequestProgress, ChosenReplica], bool],
+        byte_counters: CrossZoneBytes,
         log: Log,
         crash_detector: CrashDetector,
         notices: ReplicaNotices,
@@ -85,19 +85,19 @@
         self._warmup = warmup
         self._may_send = may_send
         self._log = log
-        self._cross_zone_bytes = ways
+        self._byte_counters = byte_counters
         self._crash_detector = crash_detector
         self._notices = notices
         self._count_attempt = count_attempt
 
-    def begin(self, progress: RequestProgress, replica: Replica) -> Attempt:
-        """Start an attempt at a replica; the caller must pass it to `end`."""
+    def start_attempt(self, progress: RequestProgress, replica: Replica) -> Attempt:
+        """Start an attempt at a replica; the caller must pass it to `finish_attempt`."""
         replica.running += 1
         return progress.start_attempt(
             replica.instance, record_age_s=monotonic() - replica.recorded_at
         )
 
-    def end(self, chosen: Chosen, attempt: Attempt) -> None:
+    def finish_attempt(self, chosen: ChosenReplica, attempt: Attempt) -> None:
         """Finish an attempt: release its place at the replica and report its outcome."""
         chosen.replica.running -= 1
         self._count_attempt(attempt.outcome)
@@ -110,7 +110,7 @@
     def send(
         self,
         progress: RequestProgress,
-        chosen: Chosen,
+        chosen: ChosenReplica,
         attempt: Attempt,
         *,
         head_timeout_s: float,
@@ -146,7 +146,7 @@
             repeatable=progress.route.repeatable,
             head_timeout_s=head_timeout_s,
             may_send=lambda: self._may_send(progress, chosen),
-            on_close=self._cross_zone_bytes.counter_for(replica.record.zone),
+            on_close=self._byte_counters.counter_for(replica.record.zone),
             on_head=lambda head: self._handle_notice(
                 progress, replica, attempt, self._dialect.notice(head)
             ),
--- a/springrock/forwarding/streaming.py
+++ b/springrock/forwarding/streaming.py
@@ -8,7 +8,7 @@
 from springrock.errors import AnswerCut
 from springrock.forwarding.choosing import (
     MIN_SEND_TIME_S,
-    Chosen,
+    ChosenReplica,
     ReplicaChooser,
     first_event_wait_s,
 )
@@ -36,14 +36,14 @@
         chosen: The replica that runs it.
     """
 
-    def __init__(self, sender: Sender, progress: RequestProgress, chosen: Chosen) -> None:
+    def __init__(self, sender: Sender, progress: RequestProgress, chosen: ChosenReplica) -> None:
         self._sender = sender
         self._progress = progress
         self._chosen = chosen
         self._replica = chosen.replica
         self._splitter = EventSplitter()
         self._first_events = b""
-        self._attempt = sender.begin(progress, chosen.replica)
+        self._attempt = sender.start_attempt(progress, chosen.replica)
         self._closed = False
         self._answer: Answer | None = None
 
@@ -81,7 +81,7 @@
         if self._closed:
             return
         self._closed = True
-        self._sender.end(self._chosen, self._attempt)
+        self._sender.finish_attempt(self._chosen, self._attempt)
         if self._answer is not None:
             self._answer.close()
 
--- a/springrock/placement/handover.py
+++ b/springrock/placement/handover.py
@@ -8,7 +8,7 @@
 import gevent
 
 from springrock.clock import monotonic
-from springrock.forwarding.eligibility import World, may_be_loaded
+from springrock.forwarding.eligibility import RoutingState, may_be_loaded
 from springrock.forwarding.message import AdapterKey
 from springrock.log import Log
 from springrock.metrics import ForwardingMetrics
@@ -207,7 +207,7 @@
         views: Returns the zones with engines that requests may go to, as they are now.
         placers: Returns the boxes that are placers of any zone.
         residency: Which replicas hold which adapters.
-        world: Returns the topology, the evacuated zones, and the cold and limited replicas.
+        routing_state: Returns the topology, the evacuated zones, and the cold and limited replicas.
         log: The log to write to.
     """
 
@@ -218,14 +218,14 @@
         views: Callable[[], list[ZoneView]],
         placers: Callable[[], Collection[str]],
         residency: Residency,
-        world: Callable[[], World],
+        routing_state: Callable[[], RoutingState],
         log: Log,
     ) -> None:
         self._zones = zones
         self._views = views
         self._placers = placers
         self._residency = residency
-        self._world = world
+        self._routing_state = routing_state
         self._log = log
         self._handover_at: dict[str, float] = {}
 
@@ -251,13 +251,13 @@
         Each zone that this box places prefetches its share. The handover may arrive before this
         box knows of the evacuation.
         """
-        known = self._world()
-        world = known._replace(announced=known.announced | {zone})
+        known = self._routing_state()
+        routing_state = known._replace(announced=known.announced | {zone})
         self._handover_at[zone] = monotonic()
-        views = self._remaining(zone, world)
-        missing = [item for item in handover.adapters if not self._is_held(item.key, world)]
+        views = self._remaining(zone, routing_state)
+        missing = [item for item in handover.adapters if not self._is_held(item.key, routing_state)]
         for name, other in self._zones().items():
-            if other.placing and name not in world.announced:
+            if other.placing and name not in routing_state.announced:
                 share = [item for item in missing if choose_zone(item.key, views) == name]
                 other.prefetch.add(zone, share)
 
@@ -267,15 +267,15 @@
             if placed is not None and placed.placing:
                 placed.send_handover(self._placers())
             gevent.sleep(_HANDOVER_INTERVAL_S)
-            world = self._world()
-            if zone not in world.announced or zone in world.evacuated:
+            routing_state = self._routing_state()
+            if zone not in routing_state.announced or zone in routing_state.evacuated:
                 return
 
     def _hand_over_unreported(self, zone: str) -> None:
         """Hand over the adapters that a zone's engines hold, if its placer sent no handover."""
         # The handover may have arrived shortly before this box learned of the evacuation.
         age_s = monotonic() - self._handover_at.get(zone, float("-inf"))
-        if age_s < 2 * _HANDOVER_TIMEOUT_S or zone not in self._world().announced:
+        if age_s < 2 * _HANDOVER_TIMEOUT_S or zone not in self._routing_state().announced:
             return
         keys = self._residency.adapters_in_zone(zone)
         self._log.say(
@@ -284,21 +284,23 @@
         held = [AskedFor(*key, 0.0) for key in keys[:_MAX_HANDED_OVER]]
         self.apply(zone, Handover(held))
 
-    def _remaining(self, zone: str, world: World) -> list[ZoneView]:
+    def _remaining(self, zone: str, routing_state: RoutingState) -> list[ZoneView]:
         """Return the zones that share the adapters of an evacuated zone.
 
         Zones of the same region are preferred. All are treated as having room: boxes learn of room
         at different times, but must all divide the adapters in the same way.
         """
-        views = [view for view in self._views() if view.name not in world.announced]
-        region = world.topology.region_of(zone)
-        near = [view for view in views if world.topology.region_of(view.name) == region]
+        views = [view for view in self._views() if view.name not in routing_state.announced]
+        region = routing_state.topology.region_of(zone)
+        near = [view for view in views if routing_state.topology.region_of(view.name) == region]
         return [view._replace(room=1) for view in near or views]
 
-    def _is_held(self, key: AdapterKey, world: World) -> bool:
+    def _is_held(self, key: AdapterKey, routing_state: RoutingState) -> bool:
         """Whether a replica in a remaining zone holds an adapter."""
         holders = self._residency.holders(key)
-        return any(may_be_loaded(replica.record, world=world) for replica in holders)
+        return any(
+            may_be_loaded(replica.record, routing_state=routing_state) for replica in holders
+        )
 
     def _is_held_in(self, key: AdapterKey, zone: str) -> bool:
         holders = self._residency.holders(key)
--- a/springrock/placement/near_copies.py
+++ b/springrock/placement/near_copies.py
@@ -72,7 +72,7 @@
         carried = self._carried.setdefault(place, Popularity())
         carried.record(key, carried_bytes)
         self._clean()
-        saved = self._prices.in_loads(distance, carried.of(key))
+        saved = self._prices.price_in_loads(distance, carried.of(key))
         return saved if saved >= _MIN_LOADS_SAVED else 0.0
 
     def clear(self) -> None:
--- a/springrock/placement/placement.py
+++ b/springrock/placement/placement.py
@@ -10,11 +10,11 @@
 from springrock.forwarding.adapters import AdapterRequest, Use
 from springrock.forwarding.configuration import Configuration
 from springrock.forwarding.directory import Directory, Replica, ReplicaRecord
-from springrock.forwarding.distance_cost import bytes_of_prompt
+from springrock.forwarding.distance_cost import estimate_request_bytes
 from springrock.forwarding.eligibility import (
     ANYWHERE,
     Bounds,
-    World,
+    RoutingState,
     obstacle_of,
     zone_obstacle_of,
 )
@@ -62,8 +62,8 @@
         configuration: Returns the configuration in force.
         directory: The known replicas.
         versions: The newest versions of adapters.
-        world: Returns the conditions that decide where a request may go, such as the topology and
-            evacuated zones.
+        routing_state: Returns the conditions that decide where a request may go, such as the
+            topology and evacuated zones.
         control: Sends orders to engines.
         quota_terms: Returns how the quotas of teams are enforced.
         slow_start_terms: Returns how the bound on requests to cold replicas is enforced.
@@ -90,7 +90,7 @@
         configuration: Callable[[], Configuration],
         directory: Directory,
         versions: Versions,
-        world: Callable[[], World],
+        routing_state: Callable[[], RoutingState],
         control: EngineControl,
         quota_terms: Callable[[], QuotaTerms],
         slow_start_terms: Callable[[], SlowStartTerms],
@@ -103,7 +103,7 @@
         self._settings = settings
         self._versions = versions
         self._directory = directory
-        self._world = world
+        self._routing_state = routing_state
         self._configuration = configuration
         self._residency = Residency(directory, versions)
         self._placer_contact = Event()
@@ -120,7 +120,7 @@
             configuration=configuration,
             directory=directory,
             versions=versions,
-            world=world,
+            routing_state=routing_state,
             residency=self._residency,
             control=control,
             quota_terms=quota_terms,
@@ -137,10 +137,10 @@
         )
         self.handovers = HandoverCoordinator(
             zones=lambda: self._zones,
-            views=lambda: self._zone_views(ANYWHERE, world()),
+            views=lambda: self._zone_views(ANYWHERE, routing_state()),
             placers=board.boxes,
             residency=self._residency,
-            world=world,
+            routing_state=routing_state,
             log=log_of("placer"),
         )
         self._warmup = warmup
@@ -301,11 +301,11 @@
 
     # Choice of zones.
 
-    def _zone_views(self, bounds: Bounds, world: World) -> list[ZoneView]:
+    def _zone_views(self, bounds: Bounds, routing_state: RoutingState) -> list[ZoneView]:
         """Return the current state of the zones with engines that a request may go to."""
         views = []
         for name, records in self._engines_by_zone().items():
-            if zone_obstacle_of(name, bounds=bounds, world=world) is not None:
+            if zone_obstacle_of(name, bounds=bounds, routing_state=routing_state) is not None:
                 continue
             zone = self._zone(name)
             view = ZoneView(
@@ -314,7 +314,7 @@
                 can_load=any(record.models for record in records),
                 reachable=zone.reachable,
                 room=zone.room,
-                distance=world.topology.distance(name),
+                distance=routing_state.topology.distance(name),
                 pressure=zone.wait_estimate.pressure,
                 wait_s=zone.wait_estimate.wait_s,
             )
@@ -323,10 +323,12 @@
 
     def _choose_zone(self, adapter_request: AdapterRequest, silent: set[str]) -> str | None:
         """Return the zone whose placer to ask; None if none can be reached."""
-        world = self._world()
+        routing_state = self._routing_state()
         holders = self._residency.holders(adapter_request.key)
         allowed = [
-            replica for replica in holders if _may_serve(replica, adapter_request.bounds, world)
+            replica
+            for replica in holders
+            if _may_serve(replica, adapter_request.bounds, routing_state)
         ]
         holding = {
             replica.record.zone
@@ -339,16 +341,16 @@
         }
         # Zones that hold the adapter only on replicas that may not or could not serve the request.
         excluded = {replica.record.zone for replica in holders} - holding
-        prompt_bytes = bytes_of_prompt(sum(part.tokens for part in adapter_request.prompt))
-        views = self._zone_views(adapter_request.bounds, world)
+        prompt_bytes = estimate_request_bytes(sum(part.tokens for part in adapter_request.prompt))
+        views = self._zone_views(adapter_request.bounds, routing_state)
         home = self._settings.zone
-        loadable = {view.name for view in views} - world.announced
+        loadable = {view.name for view in views} - routing_state.announced
         if self._is_spread(adapter_request.key) and home in loadable:
             holding = {home}
         cached_in = {
             replica.record.zone
             for replica in self._residency.cache_holders(adapter_request.key)
-            if _may_serve(replica, adapter_request.bounds, world)
+            if _may_serve(replica, adapter_request.bounds, routing_state)
         }
         return choose_zone(
             adapter_request.key,
@@ -356,9 +358,9 @@
             prefer=holding,
             avoid=excluded,
             # A zone whose evacuation is announced still serves its adapters but loads no others.
-            never=silent | (world.announced - holding),
+            never=silent | (routing_state.announced - holding),
             at_hand=cached_in,
-            home_advantage=self._settings.prices.in_loads(Distance.OWN_REGION, prompt_bytes),
+            home_advantage=self._settings.prices.price_in_loads(Distance.OWN_REGION, prompt_bytes),
         )
 
     def _request_copy(self, holder: str, key: AdapterKey, saves: int) -> None:
@@ -367,12 +369,12 @@
         The zone is chosen by a hash of the adapter, so that one zone of the region loads the copy
         rather than each of them.
         """
-        world = self._world()
-        distance = world.topology.distance(holder)
+        routing_state = self._routing_state()
+        distance = routing_state.topology.distance(holder)
         near = [
             view._replace(distance=Distance.OWN_REGION)
-            for view in self._zone_views(ANYWHERE, world)
-            if view.distance < distance and view.name not in world.announced
+            for view in self._zone_views(ANYWHERE, routing_state)
+            if view.distance < distance and view.name not in routing_state.announced
         ]
         name = choose_zone(key, [view._replace(pressure=0.0, wait_s=0.0) for view in near])
         if name is not None:
@@ -412,6 +414,9 @@
             self._zone(record.zone)
 
 
-def _may_serve(replica: Replica, bounds: Bounds, world: World) -> bool:
+def _may_serve(replica: Replica, bounds: Bounds, routing_state: RoutingState) -> bool:
     """Whether a request may go to a replica, permits aside: the zone's placer grants those."""
-    return obstacle_of(replica.record, bounds=bounds, world=world, permitted=True) is None
+    return (
+        obstacle_of(replica.record, bounds=bounds, routing_state=routing_state, permitted=True)
+        is None
+    )
--- a/springrock/placement/placer.py
+++ b/springrock/placement/placer.py
@@ -15,8 +15,8 @@
 from springrock.clock import monotonic
 from springrock.forwarding.configuration import Configuration
 from springrock.forwarding.directory import Directory, Replica, ReplicaRecord
-from springrock.forwarding.distance_cost import USUAL_PRICES, DistancePrices
-from springrock.forwarding.eligibility import World, may_be_loaded
+from springrock.forwarding.distance_cost import DEFAULT_PRICES, DistancePrices
+from springrock.forwarding.eligibility import RoutingState, may_be_loaded
 from springrock.forwarding.message import AdapterKey
 from springrock.log import Log
 from springrock.metrics import ForwardingMetrics
@@ -83,8 +83,8 @@
         configuration: Returns the configuration in force.
         directory: The known replicas.
         versions: The newest versions of adapters.
-        world: Returns the state that decides which replicas may be used: evacuations, limits and
-            cold replicas.
+        routing_state: Returns the state that decides which replicas may be used: evacuations,
+            limits and cold replicas.
         control: Sends orders to engines and reads their reports.
         lease: The lease of the zone's placer.
         permits: Grants the permits for requests to cold and limited engines.
@@ -109,7 +109,7 @@
         configuration: Callable[[], Configuration],
         directory: Directory,
         versions: Versions,
-        world: Callable[[], World],
+        routing_state: Callable[[], RoutingState],
         control: EngineControl,
         lease: PlacerLease,
         permits: PermitGranter,
@@ -119,14 +119,14 @@
         send: Callable[[str, Message], None],
         log: Log,
         metrics: ForwardingMetrics,
-        prices: DistancePrices = USUAL_PRICES,
+        prices: DistancePrices = DEFAULT_PRICES,
         home_zone_of: Callable[[str], str | None] = lambda box: None,
     ) -> None:
         self._zone = zone
         self._configuration = configuration
         self._directory = directory
         self._versions = versions
-        self._world = world
+        self._routing_state = routing_state
         self._control = control
         self._lease = lease
         self._box = box
@@ -159,14 +159,14 @@
             configuration=configuration,
             directory=directory,
             versions=versions,
-            world=world,
+            routing_state=routing_state,
             permits=permits,
             popularity=self._popularity,
             send=send,
             on_unserved=self._plan_event.set,
             on_granted=metrics.grant_seconds.labels(zone).observe,
             log=log,
-            near_copies=NearCopies(zone, topology=lambda: world().topology, prices=prices),
+            near_copies=NearCopies(zone, topology=lambda: routing_state().topology, prices=prices),
             home_zone_of=home_zone_of,
         )
         self._copy_requests = CopyRequests()
@@ -278,11 +278,11 @@
 
     def _loadable_engines(self) -> list[EngineBook]:
         """Return the engines on which adapters may be loaded now."""
-        world = self._world()
+        routing_state = self._routing_state()
         return [
             book
             for book in self._books()
-            if book.reachable and may_be_loaded(book.record, world=world)
+            if book.reachable and may_be_loaded(book.record, routing_state=routing_state)
         ]
 
     def _zones_with_engines(self) -> int:
@@ -293,7 +293,7 @@
                 for service in services
                 for replica in self._directory.of_service(service)
             }
-            - self._world().announced
+            - self._routing_state().announced
         )
 
     # Engines.
@@ -338,7 +338,7 @@
 
     @property
     def _is_evacuated(self) -> bool:
-        return self._zone in self._world().announced
+        return self._zone in self._routing_state().announced
 
     def _books(self) -> list[EngineBook]:
         return [reconciler.book for reconciler in self._reconcilers.values()]
--- a/springrock/placement/requests.py
+++ b/springrock/placement/requests.py
@@ -7,12 +7,12 @@
 from springrock.clock import monotonic
 from springrock.forwarding.configuration import Configuration
 from springrock.forwarding.directory import Directory, ReplicaRecord
-from springrock.forwarding.distance_cost import bytes_of_prompt
+from springrock.forwarding.distance_cost import estimate_request_bytes
 from springrock.forwarding.eligibility import (
     ANYWHERE,
     METERED,
     Bounds,
-    World,
+    RoutingState,
     obstacle_of,
     zone_obstacle_of,
 )
@@ -46,8 +46,8 @@
         configuration: Returns the configuration in force.
         directory: The known replicas.
         versions: The newest versions of adapters.
-        world: Returns the state that decides which replicas may be used: evacuations, limits and
-            cold replicas.
+        routing_state: Returns the state that decides which replicas may be used: evacuations,
+            limits and cold replicas.
         permits: Grants the permits for requests to cold and limited engines.
         popularity: Counts the requests for each adapter.
         send: Sends a message to one box.
@@ -70,7 +70,7 @@
         configuration: Callable[[], Configuration],
         directory: Directory,
         versions: Versions,
-        world: Callable[[], World],
+        routing_state: Callable[[], RoutingState],
         permits: PermitGranter,
         popularity: Popularity,
         send: Callable[[str, Message], None],
@@ -84,7 +84,7 @@
         self._configuration = configuration
         self._directory = directory
         self._versions = versions
-        self._world = world
+        self._routing_state = routing_state
         self._permits = permits
         self._popularity = popularity
         self._send = send
@@ -202,9 +202,12 @@
         ask, home = waiting.ask, self._home_zone_of(waiting.box)
         if home is None:
             return 0.0
-        if zone_obstacle_of(home, bounds=ask.bounds, world=self._world()) is not None:
+        if (
+            zone_obstacle_of(home, bounds=ask.bounds, routing_state=self._routing_state())
+            is not None
+        ):
             return 0.0
-        carried = bytes_of_prompt(sum(tokens for _, tokens in ask.prompt))
+        carried = estimate_request_bytes(sum(tokens for _, tokens in ask.prompt))
         return self._near_copies.record(waiting.key, home_zone=home, carried_bytes=carried)
 
     def holders(
@@ -212,45 +215,47 @@
     ) -> list[str]:
         """Return the engines that hold the newest version of an adapter and can be granted."""
         newest = self._versions.newest(key)
-        world = self._world()
+        routing_state = self._routing_state()
         return [
             instance
             for instance, reconciler in self._reconcilers.items()
             if reconciler.book.reachable
             and instance not in avoid
             and reconciler.book.is_ready(key, version=newest)
-            and self._may_grant(reconciler.book.record, bounds, world)
+            and self._may_grant(reconciler.book.record, bounds, routing_state)
         ]
 
-    def _may_grant(self, record: ReplicaRecord, bounds: Bounds, world: World) -> bool:
+    def _may_grant(
+        self, record: ReplicaRecord, bounds: Bounds, routing_state: RoutingState
+    ) -> bool:
         """Whether a request may go to an engine; to a metered one only if a permit is free."""
-        obstacle = obstacle_of(record, bounds=bounds, world=world)
+        obstacle = obstacle_of(record, bounds=bounds, routing_state=routing_state)
         if obstacle in METERED:
-            return not self._permits.room_in_s(record, cold=world.is_cold(record))
+            return not self._permits.room_in_s(record, cold=routing_state.is_cold(record))
         return obstacle is None
 
     def _permit(self, waiting: WaitingAsk, instance: str) -> bool:
         """Take a permit if the engine is metered; return whether one was taken."""
         record = self._reconcilers[instance].book.record
-        world = self._world()
-        if world.metered(record) is None:
+        routing_state = self._routing_state()
+        if routing_state.permit_obstacle(record) is None:
             return False
         return self._permits.grant(
             waiting.box,
             waiting.ask.number,
             waiting.ask.request,
             record,
-            cold=world.is_cold(record),
+            cold=routing_state.is_cold(record),
         )
 
     def limited_engines(self) -> dict[str, float]:
         """Return the seconds until each engine that has named a limit has room."""
-        world = self._world()
+        routing_state = self._routing_state()
         records = [reconciler.book.record for reconciler in self._reconcilers.values()]
         return {
-            record.instance: self._permits.room_in_s(record, cold=world.is_cold(record))
+            record.instance: self._permits.room_in_s(record, cold=routing_state.is_cold(record))
             for record in records
-            if world.is_limited(record)
+            if routing_state.is_limited(record)
         }
 
     def _retry_holders(
--- a/springrock/placement/settings.py
+++ b/springrock/placement/settings.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from springrock.forwarding.distance_cost import USUAL_PRICES, DistancePrices
+from springrock.forwarding.distance_cost import DEFAULT_PRICES, DistancePrices
 
 
 class PlacementSettings(NamedTuple):
@@ -30,4 +30,4 @@
     ceiling_ratio: float
     ceiling_burst: float
     strength: float = 1.0
-    prices: DistancePrices = USUAL_PRICES
+    prices: DistancePrices = DEFAULT_PRICES
--- a/springrock/placement/zone.py
+++ b/springrock/placement/zone.py
@@ -101,7 +101,7 @@
         self.spread: frozenset[str] = frozenset()
         self.wait_estimate = WaitEstimate()
         self._store = dependencies.store
-        self._topology = dependencies.world().topology
+        self._topology = dependencies.routing_state().topology
         self.links = BoxLinks(
             self,
             log=dependencies.log_of("link"),
@@ -138,7 +138,7 @@
             configuration=dependencies.configuration,
             directory=dependencies.directory,
             versions=dependencies.versions,
-            world=dependencies.world,
+            routing_state=dependencies.routing_state,
             control=dependencies.control,
             lease=self._lease,
             permits=self._permits,
--- a/springrock/placement/zone_dependencies.py
+++ b/springrock/placement/zone_dependencies.py
@@ -7,7 +7,7 @@
 
 from springrock.forwarding.configuration import Configuration
 from springrock.forwarding.directory import Directory
-from springrock.forwarding.eligibility import World
+from springrock.forwarding.eligibility import RoutingState
 from springrock.forwarding.message import AdapterKey
 from springrock.log import Log
 from springrock.metrics import ForwardingMetrics
@@ -33,7 +33,7 @@
         configuration: Returns the configuration in force.
         directory: The known replicas.
         versions: The newest versions of adapters.
-        world: Returns the topology, the evacuated zones, and the cold and limited replicas.
+        routing_state: Returns the topology, the evacuated zones, and the cold and limited replicas.
         residency: Which replicas hold which adapters.
         control: The client of the engines' control interface.
         quota_terms: Returns the rules for applying the quotas of teams.
@@ -56,7 +56,7 @@
     configuration: Callable[[], Configuration]
     directory: Directory
     versions: Versions
-    world: Callable[[], World]
+    routing_state: Callable[[], RoutingState]
     residency: Residency
     control: EngineControl
     quota_terms: Callable[[], QuotaTerms]
--- a/springrock/platform/notices.py
+++ b/springrock/platform/notices.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from springrock.forwarding.dialect import NO_NOTICE, NOTHING_SAID, ReplicaNotice
+from springrock.forwarding.dialect import EMPTY_NOTICE, NO_NOTICE, ReplicaNotice
 from springrock.forwarding.message import Headers
 from springrock.non_negative import read_non_negative
 from springrock.platform import names
@@ -35,7 +35,7 @@
         if (lowered := name.lower()) == _RETRY_AFTER or lowered.startswith(_PREFIX)
     ]
     if not reported:
-        return NOTHING_SAID
+        return EMPTY_NOTICE
     backoffs: list[float] = []
     limits: list[float] = []
     unreadable = ""
--- a/springrock/serving/answer.py
+++ b/springrock/serving/answer.py
@@ -40,7 +40,7 @@
         permitted: The permit that it runs under.
         driver: Speaks to the engine.
         stream: The begun stream.
-        give_back: Returns the permit, with the number of tokens of a whole answer.
+        refund: Returns the permit, with the number of tokens of a whole answer.
         log: The log to write to.
         metrics: The metrics to count in.
     """
@@ -52,14 +52,14 @@
         driver: EngineDriver,
         stream: EngineStream,
         *,
-        give_back: Callable[[int], None],
+        refund: Callable[[int], None],
         log: Log,
         metrics: Metrics,
     ) -> None:
         self._request = request
         self._driver = driver
         self._stream = stream
-        self._give_back = give_back
+        self._give_back = refund
         self._log = log
         self._metrics = metrics
         self._closed = False
@@ -178,7 +178,7 @@
 
 
 def cancel_until_confirmed(
-    driver: EngineDriver, request_id: str, ends_at: float, give_back: Callable[[int], None]
+    driver: EngineDriver, request_id: str, ends_at: float, refund: Callable[[int], None]
 ) -> None:
     """Return a permit only when the engine has confirmed that the request is over.
 
@@ -186,7 +186,7 @@
     """
     while monotonic() < ends_at:
         if driver.cancel(request_id):
-            give_back(0)
+            refund(0)
             return
         gevent.sleep(_CANCEL_EVERY_S)
 
--- a/springrock/serving/owned_replica.py
+++ b/springrock/serving/owned_replica.py
@@ -183,9 +183,9 @@
         if self.waiting.remove(waiter):
             waiter.refuse(Refusal(Cause.CALLER_GONE, "withdrawn by the asker"))
         elif waiter.permit is not None:
-            self.give_back(waiter.permit, 0)
+            self.refund(waiter.permit, 0)
 
-    def give_back(self, number: int, tokens: int) -> None:
+    def refund(self, number: int, tokens: int) -> None:
         """Take a permit back."""
         permit = self.permits.end(number)
         if permit is None:
@@ -394,4 +394,4 @@
         """Have an overdue request cancelled; its adapter is in use until the engine confirms."""
         while not self._closing and not self.driver.cancel(permit.request_id):
             gevent.sleep(_CANCEL_EVERY_S)
-        self.give_back(permit.number, 0)
+        self.refund(permit.number, 0)
--- a/springrock/serving/owner.py
+++ b/springrock/serving/owner.py
@@ -210,13 +210,13 @@
             replica.withdraw(answer)
             raise
 
-    def give_back(self, notice: wire.Return) -> None:
+    def refund(self, notice: wire.Return) -> None:
         """Take a permit back."""
         replica = self._replicas.get(notice.replica)
         if replica is None:
             return
         if replica.fence == notice.fence:
-            replica.give_back(notice.permit, notice.tokens)
+            replica.refund(notice.permit, notice.tokens)
         else:
             replica.give_back_inherited(notice.fence, notice.permit)
 
@@ -239,7 +239,7 @@
                 return wire.Deny(ask.number, refusal)
 
     def _on_return(self, _: Link, notice: wire.Return) -> None:
-        self.give_back(notice)
+        self.refund(notice)
 
     def _on_withdraw(self, link: Link, notice: wire.Withdraw) -> None:
         found = self._waiters.get((link.box, notice.number))
--- a/springrock/serving/relay.py
+++ b/springrock/serving/relay.py
@@ -116,22 +116,22 @@
         self, request: ServingRequest, permitted: Permitted, claim: _Claim
     ) -> Result[Answer, Refusal]:
         """Run a request once under a permit; the permit is given back unless an answer comes."""
-        give_back = _once(lambda tokens: self._router.give_back(permitted, tokens))
+        refund = _once(lambda tokens: self._router.refund(permitted, tokens))
         try:
             claimed = claim.claim()
         except BaseException:
-            give_back(0)
+            refund(0)
             raise
         if claimed.is_error():
-            give_back(0)
+            refund(0)
             return Error(claimed.error)
         if monotonic() >= permitted.start_before:
-            give_back(0)
+            refund(0)
             return Error(
                 Refusal(Cause.PERMIT_EXPIRED, "the permit came too late", retry_after_s=1.0)
             )
         driver = self._driver_for(permitted.upstream.name)
-        return self._send(request, permitted, claim, driver, give_back)
+        return self._send(request, permitted, claim, driver, refund)
 
     def _send(
         self,
@@ -139,7 +139,7 @@
         permitted: Permitted,
         claim: _Claim,
         driver: EngineDriver,
-        give_back: Callable[[int], None],
+        refund: Callable[[int], None],
     ) -> Result[Answer, Refusal]:
         sent = request.to_engine()
         claim.sent = True
@@ -147,11 +147,11 @@
             stream = driver.begin(sent)
         except UpstreamUnreachable as error:
             claim.sent = False
-            give_back(0)
+            refund(0)
             return Error(_not_run(Cause.NO_UPSTREAM, str(error), BROKEN_RETRY_AFTER_S))
         except UpstreamSaidNo as error:
             claim.sent = False
-            give_back(NOT_LOADED if "not loaded" in error.reason else 0)
+            refund(NOT_LOADED if "not loaded" in error.reason else 0)
             return Error(_not_run(Cause.UPSTREAM_REFUSED, error.reason, error.retry_after_s or 1.0))
         except UpstreamBroke as error:
             found = _find_begun(driver, sent)
@@ -161,13 +161,13 @@
                     driver,
                     sent.request_id,
                     permitted.held.ends_at,
-                    give_back,
+                    refund,
                 )
                 return Error(_unknown(error))
             stream = found
         except BaseException:
             gevent.spawn(
-                cancel_until_confirmed, driver, sent.request_id, permitted.held.ends_at, give_back
+                cancel_until_confirmed, driver, sent.request_id, permitted.held.ends_at, refund
             )
             raise
         answer = Answer(
@@ -175,7 +175,7 @@
             permitted,
             driver,
             stream,
-            give_back=give_back,
+            refund=refund,
             log=self._log,
             metrics=self._metrics,
         )
@@ -237,9 +237,9 @@
     return None
 
 
-def _once(give_back: Callable[[int], None]) -> Callable[[int], None]:
+def _once(refund: Callable[[int], None]) -> Callable[[int], None]:
     """Return a function that gives a permit back the first time it is called."""
-    left = [give_back]
+    left = [refund]
 
     def _give_back(tokens: int) -> None:
         if left:
--- a/springrock/serving/router.py
+++ b/springrock/serving/router.py
@@ -113,7 +113,7 @@
             tried.add(replica)
         return Error(refusal)
 
-    def give_back(self, permitted: Permitted, tokens: int) -> None:
+    def refund(self, permitted: Permitted, tokens: int) -> None:
         """Return a permit to the owner that gave it, and to a newer one."""
         held = permitted.held
         self._held.release(held)
@@ -123,7 +123,7 @@
 
     def _notify_end(self, owner: str, notice: wire.Return) -> None:
         if owner == self._box:
-            self._owner.give_back(notice)
+            self._owner.refund(notice)
             return
         try:
             self._peers.link_to(owner).notify(notice)
@@ -211,7 +211,7 @@
             stall_s=grant.stall_s,
         )
         if monotonic() >= permitted.start_before:
-            self.give_back(permitted, 0)
+            self.refund(permitted, 0)
             return Error(_expired("the permit came too late to be used"))
         return Ok(permitted)
 
--- a/tests/forwarding/test_choosing.py
+++ b/tests/forwarding/test_choosing.py
@@ -19,7 +19,7 @@
 from springrock.log import Log
 from springrock.permits.choice import NoPermits
 from tests.forwarding.test_values import make_request, make_route
-from tests.worlds import make_world
+from tests.worlds import make_routing_state
 
 KEY = AdapterKey("m", "a")
 
@@ -94,7 +94,9 @@
     chooser = ReplicaChooser(
         configuration=lambda: configuration,
         directory=directory,
-        balancer=Balancer(world=lambda: make_world(evacuated=evacuated), chance=random.Random(1)),
+        balancer=Balancer(
+            routing_state=lambda: make_routing_state(evacuated=evacuated), rng=random.Random(1)
+        ),
         adapters=adapters,
         budget_of=lambda service: RetryBudget(lambda: RetryLimits(0.1, 10.0, 10.0)),
         permits=NoPermits(),
--- a/tests/forwarding/test_way_bytes.py
+++ b/tests/forwarding/test_cross_zone_bytes.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from springrock.forwarding.way_bytes import WayBytes
+from springrock.forwarding.cross_zone_bytes import CrossZoneBytes
 from springrock.metrics import BytesKind, ForwardingMetrics
 from springrock.topology import Distance, Topology
 
@@ -28,7 +28,7 @@
 )
 def test_an_exchange_counts_by_the_distance_of_its_replica(zone: str, distance: str | None) -> None:
     metrics = ForwardingMetrics()
-    counters = WayBytes(metrics, TOPOLOGY)
+    counters = CrossZoneBytes(metrics, TOPOLOGY)
     counters.counter_for(zone)(700, 90)
     counters.counter_for(zone)(300, 10)
     found = {("requests", distance): 1000.0, ("answers", distance): 100.0}
--- a/tests/forwarding/test_directory.py
+++ b/tests/forwarding/test_directory.py
@@ -145,7 +145,7 @@
     reusable = True
     closed = False
 
-    def record_kept(self) -> None:
+    def mark_idle(self) -> None:
         """Do nothing."""
 
     def close(self) -> None:
@@ -158,7 +158,7 @@
     old = directory.find("i-1@5")
     assert old is not None
     idle, in_use = PooledConnection(), PooledConnection()
-    old.pool.give_back(idle)  # type: ignore[arg-type]
+    old.pool.release(idle)  # type: ignore[arg-type]
     directory.update(make_record(6))
-    old.pool.give_back(in_use)  # type: ignore[arg-type]
+    old.pool.release(in_use)  # type: ignore[arg-type]
     assert (idle.closed, in_use.closed) == (True, True)
--- a/tests/forwarding/test_distance.py
+++ b/tests/forwarding/test_distance.py
@@ -18,7 +18,7 @@
 from springrock.forwarding.directory import Replica, ReplicaRecord
 from springrock.forwarding.distance_cost import DistanceCosts, DistancePrices, RequestSize
 from springrock.topology import Distance
-from tests.worlds import make_world
+from tests.worlds import make_routing_state
 
 BOXES = 63
 RUNNING_LIMIT = 6
@@ -83,14 +83,14 @@
             )
             for number, home in enumerate(ZONE_OF_REPLICA)
         ]
-        self._balancer = Balancer(world=lambda: make_world(zone), chance=rng)
+        self._balancer = Balancer(routing_state=lambda: make_routing_state(zone), rng=rng)
         self._rule = rule
         self._rng = rng
 
     def choose(self, tried: set[str]) -> Replica | None:
         """Return the replica to try next."""
         if self._rule == "product":
-            return self._balancer.choose(self.replicas, tried=tried, even_resting=True)
+            return self._balancer.choose(self.replicas, tried=tried, allow_resting=True)
         untried = [item for item in self.replicas if item.instance not in tried]
         usable = [item for item in untried if not item.health.resting] or untried
         return min(usable, key=self._baseline_cost, default=None)
--- a/tests/forwarding/test_notices_model.py
+++ b/tests/forwarding/test_notices_model.py
@@ -26,7 +26,7 @@
 )
 from springrock.forwarding.eligibility import ANYWHERE
 from springrock.log import Log
-from tests.worlds import make_notices, make_world
+from tests.worlds import make_notices, make_routing_state
 
 IDS = ("i-1", "i-2")
 SERVICE = "s"
@@ -89,7 +89,7 @@
         self.now = 1000.0
         self._directory = Directory(Log("directory", "box-1"))
         self._notices = make_notices(self._directory)
-        self._balancer = Balancer(world=make_world, chance=random.Random(1))
+        self._balancer = Balancer(routing_state=make_routing_state, rng=random.Random(1))
         self._sent: list[Replica] = []
         self._left_incarnations: set[str] = set()
         self._backoff_until: dict[str, float] = {}
@@ -126,8 +126,8 @@
             if self._balancer.obstacle(replica, bounds=ANYWHERE) is None:
                 self._check(replica)
                 self._sent.append(replica)
-        for even_resting in (False, True):
-            chosen = self._balancer.choose(replicas, even_resting=even_resting)
+        for allow_resting in (False, True):
+            chosen = self._balancer.choose(replicas, allow_resting=allow_resting)
             if chosen is not None:
                 self._check(chosen)
 
--- a/tests/forwarding/test_regions.py
+++ b/tests/forwarding/test_regions.py
@@ -21,7 +21,7 @@
 from springrock.log import Log
 from springrock.permits.choice import NoPermits
 from tests.forwarding.test_values import make_request, make_route
-from tests.worlds import make_world
+from tests.worlds import make_routing_state
 
 KEY = AdapterKey("m", "a")
 REGIONS = {"a-1": "a", "a-2": "a", "b-1": "b", "b-2": "b"}
@@ -97,7 +97,8 @@
             configuration=lambda: configuration,
             directory=self.directory,
             balancer=Balancer(
-                world=lambda: make_world("a-1", regions=REGIONS), chance=random.Random(1)
+                routing_state=lambda: make_routing_state("a-1", regions=REGIONS),
+                rng=random.Random(1),
             ),
             adapters=adapters,
             budget_of=lambda service: RetryBudget(lambda: RetryLimits(0.1, 9.0, 10.0)),
--- a/tests/forwarding/test_sending.py
+++ b/tests/forwarding/test_sending.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from springrock.forwarding.choosing import Chosen
+from springrock.forwarding.choosing import ChosenReplica
+from springrock.forwarding.cross_zone_bytes import CrossZoneBytes
 from springrock.forwarding.directory import Replica, ReplicaRecord
 from springrock.forwarding.errors import SendingForbidden
 from springrock.forwarding.request_progress import AttemptOutcome, RequestProgress
 from springrock.forwarding.sending import Sender
-from springrock.forwarding.way_bytes import WayBytes
 from springrock.log import Log
 from springrock.metrics import ForwardingMetrics
 from springrock.platform.dialect import PlatformDialect
@@ -34,16 +34,16 @@
         notices=make_notices(),
         may_send=lambda progress, chosen: False,
         log=Log("test", "box-1"),
-        ways=WayBytes(ForwardingMetrics(), Topology(home="zone-1")),
+        byte_counters=CrossZoneBytes(ForwardingMetrics(), Topology(home="zone-1")),
     )
     with ScriptedReplica(_read) as scripted:
         replica = Replica(
             ReplicaRecord(instance="i", service="s", address=scripted.address, zone="z-1")
         )
         progress = RequestProgress(make_request(deadline_s=5.0), make_route(), "s")
-        attempt = sender.begin(progress, replica)
+        attempt = sender.start_attempt(progress, replica)
         with pytest.raises(SendingForbidden) as forbidden:
-            sender.send(progress, Chosen(replica, None), attempt, head_timeout_s=1.0)
+            sender.send(progress, ChosenReplica(replica, None), attempt, head_timeout_s=1.0)
         sender.record_failure(progress, replica, attempt, forbidden.value)
     assert attempt.outcome is AttemptOutcome.WITHHELD
     assert (progress.arrivals, progress.runs) == (0, 0)
--- a/tests/forwarding/test_values.py
+++ b/tests/forwarding/test_values.py
@@ -26,7 +26,7 @@
 from springrock.forwarding.reply import own_reply
 from springrock.forwarding.request_progress import AttemptOutcome, RequestProgress
 from springrock.log import Log
-from tests.worlds import make_world
+from tests.worlds import make_routing_state
 
 
 def make_route(prefix: str = "/a/", **more: object) -> Route:
@@ -244,7 +244,7 @@
 def test_the_balancer_prefers_idle_near_and_healthy_replicas() -> None:
     directory = make_directory()
     directory.replace([make_record("near"), make_record("far", zone="z2")])
-    balancer = Balancer(world=lambda: make_world("z1"), chance=random.Random(1))
+    balancer = Balancer(routing_state=lambda: make_routing_state("z1"), rng=random.Random(1))
     near, far = directory.find("near"), directory.find("far")
     assert near is not None
     assert far is not None
@@ -255,7 +255,7 @@
     near.health.record_unreachable()
     assert balancer.choose([near, far]) is far
     assert balancer.choose([near, far], tried={"far"}) is None
-    assert balancer.choose([near, far], tried={"far"}, even_resting=True) is near
+    assert balancer.choose([near, far], tried={"far"}, allow_resting=True) is near
 
 
 def test_a_reply_of_the_box_has_a_retry_after_header() -> None:
--- a/tests/permits/test_choosing.py
+++ b/tests/permits/test_choosing.py
@@ -9,7 +9,7 @@
 from springrock.clock import monotonic
 from springrock.forwarding.balancing import Balancer
 from springrock.forwarding.budget import RetryBudget, RetryLimits
-from springrock.forwarding.choosing import Chosen, ReplicaChooser
+from springrock.forwarding.choosing import ChosenReplica, ReplicaChooser
 from springrock.forwarding.configuration import BaseModel, Configuration, Engine, Service
 from springrock.forwarding.directory import Directory, ReplicaRecord
 from springrock.forwarding.errors import NoReplica
@@ -18,7 +18,7 @@
 from springrock.permits.permits import Permit
 from tests.forwarding.test_choosing import ScriptedAdapters, ScriptedUse
 from tests.forwarding.test_values import make_request, make_route
-from tests.worlds import make_world
+from tests.worlds import make_routing_state
 
 REFUSED = Permit(None, 0.7)
 
@@ -63,15 +63,17 @@
             configuration=lambda: Configuration(version=1, services=services),
             directory=self.directory,
             balancer=Balancer(
-                world=lambda: make_world(is_cold=lambda record: record.instance in self.cold),
-                chance=random.Random(1),
+                routing_state=lambda: make_routing_state(
+                    is_cold=lambda record: record.instance in self.cold
+                ),
+                rng=random.Random(1),
             ),
             adapters=self.adapters,
             budget_of=lambda service: RetryBudget(lambda: RetryLimits(0.1, 1.0, 10.0)),
             permits=self.permits,
         )
 
-    def choose(self, service: str = "plain") -> Chosen:
+    def choose(self, service: str = "plain") -> ChosenReplica:
         adapter = "a" if service == "s" else ""
         request = make_request(model="m" if adapter else "", adapter=adapter, deadline_s=5.0)
         self.progress = RequestProgress(request, make_route(), service)
--- a/tests/permits/test_observations.py
+++ b/tests/permits/test_observations.py
@@ -5,8 +5,9 @@
 import pytest
 
 from springrock.clock import monotonic
-from springrock.forwarding.choosing import Chosen
+from springrock.forwarding.choosing import ChosenReplica
 from springrock.forwarding.configuration import Configuration, Service, SlowStart
+from springrock.forwarding.cross_zone_bytes import CrossZoneBytes
 from springrock.forwarding.directory import Replica, ReplicaRecord
 from springrock.forwarding.errors import (
     AnswerBroken,
@@ -20,7 +21,6 @@
 )
 from springrock.forwarding.request_progress import AttemptOutcome, RequestProgress
 from springrock.forwarding.sending import Sender
-from springrock.forwarding.way_bytes import WayBytes
 from springrock.log import Log
 from springrock.metrics import ForwardingMetrics
 from springrock.permits.warmup import WarmupTracker
@@ -52,18 +52,18 @@
             notices=make_notices(),
             may_send=lambda progress, chosen: True,
             log=Log("forwarder", "box-1"),
-            ways=WayBytes(ForwardingMetrics(), Topology(home="zone-1")),
+            byte_counters=CrossZoneBytes(ForwardingMetrics(), Topology(home="zone-1")),
         )
 
     def attempt(self, outcome: ExchangeError | int, *, age_s: float = 1.0) -> AttemptOutcome:
         request = make_request(deadline_s=9.0, received_at=monotonic() - age_s)
         progress = RequestProgress(request, make_route(), "s")
-        attempt = self.sender.begin(progress, self.replica)
+        attempt = self.sender.start_attempt(progress, self.replica)
         if isinstance(outcome, int):
             self.sender.record_answer(progress, self.replica, attempt, outcome)
         else:
             self.sender.record_failure(progress, self.replica, attempt, outcome)
-        self.sender.end(Chosen(self.replica, None), attempt)
+        self.sender.finish_attempt(ChosenReplica(self.replica, None), attempt)
         return attempt.outcome
 
 
--- a/tests/placement/test_distance_strategies.py
+++ b/tests/placement/test_distance_strategies.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from springrock.forwarding.distance_cost import DistancePrices, bytes_of_prompt
+from springrock.forwarding.distance_cost import DistancePrices, estimate_request_bytes
 from springrock.forwarding.message import AdapterKey
 from springrock.ids import rendezvous_score
 from springrock.placement import popularity as popularity_module
@@ -84,8 +84,8 @@
 
     def price(self, prices: DistancePrices) -> float:
         """Return the cost of a request, in loads."""
-        near = prices.in_loads(Distance.OWN_REGION, self.zones * 1_000)
-        far = prices.in_loads(Distance.OTHER_REGION, self.regions * 1_000)
+        near = prices.price_in_loads(Distance.OWN_REGION, self.zones * 1_000)
+        far = prices.price_in_loads(Distance.OTHER_REGION, self.regions * 1_000)
         return self.loads / 100 + near + far
 
 
@@ -159,7 +159,9 @@
 
 def by_distance(key: AdapterKey, views: list[ZoneView], holding: set[str]) -> str:
     """Choose the own zone unless its pressure is much higher than elsewhere in the region."""
-    advantage = DistancePrices().in_loads(Distance.OWN_REGION, bytes_of_prompt(PROMPT_TOKENS[0]))
+    advantage = DistancePrices().price_in_loads(
+        Distance.OWN_REGION, estimate_request_bytes(PROMPT_TOKENS[0])
+    )
     name = choose_zone(key, views, prefer=holding, home_advantage=advantage)
     assert name is not None
     return name
@@ -210,7 +212,7 @@
             if at > WARMUP_S and not self.requests:
                 self.reset_counts()
             self.requests += at > WARMUP_S
-            self.serve(home, key, bytes_of_prompt(tokens))
+            self.serve(home, key, estimate_request_bytes(tokens))
         total = sum(zone.served for zone in self.zones.values())
         return Cost(
             100 * sum(zone.loads for zone in self.zones.values()) / self.requests,
--- a/tests/placement/test_handover.py
+++ b/tests/placement/test_handover.py
@@ -22,7 +22,7 @@
 from springrock.placement.residency import Residency, Versions
 from springrock.placement.zone_choice import ZoneView
 from tests.placement.test_planner import make_engine, make_planner, want
-from tests.worlds import make_world
+from tests.worlds import make_routing_state
 
 LOG = Log("test", "box-1")
 ZONES = ("zone-1", "zone-2", "zone-3")
@@ -202,7 +202,7 @@
         views=lambda: list(reversed(views)),
         placers=lambda: {"box-1", "box-2"},
         residency=Residency(directory, Versions()),
-        world=lambda: make_world(
+        routing_state=lambda: make_routing_state(
             regions=regions, announced=tuple(announced), evacuated=tuple(evacuated)
         ),
         log=LOG,
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -31,7 +31,7 @@
 from springrock.rows import Row, TableReading
 from tests.placement.test_lease import Store
 from tests.placement.test_placer import SlowEngine
-from tests.worlds import make_limits, make_warmup, make_world
+from tests.worlds import make_limits, make_routing_state, make_warmup
 
 KEY = AdapterKey("m", "a")
 ADAPTER_REQUEST = AdapterRequest(
@@ -93,7 +93,9 @@
             configuration=lambda: configuration,
             directory=self.directory,
             versions=Versions(),
-            world=lambda: make_world(evacuated=self.evacuated, announced=self.announced),
+            routing_state=lambda: make_routing_state(
+                evacuated=self.evacuated, announced=self.announced
+            ),
             control=SlowEngine("m"),
             quota_terms=lambda: QuotaTerms(8.0, 0.1, 0.0, 1),
             slow_start_terms=lambda: SlowStartTerms(1.0, 0.0),
@@ -155,8 +157,8 @@
     deployment: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     regions = {"zone-1": "a", "zone-2": "b", "zone-3": "b"}
-    world = make_world("zone-1", regions=regions)
-    monkeypatch.setattr(deployment.placement, "_world", lambda: world)
+    routing_state = make_routing_state("zone-1", regions=regions)
+    monkeypatch.setattr(deployment.placement, "_routing_state", lambda: routing_state)
     bounds = Bounds(frozenset("b"))
     for holder in ("zone-2", "zone-3"):
         for zone in ZONES[1:]:
@@ -183,8 +185,12 @@
     keys = [AdapterKey("m", f"a{number}") for number in range(8)]
     requested_copies = []
     for home in ("zone-1", "zone-2"):
-        world = make_world(home, regions=regions)
-        monkeypatch.setattr(deployment.placement, "_world", lambda world=world: world)
+        routing_state = make_routing_state(home, regions=regions)
+        monkeypatch.setattr(
+            deployment.placement,
+            "_routing_state",
+            lambda routing_state=routing_state: routing_state,
+        )
         for key in keys:
             deployment.zones["zone-3"].around.on_copy_worthwhile("zone-3", key, 130)
         requested_copies.append(
--- a/tests/placement/test_placer.py
+++ b/tests/placement/test_placer.py
@@ -10,7 +10,7 @@
 from springrock.clock import monotonic
 from springrock.forwarding.configuration import BaseModel, Configuration, Engine, Service
 from springrock.forwarding.directory import Directory, HeldAdapter, ReplicaRecord
-from springrock.forwarding.eligibility import World
+from springrock.forwarding.eligibility import RoutingState
 from springrock.forwarding.message import AdapterKey
 from springrock.log import Log
 from springrock.metrics import ForwardingMetrics
@@ -41,7 +41,7 @@
 from springrock.placement.placer import Placer
 from springrock.placement.residency import Versions
 from tests.placement.test_lease import ReadRows, Store
-from tests.worlds import make_world
+from tests.worlds import make_routing_state
 
 LOG = Log("test", "box")
 
@@ -111,7 +111,7 @@
     control: EngineControl,
     sent_messages: list[SentMessage],
     *,
-    world: Callable[[], World] = make_world,
+    routing_state: Callable[[], RoutingState] = make_routing_state,
     permits: ScriptedPermits | None = None,
     home_zone_of: Callable[[str], str | None] = lambda box: None,
 ) -> Placer:
@@ -142,7 +142,7 @@
         configuration=lambda: configuration,
         directory=directory,
         versions=Versions(),
-        world=world,
+        routing_state=routing_state,
         control=control,
         lease=lease,
         permits=permits or ScriptedPermits(),
@@ -160,13 +160,17 @@
     control: EngineControl,
     sent_messages: list[SentMessage],
     *,
-    world: Callable[[], World] = make_world,
+    routing_state: Callable[[], RoutingState] = make_routing_state,
     permits: ScriptedPermits | None = None,
     home_zone_of: Callable[[str], str | None] = lambda box: None,
 ) -> Placer:
     """Start a placer and wait until its engine has reported that it holds the adapter x."""
     placer = make_placer(
-        control, sent_messages, world=world, permits=permits, home_zone_of=home_zone_of
+        control,
+        sent_messages,
+        routing_state=routing_state,
+        permits=permits,
+        home_zone_of=home_zone_of,
     )
     placer.start()
     with gevent.Timeout(10):
@@ -240,7 +244,7 @@
     placer = start_holding(
         SlowEngine("m", adapters=("x",)),
         sent_messages,
-        world=lambda: make_world("zone-1", regions={"zone-1": "a", "zone-2": "b"}),
+        routing_state=lambda: make_routing_state("zone-1", regions={"zone-1": "a", "zone-2": "b"}),
     )
     tried = ["i-1"] if failed else []
     ask = Ask(8, "r", "m", "x", 1.0, 500, tried=tried, failed_at=tried, regions=[region])
@@ -466,19 +470,19 @@
 def test_an_evacuated_zone_is_granted_until_its_cut_and_loads_no_adapters(
     sent_messages: list[SentMessage],
 ) -> None:
-    worlds = [make_world(announced=("zone-1",))]
+    worlds = [make_routing_state(announced=("zone-1",))]
     control = OrderedEngine("m", adapters=("x",))
-    placer = start_holding(control, sent_messages, world=lambda: worlds[-1])
+    placer = start_holding(control, sent_messages, routing_state=lambda: worlds[-1])
     assert placer.room() == 0
     placer.apply_demand("box-1", demand_for("a", number=1))
     placer.apply_demand("box-1", demand_for("x", number=2))
     assert sent_messages == [("box-1", Grant(2, "i-1"))]
-    worlds.append(make_world(evacuated=("zone-1",)))
+    worlds.append(make_routing_state(evacuated=("zone-1",)))
     placer.apply_demand("box-1", demand_for("x", number=3))
     gevent.sleep(0.2)
     assert sent_messages == [("box-1", Grant(2, "i-1"))], "neither a grant nor a forecast"
     assert control.ordered == []
-    worlds.append(make_world())
+    worlds.append(make_routing_state())
     placer.apply_demand("box-1", demand_for("b", number=4))
     assert placer.room() > 0
     assert ("box-1", Grant(3, "i-1")) in wait_for(sent_messages, Grant, count=2)
@@ -509,7 +513,7 @@
     placer = start_holding(
         SlowEngine("m", adapters=("x",)),
         sent_messages,
-        world=lambda: make_world(is_cold=lambda record: record.instance in cold),
+        routing_state=lambda: make_routing_state(is_cold=lambda record: record.instance in cold),
         permits=permits,
     )
     try:
@@ -530,7 +534,9 @@
 
 def test_a_cold_engine_is_given_adapters_meanwhile(sent_messages: list[SentMessage]) -> None:
     placer = make_placer(
-        SlowEngine("m"), sent_messages, world=lambda: make_world(is_cold=lambda record: True)
+        SlowEngine("m"),
+        sent_messages,
+        routing_state=lambda: make_routing_state(is_cold=lambda record: True),
     )
     placer.start()
     try:
@@ -548,7 +554,9 @@
     placer = start_holding(
         SlowEngine("m", adapters=("x",)),
         sent_messages,
-        world=lambda: make_world(is_limited=lambda record: record.instance in limited),
+        routing_state=lambda: make_routing_state(
+            is_limited=lambda record: record.instance in limited
+        ),
         permits=permits,
     )
     try:
--- a/tests/placement/test_zone.py
+++ b/tests/placement/test_zone.py
@@ -19,7 +19,7 @@
 from springrock.quotas.shares import QuotaTerms
 from tests.placement.test_lease import Store
 from tests.placement.test_placer import SlowEngine
-from tests.worlds import make_limits, make_warmup, make_world
+from tests.worlds import make_limits, make_routing_state, make_warmup
 
 RECORD = ReplicaRecord(instance="i-1", service="s", address="127.0.0.1:1", zone="zone-2")
 
@@ -33,7 +33,7 @@
         configuration=Configuration,
         directory=directory,
         versions=versions,
-        world=make_world,
+        routing_state=make_routing_state,
         residency=Residency(directory, versions),
         control=SlowEngine("m"),
         quota_terms=lambda: QuotaTerms(8.0, 0.1, 0.0, 1),
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -5,7 +5,7 @@
 import pytest
 
 from springrock.errors import BadRequest
-from springrock.forwarding.dialect import NO_NOTICE, NOTHING_SAID, ReplicaNotice, SendTerms
+from springrock.forwarding.dialect import EMPTY_NOTICE, NO_NOTICE, ReplicaNotice, SendTerms
 from springrock.forwarding.keys import digest_of
 from springrock.forwarding.message import AnswerHead, ClientRequest, Headers, PromptPart
 from springrock.platform.dialect import PlatformDialect
@@ -96,14 +96,14 @@
 @pytest.mark.parametrize("status", [200, 400, 408, 429, 500, 503, 504])
 def test_a_replica_says_in_any_answer_that_it_leaves(status: int) -> None:
     assert notice_of(status, ("server-leaving", "1")).leaving
-    assert notice_of(status) == NOTHING_SAID
-    assert notice_of(status, ("Server-Leaving", "0")) == NOTHING_SAID
+    assert notice_of(status) == EMPTY_NOTICE
+    assert notice_of(status, ("Server-Leaving", "0")) == EMPTY_NOTICE
 
 
 def test_a_rest_is_asked_for_in_seconds_by_who_turns_a_request_away() -> None:
     assert notice_of(503, ("Retry-After", "3")).backoff_s == 3.0
     assert notice_of(503, ("Retry-After", "0.25")).backoff_s == 0.25
-    assert notice_of(500, ("Retry-After", "3")) == NOTHING_SAID
+    assert notice_of(500, ("Retry-After", "3")) == EMPTY_NOTICE
 
 
 def test_who_answers_for_another_replica_tells_nothing_of_the_one_that_was_meant() -> None:
--- a/tests/worlds.py
+++ b/tests/worlds.py
@@ -7,7 +7,7 @@
 from springrock.clock import monotonic
 from springrock.forwarding.configuration import Configuration
 from springrock.forwarding.directory import Directory, ReplicaRecord
-from springrock.forwarding.eligibility import World
+from springrock.forwarding.eligibility import RoutingState
 from springrock.forwarding.notices import ReplicaNotices
 from springrock.log import Log
 from springrock.permits.named_limits import NamedLimits
@@ -29,7 +29,7 @@
     )
 
 
-def make_world(
+def make_routing_state(
     home: str = "zone-1",
     *,
     regions: dict[str, str] | None = None,
@@ -37,11 +37,11 @@
     announced: tuple[str, ...] = (),
     is_cold: Callable[[ReplicaRecord], bool] = lambda record: False,
     is_limited: Callable[[ReplicaRecord], bool] = lambda record: False,
-) -> World:
-    """Return a world seen from one zone."""
+) -> RoutingState:
+    """Return the routing state as seen from a zone."""
     topology = Topology(home=home, zones=tuple(regions or ()), regions=regions or {})
     gone = frozenset((*evacuated, *announced))
-    return World(topology, frozenset(evacuated), is_cold, gone, is_limited)
+    return RoutingState(topology, frozenset(evacuated), is_cold, gone, is_limited)
 
 
 def make_limits() -> NamedLimits:
