--- a/springrock/remembered.py
+++ b/springrock/bounded_dict.py
@@ -8,7 +8,7 @@
 V = TypeVar("V")
 
 
-class Remembered(OrderedDict[str, V]):
+class BoundedDict(OrderedDict[str, V]):
     """Values by name, with a bound on their number.
 
     Args:
--- a/springrock/box.py
+++ b/springrock/box.py
@@ -302,7 +302,7 @@
         self.ownership.hand_over_all()
         gevent.sleep(self.settings.box.stop_notice_s)
         self.refusing = True
-        whole = self.open_requests.wait_for_none(deadline)
+        whole = self.open_requests.wait_until_idle(deadline)
         self._log.say("Planned stop ends.", all_finished=whole)
         self._end()
 
--- a/springrock/counted_store.py
+++ b/springrock/counted_store.py
@@ -11,7 +11,7 @@
     Changes,
     HistoryGone,
     RowConflict,
-    RowKeeper,
+    RowEditor,
     RowStore,
     RowStoreUnavailable,
     Snapshot,
@@ -20,7 +20,7 @@
 T = TypeVar("T")
 
 
-class EditableRowStore(RowStore, RowKeeper, Protocol):
+class EditableRowStore(RowStore, RowEditor, Protocol):
     """A client of the store that can also remove rows."""
 
 
--- a/springrock/entry.py
+++ b/springrock/entry.py
@@ -27,7 +27,7 @@
 from springrock.forwarding.pages import MetricsPage, ReadinessPage
 from springrock.forwarding.sending import Sender
 from springrock.forwarding.streaming import StreamRelay
-from springrock.kept_rows import kept_operator_row, kept_own_row, kept_replica
+from springrock.kept_rows import operator_row_retention, own_row_retention, replica_retention
 from springrock.log import Log
 from springrock.loop_watch import LoopWatch
 from springrock.metrics import ForwardingMetrics
@@ -53,7 +53,7 @@
 from springrock.quarantine.report import KEY_PREFIX as CRASHES_PREFIX
 from springrock.quotas.charging import QuotaCharger
 from springrock.quotas.shares import QuotaTerms
-from springrock.rows import ListenersByKey, TableReading
+from springrock.rows import ListenersByPrefix, TableReading
 from springrock.store_clock import StoreClock
 from springrock.table_follower import POLL_WAIT_S, TableFollower
 
@@ -216,11 +216,11 @@
         placers = TableFollower(
             self._store,
             PLACERS_TABLE,
-            ListenersByKey({PLACERS_PREFIX: self._board, CRASHES_PREFIX: self._quarantine.book}),
+            ListenersByPrefix({PLACERS_PREFIX: self._board, CRASHES_PREFIX: self._quarantine.book}),
             pause_s=_PLACERS_PAUSE_S,
             clock=clock,
-            eager=True,
-            kept_s=kept_own_row,
+            skip_first_pause=True,
+            retention_of=own_row_retention,
             log=self._log_of("placers"),
         )
         placers.on_lost = self._quarantine.write_again
@@ -231,7 +231,7 @@
             pause_s=_CONFIGURATION_PAUSE_S,
             poll_wait_s=self._configuration_poll_s,
             clock=clock,
-            kept_s=kept_operator_row,
+            retention_of=operator_row_retention,
             log=self._log_of("configuration"),
         )
         self._replica_table = TableFollower(
@@ -240,7 +240,7 @@
             replicas,
             pause_s=_REPLICAS_PAUSE_S,
             clock=clock,
-            kept_s=kept_replica,
+            retention_of=replica_retention,
             log=self._log_of("directory"),
         )
         self._followers = [self._operator_table, self._replica_table, placers]
@@ -393,8 +393,8 @@
     def _share_readings(self) -> None:
         """Let boxes go by what a placer's box reads of the store."""
         for follower in self._followers:
-            follower.sharing = lambda: self._placement.publishes_readings
-            follower.shared_with = lambda reading, is_own: self._placement.publish_reading(
+            follower.publishes = lambda: self._placement.publishes_readings
+            follower.publisher = lambda reading, is_own: self._placement.publish_reading(
                 reading, is_own=is_own
             )
         by_table = {follower.table: follower for follower in self._followers}
@@ -405,7 +405,7 @@
                 follower.apply_reading(reading, relied_on=relied_on, source_zone=source_zone)
 
         self._placement.on_reading = _apply_reading
-        self._placement.on_alone = lambda: by_table[PLACERS_TABLE].read_alone()
+        self._placement.on_reader_lost = lambda: by_table[PLACERS_TABLE].resume_reads()
 
     def _follow_evacuations(self) -> None:
         """Let placement and operators know of evacuations."""
--- a/springrock/eras.py
+++ b/springrock/eras.py
@@ -54,7 +54,7 @@
         raise PeerRejected(str(error)) from None
 
 
-def shown(version: int) -> str:
+def format_version(version: int) -> str:
     """Return a version for logs: the era as the store names it, if known, and the number."""
     era = era_of(version)
     return str(number_of(version)) if era == UNKNOWN_ERA else f"{era - 1}:{number_of(version)}"
--- a/springrock/forwarding/directory.py
+++ b/springrock/forwarding/directory.py
@@ -9,12 +9,12 @@
 from msgspec import Struct
 
 from springrock.backoff import Backoff
+from springrock.bounded_dict import BoundedDict
 from springrock.clock import monotonic
 from springrock.forwarding.connection import ConnectionPool
 from springrock.forwarding.health import Health
 from springrock.forwarding.message import AdapterKey
 from springrock.log import Log
-from springrock.remembered import Remembered
 
 _LATE_ROW_S = 5.0
 """How long a record with a lower sequence counts as a late write and is deferred. After that the
@@ -145,10 +145,10 @@
         self._rows_origin = rows_origin
         self._replicas: dict[str, Replica] = {}
         self._instance_by_id: dict[str, str] = {}
-        self._newest_starts: Remembered[int] = Remembered(at_most=_INCARNATIONS_KEPT)
-        self._backoffs: Remembered[Backoff] = Remembered(at_most=_INCARNATIONS_KEPT)
-        self._leaving_incarnations: Remembered[None] = Remembered(at_most=_INCARNATIONS_KEPT)
-        self._ignored_starts: Remembered[int | None] = Remembered(at_most=_INCARNATIONS_KEPT)
+        self._newest_starts: BoundedDict[int] = BoundedDict(at_most=_INCARNATIONS_KEPT)
+        self._backoffs: BoundedDict[Backoff] = BoundedDict(at_most=_INCARNATIONS_KEPT)
+        self._leaving_incarnations: BoundedDict[None] = BoundedDict(at_most=_INCARNATIONS_KEPT)
+        self._ignored_starts: BoundedDict[int | None] = BoundedDict(at_most=_INCARNATIONS_KEPT)
         self._deferred: dict[str, ReplicaRecord] = {}
         self.on_change: list[Callable[[ReplicaRecord | None, str], None]] = []
 
--- a/springrock/forwarding/notices.py
+++ b/springrock/forwarding/notices.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable
 from functools import partial
 
+from springrock.bounded_dict import BoundedDict
 from springrock.clock import monotonic
 from springrock.forwarding.dialect import EMPTY_NOTICE, NO_NOTICE, ReplicaNotice
 from springrock.forwarding.directory import Directory, LeavingSign, Replica
 from springrock.log import Log
 from springrock.permits.named_limits import NamedLimits
-from springrock.remembered import Remembered
 
 _UNKNOWN_KEPT = 1000
 """Bounds the memory of replicas and unknown names that were already logged."""
@@ -51,7 +51,7 @@
         self._limits = limits
         self._log = log
         self._count = count
-        self._unknown: Remembered[None] = Remembered(at_most=_UNKNOWN_KEPT)
+        self._unknown: BoundedDict[None] = BoundedDict(at_most=_UNKNOWN_KEPT)
         self.on_leaving: list[Callable[[str], None]] = []
 
     def handle_answer(self, replica: Replica, notice: ReplicaNotice, *, sent_at: float) -> None:
--- a/springrock/kept_rows.py
+++ b/springrock/kept_rows.py
@@ -16,17 +16,17 @@
 """Boxes write lost crash reports again within half of this time."""
 
 
-def kept_replica(key: str) -> RetentionPeriods:
+def replica_retention(key: str) -> RetentionPeriods:
     """Return how long a missing replica is kept, and a replica that has left is kept out."""
     return RetentionPeriods(missing=_REPLICA_RETENTION_S, removed=_REPLICA_RETENTION_S)
 
 
-def kept_operator_row(key: str) -> RetentionPeriods:
+def operator_row_retention(key: str) -> RetentionPeriods:
     """Return how long a missing evacuation is kept; a restored one applies at once."""
     return RetentionPeriods(missing=_OPERATOR_ROW_RETENTION_S)
 
 
-def kept_own_row(key: str) -> RetentionPeriods:
+def own_row_retention(key: str) -> RetentionPeriods:
     """Return how long a crash report is kept, and that a removed one never returns.
 
     The key of a removed report is never used again. Placers' rows are not kept, as leases are
--- a/springrock/open_requests.py
+++ b/springrock/open_requests.py
@@ -34,6 +34,6 @@
         if not self.count:
             self._idle.set()
 
-    def wait_for_none(self, deadline: Deadline) -> bool:
+    def wait_until_idle(self, deadline: Deadline) -> bool:
         """Wait until no request is left; return whether that happened before the deadline."""
         return bool(self._idle.wait(timeout=deadline.left_s))
--- a/springrock/permits/named_limits.py
+++ b/springrock/permits/named_limits.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
+from springrock.bounded_dict import BoundedDict
 from springrock.clock import monotonic
 from springrock.log import Log
 from springrock.permits.messages import LimitReport, NamedLimit
-from springrock.remembered import Remembered
 
 _LIMITS_KEPT = 10_000
 """How many incarnations that have named a limit are remembered."""
@@ -68,8 +68,8 @@
 
     def __init__(self, log: Log) -> None:
         self._log = log
-        self._limits: Remembered[_StoredLimit] = Remembered(at_most=_LIMITS_KEPT)
-        self._repeated_at: Remembered[float] = Remembered(at_most=_LIMITS_KEPT)
+        self._limits: BoundedDict[_StoredLimit] = BoundedDict(at_most=_LIMITS_KEPT)
+        self._repeated_at: BoundedDict[float] = BoundedDict(at_most=_LIMITS_KEPT)
         self._from_placers: dict[str, _PlacerLimits] = {}
         self.on_limit_report: list[Callable[[LimitReport], None]] = []
 
--- a/springrock/permits/own_shares.py
+++ b/springrock/permits/own_shares.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Callable
 
+from springrock.bounded_dict import BoundedDict
 from springrock.clock import monotonic
 from springrock.forwarding.directory import ReplicaRecord
 from springrock.permits.terms import uncounted_share
 from springrock.quotas.bucket import TokenBucket
-from springrock.remembered import Remembered
 
 _REPLICAS_KEPT = 1000
 
@@ -27,7 +27,7 @@
     def __init__(self, *, home_zone: str, boxes: Callable[[], int]) -> None:
         self._home_zone = home_zone
         self._boxes = boxes
-        self._buckets: Remembered[TokenBucket] = Remembered(at_most=_REPLICAS_KEPT)
+        self._buckets: BoundedDict[TokenBucket] = BoundedDict(at_most=_REPLICAS_KEPT)
 
     def take(self, record: ReplicaRecord, per_s: float) -> float | None:
         """Take one request of the share for a replica.
--- a/springrock/placement/ask_book.py
+++ b/springrock/placement/ask_book.py
@@ -72,13 +72,13 @@
         for asking_box, number in [asked for asked in self._keys if asked[0] == box]:
             self.remove(asking_box, number)
 
-    def expect(self, promise: Promise, *, now: float) -> None:
+    def add_retry(self, promise: Promise, *, now: float) -> None:
         """Add a client that was told when to retry."""
         key = AdapterKey(promise.model, promise.adapter)
         back_at = now + promise.back_in_ms / 1000
         self._expected_retries.setdefault(key, []).append(_Expected(promise.worth, back_at))
 
-    def of(self, key: AdapterKey) -> list[WaitingAsk]:
+    def asks_for(self, key: AdapterKey) -> list[WaitingAsk]:
         """Return the asks for an adapter, the highest worth first."""
         waiting = self._by_key.get(key)
         if not waiting:
@@ -105,11 +105,11 @@
         return sorted(self._by_key, key=_most_urgent)
 
     @property
-    def wanted(self) -> bool:
+    def has_wants(self) -> bool:
         """Whether any ask waits or any retry is expected."""
         return bool(self._by_key or self._expected_retries)
 
-    def wants(self, now: float) -> list[CombinedWant]:
+    def combined_wants(self, now: float) -> list[CombinedWant]:
         """Return asks and expected retries combined by adapter; drop retries that did not come."""
         self._drop_missed_retries(now)
         keys = self._by_key.keys() | self._expected_retries.keys()
--- a/springrock/placement/demand.py
+++ b/springrock/placement/demand.py
@@ -302,14 +302,14 @@
                 requester.elsewhere = requester.elsewhere or elsewhere
                 requester.changed.set()
 
-    def ask_elsewhere(self, *, but_for: Callable[[AdapterKey], bool]) -> None:
+    def ask_elsewhere(self, *, except_for: Callable[[AdapterKey], bool]) -> None:
         """Refer the waiting requests to another zone, as no adapters are loaded here any more.
 
         Args:
-            but_for: Returns whether an adapter is still served here; its requests keep waiting.
+            except_for: Returns whether an adapter is still served here; its requests keep waiting.
         """
         for requester in self._requesters.values():
-            if not but_for(requester.adapter_request.key):
+            if not except_for(requester.adapter_request.key):
                 requester.elsewhere = True
                 requester.changed.set()
 
@@ -356,7 +356,7 @@
         if self.changed.wait(timeout=timeout_s):
             self.urgent.wait(timeout=_BATCH_DELAY_S)
 
-    def whole(self) -> Demand:
+    def full_demand(self) -> Demand:
         """Return all current asks, uses and expected retries, for a newly linked placer."""
         now = monotonic()
         self._updates = _PendingUpdates()
--- a/springrock/placement/handover.py
+++ b/springrock/placement/handover.py
@@ -232,7 +232,7 @@
     def handle_change(self, zone: str, evacuated: bool) -> None:
         """Handle the announcement of a zone's evacuation, or its withdrawal."""
         if evacuated:
-            self._move_requesters(zone, but_for=lambda key: self._is_held_in(key, zone))
+            self._move_requesters(zone, except_for=lambda key: self._is_held_in(key, zone))
             gevent.spawn(self._send_while_announced, zone)
             gevent.spawn_later(_HANDOVER_TIMEOUT_S, self._hand_over_unreported, zone)
             return
@@ -241,7 +241,7 @@
 
     def handle_cut(self, zone: str) -> None:
         """Handle the time from which an evacuated zone gets no requests."""
-        self._move_requesters(zone, but_for=lambda key: False)
+        self._move_requesters(zone, except_for=lambda key: False)
         for other in self._zones().values():
             other.prefetch.handle_cut(zone)
 
@@ -306,7 +306,7 @@
         holders = self._residency.holders(key)
         return any(replica.record.zone == zone for replica in holders)
 
-    def _move_requesters(self, zone: str, *, but_for: Callable[[AdapterKey], bool]) -> None:
+    def _move_requesters(self, zone: str, *, except_for: Callable[[AdapterKey], bool]) -> None:
         placed = self._zones().get(zone)
         if placed is not None:
-            placed.demand.ask_elsewhere(but_for=but_for)
+            placed.demand.ask_elsewhere(except_for=except_for)
--- a/springrock/placement/lease.py
+++ b/springrock/placement/lease.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from springrock.clock import monotonic
-from springrock.eras import era_of, shown, version_in
+from springrock.eras import era_of, format_version, version_in
 from springrock.log import Condition, Log
 from springrock.placement.placer_row import TABLE, PlacerRow, key_of, placer_row_from
 from springrock.placement.succession import RESERVED_FENCES, HandoverTarget, Successor, Tenure
@@ -397,8 +397,8 @@
             "Found the lease at another version.",
             row=self._key,
             fence=resolved.fence,
-            version=shown(resolved.version),
-            expected=shown(own.version),
+            version=format_version(resolved.version),
+            expected=format_version(own.version),
         )
         self._own = resolved
         return True
--- a/springrock/placement/link_client.py
+++ b/springrock/placement/link_client.py
@@ -150,7 +150,7 @@
 
     def _write(self, connection: ClientConnection) -> None:
         try:
-            self._send(connection, self._demand.whole())
+            self._send(connection, self._demand.full_demand())
             while True:
                 self._demand.wait_for_updates(timeout_s=_MAX_REPORT_INTERVAL_S)
                 self._send(connection, self._demand.drain_updates())
--- a/springrock/placement/messages.py
+++ b/springrock/placement/messages.py
@@ -314,7 +314,7 @@
         after: The number of the version after which the rows changed.
         version: The number of the version that the table has with these changes.
         rows: The changed rows, in order.
-        whole: Whether `rows` is the full table; rows that are not in it do not exist.
+        is_full_table: Whether `rows` is the full table; rows that are not in it do not exist.
         as_of_ms: A time on the store's steady clock at which nothing newer had been written, from
             which a receiver computes the message's age even if it was delayed. None if unknown.
         era: The store's era of all versions; 0 if unknown.
@@ -324,7 +324,7 @@
     after: int
     version: int
     rows: list[TableRow] = []
-    whole: bool = False
+    is_full_table: bool = False
     as_of_ms: int | None = None
     era: int = 0
 
@@ -333,12 +333,12 @@
     """A full table as a box knows it.
 
     Attributes:
-        updates: The full table.
+        full_table: The full table.
         age_ms: How long before the message was made the table is known to have been up to date;
             None if that is not known of any time.
     """
 
-    updates: TableNews
+    full_table: TableNews
     age_ms: int | None = None
 
 
--- a/springrock/placement/placement.py
+++ b/springrock/placement/placement.py
@@ -76,7 +76,7 @@
     Attributes:
         on_reading: Called with a reading of a table by a placer's box, whether this box may rely
             on it to send the following readings, and the placer's zone.
-        on_alone: Called when the link to the home zone's placer, which sends readings, is
+        on_reader_lost: Called when the link to the home zone's placer, which sends readings, is
             lost.
         handovers: Has the adapters of evacuated zones that are in demand loaded in other zones.
     """
@@ -112,7 +112,7 @@
         self.on_reading: Callable[[TableReading, bool, str], None] = (
             lambda reading, relied_on, source_zone: None
         )
-        self.on_alone: Callable[[], None] = lambda: None
+        self.on_reader_lost: Callable[[], None] = lambda: None
         self._dependencies = ZoneDependencies(
             incarnation=new_id(),
             store=store,
@@ -223,7 +223,7 @@
             self._placer_contact.clear()
             self._unreachable_since = monotonic()
         if zone == self._settings.zone:
-            self.on_alone()
+            self.on_reader_lost()
 
     def _notify_observation(self, record: ReplicaRecord, answered: bool) -> None:
         """Report an observation of a replica to its zone's placer, which informs other boxes."""
--- a/springrock/placement/placer.py
+++ b/springrock/placement/placer.py
@@ -358,7 +358,7 @@
 
     def _plan_loop(self) -> None:
         while True:
-            has_pending_wants = self.requests.asks.wanted or self.prefetch.pending
+            has_pending_wants = self.requests.asks.has_wants or self.prefetch.pending
             self._plan_event.wait(timeout=_PLAN_INTERVAL_S if has_pending_wants else None)
             self._plan_event.clear()
             started_at = monotonic()
@@ -379,7 +379,7 @@
         # An engine may have become usable without an event, for example as it is no longer full.
         self.requests.grant_all()
         now = monotonic()
-        wants = self.requests.asks.wants(now)
+        wants = self.requests.asks.combined_wants(now)
         wanted = {want.key for want in wants}
         self.requests.forecasts.keep_only(wanted)
         if self._is_evacuated:
--- a/springrock/placement/requests.py
+++ b/springrock/placement/requests.py
@@ -121,10 +121,10 @@
             for dispatcher in self.dispatchers.values():
                 dispatcher.record_start(box, began)
         for promise in demand.promises:
-            self.asks.expect(promise, now=now)
+            self.asks.add_retry(promise, now=now)
         for ask in demand.asks:
             self._handle_ask(box, ask, now)
-        if self.asks.wanted and (demand.promises or demand.over):
+        if self.asks.has_wants and (demand.promises or demand.over):
             # A request that ended may have freed a place.
             self._on_unserved()
 
@@ -153,7 +153,7 @@
 
     def grant_waiting(self, key: AdapterKey) -> None:
         """Grant engines to the requests that wait for an adapter, if any engine holds it."""
-        for waiting in self.asks.of(key):
+        for waiting in self.asks.asks_for(key):
             self._grant(waiting)
 
     def _grant(self, waiting: WaitingAsk) -> None:
--- a/springrock/placement/residents_publisher.py
+++ b/springrock/placement/residents_publisher.py
@@ -8,7 +8,7 @@
 from springrock.placement.messages import EngineHolds, Message, Residents
 from springrock.topology import Distance, Topology
 
-FAR_EVERY_S = 2.0
+FAR_PUBLISH_INTERVAL_S = 2.0
 """Interval of messages to boxes of another region. Such a box loads an adapter in its own region
 first: an outdated view costs it a load at most, while each byte to it goes over the link that
 all traffic between the regions shares."""
@@ -43,7 +43,7 @@
             self._links.send_to_zones(changed, far=False)
             self._for_far.update((engine.instance, engine) for engine in changed.engines)
         now = monotonic()
-        if self._for_far and now - self._reported_far_at >= FAR_EVERY_S:
+        if self._for_far and now - self._reported_far_at >= FAR_PUBLISH_INTERVAL_S:
             self._links.send_to_zones(Residents(list(self._for_far.values())), far=True)
             self._for_far.clear()
             self._reported_far_at = now
--- a/springrock/placement/state_fetcher.py
+++ b/springrock/placement/state_fetcher.py
@@ -118,7 +118,7 @@
     def _wait_for_store(self) -> None:
         deadline = monotonic() + _STORE_ONLY_S
         while monotonic() < deadline and not self._knows_all:
-            if any(follower.unread for follower in self._followers):
+            if any(follower.last_read_failed for follower in self._followers):
                 return
             gevent.sleep(_POLL_INTERVAL_S)
 
@@ -135,7 +135,7 @@
         self._log.say(
             "Copied the tables of another box.",
             seed=seed,
-            ages_ms={table.updates.table: table.age_ms for table in state.tables},
+            ages_ms={table.full_table.table: table.age_ms for table in state.tables},
             took_ms=round(1000 * (monotonic() - asked_at)),
         )
 
@@ -149,14 +149,14 @@
             raise StateUnknown(seed, "it does not have all tables itself")
 
     def _apply(self, state: KnownState, asked_at: float) -> None:
-        by_table = {table.updates.table: table for table in state.tables}
+        by_table = {table.full_table.table: table for table in state.tables}
         for follower in self._followers:
             reported = by_table.get(follower.table)
             if reported is None:
                 continue
             # Measured from before the request, as the answer may have been delayed.
             age_s = float("inf") if reported.age_ms is None else reported.age_ms / 1000
-            follower.apply_copy(reading_from(reported.updates), newest_at=asked_at - age_s)
+            follower.apply_copy(reading_from(reported.full_table), newest_at=asked_at - age_s)
         for key, successor in state.successors:
             self._board.record_successor(key, successor)
         for instance in state.leaving:
--- a/springrock/placement/state_provider.py
+++ b/springrock/placement/state_provider.py
@@ -67,7 +67,7 @@
         """Return all tables; none if one is not known, as an incomplete set may mislead a box."""
         tables = []
         for follower in self._followers:
-            known = follower.known()
+            known = follower.full_reading()
             if known is None:
                 return []
             age_s = follower.staleness_s
--- a/springrock/placement/table_news.py
+++ b/springrock/placement/table_news.py
@@ -24,7 +24,7 @@
         number_of(reading.after),
         number_of(reading.version),
         rows,
-        reading.whole,
+        reading.is_full_table,
         as_of_ms,
         era_of(reading.version),
     )
@@ -37,10 +37,10 @@
         PeerRejected: If the message has a version that no store can have.
     """
     as_of_s = None if updates.as_of_ms is None else updates.as_of_ms / 1000
-    after = 0 if updates.whole else peer_version(updates.era, updates.after)
+    after = 0 if updates.is_full_table else peer_version(updates.era, updates.after)
     version = peer_version(updates.era, updates.version)
     changes = [_change_from(row, updates.era) for row in updates.rows]
-    return TableReading(updates.table, after, version, changes, updates.whole, as_of_s)
+    return TableReading(updates.table, after, version, changes, updates.is_full_table, as_of_s)
 
 
 def _change_from(row: TableRow, era: int) -> Change:
--- a/springrock/placement/zone.py
+++ b/springrock/placement/zone.py
@@ -400,7 +400,7 @@
     def _apply_own_demand_loop(self) -> None:
         """Pass this box's demand to its own placer, without a link."""
         box = self._settings.box
-        self.apply_demand(box, self.demand.whole())
+        self.apply_demand(box, self.demand.full_demand())
         while True:
             self.demand.wait_for_updates()
             self.apply_demand(box, self.demand.drain_updates())
--- a/springrock/platform/store.py
+++ b/springrock/platform/store.py
@@ -14,8 +14,8 @@
     VersionOutOfRange,
     era_from_reported,
     era_of,
+    format_version,
     number_of,
-    shown,
     version_in,
 )
 from springrock.platform import names
@@ -147,7 +147,9 @@
         if page.era > era_of(after):
             raise HistoryGone("the store came back from a copy")
         if page.era < era_of(after):
-            raise RowStoreUnavailable(f"changes after {shown(after)} up to {shown(page.version)}")
+            raise RowStoreUnavailable(
+                f"changes after {format_version(after)} up to {format_version(page.version)}"
+            )
         return Changes(page.changes_in_era(), page.version, _seconds(page.page.now_ms))
 
     def write(self, table: str, key: str, value: bytes, *, expected: int) -> int:
--- a/springrock/platform/tables.py
+++ b/springrock/platform/tables.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Callable, Sequence
 
+from springrock.bounded_dict import BoundedDict
 from springrock.forwarding.configuration import Configuration
 from springrock.forwarding.directory import Directory, ReplicaRecord
 from springrock.forwarding.evacuations import Evacuations
@@ -18,7 +19,6 @@
     version_from,
 )
 from springrock.platform.replica_rows import ReplicaRowMalformed, RowFault, replica_from
-from springrock.remembered import Remembered
 from springrock.rows import Row
 
 _FAULTS_KEPT = 1000
@@ -105,7 +105,7 @@
         self._knows_zone = knows_zone
         self._count_fault = count_fault
         self._log = log
-        self._faults: Remembered[RowFault] = Remembered(at_most=_FAULTS_KEPT)
+        self._faults: BoundedDict[RowFault] = BoundedDict(at_most=_FAULTS_KEPT)
 
     def replace(self, rows: Sequence[Row]) -> None:
         """Take the whole table."""
--- a/springrock/quarantine/book.py
+++ b/springrock/quarantine/book.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
 
+from springrock.bounded_dict import BoundedDict
 from springrock.clock import monotonic
 from springrock.forwarding.fingerprint import Fingerprint
 from springrock.log import Log
 from springrock.quarantine.report import CrashReport, report_from
 from springrock.quarantine.terms import QuarantineTerms
-from springrock.remembered import Remembered
 from springrock.rows import Row
 
 MAX_REPORTS = 1_000
@@ -63,7 +63,7 @@
         self._log = log
         self._held: dict[str, _HeldReport] = {}
         self._keys_by_request: dict[Fingerprint, set[str]] = {}
-        self._completed: Remembered[None] = Remembered(at_most=_COMPLETIONS_KEPT)
+        self._completed: BoundedDict[None] = BoundedDict(at_most=_COMPLETIONS_KEPT)
         self._quarantined: set[Fingerprint] = set()
 
     @property
--- a/springrock/quarantine/quarantine.py
+++ b/springrock/quarantine/quarantine.py
@@ -10,7 +10,7 @@
 from springrock.quarantine.crash_detector import CrashDetector
 from springrock.quarantine.reporter import Reporter
 from springrock.quarantine.terms import QuarantineTerms
-from springrock.rows import Row, RowKeeper
+from springrock.rows import Row, RowEditor
 
 
 class Quarantine:
@@ -33,7 +33,7 @@
         self,
         *,
         box: str,
-        store: RowKeeper,
+        store: RowEditor,
         table: str,
         terms: Callable[[], QuarantineTerms],
         metrics: ForwardingMetrics,
--- a/springrock/quarantine/reporter.py
+++ b/springrock/quarantine/reporter.py
@@ -11,12 +11,12 @@
 import msgspec
 from gevent.event import Event
 
+from springrock.bounded_dict import BoundedDict
 from springrock.log import Condition, Log
 from springrock.quarantine.book import CrashBook
 from springrock.quarantine.report import KEY_PREFIX, CrashReport, report_from
 from springrock.quarantine.terms import QuarantineTerms
-from springrock.remembered import Remembered
-from springrock.rows import Row, RowConflict, RowKeeper, RowStoreUnavailable
+from springrock.rows import Row, RowConflict, RowEditor, RowStoreUnavailable
 
 _MAX_WAITING = 200
 """The most reports that wait while the store does not answer; beyond it the oldest are dropped."""
@@ -53,7 +53,7 @@
 
     def __init__(
         self,
-        store: RowKeeper,
+        store: RowEditor,
         *,
         box: str,
         table: str,
@@ -68,7 +68,7 @@
         self._terms = terms
         self._log = log
         self._waiting: OrderedDict[str, CrashReport] = OrderedDict()
-        self._written: Remembered[CrashReport] = Remembered(at_most=_MAX_WAITING)
+        self._written: BoundedDict[CrashReport] = BoundedDict(at_most=_MAX_WAITING)
         self._has_waiting = Event()
         self._store_outage = Condition(
             log,
--- a/springrock/rows.py
+++ b/springrock/rows.py
@@ -116,7 +116,7 @@
         after: The version after which the rows changed.
         version: The version that the table has with these changes.
         changes: The changes, in order.
-        whole: Whether `changes` is the full table; rows that are not in it do not exist.
+        is_full_table: Whether `changes` is the full table; rows that are not in it do not exist.
         as_of_s: A time on the store's steady clock from before the read was sent; nothing newer
             than `version` had been written by then. None if unknown.
     """
@@ -125,7 +125,7 @@
     after: int
     version: int
     changes: Sequence[Change]
-    whole: bool = False
+    is_full_table: bool = False
     as_of_s: float | None = None
 
 
@@ -144,7 +144,7 @@
         """
 
 
-class RowKeeper(RowWriter, Protocol):
+class RowEditor(RowWriter, Protocol):
     """Writes and removes rows conditionally."""
 
     def remove(self, table: str, key: str, *, expected: int) -> None:
@@ -193,7 +193,7 @@
         """Drop a row that was removed."""
 
 
-class ListenersByKey:
+class ListenersByPrefix:
     """Implements `TableListener`: passes each row to the listeners of its key prefix.
 
     Args:
--- a/springrock/table_follower.py
+++ b/springrock/table_follower.py
@@ -11,7 +11,7 @@
 from gevent.event import Event
 
 from springrock.clock import monotonic
-from springrock.eras import era_of, shown, version_in
+from springrock.eras import era_of, format_version, version_in
 from springrock.log import Condition, Log
 from springrock.rows import (
     Change,
@@ -74,15 +74,15 @@
         poll_wait_s: Returns how long the store should wait for a change, while this box does not
             publish its readings.
         clock: The store's steady clock, shared by the followers of a box.
-        eager: Whether to read changes without a pause after the first full read.
-        kept_s: Returns how long the known state of the row with a key is kept after the
+        skip_first_pause: Whether to read changes without a pause after the first full read.
+        retention_of: Returns how long the known state of the row with a key is kept after the
             store was restored from a copy.
         log: The log to write to.
 
     Attributes:
         table: The name of the table.
-        sharing: Returns whether this box publishes its readings to other boxes.
-        shared_with: Called with each reading while `sharing` returns true, and with whether this
+        publishes: Returns whether this box publishes its readings to other boxes.
+        publisher: Called with each reading while `publishes` returns true, and with whether this
             box read it from the store itself.
         on_lost: Called with the known rows that a store restored from a copy lacks.
     """
@@ -97,10 +97,10 @@
         log: Log,
         poll_wait_s: Callable[[], float] = lambda: POLL_WAIT_S,
         clock: StoreClock | None = None,
-        eager: bool = False,
-        kept_s: Callable[[str], RetentionPeriods] = lambda key: RetentionPeriods(),
+        skip_first_pause: bool = False,
+        retention_of: Callable[[str], RetentionPeriods] = lambda key: RetentionPeriods(),
     ) -> None:
-        self._unconfirmed = UnconfirmedRows(kept_s)
+        self._unconfirmed = UnconfirmedRows(retention_of)
         self._full_read_due = False
         self._poll_wait_s = poll_wait_s
         self._clock = StoreClock() if clock is None else clock
@@ -112,7 +112,7 @@
         self.table = table
         self._listener = listener
         self._pause_s = pause_s
-        self._eager = eager
+        self._skip_first_pause = skip_first_pause
         self._version: int | None = None
         self._log = log
         self._read_failing = Condition(
@@ -128,8 +128,8 @@
         )
         self._resume_reads = Event()
         self.read_at: float | None = None
-        self.sharing: Callable[[], bool] = lambda: False
-        self.shared_with: Callable[[TableReading, bool], None] = lambda reading, is_own: None
+        self.publishes: Callable[[], bool] = lambda: False
+        self.publisher: Callable[[TableReading, bool], None] = lambda reading, is_own: None
         self.on_lost: Callable[[Sequence[Row]], None] = lambda rows: None
 
     def start(self) -> None:
@@ -165,7 +165,7 @@
         """The version, source and age of the known table, as fields of a log line."""
         stale_s = self.staleness_s
         return {
-            "table_version": shown(self.version),
+            "table_version": format_version(self.version),
             "told_by": self._source_zone,
             "table_stale_ms": round(1000 * stale_s) if math.isfinite(stale_s) else None,
         }
@@ -185,7 +185,7 @@
             return
         if reading.after > self._version:
             if era_of(reading.after) > era_of(self._version):
-                self.read_alone()
+                self.resume_reads()
             return
         self._log_behind(reading, source_zone)
         if reading.version < self._version:
@@ -195,13 +195,13 @@
         self._record_newest(reading)
         self.read_at = monotonic()
         if relied_on or self._read_failing.holds:
-            extra_wait_s = 0.0 if self.sharing() else random.uniform(0.5, 1.0) * _MAX_EXTRA_WAIT_S
+            extra_wait_s = 0.0 if self.publishes() else random.uniform(0.5, 1.0) * _MAX_EXTRA_WAIT_S
             self._skip_reads_until = self.read_at + _PEER_READING_VALID_S + extra_wait_s
-        if self.sharing():
-            self.shared_with(reading, False)
+        if self.publishes():
+            self.publisher(reading, False)
 
     @property
-    def unread(self) -> bool:
+    def last_read_failed(self) -> bool:
         """Whether the store did not answer the last read."""
         return self._read_failing.holds
 
@@ -210,12 +210,12 @@
         """Whether the full table is known, from the store or another box."""
         return self._version is not None
 
-    def known(self) -> TableReading | None:
+    def full_reading(self) -> TableReading | None:
         """Return the known table in full; None if it is not known."""
         if self._version is None:
             return None
         rows = [self._in_era(row) for row in self._rows.values()]
-        return TableReading(self.table, 0, self._version, rows, whole=True)
+        return TableReading(self.table, 0, self._version, rows, is_full_table=True)
 
     def _in_era(self, row: Row) -> Row:
         """Return a row with a version of the current era: number 0 for a row of an earlier era."""
@@ -236,7 +236,7 @@
         self._newest_at = max(self._newest_at, newest_at)
         self.read_at = newest_at if self.read_at is None else max(self.read_at, newest_at)
 
-    def read_alone(self) -> None:
+    def resume_reads(self) -> None:
         """Read the store again at once, as no other box sends readings any more."""
         self._skip_reads_until = 0.0
         self._resume_reads.set()
@@ -251,11 +251,11 @@
                 continue
             try:
                 was_known = self._version is not None
-                self._step()
+                self._read_and_apply()
                 self.read_at = monotonic()
                 self._read_failing.end()
                 retry_s = _FIRST_RETRY_S
-                if was_known or not self._eager:
+                if was_known or not self._skip_first_pause:
                     gevent.sleep(self._current_pause_s())
             except HistoryGone:
                 self._full_read_due = True
@@ -266,7 +266,7 @@
                 max_retry_s = _MAX_RETRY_S if is_known else _MAX_UNKNOWN_TABLE_RETRY_S
                 retry_s = min(max_retry_s, retry_s * 1.5)
 
-    def _step(self) -> None:
+    def _read_and_apply(self) -> None:
         asked_at = monotonic()
         reading, store_s = self._read()
         if self._is_peer_copy and not self._may_replace_copy(reading):
@@ -279,9 +279,9 @@
         self._apply(reading)
         self._full_read_due = False
         self._newest_at = max(self._newest_at, asked_at)
-        if self.sharing():
+        if self.publishes():
             as_of_s = self._clock.earliest_store(asked_at)
-            self.shared_with(reading._replace(as_of_s=as_of_s), True)
+            self.publisher(reading._replace(as_of_s=as_of_s), True)
 
     def _read(self) -> tuple[TableReading, float | None]:
         """Read the store; return the reading, and the time on the store's clock if it gave one."""
@@ -289,9 +289,11 @@
         if after is None or self._is_peer_copy or self._full_read_due:
             # No usable full table has been read from the store itself.
             snapshot = self._store.read_all(self.table)
-            reading = TableReading(self.table, 0, snapshot.version, snapshot.rows, whole=True)
+            reading = TableReading(
+                self.table, 0, snapshot.version, snapshot.rows, is_full_table=True
+            )
             return reading, snapshot.store_s
-        wait_s = _PUBLISHER_POLL_WAIT_S if self.sharing() else self._poll_wait_s()
+        wait_s = _PUBLISHER_POLL_WAIT_S if self.publishes() else self._poll_wait_s()
         read = self._store.changes(self.table, after=after, wait_s=wait_s)
         changes = _without_overtaken_removals(read.changes)
         return TableReading(self.table, after, read.version, changes), read.store_s
@@ -309,8 +311,8 @@
             self._log.say(
                 "The store has an older version than the copy from another box.",
                 table=self.table,
-                version=shown(reading.version),
-                copied=shown(known),
+                version=format_version(reading.version),
+                copied=format_version(known),
             )
             self._version = None
         self._is_peer_copy = False
@@ -321,11 +323,15 @@
         """Log when readings of another box begin and cease to be older than the known table."""
         if reading.version < self.version:
             self._peer_behind.begin(
-                source_zone=source_zone, reported=shown(reading.version), known=shown(self.version)
+                source_zone=source_zone,
+                reported=format_version(reading.version),
+                known=format_version(self.version),
             )
         else:
             self._peer_behind.end(
-                source_zone=source_zone, reported=shown(reading.version), known=shown(self.version)
+                source_zone=source_zone,
+                reported=format_version(reading.version),
+                known=format_version(self.version),
             )
 
     def _record_newest(self, reading: TableReading) -> None:
@@ -340,12 +346,13 @@
         """Raise `RowStoreUnavailable` if a reading is of an earlier era than the known table."""
         if era_of(reading.version) < era_of(self.version):
             raise RowStoreUnavailable(
-                f"the store has version {shown(reading.version)}, known is {shown(self.version)}"
+                f"the store has version {format_version(reading.version)},"
+                f" known is {format_version(self.version)}"
             )
 
     def _apply(self, reading: TableReading) -> None:
         """Apply the changes that are newer than the known table, and expired unconfirmed rows."""
-        if reading.whole:
+        if reading.is_full_table:
             self._apply_full_table(reading)
         else:
             self._apply_changes(reading)
@@ -393,8 +400,8 @@
         self._log.say(
             "The store came back from a copy.",
             table=self.table,
-            version=shown(version),
-            known=shown(self.version),
+            version=format_version(version),
+            known=format_version(self.version),
             lost=len(lost),
             unconfirmed=len(self._unconfirmed),
             told_by=self._source_zone,
@@ -402,7 +409,7 @@
         self.on_lost(lost)
 
     def _current_pause_s(self) -> float:
-        return min(self._pause_s, _PUBLISHER_MAX_PAUSE_S) if self.sharing() else self._pause_s
+        return min(self._pause_s, _PUBLISHER_MAX_PAUSE_S) if self.publishes() else self._pause_s
 
 
 def _without_overtaken_removals(changes: Sequence[Change]) -> list[Change]:
--- a/springrock/unconfirmed_rows.py
+++ b/springrock/unconfirmed_rows.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import NamedTuple
 
+from springrock.bounded_dict import BoundedDict
 from springrock.clock import monotonic
-from springrock.remembered import Remembered
 from springrock.rows import Change, Removed, Row
 
 _MAX_REMOVED_KEYS = 2_000
@@ -43,13 +43,13 @@
     """Keeps rows of a table as known for a time after the store was restored from a copy.
 
     Args:
-        kept_s: Returns the retention periods of the row with a key.
+        retention_of: Returns the retention periods of the row with a key.
     """
 
-    def __init__(self, kept_s: Callable[[str], RetentionPeriods]) -> None:
-        self._kept_s = kept_s
+    def __init__(self, retention_of: Callable[[str], RetentionPeriods]) -> None:
+        self._retention_of = retention_of
         self._unconfirmed: dict[str, _UnconfirmedRow] = {}
-        self._removed: Remembered[None] = Remembered(at_most=_MAX_REMOVED_KEYS)
+        self._removed: BoundedDict[None] = BoundedDict(at_most=_MAX_REMOVED_KEYS)
 
     def __len__(self) -> int:
         return len(self._unconfirmed)
@@ -74,12 +74,13 @@
         """
         now = monotonic()
         self._unconfirmed = {
-            row.key: _UnconfirmedRow(None, now + self._kept_s(row.key).missing) for row in lost
+            row.key: _UnconfirmedRow(None, now + self._retention_of(row.key).missing)
+            for row in lost
         }
         for row in rows:
             if row.key in self._removed:
                 self._unconfirmed[row.key] = _UnconfirmedRow(
-                    row, now + self._kept_s(row.key).removed
+                    row, now + self._retention_of(row.key).removed
                 )
         return [row for row in rows if row.key not in self._removed]
 
--- a/tests/forwarding/test_evacuation_model.py
+++ b/tests/forwarding/test_evacuation_model.py
@@ -106,13 +106,13 @@
         self.follower = TableFollower(
             store, "op", listener, pause_s=0.0, clock=StoreClock(), log=log
         )
-        self.follower.sharing = lambda: True
-        self.follower.shared_with = lambda reading, is_own: self.shared.append(reading)
+        self.follower.publishes = lambda: True
+        self.follower.publisher = lambda reading, is_own: self.shared.append(reading)
 
     def read(self) -> None:
         """Read the store once, as the follower does."""
         try:
-            self.follower._step()
+            self.follower._read_and_apply()
         except HistoryGone:
             self.follower._version = None
 
--- a/tests/forwarding/test_evacuations.py
+++ b/tests/forwarding/test_evacuations.py
@@ -232,8 +232,8 @@
         TableReading("op", 1, 2, [evacuate("z-2", 2)]),
         TableReading("op", 3, 4, [evacuate("z-2", 4)]),
         TableReading("op", 2, 3, [gone]),
-        TableReading("op", 0, 5, [], whole=True),
-        TableReading("op", 0, 4, [evacuate("z-2", 4)], whole=True),
+        TableReading("op", 0, 5, [], is_full_table=True),
+        TableReading("op", 0, 4, [evacuate("z-2", 4)], is_full_table=True),
     ]
     seen = []
     for reading in readings:
--- a/tests/placement/test_demand.py
+++ b/tests/placement/test_demand.py
@@ -63,11 +63,11 @@
     ungranted_use = book.use("i-2", KEY)
     waiting = start_request(book, adapter_request())
     book.drain_updates()
-    full = book.whole()
+    full = book.full_demand()
     assert [ask.adapter for ask in full.asks] == ["a"]
     assert sorted(use.instance for use in full.uses) == ["i-1", "i-2"]
     ungranted_use.end(UseOutcome.ENDED)
-    assert len(book.whole().uses) == 1
+    assert len(book.full_demand().uses) == 1
     waiting.kill()
 
 
@@ -85,7 +85,7 @@
     task.kill()
     book.record_grant(number, "i-1")
     assert book.drain_updates().over == [Over(number)]
-    assert book.whole().uses == []
+    assert book.full_demand().uses == []
 
 
 def test_a_silent_placer_is_not_waited_for_long() -> None:
@@ -107,7 +107,7 @@
     [promise] = book.drain_updates().promises
     assert (promise.model, promise.adapter) == KEY
     assert 900 <= promise.back_in_ms <= 1200
-    assert book.whole().promises
+    assert book.full_demand().promises
 
 
 def test_a_request_that_a_load_serves_late_keeps_waiting_even_if_its_client_could_retry() -> None:
@@ -168,10 +168,10 @@
     book = make_book()
     task = start_request(book, adapter_request())
     book.record_forecast(KEY, 0.5)
-    book.ask_elsewhere(but_for=lambda key: key == KEY)
+    book.ask_elsewhere(except_for=lambda key: key == KEY)
     gevent.sleep(0.05)
     assert not task.ready(), "its adapter is still served here"
-    book.ask_elsewhere(but_for=lambda key: False)
+    book.ask_elsewhere(except_for=lambda key: False)
     with pytest.raises(PlacerSilent):
         task.get(timeout=10)
 
@@ -197,7 +197,7 @@
     book.record_leaving("i-1")
     assert decode(encode(book.drain_updates())) == Demand(leaving=["i-1"])
     assert book.drain_updates() == Demand()
-    assert book.whole().leaving == ["i-1", "i-2"]
+    assert book.full_demand().leaving == ["i-1", "i-2"]
 
 
 def test_the_backoff_an_engine_asks_for_is_sent_with_the_end_of_its_use() -> None:
--- a/tests/placement/test_known_state.py
+++ b/tests/placement/test_known_state.py
@@ -28,7 +28,7 @@
 
 
 def reading(table: str, version: int, value: bytes = b"1") -> TableReading:
-    return TableReading(table, 0, version, [Row("a", value, version)], whole=True)
+    return TableReading(table, 0, version, [Row("a", value, version)], is_full_table=True)
 
 
 class Box:
@@ -174,7 +174,9 @@
             Row(f"replica-{number}", b'{"service":"language","adapters":["a%d"]}' % number * 8, 1)
             for number in range(4000)
         ]
-        follower.apply_copy(TableReading(follower.table, 0, 1, rows, whole=True), newest_at=0.0)
+        follower.apply_copy(
+            TableReading(follower.table, 0, 1, rows, is_full_table=True), newest_at=0.0
+        )
     frame = encode(box.provider.answer(HELLO))
     assert len(frame) < 1_048_576
     assert isinstance(decode(frame), KnownState)
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -323,7 +323,7 @@
 
 def test_only_the_loss_of_the_own_zone_s_placer_ends_its_readings(deployment: Deployment) -> None:
     alone: list[str] = []
-    deployment.placement.on_alone = lambda: alone.append("alone")
+    deployment.placement.on_reader_lost = lambda: alone.append("alone")
     for zone in ("zone-3", "zone-2"):
         deployment.zones[zone].around.on_placer_lost(zone)
     assert alone == []
--- a/tests/platform/test_store_return.py
+++ b/tests/platform/test_store_return.py
@@ -174,8 +174,8 @@
         store.put(f"before-{number}", "aaaa")
     reported.start()
     eventually(lambda: "before-4" in listener.rows, "the table is read")
-    source_zone.sharing = lambda: True
-    source_zone.shared_with = notify(reported)
+    source_zone.publishes = lambda: True
+    source_zone.publisher = notify(reported)
     source_zone.start()
     gevent.sleep(0.2)
     store.return_from_copy(copy_s=COPY_S + 5.0)
--- a/tests/quarantine/test_quarantine_model.py
+++ b/tests/quarantine/test_quarantine_model.py
@@ -22,7 +22,7 @@
 from springrock.quarantine.book import CrashBook
 from springrock.quarantine.report import KEY_PREFIX, CrashReport, new_key
 from springrock.quarantine.terms import QuarantineTerms
-from springrock.rows import Changes, HistoryGone, ListenersByKey, Removed, Row, Snapshot
+from springrock.rows import Changes, HistoryGone, ListenersByPrefix, Removed, Row, Snapshot
 from springrock.rows import TableReading as Reading
 from springrock.store_clock import StoreClock
 from springrock.table_follower import TableFollower
@@ -94,13 +94,13 @@
         self.follower = TableFollower(
             store,
             "t",
-            ListenersByKey({KEY_PREFIX: self.book}),
+            ListenersByPrefix({KEY_PREFIX: self.book}),
             pause_s=0.0,
             clock=StoreClock(),
             log=Log("test", "box"),
         )
-        self.follower.sharing = lambda: True
-        self.follower.shared_with = lambda reading, is_own: self.shared.append(reading)
+        self.follower.publishes = lambda: True
+        self.follower.publisher = lambda reading, is_own: self.shared.append(reading)
 
     def send(self, other_count: int) -> str | None:
         """Send the crashing request and some others to a replica, unless it is quarantined."""
@@ -129,7 +129,7 @@
     def read(self) -> None:
         """Let the follower ask the store once."""
         try:
-            self.follower._step()
+            self.follower._read_and_apply()
         except HistoryGone:
             self.follower._version = None
             return
--- a/tests/routed/test_regions.py
+++ b/tests/routed/test_regions.py
@@ -8,7 +8,7 @@
 import pytest
 
 from springrock.clock import monotonic
-from springrock.placement.residents_publisher import FAR_EVERY_S
+from springrock.placement.residents_publisher import FAR_PUBLISH_INTERVAL_S
 from tests.processes import wait_until
 from tests.routed.deployment import REPLICAS, ROUTES, Deployment, route
 
@@ -64,7 +64,7 @@
     long_prompt = {"Springrock-Prompt-Prefix": "p1:10000"}
     deployment.served("box-1", "/items/x", adapter="a5", more_headers=long_prompt)
     assert deployment.holders("a5") == ["engine-1"]
-    reported_at = monotonic() + 1.5 * FAR_EVERY_S
+    reported_at = monotonic() + 1.5 * FAR_PUBLISH_INTERVAL_S
     wait_until(lambda: monotonic() > reported_at, what="boxes of the other region were told")
 
     def _copied() -> bool:
--- a/tests/test_remembered.py
+++ b/tests/test_bounded_dict.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from springrock.remembered import Remembered
+from springrock.bounded_dict import BoundedDict
 
 
 def test_the_entry_recorded_longest_ago_is_dropped_first() -> None:
-    remembered: Remembered[int] = Remembered(at_most=2)
+    remembered: BoundedDict[int] = BoundedDict(at_most=2)
     remembered.record("a", 1)
     remembered.record("b", 2)
     remembered.record("a", 3)
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -8,9 +8,9 @@
     VersionOutOfRange,
     era_from_reported,
     era_of,
+    format_version,
     number_of,
     peer_version,
-    shown,
     version_in,
 )
 from springrock.errors import PeerRejected
@@ -31,6 +31,6 @@
 
 
 def test_versions_are_formatted_with_the_store_s_own_era() -> None:
-    assert shown(version_in(era_from_reported(None), 812)) == "812"
-    assert shown(version_in(era_from_reported(0), 812)) == "0:812"
-    assert shown(version_in(era_from_reported(3), 1)) == "3:1"
+    assert format_version(version_in(era_from_reported(None), 812)) == "812"
+    assert format_version(version_in(era_from_reported(0), 812)) == "0:812"
+    assert format_version(version_in(era_from_reported(3), 1)) == "3:1"
--- a/tests/test_kept_rows.py
+++ b/tests/test_kept_rows.py
@@ -13,7 +13,7 @@
 from springrock.eras import version_in
 from springrock.forwarding.directory import Directory
 from springrock.forwarding.evacuations import Evacuations
-from springrock.kept_rows import kept_operator_row, kept_own_row, kept_replica
+from springrock.kept_rows import operator_row_retention, own_row_retention, replica_retention
 from springrock.log import Log
 from springrock.platform.tables import OperatorTable, ReplicaTable
 from springrock.quarantine.book import CrashBook
@@ -30,10 +30,14 @@
 class Table:
     """A follower that gets readings of two eras."""
 
-    def __init__(self, listener: TableListener, kept_s: Callable[[str], RetentionPeriods]) -> None:
+    def __init__(
+        self, listener: TableListener, retention_of: Callable[[str], RetentionPeriods]
+    ) -> None:
         store: RowStore = None  # type: ignore[assignment]
-        self.follower = TableFollower(store, "table", listener, pause_s=0.0, kept_s=kept_s, log=LOG)
-        full = TableReading("table", 0, version_in(1, 0), [], whole=True)
+        self.follower = TableFollower(
+            store, "table", listener, pause_s=0.0, retention_of=retention_of, log=LOG
+        )
+        full = TableReading("table", 0, version_in(1, 0), [], is_full_table=True)
         self.follower.apply_copy(full, newest_at=monotonic())
 
     def apply(self, version: int, *changes: Change) -> None:
@@ -41,7 +45,7 @@
         self.follower.apply_reading(TableReading("table", after, version, changes))
 
     def restore(self, *rows: Row) -> None:
-        full = TableReading("table", 0, version_in(2, 1), rows, whole=True)
+        full = TableReading("table", 0, version_in(2, 1), rows, is_full_table=True)
         self.follower.apply_reading(full)
 
 
@@ -87,7 +91,7 @@
     pass_s: Callable[[float], None],
 ) -> None:
     evacuated = evacuations()
-    table = Table(operator_table(evacuated), kept_operator_row)
+    table = Table(operator_table(evacuated), operator_row_retention)
     table.apply(version_in(1, 5), Row("evacuate/zone-1", b"{}", version_in(1, 5)))
     table.restore()
     assert evacuated.announced == {"zone-1"}
@@ -107,7 +111,7 @@
         ReplicaTable(
             directory, knows_zone=lambda zone: True, count_fault=lambda fault: None, log=LOG
         ),
-        kept_replica,
+        replica_retention,
     )
     table.apply(
         version_in(1, 5),
@@ -136,7 +140,7 @@
     pass_s: Callable[[float], None],
 ) -> None:
     book = CrashBook(terms=lambda: QuarantineTerms(crashes=1, for_s=60.0), log=LOG)
-    table = Table(book, kept_own_row)
+    table = Table(book, own_row_retention)
     table.apply(version_in(1, 2), report_row("lost", "a"), report_row("swept", "b"))
     table.apply(version_in(1, 3), Removed("crash/swept", version_in(1, 3)))
     table.restore(report_row("swept", "b")._replace(version=version_in(2, 1)))
--- a/tests/test_table_follower.py
+++ b/tests/test_table_follower.py
@@ -112,7 +112,7 @@
     journal = Journal()
     log = Log("test", "box", journal=journal)
     follower = TableFollower(ScriptedStore(), TABLE, Listener(), pause_s=0.0, log=log)
-    follower.apply_copy(TableReading(TABLE, 0, 9, [], whole=True), newest_at=monotonic())
+    follower.apply_copy(TableReading(TABLE, 0, 9, [], is_full_table=True), newest_at=monotonic())
     for version in (5, 6, 9):
         follower.apply_reading(TableReading(TABLE, 4, version, []), source_zone="zone-2")
     logged = [
@@ -159,14 +159,14 @@
     store = CountingStore()
     readings: list[TableReading] = []
     follower = TableFollower(store, TABLE, Listener(), pause_s=0.0, log=Log("test", "box"))
-    follower.sharing = lambda: True
-    follower.shared_with = lambda reading, is_own: readings.append(reading)
+    follower.publishes = lambda: True
+    follower.publisher = lambda reading, is_own: readings.append(reading)
     follower.start()
     with gevent.Timeout(10):
         while len(readings) < 3:
             gevent.sleep(0.01)
     full = [Row("a", b"1", 1), Row("b", b"1", 1)]
-    assert readings[0] == TableReading(TABLE, 0, 1, full, whole=True)
+    assert readings[0] == TableReading(TABLE, 0, 1, full, is_full_table=True)
     assert readings[1] == TableReading(TABLE, 1, 1, [])
     assert max(store.waits) <= 0.5
     follower.stop()
@@ -176,8 +176,8 @@
     follower, listener = start_follower(ScriptedStore())
     assert wait_for_calls(listener, count=1) == ["all"]
     published: list[tuple[TableReading, bool]] = []
-    follower.sharing = lambda: True
-    follower.shared_with = lambda reading, is_own: published.append((reading, is_own))
+    follower.publishes = lambda: True
+    follower.publisher = lambda reading, is_own: published.append((reading, is_own))
     reading = TableReading(TABLE, 1, 2, [Row("a", b"2", 2)])
     follower.apply_reading(reading)
     assert published == [(reading, False)]
@@ -187,9 +187,9 @@
 def test_a_full_table_replaces_the_known_one_unless_it_is_older() -> None:
     follower, listener = start_follower(ScriptedStore())
     assert wait_for_calls(listener, count=1) == ["all"]
-    follower.apply_reading(TableReading(TABLE, 0, 9, [Row("c", b"9", 9)], whole=True))
+    follower.apply_reading(TableReading(TABLE, 0, 9, [Row("c", b"9", 9)], is_full_table=True))
     assert listener.rows == {"c": b"9"}
-    follower.apply_reading(TableReading(TABLE, 0, 8, [Row("d", b"8", 8)], whole=True))
+    follower.apply_reading(TableReading(TABLE, 0, 8, [Row("d", b"8", 8)], is_full_table=True))
     assert listener.rows == {"c": b"9"}
     follower.apply_reading(TableReading(TABLE, 9, 10, [Row("d", b"10", 10)]))
     assert listener.rows == {"c": b"9", "d": b"10"}
@@ -245,7 +245,7 @@
     follower.apply_reading(TableReading(TABLE, 1, 1, []))
     gevent.sleep(0.05)
     reads = store.reads
-    follower.read_alone()
+    follower.resume_reads()
     with gevent.Timeout(0.5):
         while store.reads == reads:
             gevent.sleep(0.01)
@@ -311,7 +311,7 @@
     """Return a follower that got a copy of the table from another box."""
     listener = Listener()
     follower = TableFollower(store, TABLE, listener, pause_s=0.01, log=Log("rows", "test"))
-    copy = TableReading(TABLE, 0, version, [Row("a", b"copy", version)], whole=True)
+    copy = TableReading(TABLE, 0, version, [Row("a", b"copy", version)], is_full_table=True)
     follower.apply_copy(copy, newest_at=monotonic() - 2.0)
     return follower, listener
 
@@ -364,7 +364,7 @@
     follower.start()
     wait_for_value(listener, b"store")
     follower.stop()
-    copy = TableReading(TABLE, 0, 7, [Row("a", b"copy", 7)], whole=True)
+    copy = TableReading(TABLE, 0, 7, [Row("a", b"copy", 7)], is_full_table=True)
     follower.apply_copy(copy, newest_at=monotonic())
     assert listener.rows == {"a": b"copy"}
     follower.start()
@@ -392,11 +392,16 @@
     """Return a follower that knows two rows of the previous era, and some changes of them."""
     listener = Listener()
     follower = TableFollower(
-        store, TABLE, listener, pause_s=0.0, kept_s=lambda key: retention, log=Log("test", "box")
+        store,
+        TABLE,
+        listener,
+        pause_s=0.0,
+        retention_of=lambda key: retention,
+        log=Log("test", "box"),
     )
     before = version_in(ERA - 1, 100)
     rows = [Row("a", b"new", before), Row("b", b"new", before)]
-    full = TableReading(TABLE, 0, before, rows, whole=True)
+    full = TableReading(TABLE, 0, before, rows, is_full_table=True)
     follower.apply_copy(full, newest_at=monotonic())
     reading = TableReading(TABLE, before, before + 9, changes)
     follower.apply_reading(reading, relied_on=False)
@@ -405,7 +410,7 @@
 
 def restored(number: int, *changes: Change) -> TableReading:
     """Return a reading of the restored store by another box."""
-    return TableReading(TABLE, 0, version_in(ERA, number), changes, whole=True)
+    return TableReading(TABLE, 0, version_in(ERA, number), changes, is_full_table=True)
 
 
 COPIED = Row("a", b"old", version_in(ERA, 1))
@@ -457,7 +462,7 @@
     # This box has not read the full table from the store itself yet.
     follower.start()
     gevent.sleep(0.1)
-    assert not follower.unread
+    assert not follower.last_read_failed
     assert listener.calls[-1] == "all"
     assert listener.rows == {"b": b"new"}
     follower.stop()
@@ -476,7 +481,9 @@
     read_at = follower.read_at
     for era in (0, ERA - 1):
         row = Row("a", b"stale", version_in(era, 500))
-        follower.apply_reading(TableReading(TABLE, 0, version_in(era, 500), [row], whole=True))
+        follower.apply_reading(
+            TableReading(TABLE, 0, version_in(era, 500), [row], is_full_table=True)
+        )
     assert listener.rows == {"a": b"old"}
     assert follower.read_at == read_at, "the box reads the store itself"
 
@@ -495,7 +502,7 @@
     store = RestoredStore(COPIED)
     follower, listener = follower_with_rows(store, RetentionPeriods())
     later = Row("a", b"later", version_in(ERA + 1, 1))
-    full = TableReading(TABLE, 0, version_in(ERA + 1, 1), [later], whole=True)
+    full = TableReading(TABLE, 0, version_in(ERA + 1, 1), [later], is_full_table=True)
     follower.apply_reading(full, relied_on=False)
     follower.start()
     gevent.sleep(0.1)
