--- a/springrock/entry.py
+++ b/springrock/entry.py
@@ -416,7 +416,7 @@
             log=self._log_of("evacuations"),
         )
         for zone in self._topology.zones:
-            watch.show(zone)
+            watch.add_metrics(zone)
         self._evacuations.on_change.append(self._placement.handovers.handle_change)
         self._evacuations.on_cut.append(self._placement.handovers.handle_cut)
 
@@ -455,7 +455,7 @@
         evacuations = self._evacuations
         return RoutingState(
             self._topology,
-            evacuations.zones,
+            evacuations.cut_zones,
             self._warmup.is_cold,
             evacuations.announced,
             is_limited=lambda record: self._limits.per_s(record.instance) is not None,
--- a/springrock/forwarding/adapters.py
+++ b/springrock/forwarding/adapters.py
@@ -17,14 +17,14 @@
         worth: The value of the request relative to other requests.
         target_at: The time after which an answer counts as late, on the local monotonic clock.
         until: When the client gives up, on the local monotonic clock.
-        returns_within_s: The longest delay after which the client retries if it is asked to; 0 if
+        retry_within_s: The longest delay after which the client retries if it is asked to; 0 if
             no retry is expected.
     """
 
     worth: float
     target_at: float
     until: float
-    returns_within_s: float
+    retry_within_s: float
 
 
 class AdapterRequest(NamedTuple):
@@ -55,7 +55,7 @@
 
     ENDED = "ended"
     """The request ran, or was not sent."""
-    LACKING = "lacking"
+    ADAPTER_MISSING = "lacking"
     """The replica does not hold the adapter."""
     FULL = "full"
     """The replica did not run the request because it was full."""
@@ -79,7 +79,7 @@
     number: int
     permit_until: float | None
 
-    def began(self) -> None:
+    def record_first_event(self) -> None:
         """Record the arrival of the first event of the answer."""
 
     def end(self, outcome: UseOutcome, *, backoff_s: float = 0.0) -> None:
--- a/springrock/forwarding/balancing.py
+++ b/springrock/forwarding/balancing.py
@@ -133,7 +133,7 @@
 
     def _cost(self, replica: Replica, routing_state: RoutingState, size: RequestSize) -> float:
         health = replica.health
-        cost = replica.running / max(1, replica.record.running_limit) + health.fullness
+        cost = replica.running / max(1, replica.record.running_limit) + health.full_likelihood
         cost += _FAILURE_WEIGHT * health.recent_failure_rate**2
         cost += self._costs.of(routing_state.topology.distance(replica.record.zone), size)
         return cost + self._random.random() * _RANDOM_COST
--- a/springrock/forwarding/choosing.py
+++ b/springrock/forwarding/choosing.py
@@ -393,7 +393,7 @@
             worth=_worth_of_priority(progress.priority),
             target_at=progress.target_at,
             until=until,
-            returns_within_s=0.0 if is_last_try else progress.left_s * _MAX_RETRY_WAIT_FRACTION,
+            retry_within_s=0.0 if is_last_try else progress.left_s * _MAX_RETRY_WAIT_FRACTION,
         )
 
     def _has_engines(self, service: str) -> bool:
--- a/springrock/forwarding/directory.py
+++ b/springrock/forwarding/directory.py
@@ -26,7 +26,7 @@
 start of each id."""
 
 
-class LeavingSign(StrEnum):
+class LeavingSource(StrEnum):
     """The source from which this box learned that a replica is leaving; shown in logs."""
 
     ROW = "row"
@@ -186,7 +186,7 @@
         """Return the newest known start of a replica id in Unix milliseconds; None if unknown."""
         return self._newest_starts.get(replica_id)
 
-    def record_leaving(self, instance: str, source: LeavingSign) -> None:
+    def record_leaving(self, instance: str, source: LeavingSource) -> None:
         """Mark an incarnation as leaving before a row in the store says so.
 
         The mark is also kept for an incarnation that is not known yet.
@@ -293,7 +293,7 @@
                 del self._deferred[replica_id]
                 self._apply(record)
 
-    def _apply(self, record: ReplicaRecord, *, source: LeavingSign = LeavingSign.ROW) -> None:
+    def _apply(self, record: ReplicaRecord, *, source: LeavingSource = LeavingSource.ROW) -> None:
         previous = self._instance_by_id.get(record.replica_id)
         if previous is not None and previous != record.instance:
             self._remove_incarnation(previous)
@@ -320,7 +320,7 @@
             return record
         return msgspec.structs.replace(record, leaving=True)
 
-    def _update_known(self, known: Replica, record: ReplicaRecord, source: LeavingSign) -> None:
+    def _update_known(self, known: Replica, record: ReplicaRecord, source: LeavingSource) -> None:
         previous = known.record
         recorded_at = known.recorded_at
         known.record = record
@@ -345,7 +345,7 @@
         replica.record = msgspec.structs.replace(replica.record, leaving=True)
         self._notify(None, instance)
 
-    def _log_leaving(self, replica: Replica, source: LeavingSign, recorded_at: float) -> None:
+    def _log_leaving(self, replica: Replica, source: LeavingSource, recorded_at: float) -> None:
         record = replica.record
         self._log.say(
             "A replica is leaving.",
--- a/springrock/forwarding/evacuation_watch.py
+++ b/springrock/forwarding/evacuation_watch.py
@@ -38,7 +38,7 @@
         self._log = log
         evacuations.on_change.append(self._handle_change)
 
-    def show(self, zone: str) -> None:
+    def add_metrics(self, zone: str) -> None:
         """Add the metrics of a zone, whether it is evacuated or not."""
         self._metrics.zone_evacuated.labels(zone).set_function(lambda: self._is_evacuated(zone))
         self._metrics.zone_evacuated_seconds.labels(zone).set_function(lambda: self._age_s(zone))
@@ -46,7 +46,7 @@
         running.set_function(lambda: float(self._count_running(zone)))
 
     def _handle_change(self, zone: str, evacuated: bool) -> None:
-        self.show(zone)
+        self.add_metrics(zone)
         if evacuated:
             gevent.spawn(self._watch_evacuation, zone, self._evacuations.learned_at(zone))
 
--- a/springrock/forwarding/evacuations.py
+++ b/springrock/forwarding/evacuations.py
@@ -81,7 +81,7 @@
         return frozenset(self._evacuations)
 
     @property
-    def zones(self) -> frozenset[str]:
+    def cut_zones(self) -> frozenset[str]:
         """The evacuated zones after their cut, which get no requests."""
         if not self._evacuations:
             return frozenset()
--- a/springrock/forwarding/fingerprint.py
+++ b/springrock/forwarding/fingerprint.py
@@ -6,7 +6,7 @@
 
 from springrock.forwarding.message import ClientRequest
 
-DIGITS = 32
+FINGERPRINT_DIGITS = 32
 """The number of hexadecimal digits. Any two of a million requests have the same fingerprint with a
 probability of 10^-26."""
 
@@ -25,7 +25,7 @@
     @classmethod
     def from_request(cls, request: ClientRequest) -> Fingerprint:
         """Return the fingerprint of a request, whose caller is identified by its key, if any."""
-        digest = hashlib.blake2b(digest_size=DIGITS // 2)
+        digest = hashlib.blake2b(digest_size=FINGERPRINT_DIGITS // 2)
         head = (
             request.key_digest or b"",
             request.method.encode(),
@@ -39,6 +39,6 @@
         return cls(digest.hexdigest())
 
     @property
-    def shown(self) -> str:
+    def short(self) -> str:
         """The start of the fingerprint for logs, long enough to find the tries of one request."""
         return self[:_LOGGED_DIGITS]
--- a/springrock/forwarding/forwarder.py
+++ b/springrock/forwarding/forwarder.py
@@ -18,7 +18,7 @@
 )
 from springrock.forwarding.configuration import Route, RouteTable, Team
 from springrock.forwarding.errors import ExchangeError, OutcomeUnknown, Rejection
-from springrock.forwarding.keys import KeyGate, shown
+from springrock.forwarding.keys import KeyGate, digest_prefix
 from springrock.forwarding.message import AnswerHead, ClientRequest
 from springrock.forwarding.reply import Reply, own_reply, rejection_reply, relayed_reply
 from springrock.forwarding.request_progress import RequestProgress
@@ -173,9 +173,9 @@
             "Did not admit a request.",
             request=request.request_id,
             route=route.name,
-            key=shown(request.key_digest),
+            key=digest_prefix(request.key_digest),
             configuration=version,
-            stale_ms=round(min(self._gate.stale_s, _MAX_LOGGED_AGE_S) * 1000),
+            stale_ms=round(min(self._gate.staleness_s, _MAX_LOGGED_AGE_S) * 1000),
             status=rejection.status,
             reason=rejection.reason,
             retry_after=rejection.retry_after_s,
@@ -185,11 +185,11 @@
         self._log.say(
             "Refused a request." if reply.reason else "Answered a request.",
             request=progress.request.request_id,
-            fingerprint=progress.fingerprint.shown,
+            fingerprint=progress.fingerprint.short,
             route=progress.route.name,
             service=progress.service,
             team="" if progress.admission.team is None else progress.admission.team.name,
-            key=shown(progress.request.key_digest),
+            key=digest_prefix(progress.request.key_digest),
             configuration=version,
             adapter=str(progress.request.adapter_key or ""),
             status=reply.head.status,
--- a/springrock/forwarding/health.py
+++ b/springrock/forwarding/health.py
@@ -61,7 +61,7 @@
         return self.failure_rate * _decay_factor(self._recorded_at, _FAILURE_HALF_LIFE_S)
 
     @property
-    def fullness(self) -> float:
+    def full_likelihood(self) -> float:
         """The likelihood that the replica is still full, decaying from 1 after a report to 0."""
         if self._full_at is None:
             return 0.0
--- a/springrock/forwarding/keys.py
+++ b/springrock/forwarding/keys.py
@@ -69,7 +69,7 @@
     has_teams: bool = False
 
     @property
-    def reported(self) -> str | None:
+    def team_for_replicas(self) -> str | None:
         """The team name that is sent to replicas, empty without a team.
 
         None if there are no teams and the headers of the client are passed on unchanged.
@@ -79,7 +79,7 @@
         return "" if self.team is None else self.team.name
 
 
-UNKEYED = Admission()
+NO_TEAMS_ADMISSION = Admission()
 """The admission of all requests if the configuration has no teams."""
 
 
@@ -104,7 +104,7 @@
         self._terms = terms
 
     @property
-    def stale_s(self) -> float:
+    def staleness_s(self) -> float:
         """Seconds since the known keys were certainly the newest."""
         return self._staleness_s()
 
@@ -121,7 +121,7 @@
             KeysStale: If the configuration is too stale to decide.
         """
         if not table.needs_keys:
-            return UNKEYED
+            return NO_TEAMS_ADMISSION
         team = table.team_of(digest)
         if route.public:
             return Admission(team, has_teams=True)
@@ -155,6 +155,6 @@
     return hashlib.sha256(key.encode()).digest()
 
 
-def shown(digest: bytes | None) -> str:
+def digest_prefix(digest: bytes | None) -> str:
     """Return the start of a key's digest for logs, long enough to tell keys apart."""
     return "" if digest is None else digest[:_LOGGED_BYTES].hex()
--- a/springrock/forwarding/notices.py
+++ b/springrock/forwarding/notices.py
@@ -12,7 +12,7 @@
 from springrock.bounded_dict import BoundedDict
 from springrock.clock import monotonic
 from springrock.forwarding.dialect import EMPTY_NOTICE, NO_NOTICE, ReplicaNotice
-from springrock.forwarding.directory import Directory, LeavingSign, Replica
+from springrock.forwarding.directory import Directory, LeavingSource, Replica
 from springrock.log import Log
 from springrock.permits.named_limits import NamedLimits
 
@@ -21,7 +21,7 @@
 
 _EMPTY_NOTICES = (NO_NOTICE, EMPTY_NOTICE)
 
-NoticeTaker = Callable[[ReplicaNotice], None]
+NoticeHandler = Callable[[ReplicaNotice], None]
 """Handles the notice in the answer to one call to a replica."""
 
 
@@ -105,7 +105,7 @@
         # keeps the mark that its incarnation is leaving.
         if notice.leaving and not self._directory.is_leaving(replica.instance):
             self._count("leaving")
-            self._directory.record_leaving(replica.instance, LeavingSign.ANSWER)
+            self._directory.record_leaving(replica.instance, LeavingSource.ANSWER)
             for listener in self.on_leaving:
                 listener(replica.instance)
 
@@ -123,7 +123,7 @@
             notice=name,
         )
 
-    def notice_handler(self, replica_id: str) -> NoticeTaker:
+    def notice_handler(self, replica_id: str) -> NoticeHandler:
         """Return the handler for the notice in the answer to a call that is about to be sent.
 
         The handler is bound to the incarnation that is known now, as a newer one may be known
@@ -134,9 +134,9 @@
         """
         replica = self._directory.find_by_id(replica_id)
         if replica is None:
-            return pass_over
+            return ignore_notice
         return partial(self.apply, replica, sent_at=monotonic())
 
 
-def pass_over(notice: ReplicaNotice) -> None:
+def ignore_notice(notice: ReplicaNotice) -> None:
     """Ignore a notice, for instance that of an unknown replica."""
--- a/springrock/forwarding/request_progress.py
+++ b/springrock/forwarding/request_progress.py
@@ -11,7 +11,7 @@
 from springrock.forwarding.dialect import NO_NOTICE, ReplicaNotice
 from springrock.forwarding.eligibility import ANYWHERE, Bounds
 from springrock.forwarding.fingerprint import Fingerprint
-from springrock.forwarding.keys import UNKEYED, Admission
+from springrock.forwarding.keys import NO_TEAMS_ADMISSION, Admission
 from springrock.forwarding.message import ClientRequest
 
 _DEFAULT_DEADLINE_S = 60.0
@@ -105,7 +105,7 @@
         request: ClientRequest,
         route: Route,
         service: str,
-        admission: Admission = UNKEYED,
+        admission: Admission = NO_TEAMS_ADMISSION,
     ) -> None:
         self.request = request
         self.fingerprint = Fingerprint.from_request(request)
--- a/springrock/forwarding/sending.py
+++ b/springrock/forwarding/sending.py
@@ -38,7 +38,7 @@
 )
 
 _USE_OUTCOME_BY_ATTEMPT = {
-    AttemptOutcome.CHANGED: UseOutcome.LACKING,
+    AttemptOutcome.CHANGED: UseOutcome.ADAPTER_MISSING,
     AttemptOutcome.FULL: UseOutcome.FULL,
     AttemptOutcome.UNREACHABLE: UseOutcome.UNREACHABLE,
     AttemptOutcome.BROKEN: UseOutcome.FAILED,
@@ -136,7 +136,7 @@
             adapter_version=0 if key is None else self._adapters.newest(key),
             priority=progress.priority if progress.streaming else None,
             after_event=after_event,
-            team=progress.admission.reported,
+            team=progress.admission.team_for_replicas,
         )
         return exchange(
             progress.request,
@@ -193,7 +193,7 @@
         self._log.say(
             "An attempt failed.",
             request=progress.request.request_id,
-            fingerprint=progress.fingerprint.shown,
+            fingerprint=progress.fingerprint.short,
             instance=replica.instance,
             outcome=attempt.outcome,
             other_running=replica.running - 1,
--- a/springrock/forwarding/streaming.py
+++ b/springrock/forwarding/streaming.py
@@ -65,7 +65,7 @@
             raise
         self._sender.record_answer(self._progress, self._replica, self._attempt, answer.head.status)
         if self._chosen.use is not None and answer.head.succeeded:
-            self._chosen.use.began()
+            self._chosen.use.record_first_event()
         return answer.head
 
     def __iter__(self) -> Iterator[bytes]:
--- a/springrock/placement/demand.py
+++ b/springrock/placement/demand.py
@@ -51,7 +51,7 @@
 
 _OUTCOMES = {
     UseOutcome.ENDED: Outcome.ENDED,
-    UseOutcome.LACKING: Outcome.LACKING,
+    UseOutcome.ADAPTER_MISSING: Outcome.LACKING,
     UseOutcome.FULL: Outcome.FULL,
     UseOutcome.UNREACHABLE: Outcome.UNREACHABLE,
     UseOutcome.FAILED: Outcome.FAILED,
@@ -107,7 +107,7 @@
         self.number = number
         self._sent_at = monotonic()
 
-    def began(self) -> None:
+    def record_first_event(self) -> None:
         """Record that the first event of the answer arrived."""
         self._book.record_start(self.number, monotonic() - self._sent_at)
 
@@ -248,7 +248,7 @@
         a rejection none, even if a retry succeeds. For a client that can retry when the adapter is
         ready, the placer is told to expect the retry, so that it still loads the adapter.
         """
-        if ready_in_s > adapter_request.terms.returns_within_s:
+        if ready_in_s > adapter_request.terms.retry_within_s:
             raise NoReplica("load_not_in_time", ready_in_s)
         retry_in_s = ready_in_s + _RETRY_MARGIN_S
         worth = adapter_request.terms.worth * _RETRY_WORTH_FACTOR
--- a/springrock/placement/state_fetcher.py
+++ b/springrock/placement/state_fetcher.py
@@ -9,7 +9,7 @@
 
 from springrock.clock import monotonic
 from springrock.errors import PeerRejected, SpringrockError
-from springrock.forwarding.directory import Directory, LeavingSign
+from springrock.forwarding.directory import Directory, LeavingSource
 from springrock.log import Condition, Log
 from springrock.placement.dialing import dial
 from springrock.placement.link_server import LINK_FAILURES
@@ -160,4 +160,4 @@
         for key, successor in state.successors:
             self._board.record_successor(key, successor)
         for instance in state.leaving:
-            self._directory.record_leaving(instance, LeavingSign.BOX)
+            self._directory.record_leaving(instance, LeavingSource.BOX)
--- a/springrock/placement/zone.py
+++ b/springrock/placement/zone.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from springrock.eras import era_of, number_of, peer_version
-from springrock.forwarding.directory import LeavingSign
+from springrock.forwarding.directory import LeavingSource
 from springrock.forwarding.message import AdapterKey
 from springrock.metrics import BytesKind
 from springrock.permits.counter import PermitCounter
@@ -244,7 +244,7 @@
         for observation in demand.observations:
             self._warmup.apply_observation(observation.instance, answered=observation.answered)
         for instance in demand.leaving:
-            self._directory.record_leaving(instance, LeavingSign.BOX)
+            self._directory.record_leaving(instance, LeavingSource.BOX)
         for report in demand.limits:
             self._limits.apply_limit_report(report)
         for written in demand.written:
@@ -375,7 +375,7 @@
         self.spread = frozenset(heartbeat.spread)
         self.wait_estimate = WaitEstimate(heartbeat.pressure / 100, heartbeat.wait_ms / 1000)
         for instance in heartbeat.leaving:
-            self._directory.record_leaving(instance, LeavingSign.BOX)
+            self._directory.record_leaving(instance, LeavingSource.BOX)
         self._warmup.apply_suspected(self._zone, heartbeat.suspected)
         self._limits.apply_placer_limits(self._zone, heartbeat.limits)
         # A placer with an earlier build sends only the number of all boxes.
--- a/springrock/platform/engine.py
+++ b/springrock/platform/engine.py
@@ -10,7 +10,7 @@
 
 from springrock.forwarding.directory import HeldAdapter
 from springrock.forwarding.message import Headers
-from springrock.forwarding.notices import NoticeTaker, pass_over
+from springrock.forwarding.notices import NoticeHandler, ignore_notice
 from springrock.placement.control import (
     ControlUnanswered,
     EngineState,
@@ -68,7 +68,7 @@
     def __init__(
         self,
         *,
-        notice_taker: Callable[[str], NoticeTaker] = lambda replica_id: pass_over,
+        notice_taker: Callable[[str], NoticeHandler] = lambda replica_id: ignore_notice,
     ) -> None:
         self._notice_handler = notice_taker
         self._pool = urllib3.PoolManager(retries=False, num_pools=64, maxsize=2)
--- a/springrock/quarantine/book.py
+++ b/springrock/quarantine/book.py
@@ -209,7 +209,7 @@
         self._quarantined.add(fingerprint)
         self._log.say(
             "A request is quarantined.",
-            fingerprint=fingerprint.shown,
+            fingerprint=fingerprint.short,
             instances=sorted(crashes),
             for_s=round(self._terms().for_s),
         )
@@ -217,4 +217,4 @@
     def _release(self, fingerprint: Fingerprint) -> None:
         if fingerprint in self._quarantined:
             self._quarantined.discard(fingerprint)
-            self._log.say("A request is no longer quarantined.", fingerprint=fingerprint.shown)
+            self._log.say("A request is no longer quarantined.", fingerprint=fingerprint.short)
--- a/springrock/quarantine/crash_detector.py
+++ b/springrock/quarantine/crash_detector.py
@@ -118,6 +118,6 @@
             instance=crash.record.instance,
             service=crash.record.service,
             count=len(crash.requests),
-            fingerprints=[item.shown for item in crash.requests[:_MAX_LOGGED_FINGERPRINTS]],
+            fingerprints=[item.short for item in crash.requests[:_MAX_LOGGED_FINGERPRINTS]],
             **more,
         )
--- a/springrock/quarantine/report.py
+++ b/springrock/quarantine/report.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from springrock.forwarding.fingerprint import DIGITS, Fingerprint
+from springrock.forwarding.fingerprint import FINGERPRINT_DIGITS, Fingerprint
 from springrock.ids import new_id
 from springrock.rows import Row
 
@@ -16,7 +16,7 @@
 MAX_REQUESTS = 256
 """The most requests in one report, the latest ones; bounds a row at 10 KB."""
 
-_Digest = Annotated[str, Meta(pattern=f"^[0-9a-f]{{{DIGITS}}}$")]
+_Digest = Annotated[str, Meta(pattern=f"^[0-9a-f]{{{FINGERPRINT_DIGITS}}}$")]
 
 
 class CrashReport(Struct, frozen=True):
--- a/tests/forwarding/test_choosing.py
+++ b/tests/forwarding/test_choosing.py
@@ -12,7 +12,7 @@
 from springrock.forwarding.budget import RetryBudget, RetryLimits
 from springrock.forwarding.choosing import ReplicaChooser
 from springrock.forwarding.configuration import BaseModel, Configuration, Engine, Service
-from springrock.forwarding.directory import Directory, LeavingSign, Replica, ReplicaRecord
+from springrock.forwarding.directory import Directory, LeavingSource, Replica, ReplicaRecord
 from springrock.forwarding.errors import NoReplica
 from springrock.forwarding.message import AdapterKey
 from springrock.forwarding.request_progress import AttemptOutcome, RequestProgress
@@ -31,7 +31,7 @@
     number = 1
     permit_until: float | None = None
 
-    def began(self) -> None:
+    def record_first_event(self) -> None:
         """Do nothing."""
 
     def end(self, outcome: UseOutcome, *, backoff_s: float = 0.0) -> None:
@@ -85,7 +85,7 @@
     record = ReplicaRecord(instance="i-1", service="s", address="127.0.0.1:1", zone="zone-1")
     directory.update(record)
     if leaving:
-        directory.record_leaving("i-1", LeavingSign.ANSWER)
+        directory.record_leaving("i-1", LeavingSource.ANSWER)
     directory.record_backoff("i-1", backoff_s)
     replica = directory.find("i-1")
     assert replica is not None
--- a/tests/forwarding/test_directory.py
+++ b/tests/forwarding/test_directory.py
@@ -7,7 +7,7 @@
 import pytest
 
 from springrock.forwarding import directory as directory_module
-from springrock.forwarding.directory import Directory, LeavingSign, ReplicaRecord, incarnation_of
+from springrock.forwarding.directory import Directory, LeavingSource, ReplicaRecord, incarnation_of
 from springrock.log import Log
 
 
@@ -74,9 +74,9 @@
     assert directory.leaving() == ("i-1@5",)
     directory.update(make_record(6))
     assert directory.leaving() == ()
-    directory.record_leaving("i-1@5", LeavingSign.BOX)
+    directory.record_leaving("i-1@5", LeavingSource.BOX)
     assert directory.leaving() == ()
-    directory.record_leaving("i-1@6", LeavingSign.BOX)
+    directory.record_leaving("i-1@6", LeavingSource.BOX)
     assert directory.leaving() == ("i-1@6",)
 
 
@@ -85,7 +85,7 @@
     directory = make_directory()
     directory.update(make_record(5, leaving=True))
     for number in range(10):
-        directory.record_leaving(f"i-other-{number}", LeavingSign.BOX)
+        directory.record_leaving(f"i-other-{number}", LeavingSource.BOX)
     assert len(directory._leaving_incarnations) == 3
     directory.update(make_record(5, sequence=8))
     assert directory.leaving() == ("i-1@5",)
--- a/tests/forwarding/test_evacuation_model.py
+++ b/tests/forwarding/test_evacuation_model.py
@@ -130,7 +130,7 @@
                 assert cut_in_s is not None and learned_at is not None
                 latest = max(learned_at, evacuated_at + CUT_PART * WITHIN_S)
                 assert not cut_in_s or now + cut_in_s <= latest + CLOCK_TOLERANCE_S
-                assert now < latest + CLOCK_TOLERANCE_S or zone in self.evacuations.zones
+                assert now < latest + CLOCK_TOLERANCE_S or zone in self.evacuations.cut_zones
             if evacuated_at is not None and evacuated_at < known_at - CLOCK_TOLERANCE_S:
                 assert is_announced, "an evacuation that is certainly known is announced"
             ended_at = self.store_model.ended_at.get(zone)
--- a/tests/forwarding/test_evacuation_watch.py
+++ b/tests/forwarding/test_evacuation_watch.py
@@ -41,7 +41,7 @@
     directory = Directory(Log("test", "box-1"))
     directory.update(ReplicaRecord(instance="i", service="s", address="127.0.0.1:1", zone="z-2"))
     evacuations = Evacuations(Topology(home="z-1", zones=("z-1", "z-2")), log=Log("test", "box-1"))
-    EvacuationWatch(evacuations, directory=directory, metrics=metrics, log=log).show("z-2")
+    EvacuationWatch(evacuations, directory=directory, metrics=metrics, log=log).add_metrics("z-2")
     replica = directory.find("i")
     assert replica is not None
     replica.running = 2
--- a/tests/forwarding/test_evacuations.py
+++ b/tests/forwarding/test_evacuations.py
@@ -69,10 +69,10 @@
     table = make_table(evacuations)
     table.change(evacuate("z-2"))
     table.change(evacuate("z-2"))
-    assert evacuations.zones == {"z-2"}
+    assert evacuations.cut_zones == {"z-2"}
     table.remove("evacuate/z-2")
     table.remove("evacuate/z-2")
-    assert evacuations.zones == frozenset()
+    assert evacuations.cut_zones == frozenset()
     assert evacuations.ended_at("z-2") is not None
     assert reported == [("z-2", True), ("z-2", False)]
 
@@ -81,24 +81,24 @@
     evacuations = make_evacuations()
     table = make_table(evacuations)
     table.replace([evacuate("z-2"), evacuate("z-3")])
-    assert evacuations.zones == {"z-2", "z-3"}
+    assert evacuations.cut_zones == {"z-2", "z-3"}
     table.replace([evacuate("z-3")])
-    assert evacuations.zones == {"z-3"}
+    assert evacuations.cut_zones == {"z-3"}
     table.replace([])
-    assert evacuations.zones == frozenset()
+    assert evacuations.cut_zones == frozenset()
 
 
 def test_an_unreadable_row_evacuates_its_zone() -> None:
     evacuations = make_evacuations()
     make_table(evacuations).change(Row("evacuate/z-2", b"\xff{", 1))
-    assert evacuations.zones == {"z-2"}
+    assert evacuations.cut_zones == {"z-2"}
 
 
 def test_an_unknown_zone_is_ignored() -> None:
     evacuations = make_evacuations()
     evacuations.begin("elsewhere")
     evacuations.end("elsewhere")
-    assert evacuations.zones == frozenset()
+    assert evacuations.cut_zones == frozenset()
     assert evacuations.ended_at("elsewhere") is None
 
 
@@ -106,11 +106,11 @@
     clock.staleness_s = 0.6
     evacuations = make_evacuations(clock)
     evacuations.begin("z-2")
-    assert (evacuations.announced, evacuations.zones) == ({"z-2"}, frozenset())
+    assert (evacuations.announced, evacuations.cut_zones) == ({"z-2"}, frozenset())
     clock.now += 0.4 * WITHIN_S - 0.001
-    assert evacuations.zones == frozenset()
+    assert evacuations.cut_zones == frozenset()
     clock.now += 0.001
-    assert (evacuations.announced, evacuations.zones) == ({"z-2"}, {"z-2"})
+    assert (evacuations.announced, evacuations.cut_zones) == ({"z-2"}, {"z-2"})
 
 
 @pytest.mark.parametrize(
@@ -124,7 +124,7 @@
     evacuations.begin("z-2")
     assert evacuations.cut_in_s("z-2") == announced_s
     clock.now += announced_s
-    assert evacuations.zones == {"z-2"}
+    assert evacuations.cut_zones == {"z-2"}
 
 
 def test_a_full_table_cuts_new_evacuations_at_once_but_not_announced_ones(clock: Clock) -> None:
@@ -133,9 +133,9 @@
     table.change(evacuate("z-2"))
     table.replace([evacuate("z-2"), evacuate("z-3")])
     assert evacuations.announced == {"z-2", "z-3"}
-    assert evacuations.zones == {"z-3"}
+    assert evacuations.cut_zones == {"z-3"}
     clock.now += 2.0
-    assert evacuations.zones == {"z-2", "z-3"}
+    assert evacuations.cut_zones == {"z-2", "z-3"}
 
 
 def test_a_repeated_evacuation_of_a_zone_has_its_own_bound(
@@ -145,12 +145,12 @@
     evacuations.begin("z-2")
     clock.now += 3.0
     evacuations.end("z-2")
-    assert evacuations.announced == evacuations.zones == frozenset()
+    assert evacuations.announced == evacuations.cut_zones == frozenset()
     clock.now += 0.5
     evacuations.begin("z-2")
-    assert evacuations.zones == frozenset()
+    assert evacuations.cut_zones == frozenset()
     clock.now += 2.0
-    assert evacuations.zones == {"z-2"}
+    assert evacuations.cut_zones == {"z-2"}
 
 
 def test_listeners_are_notified_of_a_cut_once_and_not_after_the_evacuation_ended() -> None:
@@ -165,7 +165,7 @@
     with gevent.Timeout(10):
         while not cut:
             gevent.sleep(0.005)
-    assert evacuations.zones == {"z-2"}
+    assert evacuations.cut_zones == {"z-2"}
     clock.staleness_s = 60.0
     evacuations.begin("z-1")
     assert cut == ["z-2", "z-1"]
@@ -179,7 +179,7 @@
     zones_at_configuration: list[frozenset[str]] = []
 
     def _record_zones(configuration: Configuration) -> None:
-        zones_at_configuration.append(evacuations.zones)
+        zones_at_configuration.append(evacuations.cut_zones)
 
     table = OperatorTable(
         on_configuration=_record_zones,
@@ -268,4 +268,4 @@
     as_of_s = clock.earliest_store(monotonic())
     follower.apply_reading(TableReading("op", 1, 2, [evacuate("z-2", 2)], as_of_s=as_of_s))
     assert follower.staleness_s < 0.1, "the table counts as fresh afterwards"
-    assert evacuations.zones == {"z-2"}
+    assert evacuations.cut_zones == {"z-2"}
--- a/tests/forwarding/test_fingerprint.py
+++ b/tests/forwarding/test_fingerprint.py
@@ -47,5 +47,5 @@
 
 
 def test_logs_show_the_start_of_the_fingerprint() -> None:
-    assert fingerprint().startswith(fingerprint().shown)
-    assert len(fingerprint().shown) == 12
+    assert fingerprint().startswith(fingerprint().short)
+    assert len(fingerprint().short) == 12
--- a/tests/forwarding/test_keys.py
+++ b/tests/forwarding/test_keys.py
@@ -6,7 +6,7 @@
 
 from springrock.forwarding.configuration import Configuration, RouteTable, Team
 from springrock.forwarding.errors import KeysStale, KeyUnknown
-from springrock.forwarding.keys import Admission, KeyGate, KeyTerms, digest_of, shown
+from springrock.forwarding.keys import Admission, KeyGate, KeyTerms, digest_of, digest_prefix
 from springrock.forwarding.request_progress import RequestProgress
 from tests.forwarding.test_values import make_request, make_route
 
@@ -32,7 +32,7 @@
 
 def test_a_known_key_gives_the_team() -> None:
     admission = GateFixture(ONE).admit()
-    assert (admission.team, admission.reported) == (ONE, "one")
+    assert (admission.team, admission.team_for_replicas) == (ONE, "one")
 
 
 @pytest.mark.parametrize("digest", [None, digest_of("other")])
@@ -45,7 +45,7 @@
 def test_without_teams_no_key_is_needed_and_client_headers_are_unchanged() -> None:
     table = RouteTable(Configuration(version=1))
     admission = GateFixture().gate.admit(table, make_route(), None)
-    assert (admission.team, admission.reported) == (None, None)
+    assert (admission.team, admission.team_for_replicas) == (None, None)
 
 
 def test_an_empty_list_of_teams_rejects_every_request() -> None:
@@ -56,9 +56,9 @@
 def test_a_public_route_needs_no_key_but_reports_the_team_of_a_known_key() -> None:
     fixture = GateFixture(ONE)
     fixture.stale_s = float("inf")
-    assert fixture.admit(None, public=True).reported == ""
-    assert fixture.admit(digest_of("other"), public=True).reported == ""
-    assert fixture.admit(KEY, public=True).reported == "one"
+    assert fixture.admit(None, public=True).team_for_replicas == ""
+    assert fixture.admit(digest_of("other"), public=True).team_for_replicas == ""
+    assert fixture.admit(KEY, public=True).team_for_replicas == "one"
 
 
 def test_a_key_is_trusted_for_less_than_the_revocation_bound() -> None:
@@ -122,5 +122,5 @@
 
 
 def test_logs_show_only_the_start_of_a_keys_digest() -> None:
-    assert shown(KEY) == KEY[:4].hex()
-    assert shown(None) == ""
+    assert digest_prefix(KEY) == KEY[:4].hex()
+    assert digest_prefix(None) == ""
--- a/tests/forwarding/test_notices_model.py
+++ b/tests/forwarding/test_notices_model.py
@@ -19,7 +19,7 @@
 from springrock.forwarding.dialect import ReplicaNotice
 from springrock.forwarding.directory import (
     Directory,
-    LeavingSign,
+    LeavingSource,
     Replica,
     ReplicaRecord,
     incarnation_of,
@@ -103,7 +103,7 @@
             case ReportedByBox(replica_id, born_ms):
                 instance = incarnation_of(replica_id, born_ms)
                 self._left_incarnations.add(instance)
-                self._directory.record_leaving(instance, LeavingSign.BOX)
+                self._directory.record_leaving(instance, LeavingSource.BOX)
             case Waited(seconds):
                 self.now += seconds
             case Answered() if self._sent:
--- a/tests/forwarding/test_regions.py
+++ b/tests/forwarding/test_regions.py
@@ -34,7 +34,7 @@
         self.instance = instance
         self.ended = False
 
-    def began(self) -> None:
+    def record_first_event(self) -> None:
         """Do nothing."""
 
     def end(self, outcome: UseOutcome, *, backoff_s: float = 0.0) -> None:
--- a/tests/forwarding/test_values.py
+++ b/tests/forwarding/test_values.py
@@ -19,7 +19,7 @@
     RouteTable,
     Share,
 )
-from springrock.forwarding.directory import Directory, LeavingSign, ReplicaRecord
+from springrock.forwarding.directory import Directory, LeavingSource, ReplicaRecord
 from springrock.forwarding.events import EventSplitter
 from springrock.forwarding.health import Health
 from springrock.forwarding.message import ClientRequest, Headers
@@ -115,8 +115,8 @@
     record = ReplicaRecord(instance="i-1", service="s", address="127.0.0.1:1", zone="z")
     directory.update(record)
     assert directory.leaving() == ()
-    directory.record_leaving("i-1", LeavingSign.BOX)
-    directory.record_leaving("i-2", LeavingSign.BOX)
+    directory.record_leaving("i-1", LeavingSource.BOX)
+    directory.record_leaving("i-2", LeavingSource.BOX)
     assert directory.leaving() == ("i-1",)
     directory.update(record)
     directory.update(msgspec.structs.replace(record, instance="i-2"))
--- a/tests/placement/test_demand.py
+++ b/tests/placement/test_demand.py
@@ -21,7 +21,7 @@
 ) -> AdapterRequest:
     now = monotonic()
     terms = WaitTerms(
-        worth=2.0, target_at=now + target_s, until=now + until_s, returns_within_s=returns_s
+        worth=2.0, target_at=now + target_s, until=now + until_s, retry_within_s=returns_s
     )
     return AdapterRequest("r-1", KEY, terms, (PromptPart("p", 10),), frozenset({"i-9"}))
 
@@ -47,7 +47,7 @@
     book.record_grant(ask.number, "i-1")
     use = task.get(timeout=10)
     assert use.instance == "i-1"
-    use.began()
+    use.record_first_event()
     use.end(UseOutcome.FULL)
     use.end(UseOutcome.ENDED)
     reported = book.drain_updates()
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -35,7 +35,7 @@
 
 KEY = AdapterKey("m", "a")
 ADAPTER_REQUEST = AdapterRequest(
-    "r-1", KEY, WaitTerms(worth=1.0, target_at=0.0, until=0.0, returns_within_s=0.0)
+    "r-1", KEY, WaitTerms(worth=1.0, target_at=0.0, until=0.0, retry_within_s=0.0)
 )
 ZONES = ("zone-1", "zone-2", "zone-3")
 
--- a/tests/quarantine/test_report.py
+++ b/tests/quarantine/test_report.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from springrock.forwarding.fingerprint import DIGITS
+from springrock.forwarding.fingerprint import FINGERPRINT_DIGITS
 from springrock.quarantine.report import MAX_REQUESTS, CrashReport, new_key, report_from
 from springrock.rows import Row
 
@@ -25,11 +25,11 @@
 def test_any_row_decodes_to_a_report_or_none(value: bytes) -> None:
     report = report_from(Row("crash/1", value, 1))
     for fingerprint in [] if report is None else report.fingerprints:
-        assert len(fingerprint) == DIGITS
+        assert len(fingerprint) == FINGERPRINT_DIGITS
 
 
 def test_a_report_with_too_many_requests_is_malformed() -> None:
-    report = CrashReport("box-1", "i-1", ["a" * DIGITS] * (MAX_REQUESTS + 1))
+    report = CrashReport("box-1", "i-1", ["a" * FINGERPRINT_DIGITS] * (MAX_REQUESTS + 1))
     assert report_from(Row("crash/1", msgspec.json.encode(report), 1)) is None
 
 
