--- a/springrock/coordination/__init__.py
+++ b/springrock/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Coordination parts: what boxes agree on through the platform and tell each other."""
+"""Coordination between boxes, through the platform's table and over links between the boxes."""
--- a/springrock/coordination/catalog.py
+++ b/springrock/coordination/catalog.py
@@ -1,7 +1,7 @@
-"""The catalog: what the configuration says, as one box knows it, at one revision.
+"""The catalog: one box's copy of the configuration at one revision.
 
-Adapters are many and mostly idle, so they are not Python objects here: they stand packed in
-buckets by hash, and one is decoded when it is asked for.
+There are many adapters and most are idle, so they are not kept as Python objects: they are stored
+encoded in hash buckets, and a bucket is decoded when one of its adapters is looked up.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 
     Attributes:
         name: ``BASE:ADAPTER``.
-        versions: The versions that can be asked for, ascending.
-        current: The version that a request without one gets.
-        workloads: Who may use it; empty for everyone.
+        versions: The versions that a request may name, in ascending order.
+        current: The version that serves a request that names none.
+        workloads: The workloads that may use the adapter; empty if all may.
     """
 
     name: str
@@ -36,7 +36,7 @@
 
     @property
     def key(self) -> str:
-        """The entity's key."""
+        """The entity's key in the catalog."""
         return f"{_ADAPTER_PREFIX}{self.name}"
 
 
@@ -45,9 +45,10 @@
 
     Attributes:
         priority: Added to the priority of its requests.
-        share: Its part of a contended replica, relative to other workloads.
-        requests_per_s: Its limit over all boxes; 0 for none.
-        stall_weight: 0 weighs batch efficiency alone, 1 weighs load stalls alone.
+        share: Its share of a contended replica, relative to the shares of other workloads.
+        requests_per_s: Its rate limit over all boxes together; 0 for no limit.
+        stall_weight: The weight of load stalls against batch efficiency, from 0 (only batch
+            efficiency counts) to 1 (only load stalls count).
     """
 
     name: str
@@ -58,7 +59,7 @@
 
     @property
     def key(self) -> str:
-        """The entity's key."""
+        """The entity's key in the catalog."""
         return f"{_WORKLOAD_PREFIX}{self.name}"
 
 
@@ -74,14 +75,14 @@
 
 
 class Pin(msgspec.Struct, frozen=True, array_like=True):
-    """An operator's wish that a replica holds an adapter: ``pin/REPLICA/ADAPTER@VERSION``."""
+    """An operator's order to keep an adapter on a replica: ``pin/REPLICA/ADAPTER@VERSION``."""
 
     replica: str
     adapter: str
 
     @property
     def key(self) -> str:
-        """The entity's key."""
+        """The entity's key in the catalog."""
         return f"{_PIN_PREFIX}{self.replica}/{self.adapter}"
 
 
@@ -92,11 +93,13 @@
     """One accepted change of the configuration.
 
     Attributes:
-        revision: Its place in the order of all changes.
-        command_id: The identifier of the operator's command, so that a retry finds it done.
+        revision: The change's position in the order of all changes.
+        command_id: The identifier of the operator's command; a retry of the command with the
+            same identifier is not committed again.
         who: The operator.
-        at: When, in seconds since the epoch, by the clock of the box that took it; to read only.
-        statement: What the operator wrote.
+        at: When the change was committed, in seconds since the epoch by the clock of the
+            committing box; for display only.
+        statement: The operator's statement.
     """
 
     revision: int
@@ -112,44 +115,44 @@
 
     @property
     def entities(self) -> list[Entity]:
-        """Everything that the change writes."""
+        """All entities that the change writes."""
         return [*self.adapters, *self.workloads, *self.marks, *self.pins]
 
     @property
     def keys(self) -> list[str]:
-        """Every key that the change writes or deletes."""
+        """All keys that the change writes or deletes."""
         return [entity.key for entity in self.entities] + self.deletes
 
 
-class _Packed(NamedTuple):
+class _StoredAdapter(NamedTuple):
     revision: int
     adapter: Adapter
 
 
-class _Shelf:
-    """Adapters packed in buckets of bytes."""
+class _AdapterStore:
+    """Adapters by name, encoded in hash buckets."""
 
     def __init__(self) -> None:
         self._buckets: list[bytes] = [b""] * _BUCKETS
         self._decoder = msgspec.msgpack.Decoder(list[tuple[int, Adapter]])
         self.count = 0
 
-    def get(self, name: str) -> _Packed | None:
-        for packed in self._read(self._index(name)):
-            if packed.adapter.name == name:
-                return packed
+    def get(self, name: str) -> _StoredAdapter | None:
+        for stored in self._read(self._index(name)):
+            if stored.adapter.name == name:
+                return stored
         return None
 
     def put(self, adapter: Adapter, revision: int) -> None:
         index = self._index(adapter.name)
-        kept = [packed for packed in self._read(index) if packed.adapter.name != adapter.name]
+        kept = [stored for stored in self._read(index) if stored.adapter.name != adapter.name]
         self.count -= len(self._read(index)) - len(kept)
-        self._write(index, [*kept, _Packed(revision, adapter)])
+        self._write(index, [*kept, _StoredAdapter(revision, adapter)])
         self.count += 1
 
-    def put_many(self, items: list[_Packed]) -> None:
-        """Add items to an empty shelf, each bucket packed once."""
-        by_index: dict[int, list[_Packed]] = {}
+    def put_many(self, items: list[_StoredAdapter]) -> None:
+        """Fill an empty store, encoding each bucket once."""
+        by_index: dict[int, list[_StoredAdapter]] = {}
         for item in items:
             by_index.setdefault(self._index(item.adapter.name), []).append(item)
         for index, bucket in by_index.items():
@@ -159,35 +162,35 @@
     def delete(self, name: str) -> None:
         index = self._index(name)
         before = self._read(index)
-        kept = [packed for packed in before if packed.adapter.name != name]
+        kept = [stored for stored in before if stored.adapter.name != name]
         self._write(index, kept)
         self.count -= len(before) - len(kept)
 
-    def __iter__(self) -> Iterator[_Packed]:
+    def __iter__(self) -> Iterator[_StoredAdapter]:
         for index in range(_BUCKETS):
             yield from self._read(index)
 
     def _index(self, name: str) -> int:
         return crc32(name.encode()) % _BUCKETS
 
-    def _read(self, index: int) -> list[_Packed]:
-        raw = self._buckets[index]
-        return [_Packed(*item) for item in self._decoder.decode(raw)] if raw else []
+    def _read(self, index: int) -> list[_StoredAdapter]:
+        encoded = self._buckets[index]
+        return [_StoredAdapter(*item) for item in self._decoder.decode(encoded)] if encoded else []
 
-    def _write(self, index: int, items: list[_Packed]) -> None:
+    def _write(self, index: int, items: list[_StoredAdapter]) -> None:
         self._buckets[index] = msgspec.msgpack.encode(items) if items else b""
 
 
 class Catalog:
-    """Everything the configuration says, at one revision that only rises."""
+    """The whole configuration at one revision; the revision never decreases."""
 
     def __init__(self) -> None:
         self.revision = 0
-        self._shelf = _Shelf()
-        self._others: dict[str, tuple[int, Entity]] = {}
+        self._adapters = _AdapterStore()
+        self._other_entities: dict[str, tuple[int, Entity]] = {}
 
     def apply(self, change: Change) -> bool:
-        """Apply the next change; return False for one that is not the next."""
+        """Apply a change; return False if its revision is not the next one."""
         if change.revision != self.revision + 1:
             return False
         for entity in change.entities:
@@ -198,58 +201,58 @@
         return True
 
     def adapter(self, name: str) -> Adapter | None:
-        """Return an adapter by ``BASE:ADAPTER``."""
-        packed = self._shelf.get(name)
-        return packed.adapter if packed else None
+        """Return the adapter named ``BASE:ADAPTER``, or None if there is none."""
+        stored = self._adapters.get(name)
+        return stored.adapter if stored else None
 
     def workload(self, name: str) -> Workload | None:
-        """Return a workload."""
-        found = self._others.get(f"{_WORKLOAD_PREFIX}{name}")
+        """Return the workload of a name, or None if there is none."""
+        found = self._other_entities.get(f"{_WORKLOAD_PREFIX}{name}")
         return found[1] if found and isinstance(found[1], Workload) else None
 
     def workloads(self) -> list[Workload]:
         """Return all workloads, sorted by name."""
-        return [item for item in self._sorted_others() if isinstance(item, Workload)]
+        return [item for item in self._sorted_other_entities() if isinstance(item, Workload)]
 
     def pins(self, replica: str | None = None) -> list[Pin]:
-        """Return the pins of a replica, or all."""
-        pins = [item for item in self._sorted_others() if isinstance(item, Pin)]
+        """Return the pins of a replica, or of all replicas, sorted by key."""
+        pins = [item for item in self._sorted_other_entities() if isinstance(item, Pin)]
         return [pin for pin in pins if replica in (None, pin.replica)]
 
     def marks(self) -> list[Mark]:
         """Return all marks, sorted by key."""
-        return [item for item in self._sorted_others() if isinstance(item, Mark)]
+        return [item for item in self._sorted_other_entities() if isinstance(item, Mark)]
 
     def drained(self, replica: str) -> bool:
-        """Whether an operator took a replica out of service."""
-        return Mark.drain(replica).key in self._others
+        """Whether an operator has taken a replica out of service."""
+        return Mark.drain(replica).key in self._other_entities
 
     def adapters(self) -> Iterator[Adapter]:
-        """Iterate over all adapters, in no order."""
-        return (packed.adapter for packed in self._shelf)
+        """Iterate over all adapters, in no particular order."""
+        return (stored.adapter for stored in self._adapters)
 
     @property
     def adapter_count(self) -> int:
-        """How many adapters there are."""
-        return self._shelf.count
+        """The number of adapters."""
+        return self._adapters.count
 
     def revision_of(self, key: str) -> int:
-        """Return the revision in which a key last changed; 0 if it does not exist."""
+        """Return the revision that last changed an entity, or 0 if the key does not exist."""
         if key.startswith(_ADAPTER_PREFIX):
-            packed = self._shelf.get(key.removeprefix(_ADAPTER_PREFIX))
-            return packed.revision if packed else 0
-        found = self._others.get(key)
+            stored = self._adapters.get(key.removeprefix(_ADAPTER_PREFIX))
+            return stored.revision if stored else 0
+        found = self._other_entities.get(key)
         return found[0] if found else 0
 
     def snapshot(self) -> bytes:
         """Encode the whole catalog."""
         others = [
             (revision, entity, type(entity).__name__)
-            for revision, entity in self._others.values()
+            for revision, entity in self._other_entities.values()
             if not isinstance(entity, Adapter)
         ]
         return msgspec.msgpack.encode(
-            {"revision": self.revision, "adapters": list(self._shelf), "others": others}
+            {"revision": self.revision, "adapters": list(self._adapters), "others": others}
         )
 
     @classmethod
@@ -257,31 +260,31 @@
         """Build a catalog from an encoded snapshot.
 
         Raises:
-            msgspec.MsgspecError: If the data is not a snapshot.
+            msgspec.MsgspecError: If the data is not an encoded snapshot.
         """
         raw = msgspec.msgpack.decode(data, type=_RawSnapshot)
         catalog = cls()
-        catalog._shelf.put_many([_Packed(*item) for item in raw.adapters])
+        catalog._adapters.put_many([_StoredAdapter(*item) for item in raw.adapters])
         for revision, value, kind in raw.others:
-            entity: Entity = msgspec.convert(value, _KINDS[kind])
-            catalog._others[entity.key] = (revision, entity)
+            entity: Entity = msgspec.convert(value, _ENTITY_TYPES[kind])
+            catalog._other_entities[entity.key] = (revision, entity)
         catalog.revision = raw.revision
         return catalog
 
     def _put(self, entity: Entity, revision: int) -> None:
         if isinstance(entity, Adapter):
-            self._shelf.put(entity, revision)
+            self._adapters.put(entity, revision)
         else:
-            self._others[entity.key] = (revision, entity)
+            self._other_entities[entity.key] = (revision, entity)
 
     def _delete(self, key: str) -> None:
         if key.startswith(_ADAPTER_PREFIX):
-            self._shelf.delete(key.removeprefix(_ADAPTER_PREFIX))
+            self._adapters.delete(key.removeprefix(_ADAPTER_PREFIX))
         else:
-            self._others.pop(key, None)
+            self._other_entities.pop(key, None)
 
-    def _sorted_others(self) -> list[Entity]:
-        return [self._others[key][1] for key in sorted(self._others)]
+    def _sorted_other_entities(self) -> list[Entity]:
+        return [self._other_entities[key][1] for key in sorted(self._other_entities)]
 
 
 class _RawSnapshot(msgspec.Struct, frozen=True):
@@ -290,7 +293,7 @@
     others: list[tuple[int, list[object], str]]
 
 
-_KINDS: dict[str, type[Workload] | type[Mark] | type[Pin]] = {
+_ENTITY_TYPES: dict[str, type[Workload] | type[Mark] | type[Pin]] = {
     "Workload": Workload,
     "Mark": Mark,
     "Pin": Pin,
--- a/springrock/coordination/claims.py
+++ b/springrock/coordination/claims.py
@@ -1,7 +1,8 @@
-"""Claims: at most one run of a request that is not repeatable, across boxes and retries.
+"""Claims: run a request that is not repeatable at most once, across boxes and retries.
 
-Before such a request with an identifier is sent, its claim is written through the table. Many
-claims go in one transaction; one that stands already fails alone and the rest are tried again.
+Before a box sends such a request that has an identifier, it writes a claim row to the table.
+Claims are written in batches, one transaction each. If some claims of a batch exist already, only
+these fail, and the others are written in another transaction.
 """
 
 from __future__ import annotations
@@ -20,23 +21,23 @@
 
 CLAIM_PREFIX = "claim/"
 _BATCH_LIMIT = 128
-_GATHER_S = 0.002
+_BATCH_WINDOW_S = 0.002
 _OUTAGE_RETRY_AFTER_S = 5.0
 
 
 class ClaimValue(msgspec.Struct, frozen=True, array_like=True):
-    """What a claim row says.
+    """The value of a claim row.
 
     Attributes:
-        nonce: Tells the writer of a write whose answer was lost.
-        box: The box that sent, or sends, the request.
+        nonce: Identifies the write, so that its writer recognizes it if the answer was lost.
+        box: The box that claimed the request.
     """
 
     nonce: str
     box: str
 
 
-class _Wanted:
+class _PendingClaim:
     def __init__(self, key: str, box: str) -> None:
         self.key = key
         self.value = ClaimValue(new_id(), box)
@@ -46,8 +47,8 @@
     def put(self) -> Put:
         return Put(self.key, msgspec.json.encode(self.value))
 
-    def decide(self, rows: dict[str, Row]) -> None:
-        """Settle by what stands in the table."""
+    def resolve(self, rows: dict[str, Row]) -> None:
+        """Set the result from the existing claim row: Ok if this claim wrote it."""
         row = rows[self.key]
         existing = msgspec.json.decode(row.value, type=ClaimValue)
         if existing.nonce == self.value.nonce:
@@ -57,7 +58,7 @@
 
 
 class Claims:
-    """Writes the claims of one box, many in one transaction.
+    """Writes the claims of one box in batches.
 
     Args:
         platform: The platform client.
@@ -67,35 +68,35 @@
     def __init__(self, platform: Platform, *, box: str) -> None:
         self._platform = platform
         self._box = box
-        self._queue: list[_Wanted] = []
-        self._work = Event()
-        self._loop: gevent.Greenlet[..., Any] | None = None
+        self._pending_claims: list[_PendingClaim] = []
+        self._has_pending = Event()
+        self._writer: gevent.Greenlet[..., Any] | None = None
         self.transactions = 0
         self.claimed = 0
 
     def start(self) -> None:
-        """Begin writing in the background."""
-        self._loop = gevent.spawn(self._write_loop)
+        """Start the background task that writes claims."""
+        self._writer = gevent.spawn(self._write_loop)
 
     def stop(self) -> None:
-        """Stop writing."""
-        if self._loop is not None:
-            self._loop.kill()
+        """Stop the background task."""
+        if self._writer is not None:
+            self._writer.kill()
 
     def claim(self, request_id: str) -> Result[None, Refusal]:
-        """Claim a request; Ok only if nobody claimed it before."""
-        wanted = _Wanted(f"{CLAIM_PREFIX}{request_id}", self._box)
-        self._queue.append(wanted)
-        self._work.set()
-        result = wanted.result.get()
+        """Claim a request and wait for the outcome; Ok if it had not been claimed before."""
+        pending = _PendingClaim(f"{CLAIM_PREFIX}{request_id}", self._box)
+        self._pending_claims.append(pending)
+        self._has_pending.set()
+        result = pending.result.get()
         assert result is not None
         return result
 
     def release(self, request_id: str) -> None:
-        """Take back a claim of this box whose request was certainly not run.
+        """Delete this box's claim of a request that was certainly not run.
 
-        If the platform cannot be reached the claim stays: a repeat is then refused as already
-        claimed, which is safe.
+        If the platform cannot be reached, the claim row remains and a repeat of the request is
+        refused as already claimed, which is safe.
         """
         key = f"{CLAIM_PREFIX}{request_id}"
         try:
@@ -111,15 +112,15 @@
 
     def _write_loop(self) -> None:
         while True:
-            self._work.wait()
-            gevent.sleep(_GATHER_S)
-            batch = self._queue[:_BATCH_LIMIT]
-            del self._queue[:_BATCH_LIMIT]
-            if not self._queue:
-                self._work.clear()
-            self._write(_without_doubles(batch))
-
-    def _write(self, batch: list[_Wanted]) -> None:
+            self._has_pending.wait()
+            gevent.sleep(_BATCH_WINDOW_S)
+            batch = self._pending_claims[:_BATCH_LIMIT]
+            del self._pending_claims[:_BATCH_LIMIT]
+            if not self._pending_claims:
+                self._has_pending.clear()
+            self._write(_refuse_duplicates(batch))
+
+    def _write(self, batch: list[_PendingClaim]) -> None:
         while batch:
             try:
                 batch = self._write_once(batch)
@@ -127,61 +128,62 @@
                 self._resolve_by_reading(batch)
                 return
 
-    def _write_once(self, batch: list[_Wanted]) -> list[_Wanted]:
-        """Try one transaction; return what is left to try again."""
+    def _write_once(self, batch: list[_PendingClaim]) -> list[_PendingClaim]:
+        """Write a batch in one transaction; return the claims that must be written again."""
         self.transactions += 1
         answer = self._platform.transact(
             Transaction(
-                checks=[Check(wanted.key, ABSENT) for wanted in batch],
-                puts=[wanted.put for wanted in batch],
+                checks=[Check(pending.key, ABSENT) for pending in batch],
+                puts=[pending.put for pending in batch],
             )
         )
         if answer.committed:
             self.claimed += len(batch)
-            for wanted in batch:
-                wanted.result.set(Ok(None))
+            for pending in batch:
+                pending.result.set(Ok(None))
             return []
         failed = {row.key: row for row in answer.failed}
-        for wanted in batch:
-            if wanted.key in failed:
-                wanted.decide(failed)
-        return [wanted for wanted in batch if wanted.key not in failed]
+        for pending in batch:
+            if pending.key in failed:
+                pending.resolve(failed)
+        return [pending for pending in batch if pending.key not in failed]
 
-    def _resolve_by_reading(self, batch: list[_Wanted]) -> None:
-        """After a lost answer: refuse. A claim that stands after all blocks only its repeat.
+    def _resolve_by_reading(self, batch: list[_PendingClaim]) -> None:
+        """Refuse the requests of a batch whose transaction got no answer.
 
-        The request has not been sent, so "not run" is true either way; the claim is taken back
-        in the background so that a repeat can go through.
+        No request of the batch has been sent, so "not run" is correct whether or not the write
+        took effect. A claim that was written after all would block a repeat of its request, so
+        it is deleted in the background.
         """
-        for wanted in batch:
-            wanted.result.set(Error(_platform_out()))
-            gevent.spawn(self._delete_claim, wanted)
+        for pending in batch:
+            pending.result.set(Error(_platform_unavailable()))
+            gevent.spawn(self._delete_claim, pending)
 
-    def _delete_claim(self, wanted: _Wanted) -> None:
-        """Delete our claim once the table answers again, if the lost write took effect."""
+    def _delete_claim(self, pending: _PendingClaim) -> None:
+        """Retry until the table answers, and delete the claim row if the write took effect."""
         while True:
             gevent.sleep(1.0)
             try:
-                rows = {row.key: row for row in self._platform.rows(wanted.key)}
-                row = rows.get(wanted.key)
+                rows = {row.key: row for row in self._platform.rows(pending.key)}
+                row = rows.get(pending.key)
                 if row is None:
                     return
-                if msgspec.json.decode(row.value, type=ClaimValue) != wanted.value:
+                if msgspec.json.decode(row.value, type=ClaimValue) != pending.value:
                     return
-                check = Check(wanted.key, row.version)
-                self._platform.transact(Transaction(checks=[check], deletes=[wanted.key]))
+                check = Check(pending.key, row.version)
+                self._platform.transact(Transaction(checks=[check], deletes=[pending.key]))
                 return
             except PlatformUnavailable:
                 continue
 
 
-def _without_doubles(batch: list[_Wanted]) -> list[_Wanted]:
-    """Refuse all but the first of several claims to the same request."""
-    first: dict[str, _Wanted] = {}
-    for wanted in batch:
-        existing = first.setdefault(wanted.key, wanted)
-        if existing is not wanted:
-            wanted.result.set(Error(_already_claimed(existing.value)))
+def _refuse_duplicates(batch: list[_PendingClaim]) -> list[_PendingClaim]:
+    """Refuse all but the first claim of each request; return the claims that remain."""
+    first: dict[str, _PendingClaim] = {}
+    for pending in batch:
+        existing = first.setdefault(pending.key, pending)
+        if existing is not pending:
+            pending.result.set(Error(_already_claimed(existing.value)))
     return list(first.values())
 
 
@@ -190,6 +192,6 @@
     return Refusal(Cause.ALREADY_CLAIMED, detail, RunState.UNKNOWN)
 
 
-def _platform_out() -> Refusal:
+def _platform_unavailable() -> Refusal:
     detail = "a request that is not repeatable cannot be claimed while the platform is out"
     return Refusal(Cause.PLATFORM_UNAVAILABLE, detail, RunState.NOT_RUN, _OUTAGE_RETRY_AFTER_S)
--- a/springrock/coordination/feed.py
+++ b/springrock/coordination/feed.py
@@ -1,7 +1,7 @@
-"""The configuration feed: follows the table's numbered changes and commits new ones.
+"""The configuration feed: reads the numbered changes from the table and commits new ones.
 
-One reader for each zone polls the head every second and tells its peers; every box also polls
-slowly by itself. A box that cannot read the table takes the changes from a peer.
+In each zone one box, the reader, polls the head row every second and notifies its peers. Every
+other box also polls, less often. A box that cannot read the table fetches changes from a peer.
 """
 
 from __future__ import annotations
@@ -40,14 +40,14 @@
 SNAPSHOT_NAME = "configuration-snapshot-{revision:012d}"
 
 _CHANGES_BETWEEN_SNAPSHOTS = 500
-_REMEMBERED_CHANGES = 1_000
-_COMMIT_TRIES = 40
-_BEHIND_LIMIT_S = 5.0
-_BACKOFF_S = 0.05
+_MAX_RECENT_CHANGES = 1_000
+_MAX_COMMIT_ATTEMPTS = 40
+_MAX_BEHIND_S = 5.0
+_COMMIT_RETRY_DELAY_S = 0.05
 
 
 class HeadValue(msgspec.Struct, frozen=True, array_like=True):
-    """The newest revision, and that of the newest snapshot."""
+    """The value of the head row: the newest revision, and the newest snapshot's revision."""
 
     revision: int
     snapshot_revision: int
@@ -61,11 +61,11 @@
         settings: How often to poll.
         box: The name of this box.
         zone: Its availability zone.
-        members: Tells who the zone's reader is.
+        members: The view of all boxes, from which the zone's reader is chosen.
         peers: The links to the other boxes.
         log: The log to write to.
         metrics: The metrics to count in.
-        on_change: Called after a change was applied.
+        on_change: Called after each applied change.
     """
 
     def __init__(
@@ -90,46 +90,49 @@
         self._log = log
         self._metrics = metrics
         self._on_change = on_change
-        self._unread = Condition(
-            log, begins="Cannot read the configuration.", ends="Read the configuration again."
+        self._read_condition = Condition(
+            log,
+            begins="Cannot read the configuration.",
+            ends="The configuration is readable again.",
         )
         self._lock = RLock()
         self._head_version = ABSENT
         self._head = HeadValue(0, 0)
-        self._known_revision = 0
+        self._newest_known_revision = 0
         self._behind_since: float | None = None
         self._wake = Event()
-        self._loop: gevent.Greenlet[..., Any] | None = None
-        self.recent: deque[Change] = deque(maxlen=_REMEMBERED_CHANGES)
+        self._task: gevent.Greenlet[..., Any] | None = None
+        self.recent: deque[Change] = deque(maxlen=_MAX_RECENT_CHANGES)
         self.catalog = Catalog()
         self.loaded = False
         peers.handle(wire.Head, self._on_head)
         peers.handle(wire.FetchChanges, self._on_fetch)
-        peers.on_link.append(self._greet)
+        peers.on_link.append(self._send_head)
 
     def start(self) -> None:
-        """Begin following in the background."""
-        self._loop = gevent.spawn(self._follow_loop)
+        """Start the background task that follows the configuration."""
+        self._task = gevent.spawn(self._follow_loop)
 
     def stop(self) -> None:
-        """Stop following."""
-        if self._loop is not None:
-            self._loop.kill()
+        """Stop the background task."""
+        if self._task is not None:
+            self._task.kill()
 
     @property
     def current(self) -> bool:
-        """Whether this box may serve on its catalog.
+        """Whether the catalog is recent enough to serve requests.
 
-        False before the first load, and when a newer revision has been known for some seconds.
+        False before the first load, and once a newer revision has been known for
+        `_MAX_BEHIND_S` but could not be loaded.
         """
         if not self.loaded:
             return False
         if self._behind_since is None:
             return True
-        return monotonic() - self._behind_since < _BEHIND_LIMIT_S
+        return monotonic() - self._behind_since < _MAX_BEHIND_S
 
     def sync(self) -> None:
-        """Bring the catalog to the head.
+        """Update the catalog to the revision of the head row.
 
         Raises:
             PlatformUnavailable: If the platform cannot be read.
@@ -147,22 +150,23 @@
             self._record_known(self._head.revision)
 
     def commit(self, build: Callable[[Catalog], Change], *, expects: dict[str, int]) -> int:
-        """Commit a change, or find that it was committed before.
+        """Commit a change, unless its command was committed before.
 
         Args:
-            build: Makes the change from the newest catalog; its revision is set here. It may
-                raise StatementError.
-            expects: For keys that the operator has looked at, the revision that was seen.
+            build: Builds the change from the newest catalog; its revision is set by this method.
+                It may raise StatementError.
+            expects: The revisions at which the operator read the entities, by key.
 
         Returns:
-            The revision of the change.
+            The revision of the change, also if it was committed before.
 
         Raises:
-            ConfigurationConflict: If another change to the same key stands.
+            ConfigurationConflict: If a key of `expects` has changed since that revision.
             PlatformUnavailable: If the platform cannot be reached; a retry with the same
                 command id is safe.
+            StatementError: If other changes were committed first at every attempt.
         """
-        for _ in range(_COMMIT_TRIES):
+        for _ in range(_MAX_COMMIT_ATTEMPTS):
             with self._lock:
                 self.sync()
                 change = build(self.catalog)
@@ -176,23 +180,27 @@
                     self.sync()
                     self._peers.broadcast(wire.Head(self.catalog.revision))
                     return revision
-            gevent.sleep(_BACKOFF_S)
+            gevent.sleep(_COMMIT_RETRY_DELAY_S)
         raise StatementError("too many other changes at this moment; repeat the statement")
 
     def find_command(self, command_id: str) -> Change | None:
-        """Return the change that a command made, if it is among the recent ones."""
+        """Return the change that a command committed, if it is among the recent changes."""
         return next((item for item in self.recent if item.command_id == command_id), None)
 
     def last_change_of(self, key: str) -> Change | None:
-        """Return the newest remembered change of a key."""
+        """Return the newest of the recent changes that wrote or deleted a key."""
         return next((item for item in reversed(self.recent) if key in item.keys), None)
 
     def _check_expectations(self, expects: dict[str, int]) -> None:
         for key, seen in expects.items():
             if self.catalog.revision_of(key) == seen:
                 continue
-            winner = self.last_change_of(key)
-            text = f"{winner.who} in revision {winner.revision}" if winner else "another operator"
+            conflicting = self.last_change_of(key)
+            text = (
+                f"{conflicting.who} in revision {conflicting.revision}"
+                if conflicting
+                else "another operator"
+            )
             raise ConfigurationConflict(key, text)
 
     def _try_commit(self, change: Change) -> bool:
@@ -208,13 +216,13 @@
                     Put(HEAD_KEY, msgspec.json.encode(head)),
                     Put(_change_key(change.revision), msgspec.json.encode(change)),
                 ],
-                deletes=self._outdated(head) if snapshot_due else [],
+                deletes=self._obsolete_change_keys(head) if snapshot_due else [],
             )
         )
         return answer.committed
 
-    def _outdated(self, head: HeadValue) -> list[str]:
-        """Return the keys of the changes before the previous snapshot, which nobody reads now."""
+    def _obsolete_change_keys(self, head: HeadValue) -> list[str]:
+        """Return the keys of the changes up to the previous snapshot, which are not read again."""
         last = self._head.snapshot_revision
         first = max(1, last - _CHANGES_BETWEEN_SNAPSHOTS + 1)
         return [_change_key(revision) for revision in range(first, last + 1)]
@@ -229,10 +237,10 @@
         if data is None:
             raise PlatformUnavailable(f"snapshot {name} is missing")
         self.catalog = Catalog.from_snapshot(data)
-        self._remember_older()
+        self._restore_recent_changes()
 
-    def _remember_older(self) -> None:
-        """Remember the changes that the snapshot holds, so that retried commands are found."""
+    def _restore_recent_changes(self) -> None:
+        """Add the changes that the snapshot includes, so that `find_command` finds retries."""
         for row in self._platform.rows(CHANGE_PREFIX):
             change = msgspec.json.decode(row.value, type=Change)
             if change.revision <= self.catalog.revision:
@@ -243,7 +251,7 @@
             self._apply(msgspec.json.decode(row.value, type=Change))
 
     def _change_rows(self) -> list[Row]:
-        """Read the rows after this catalog's revision, by the longest prefix they share."""
+        """Read the rows of newer changes, by the longest prefix that their keys share."""
         first = _change_key(self.catalog.revision + 1)
         last = _change_key(self._head.revision)
         shared = len(CHANGE_PREFIX)
@@ -257,7 +265,7 @@
         self.recent.append(change)
         self._metrics.revision.set(change.revision)
         self._log.say(
-            "Applied a change.",
+            "Applied a configuration change.",
             revision=change.revision,
             who=change.who,
             statement=change.statement,
@@ -265,22 +273,22 @@
         self._on_change()
 
     def _record_known(self, revision: int) -> None:
-        self._known_revision = max(self._known_revision, revision)
-        if self.catalog.revision >= self._known_revision:
+        self._newest_known_revision = max(self._newest_known_revision, revision)
+        if self.catalog.revision >= self._newest_known_revision:
             self._behind_since = None
         elif self._behind_since is None:
             self._behind_since = monotonic()
 
-    # Following.
+    # Following the head row.
 
     def _follow_loop(self) -> None:
         while True:
             before = self.catalog.revision
             try:
                 self.sync()
-                self._unread.end()
+                self._read_condition.end()
             except PlatformUnavailable as error:
-                self._unread.begin(error=str(error))
+                self._read_condition.begin(error=str(error))
                 self._fetch_from_peers()
             if self.catalog.revision > before:
                 self._peers.broadcast(wire.Head(self.catalog.revision))
@@ -294,7 +302,7 @@
             return self._settings.head_poll_s
         return self._settings.slow_poll_s
 
-    def _greet(self, link: Link) -> None:
+    def _send_head(self, link: Link) -> None:
         try:
             link.notify(wire.Head(self.catalog.revision))
         except PeerUnreachable:
@@ -310,8 +318,8 @@
         return wire.Changes(question.number, [msgspec.json.encode(change) for change in newer])
 
     def _fetch_from_peers(self) -> None:
-        """Take changes from any peer that is ahead; used while the table cannot be read."""
-        if self._known_revision <= self.catalog.revision:
+        """Apply changes from peers, if a newer revision is known but the table is unreadable."""
+        if self._newest_known_revision <= self.catalog.revision:
             return
         for link in self._peers.links():
             try:
--- a/springrock/coordination/link.py
+++ b/springrock/coordination/link.py
@@ -1,4 +1,4 @@
-"""One open link to another box: questions that wait for answers, and notices."""
+"""One open link to another box, which carries questions with their answers, and notices."""
 
 from __future__ import annotations
 
@@ -18,15 +18,17 @@
 A = TypeVar("A", bound=msgspec.Struct)
 
 SOCKET_FAILURES = (OSError, WebSocketException, EOFError, TimeoutError)
-"""What sending and receiving raise when a link is broken."""
+"""The exceptions that sending and receiving raise when a link is broken."""
 
 
 class Link:
     """One open link.
 
     Attributes:
-        box: The box at the other end.
+        box: The name of the box at the other end.
         zone: Its availability zone.
+        incarnation: The incarnation of its session.
+        open: Whether the link has not been closed.
     """
 
     def __init__(
@@ -35,7 +37,7 @@
         self._connection = connection
         self._metrics = metrics
         self._pending: dict[int, AsyncResult[Any]] = {}
-        self._numbers = 0
+        self._last_number = 0
         self.box = hello.box
         self.zone = hello.zone
         self.incarnation = hello.incarnation
@@ -45,20 +47,20 @@
         """Send a question and wait for its answer.
 
         Args:
-            question: The question; its number is set here.
-            kind: The expected kind of answer.
+            question: The question; its number is set by this method.
+            kind: The expected type of the answer.
             timeout_s: How long to wait.
 
         Raises:
-            PeerUnreachable: If no such answer came.
+            PeerUnreachable: If the link is broken, or no answer of this type came in time.
         """
         number, result = self.begin(question)
         return self.finish(number, result, kind, timeout_s=timeout_s)
 
     def begin(self, question: wire.Question) -> tuple[int, AsyncResult[Any]]:
-        """Send a question and return its number and where the answer will appear."""
-        self._numbers += 1
-        number = self._numbers
+        """Send a question; return its number and the result that will hold the answer."""
+        self._last_number += 1
+        number = self._last_number
         result: AsyncResult[Any] = AsyncResult()
         self._pending[number] = result
         try:
@@ -71,7 +73,11 @@
     def finish(
         self, number: int, result: AsyncResult[Any], kind: type[A], *, timeout_s: float
     ) -> A:
-        """Wait for the answer to a question that was begun."""
+        """Wait for the answer to a question that `begin` has sent.
+
+        Raises:
+            PeerUnreachable: If the link is broken, or no answer of this type came in time.
+        """
         try:
             answer = result.get(timeout=timeout_s)
         except gevent.Timeout:
@@ -83,7 +89,7 @@
         return answer
 
     def withdraw(self, number: int) -> None:
-        """Tell the other end that a question needs no answer any more."""
+        """Notify the other box that a question needs no answer any more."""
         self._pending.pop(number, None)
         try:
             self.notify(wire.Withdraw(number))
@@ -91,7 +97,7 @@
             return
 
     def notify(self, message: wire.PeerMessage) -> None:
-        """Send a message without waiting.
+        """Send a message without waiting for an answer.
 
         Raises:
             PeerUnreachable: If the link is broken.
@@ -108,7 +114,8 @@
         """Wait for the next message.
 
         Raises:
-            PeerRejected: If it is malformed.
+            PeerRejected: If the message is malformed.
+            UnknownKind: If a later build may have sent the message.
         """
         frame = self._connection.recv()
         self._metrics.peer_bytes.labels("received").inc(len(frame))
@@ -116,7 +123,7 @@
         return wire.decode(frame)
 
     def resolve(self, answer: wire.Answer) -> None:
-        """Hand an answer to its question, if that still waits."""
+        """Deliver an answer to the waiting question; return a grant that came too late."""
         result = self._pending.pop(answer.number, None)
         if result is not None:
             result.set(answer)
@@ -124,14 +131,14 @@
             self.decline(answer)
 
     def decline(self, grant: wire.Grant) -> None:
-        """Return a permit that nobody waits for any more."""
+        """Return the permit of a grant that is no longer needed."""
         try:
             self.notify(wire.Return(grant.replica, grant.permit, grant.fence, 0))
         except PeerUnreachable:
             return
 
     def close(self) -> None:
-        """Close the link and fail what waits on it."""
+        """Close the link and fail all questions that wait for an answer."""
         self.open = False
         for result in list(self._pending.values()):
             result.set_exception(PeerUnreachable(f"the link to {self.box} closed"))
--- a/springrock/coordination/listing.py
+++ b/springrock/coordination/listing.py
@@ -1,4 +1,7 @@
-"""The platform's lagging list: which boxes and upstreams are leaving."""
+"""The platform's list of boxes and upstreams, read for the names of those that are leaving.
+
+The list lags behind the real state.
+"""
 
 from __future__ import annotations
 
@@ -13,13 +16,13 @@
 
 
 class LeavingList:
-    """Polls the list; keeps the last one while the platform is out.
+    """Polls the list; keeps the last state while the platform cannot be reached.
 
     Args:
         platform: The platform client.
         poll_s: How often to poll.
         log: The log to write to.
-        on_change: Called with the names that are leaving.
+        on_change: Called with the names of all leaving boxes and upstreams when they change.
     """
 
     def __init__(
@@ -34,12 +37,14 @@
         self._poll_s = poll_s
         self._log = log
         self._on_change = on_change
-        self._unread = Condition(log, begins="Cannot read the list.", ends="Read the list again.")
+        self._read_condition = Condition(
+            log, begins="Cannot read the list.", ends="The list is readable again."
+        )
         self._task: gevent.Greenlet[..., Any] | None = None
         self.leaving: set[str] = set()
 
     def start(self) -> None:
-        """Begin polling in the background."""
+        """Start polling in the background."""
         self._task = gevent.spawn(self._poll_loop)
 
     def stop(self) -> None:
@@ -51,7 +56,7 @@
         """Read the list once.
 
         Raises:
-            PlatformUnavailable: If it cannot be read.
+            PlatformUnavailable: If the list cannot be read.
         """
         entries = self._platform.listing().entries
         leaving = {entry.name for entry in entries if entry.state == "leaving"}
@@ -64,7 +69,7 @@
         while True:
             try:
                 self.poll()
-                self._unread.end()
+                self._read_condition.end()
             except PlatformUnavailable as error:
-                self._unread.begin(error=str(error))
+                self._read_condition.begin(error=str(error))
             gevent.sleep(self._poll_s)
--- a/springrock/coordination/members.py
+++ b/springrock/coordination/members.py
@@ -1,4 +1,4 @@
-"""The view of all boxes: session rows read from the table, and the platform's lagging list."""
+"""One box's view of all boxes, from the session rows in the table."""
 
 from __future__ import annotations
 
@@ -17,15 +17,16 @@
 from springrock.settings import LeaseSection
 from springrock.wire.platform import Row
 
-_SHORTEST_PAUSE_S = 0.1
+_MIN_SCAN_PAUSE_S = 0.1
 
 
 class Member(NamedTuple):
-    """A box as its session row tells of it.
+    """A box, as described by its session row.
 
     Attributes:
-        version: The row's version, for checks.
-        first_seen: When this version was first seen here, on the local monotonic clock.
+        value: The row's value.
+        version: The row's version, for checks in transactions.
+        first_seen: When this box first read this version, on the local monotonic clock.
     """
 
     value: SessionValue
@@ -39,22 +40,24 @@
 
     @property
     def zone(self) -> str:
-        """Its availability zone."""
+        """The availability zone of the box."""
         return self.value.zone
 
 
 class Members:
-    """Follows the session rows.
+    """Scans the session rows and keeps the newest state of every box.
+
+    While nothing is wrong in the zone the rows are scanned rarely, as this box learns of urgent
+    changes over its links.
 
     Args:
         platform: The platform client.
-        lease: When a session that is not renewed has lapsed.
+        lease: How often to scan, and when a session that is not renewed lapses.
+        zone: This box's availability zone, whose rows are scanned more often.
+        hurry: Returns whether something is wrong in the zone, so that its rows are to be
+            scanned at the short interval.
         log: The log to write to.
-        zone: This box's availability zone, which is read more often.
-        hurry: Tells whether something is wrong in the zone, so that its rows are read fast.
-        on_change: Called when a box came, went or changed.
-
-    While all is calm a box reads little: what it needs at once, its links tell it.
+        on_change: Called when the set of live boxes, or an incarnation of one, has changed.
     """
 
     def __init__(
@@ -70,51 +73,51 @@
         self._platform = platform
         self._lease = lease
         self._zone = zone
-        self._hurry = hurry
+        self._is_scan_urgent = hurry
         self._outage = False
-        self._began_at = monotonic()
-        self._all_scanned_at = 0.0
-        self._whole_wanted = True
+        self._created_at = monotonic()
+        self._all_zones_scanned_at = 0.0
+        self._full_scan_wanted = True
         self._log = log
         self._on_change = on_change
-        self._unread = Condition(
-            log, begins="Cannot read the sessions.", ends="Read the sessions again."
+        self._read_condition = Condition(
+            log, begins="Cannot read the session rows.", ends="The session rows are readable again."
         )
         self._members: dict[str, Member] = {}
-        self._loop: gevent.Greenlet[..., Any] | None = None
+        self._task: gevent.Greenlet[..., Any] | None = None
         self._wake = Event()
         self.scanned_at = 0.0
 
     def start(self) -> None:
-        """Begin scanning in the background."""
-        self._loop = gevent.spawn(self._scan_loop)
+        """Start scanning in the background."""
+        self._task = gevent.spawn(self._scan_loop)
 
     def stop(self) -> None:
         """Stop scanning."""
-        if self._loop is not None:
-            self._loop.kill()
+        if self._task is not None:
+            self._task.kill()
 
     def scan(self) -> None:
-        """Read the rows of the zone once, and those of all zones if that is due.
+        """Read the rows of the zone, or of all zones if that is due.
 
         Raises:
             PlatformUnavailable: If the table cannot be read.
         """
-        due = self._whole_wanted or self._whole_due_in_s() <= 0.0
+        due = self._full_scan_wanted or self._full_scan_due_in_s() <= 0.0
         prefix = SESSION_PREFIX if due else f"{SESSION_PREFIX}{self._zone}/"
-        self._apply_scan(self._platform.rows(prefix), whole=due)
+        self._apply_scan(self._platform.rows(prefix), all_zones=due)
 
     def record_outage(self) -> None:
-        """Note that the table did not answer this box at some call."""
+        """Record that a call of this box to the table failed."""
         self._outage = True
 
     def find(self, box: str) -> Member | None:
-        """Return a live box's newest member."""
+        """Return the newest member of a live box, or None if no such box is live."""
         members = [member for member in self.live() if member.box == box]
         return max(members, key=lambda member: member.first_seen, default=None)
 
     def holder(self, incarnation: str) -> Member | None:
-        """Return the member of an incarnation, lapsed or not."""
+        """Return the member with this incarnation, lapsed or not, or None if there is none."""
         return self._members.get(incarnation)
 
     def all(self) -> list[Member]:
@@ -122,9 +125,9 @@
         return sorted(self._members.values(), key=lambda member: member.box)
 
     def live(self, zone: str | None = None) -> list[Member]:
-        """Return the boxes whose session stands as far as this box can tell.
+        """Return the boxes whose sessions have not lapsed in this box's view, sorted by name.
 
-        While the table cannot be read nobody lapses in this view.
+        No session lapses in this view while the table cannot be read.
         """
         return [
             member
@@ -133,31 +136,31 @@
         ]
 
     def lapsed(self, member: Member) -> bool:
-        """Whether a challenger may take a box's session for lapsed."""
-        seen_at = self.scanned_at if member.zone == self._zone else self._all_scanned_at
+        """Whether a box that wants to take over may regard a member's session as lapsed."""
+        seen_at = self.scanned_at if member.zone == self._zone else self._all_zones_scanned_at
         unrenewed_s = seen_at - member.first_seen
         return unrenewed_s > self._lease.lapse_after_s + self._lease.margin_s
 
-    def _apply_scan(self, rows: list[Row], *, whole: bool) -> None:
+    def _apply_scan(self, rows: list[Row], *, all_zones: bool) -> None:
         now = monotonic()
         before = {(member.box, member.value.incarnation) for member in self.live()}
         members = {
             incarnation: member
             for incarnation, member in self._members.items()
-            if not whole and member.zone != self._zone
+            if not all_zones and member.zone != self._zone
         }
         for row in rows:
             member = self._member_of(row, now)
             members[member.value.incarnation] = member
         self._members = members
         self.scanned_at = now
-        if whole:
-            self._all_scanned_at = now
-            self._whole_wanted = False
+        if all_zones:
+            self._all_zones_scanned_at = now
+            self._full_scan_wanted = False
         self._outage = False
         after = {(member.box, member.value.incarnation) for member in self.live()}
         if after != before:
-            self._log.say("Saw other boxes.", live=sorted(box for box, _ in after))
+            self._log.say("The set of live boxes changed.", live=sorted(box for box, _ in after))
             self._on_change()
 
     def _member_of(self, row: Row, now: float) -> Member:
@@ -165,7 +168,8 @@
         known = self._members.get(value.incarnation)
         if known is None or known.version != row.version:
             return Member(value, row.version, now)
-        # Nobody lapses in an outage: the box that could not renew had the same one.
+        # After an outage every session gets the full time again: the other box could not renew
+        # it either.
         first_seen = now if self._outage else known.first_seen
         return Member(value, row.version, first_seen)
 
@@ -173,30 +177,34 @@
         while True:
             try:
                 self.scan()
-                self._unread.end()
+                self._read_condition.end()
             except PlatformUnavailable as error:
                 self._outage = True
-                self._unread.begin(error=str(error))
+                self._read_condition.begin(error=str(error))
             self._wake.wait(timeout=self.pause_s)
             self._wake.clear()
 
     @property
     def pause_s(self) -> float:
-        """How long to wait until the next scan."""
-        calm_s = min(self._lease.calm_scan_every_s, self._whole_due_in_s())
-        return self._lease.scan_every_s if self._hurry() else max(_SHORTEST_PAUSE_S, calm_s)
+        """Seconds until the next scan."""
+        slow_s = min(self._lease.calm_scan_every_s, self._full_scan_due_in_s())
+        return (
+            self._lease.scan_every_s if self._is_scan_urgent() else max(_MIN_SCAN_PAUSE_S, slow_s)
+        )
 
-    def _whole_due_in_s(self) -> float:
-        """Return the seconds until the rows of all zones are read again.
+    def _full_scan_due_in_s(self) -> float:
+        """Return the seconds until the rows of all zones are due to be read again.
 
-        Soon after the start, then after ever longer: boxes that start together may each read the
-        rows just before the other's is there, and if nobody links to both, nothing else tells them.
+        The interval is short after the start and grows with the age of this object, up to
+        `all_zones_scan_every_s`. Two boxes that start together may each read the rows just before
+        the other box writes its own. If no box has links to both, only the next scan of all zones
+        shows them to each other.
         """
-        age_s = max(self._lease.scan_every_s, self._all_scanned_at - self._began_at)
+        age_s = max(self._lease.scan_every_s, self._all_zones_scanned_at - self._created_at)
         every_s = min(self._lease.all_zones_scan_every_s, age_s)
-        return self._all_scanned_at + every_s - monotonic()
+        return self._all_zones_scanned_at + every_s - monotonic()
 
     def check_soon(self, *, all_zones: bool = False) -> None:
-        """Scan at once, as when a link was lost or an unknown box has dialed."""
-        self._whole_wanted = self._whole_wanted or all_zones
+        """Scan at once, for example after a lost link or a link from an unknown box."""
+        self._full_scan_wanted = self._full_scan_wanted or all_zones
         self._wake.set()
