--- a/springrock/coordination/ownership.py
+++ b/springrock/coordination/ownership.py
@@ -1,9 +1,9 @@
-"""Who owns which replica: rows in the table, taken, handed over and given up under sessions.
+"""Ownership of replicas: takes replicas over and hands them over, by rows in the table.
 
-A replica's row names its owner, the owner's session and the fence, and is written only on
-change, in one transaction that also checks the writer's session. A takeover needs all of: the
-owner's session lapsed in the table, a direct probe of the owner failed, and this box is the
-first in rendezvous order among the live boxes of the zone.
+A replica's row names its owner, the incarnation of the owner's session and the fence. It is written
+only when the owner changes, in a transaction that also checks the writer's session. A box takes a
+replica over from another only if the owner's session has lapsed in the table, a direct probe of the
+owner fails, and the box is the first in rendezvous order among the live boxes of the zone.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 from springrock.wire.platform import ABSENT, Check, Put, Row, Transaction
 
 REPLICA_PREFIX = "replica/"
-_HAND_OVER_ROUNDS = 3
+_MAX_HAND_OVER_ROUNDS = 3
 
 
 class ReplicaValue(msgspec.Struct, frozen=True, array_like=True):
-    """What a replica's row says."""
+    """The value of a replica's row."""
 
     replica: str
     owner: str
@@ -40,26 +40,26 @@
 
 
 class Upstream(NamedTuple):
-    """A replica of this zone, with its pool."""
+    """The settings of a replica of this zone and of its pool."""
 
     settings: UpstreamSection
     pool: PoolSection
 
 
 class OwnershipListener(Protocol):
-    """Hears of what this box gains and loses."""
+    """Receives the changes of this box's ownership."""
 
     def gained(self, upstream: Upstream, fence: int, *, previous: str) -> None:
-        """This box owns a replica now; `previous` names the owner before, or is empty."""
+        """Called when this box owns a replica; `previous` is the former owner, or empty."""
 
     def lost(self, replica: str) -> None:
-        """This box does not own a replica any more."""
+        """Called when this box no longer owns a replica."""
 
     def closed(self, replica: str) -> None:
-        """This box is about to hand a replica over and must grant nothing more on it."""
+        """Called before a hand-over: this box must grant no more permits for the replica."""
 
 
-class Reader(Protocol):
+class RowReader(Protocol):
     """Reads the table."""
 
     def rows(self, prefix: str) -> list[Row]:
@@ -67,7 +67,7 @@
 
 
 class Ownership:
-    """Takes and hands over the replicas of this box's zone.
+    """Takes over and hands over the replicas of this box's zone.
 
     Args:
         session: This box's session.
@@ -75,8 +75,8 @@
         peers: The links to the other boxes.
         platform: Reads the table.
         upstreams: The engine replicas of this zone.
-        lease: How often to look.
-        listener: Hears of gains and losses.
+        lease: How often to compare the rows, and how long to wait before a move for balance.
+        listener: Receives the changes of this box's ownership.
         log: The log to write to.
     """
 
@@ -86,7 +86,7 @@
         members: Members,
         peers: Peers,
         *,
-        platform: Reader,
+        platform: RowReader,
         upstreams: list[Upstream],
         lease: LeaseSection,
         listener: OwnershipListener,
@@ -100,53 +100,53 @@
         self._lease = lease
         self._listener = listener
         self._log = log
-        self._unread = Condition(
-            log, begins="Cannot look at the replicas.", ends="Look at the replicas again."
+        self._read_condition = Condition(
+            log, begins="Cannot read the replica rows.", ends="The replica rows are readable again."
         )
         self._owned: dict[str, int] = {}
         self._task: gevent.Greenlet[..., Any] | None = None
-        self._looking = RLock()
+        self._reconcile_lock = RLock()
         self._stopping = False
-        self._boxes_since = monotonic()
-        self._boxes: tuple[str, ...] = ()
-        self._moved_at = 0.0
+        self._candidates_changed_at = monotonic()
+        self._candidates: tuple[str, ...] = ()
+        self._last_move_at = 0.0
         self.zone = session.value.zone
         peers.handle(wire.HandOver, lambda _, __: self.check_soon())
 
     @property
     def owned(self) -> dict[str, int]:
-        """The replicas that this box owns, with their fences."""
+        """The fences of the replicas that this box owns, by replica."""
         return dict(self._owned)
 
     @property
     def is_stable(self) -> bool:
-        """Whether boxes and replicas have stood as they are for a while."""
-        still_s = monotonic() - max(self._boxes_since, self._moved_at)
-        return still_s > self._lease.settle_s + self._lease.lapse_after_s
+        """Whether boxes and owners have not changed for `settle_s` plus `lapse_after_s`."""
+        unchanged_s = monotonic() - max(self._candidates_changed_at, self._last_move_at)
+        return unchanged_s > self._lease.settle_s + self._lease.lapse_after_s
 
     def start(self) -> None:
-        """Begin looking in the background."""
+        """Start reconciling in the background."""
         self._task = gevent.spawn(self._check_loop)
 
     def check_soon(self) -> None:
-        """Look at once, as after a hand-over to this box."""
+        """Reconcile at once, for example after a hand-over to this box."""
         gevent.spawn(self._reconcile_after_refresh)
 
     def stop(self) -> None:
-        """Stop looking."""
+        """Stop reconciling in the background."""
         if self._task is not None:
             self._task.kill()
 
     def session_lost(self) -> None:
-        """Drop everything: another box broke this box's session."""
+        """Give up all replicas, because another box deleted this box's session."""
         for replica in list(self._owned):
-            self._drop(replica)
+            self._stop_owning(replica)
 
     def hand_over_all(self) -> None:
-        """Hand every replica to the box that should own it without this one."""
+        """Hand each replica to the box that is to own it once this box has stopped."""
         self._stopping = True
         self.stop()
-        for _ in range(_HAND_OVER_ROUNDS):
+        for _ in range(_MAX_HAND_OVER_ROUNDS):
             if not self._owned:
                 return
             self._hand_over_round()
@@ -154,17 +154,19 @@
     def _hand_over_round(self) -> None:
         try:
             self._members.scan()
-            rows = self._read()
+            rows = self._read_rows()
         except PlatformUnavailable:
-            self._log.say("The table is out; ownership is left to lapse.")
+            self._log.say(
+                "Cannot reach the table to hand replicas over; they move when the session lapses."
+            )
             return
         for replica in list(self._owned):
-            handover_target = self._desired(replica)
+            handover_target = self._preferred_owner(replica)
             row = rows.get(replica)
             if row is not None:
                 self._hand_over(row, handover_target)
 
-    # Looking.
+    # Reconciling.
 
     def _check_loop(self) -> None:
         while True:
@@ -172,7 +174,7 @@
             gevent.sleep(self._lease.scan_every_s)
 
     def _reconcile_after_refresh(self) -> None:
-        """Look after reading the sessions again: the sender may have just begun to stop."""
+        """Reconcile after a scan of the sessions, as the sender may have just begun to stop."""
         try:
             self._members.scan()
         except PlatformUnavailable:
@@ -180,23 +182,23 @@
         self._reconcile_logging_errors()
 
     def _reconcile_logging_errors(self) -> None:
-        with self._looking:
+        with self._reconcile_lock:
             try:
                 self.reconcile()
-                self._unread.end()
+                self._read_condition.end()
             except PlatformUnavailable as error:
-                self._unread.begin(error=str(error))
+                self._read_condition.begin(error=str(error))
 
     def reconcile(self) -> None:
-        """Compare the rows with what should be, and act once on each difference.
+        """Compare each replica's row with its preferred owner, and act on each difference.
 
         Raises:
             PlatformUnavailable: If the table cannot be read.
         """
         if not self._session.held or self._stopping:
             return
-        rows = self._read()
-        self._record_boxes()
+        rows = self._read_rows()
+        self._record_candidates()
         for name, upstream in self._upstreams.items():
             self._reconcile_replica(
                 upstream, rows.get(name, Row(_key(self.zone, name), ABSENT, b""))
@@ -204,8 +206,8 @@
         self._sweep(rows)
 
     def _sweep(self, rows: dict[str, Row]) -> None:
-        """Delete the lapsed sessions of the zone that own nothing; one box does it."""
-        if self._desired("session sweep") != self._session.box:
+        """Delete the zone's lapsed sessions that own no replica, if this box is chosen for it."""
+        if self._preferred_owner("session sweep") != self._session.box:
             return
         owners = {
             msgspec.json.decode(row.value, type=ReplicaValue).incarnation for row in rows.values()
@@ -221,19 +223,19 @@
             self._session.commit(Transaction(checks=[Check(key, member.version)], deletes=[key]))
         except TransactionConflict:
             return
-        self._log.say(f"Swept the lapsed session of {member.box}.", member=member.box)
+        self._log.say(f"Deleted the lapsed session of {member.box}.", member=member.box)
 
-    def _read(self) -> dict[str, Row]:
+    def _read_rows(self) -> dict[str, Row]:
         rows = self._platform.rows(f"{REPLICA_PREFIX}{self.zone}/")
         return {row.key.rpartition("/")[2]: row for row in rows}
 
-    def _record_boxes(self) -> None:
-        boxes = tuple(self._eligible())
-        if boxes != self._boxes:
-            self._boxes = boxes
-            self._boxes_since = monotonic()
+    def _record_candidates(self) -> None:
+        candidates = tuple(self._candidate_boxes())
+        if candidates != self._candidates:
+            self._candidates = candidates
+            self._candidates_changed_at = monotonic()
 
-    def _eligible(self) -> list[str]:
+    def _candidate_boxes(self) -> list[str]:
         return sorted(
             {
                 member.box
@@ -243,13 +245,13 @@
             }
         )
 
-    def _desired(self, replica: str) -> str | None:
-        return next(iter(rendezvous_order(replica, self._eligible())), None)
+    def _preferred_owner(self, replica: str) -> str | None:
+        return next(iter(rendezvous_order(replica, self._candidate_boxes())), None)
 
     def _reconcile_replica(self, upstream: Upstream, row: Row) -> None:
         name = upstream.settings.name
         if row.version == ABSENT:
-            if self._desired(name) == self._session.box:
+            if self._preferred_owner(name) == self._session.box:
                 self._take_over(upstream, row, None, previous="")
             return
         value = msgspec.json.decode(row.value, type=ReplicaValue)
@@ -257,39 +259,43 @@
             self._reconcile_own(upstream, row, value)
             return
         if name in self._owned:
-            self._drop(name)
-        if self._desired(name) == self._session.box:
+            self._stop_owning(name)
+        if self._preferred_owner(name) == self._session.box:
             self._challenge(upstream, row, value)
 
     def _reconcile_own(self, upstream: Upstream, row: Row, value: ReplicaValue) -> None:
         name = upstream.settings.name
         if self._owned.get(name) != value.fence:
-            self._gain(upstream, value.fence, previous="")
+            self._start_owning(upstream, value.fence, previous="")
             return
-        handover_target = self._desired(name)
+        handover_target = self._preferred_owner(name)
         if handover_target in (None, self._session.box):
             return
         now = monotonic()
-        stable_since = max(self._boxes_since, self._moved_at)
+        stable_since = max(self._candidates_changed_at, self._last_move_at)
         if now - stable_since < self._lease.settle_s:
             return
-        self._moved_at = now
+        self._last_move_at = now
         self._members.scan()
-        handover_target = self._desired(name)
+        handover_target = self._preferred_owner(name)
         if handover_target not in (None, self._session.box):
             self._hand_over(row, handover_target)
 
     def _challenge(self, upstream: Upstream, row: Row, value: ReplicaValue) -> None:
-        """Take a replica whose owner is gone."""
+        """Take over a replica if its owner's session is gone, or has lapsed and a probe fails."""
         holder = self._members.holder(value.incarnation)
         if holder is not None and not self._members.lapsed(holder):
             return
-        if holder is not None and self._answers(holder):
-            self._log.say("A lapsed owner still answers.", replica=value.replica, owner=holder.box)
+        if holder is not None and self._answers_probe(holder):
+            self._log.say(
+                "An owner whose session has lapsed still answers.",
+                replica=value.replica,
+                owner=holder.box,
+            )
             return
         self._take_over(upstream, row, holder, previous=value.owner)
 
-    def _answers(self, holder: Member) -> bool:
+    def _answers_probe(self, holder: Member) -> bool:
         try:
             link = self._peers.link_to_member(holder)
             link.ask(wire.Probe(0, []), wire.ProbeAnswer, timeout_s=PROBE_TIMEOUT_S)
@@ -297,10 +303,10 @@
             return False
         return True
 
-    # Acting.
+    # Changing the owner.
 
     def _take_over(
-        self, upstream: Upstream, row: Row, lapsed: Member | None, *, previous: str
+        self, upstream: Upstream, row: Row, lapsed_owner: Member | None, *, previous: str
     ) -> None:
         fence = 1
         if row.version != ABSENT:
@@ -310,20 +316,24 @@
         )
         checks = [Check(row.key, row.version)]
         deletes = []
-        if lapsed is not None:
-            session_key = key_of(lapsed.value)
-            checks.append(Check(session_key, lapsed.version))
+        if lapsed_owner is not None:
+            session_key = key_of(lapsed_owner.value)
+            checks.append(Check(session_key, lapsed_owner.version))
             deletes.append(session_key)
         puts = [Put(row.key, msgspec.json.encode(value))]
         try:
             self._session.commit(Transaction(checks=checks, puts=puts, deletes=deletes))
         except TransactionConflict as conflict:
-            self._log.say("Lost a race.", replica=upstream.settings.name, why=str(conflict))
+            self._log.say(
+                "Could not take a replica over: its row or a session has changed.",
+                replica=upstream.settings.name,
+                why=str(conflict),
+            )
             return
-        self._gain(upstream, fence, previous=previous)
+        self._start_owning(upstream, fence, previous=previous)
 
     def _hand_over(self, row: Row, handover_target: str | None) -> None:
-        """Name the heir in the row; it finds itself there and begins."""
+        """Write the new owner to the replica's row and notify the new owner."""
         value = msgspec.json.decode(row.value, type=ReplicaValue)
         member = self._members.find(handover_target) if handover_target else None
         if (
@@ -333,11 +343,11 @@
         ):
             return
         self._listener.closed(value.replica)
-        handed = ReplicaValue(
+        new_value = ReplicaValue(
             value.replica, handover_target, member.value.incarnation, value.fence + 1
         )
         checks = [Check(row.key, row.version)]
-        puts = [Put(row.key, msgspec.json.encode(handed))]
+        puts = [Put(row.key, msgspec.json.encode(new_value))]
         try:
             self._session.commit(Transaction(checks=checks, puts=puts))
         except (TransactionConflict, PlatformUnavailable) as error:
@@ -346,9 +356,9 @@
         self._log.say(
             f"Handed {value.replica} to {handover_target}.",
             replica=value.replica,
-            heir=handover_target,
+            handover_target=handover_target,
         )
-        self._drop(value.replica)
+        self._stop_owning(value.replica)
         self._notify_handover_target(value.replica, handover_target)
 
     def _notify_handover_target(self, replica: str, handover_target: str) -> None:
@@ -357,18 +367,18 @@
         except PeerUnreachable:
             return
 
-    def _gain(self, upstream: Upstream, fence: int, *, previous: str) -> None:
+    def _start_owning(self, upstream: Upstream, fence: int, *, previous: str) -> None:
         name = upstream.settings.name
         if name in self._owned:
             self._listener.lost(name)
         self._owned[name] = fence
-        self._moved_at = monotonic()
-        self._log.say(f"Own {name} under fence {fence}.", replica=name, fence=fence)
+        self._last_move_at = monotonic()
+        self._log.say(f"Now owns {name} under fence {fence}.", replica=name, fence=fence)
         self._listener.gained(upstream, fence, previous=previous)
 
-    def _drop(self, replica: str) -> None:
+    def _stop_owning(self, replica: str) -> None:
         if self._owned.pop(replica, None) is not None:
-            self._log.say(f"Own {replica} no more.", replica=replica)
+            self._log.say(f"No longer owns {replica}.", replica=replica)
             self._listener.lost(replica)
 
 
--- a/springrock/coordination/peers.py
+++ b/springrock/coordination/peers.py
@@ -1,7 +1,7 @@
-"""Links to the other boxes: one websocket a pair, one task a link, questions and notices.
+"""Links to the other boxes, which carry questions and notices.
 
-Within a zone the box whose name sorts lower dials; links to other zones are few and dialed by
-either side when first needed.
+Two boxes share one websocket, and one task reads each link. Within a zone the box whose name sorts
+first dials the other. To each other zone a box keeps a few links, and either side may dial.
 """
 
 from __future__ import annotations
@@ -32,19 +32,19 @@
 Handler = Callable[[Link, Any], "wire.Answer | None"]
 
 _DIAL_TIMEOUT_S = 2.0
-_PING_EVERY_S = 4.0
+_PING_INTERVAL_S = 4.0
 _PING_TIMEOUT_S = 3.0
 _CLOSE_TIMEOUT_S = 0.2
-_DIAL_EVERY_S = 0.5
+_DIAL_INTERVAL_S = 0.5
 
 
 class Peers:
-    """All links of one box.
+    """The links of one box.
 
     Args:
         settings: Address, shared key and limits.
-        hello: Makes this box's first message.
-        members: Tells which boxes there are and where they listen.
+        hello: Builds the first message of a link.
+        members: The view of all boxes, with their addresses.
         log: The log to write to.
         metrics: The metrics to count in.
     """
@@ -72,15 +72,15 @@
         self.on_lost: list[Callable[[Link], None]] = []
 
     def handle(self, kind: type[Any], handler: Handler) -> None:
-        """Have a kind of message handled.
+        """Register the handler of a message type.
 
-        A handler of questions runs in a task of its own and may wait; its return value is the
-        answer. Handlers of notices run in the link's task and must not wait.
+        A handler of questions runs in its own task and may block; its return value is the answer,
+        or None for no answer. A handler of notices runs in the link's task and must not block.
         """
         self._handlers[kind] = handler
 
     def start(self) -> None:
-        """Listen, and keep dialing the boxes that this one should dial."""
+        """Listen for links, and start dialing other boxes in the background."""
         host, port = split_address(self._settings.address)
         self._server = serve(
             self._serve_link,
@@ -89,7 +89,7 @@
             process_request=self._check_key,
             compression=None,
             max_size=self._settings.frame_limit_bytes,
-            ping_interval=_PING_EVERY_S,
+            ping_interval=_PING_INTERVAL_S,
             ping_timeout=_PING_TIMEOUT_S,
             close_timeout=_CLOSE_TIMEOUT_S,
         )
@@ -98,13 +98,13 @@
 
     @property
     def address(self) -> str:
-        """The bound address."""
+        """The address that this box listens on."""
         assert self._server is not None
         host, port = self._server.socket.getsockname()[:2]
         return f"{host}:{port}"
 
     def stop(self) -> None:
-        """Close every link."""
+        """Stop listening and dialing, and close all links."""
         for task in self._tasks[1:]:
             task.kill()
         if self._server is not None:
@@ -113,14 +113,14 @@
             link.close()
 
     def links(self, zone: str | None = None) -> list[Link]:
-        """Return the open links, of one zone or of all."""
+        """Return the open links to one zone, or to all zones."""
         return [link for link in self._links.values() if zone in (None, link.zone)]
 
     def link_to(self, box: str) -> Link:
         """Return the link to a box, dialing it if there is none.
 
         Raises:
-            PeerUnreachable: If it cannot be dialed.
+            PeerUnreachable: If the box is not known or cannot be dialed.
         """
         link = self._links.get(box)
         if link is not None and link.open:
@@ -134,7 +134,7 @@
         """Return a link to one incarnation of a box, lapsed or not.
 
         Raises:
-            PeerUnreachable: If it cannot be dialed, or another incarnation answers.
+            PeerUnreachable: If the box cannot be dialed, or has another incarnation now.
         """
         link = self._links.get(member.box)
         if link is None or not link.open:
@@ -144,7 +144,7 @@
         return link
 
     def broadcast(self, message: wire.PeerMessage) -> None:
-        """Send a message on every open link; broken ones are passed over."""
+        """Send a message on every open link; a link that turns out to be broken is skipped."""
         for link in self.links():
             try:
                 link.notify(message)
@@ -155,20 +155,22 @@
 
     def _dial_loop(self) -> None:
         while True:
-            for member in self._wanted():
+            for member in self._members_to_dial():
                 if member.box not in self._links and member.box not in self._dialing:
                     gevent.spawn(self._dial_logging_errors, member)
-            gevent.sleep(_DIAL_EVERY_S)
-
-    def _wanted(self) -> list[Member]:
-        me = self._hello()
-        wanted = [member for member in self._members.live(me.zone) if me.box < member.box]
-        zones = {member.zone for member in self._members.live()} - {me.zone}
+            gevent.sleep(_DIAL_INTERVAL_S)
+
+    def _members_to_dial(self) -> list[Member]:
+        own_hello = self._hello()
+        to_dial = [
+            member for member in self._members.live(own_hello.zone) if own_hello.box < member.box
+        ]
+        zones = {member.zone for member in self._members.live()} - {own_hello.zone}
         for zone in sorted(zones):
             by_box = {member.box: member for member in self._members.live(zone)}
-            order = rendezvous_order(me.box, by_box)
-            wanted += [by_box[box] for box in order[: self._settings.remote_zone_links]]
-        return wanted
+            order = rendezvous_order(own_hello.box, by_box)
+            to_dial += [by_box[box] for box in order[: self._settings.remote_zone_links]]
+        return to_dial
 
     def _dial_logging_errors(self, member: Member) -> None:
         try:
@@ -188,10 +190,10 @@
         return link
 
     def _run_dialed(self, member: Member, ready: AsyncResult[Link]) -> None:
-        """Dial a peer, tell when the link is ready, and read it until it breaks."""
+        """Dial a peer, set `ready` to the link or an error, and read the link until it breaks."""
         try:
             with self._connect(member) as connection:
-                link = self._shake_hands(connection)
+                link = self._handshake(connection)
                 if link.box != member.box:
                     link.close()
                     raise PeerRejected(f"answered as {link.box}")
@@ -203,57 +205,57 @@
 
     def _connect(self, member: Member) -> AbstractContextManager[ClientConnection]:
         address = self._settings.reached_at.get(member.box, member.value.peer_address)
-        plain: Socket = create_connection(split_address(address), timeout=_DIAL_TIMEOUT_S)
-        plain.settimeout(None)
+        raw_socket: Socket = create_connection(split_address(address), timeout=_DIAL_TIMEOUT_S)
+        raw_socket.settimeout(None)
         return connect(
             f"ws://{address}/",
-            sock=plain,
+            sock=raw_socket,
             additional_headers={"Authorization": f"Bearer {self._settings.shared_key}"},
             compression=None,
             proxy=None,
             max_size=self._settings.frame_limit_bytes,
             open_timeout=_DIAL_TIMEOUT_S,
-            ping_interval=_PING_EVERY_S,
+            ping_interval=_PING_INTERVAL_S,
             ping_timeout=_PING_TIMEOUT_S,
             close_timeout=_CLOSE_TIMEOUT_S,
         )
 
     def _check_key(self, connection: ServerConnection, request: Any) -> Any:
-        shown = request.headers.get("Authorization", "")
+        presented = request.headers.get("Authorization", "")
         expected = f"Bearer {self._settings.shared_key}"
-        if hmac.compare_digest(shown.encode(), expected.encode()):
+        if hmac.compare_digest(presented.encode(), expected.encode()):
             return None
-        self._log.say("Rejected a stranger.")
+        self._log.say("Rejected a connection without the shared key.")
         return connection.respond(401, "wrong key\n")
 
     # Links.
 
     def _serve_link(self, connection: ServerConnection) -> None:
         try:
-            link = self._shake_hands(connection)
+            link = self._handshake(connection)
         except (*SOCKET_FAILURES, PeerRejected, UnknownKind) as error:
             self._log.say("Rejected a link.", error=str(error))
             connection.close()
             return
         self._read_link(link)
 
-    def _shake_hands(self, connection: ClientConnection | ServerConnection) -> Link:
+    def _handshake(self, connection: ClientConnection | ServerConnection) -> Link:
         connection.send(wire.encode(self._hello()))
         hello = wire.decode(connection.recv(timeout=_DIAL_TIMEOUT_S))
         if not isinstance(hello, wire.Hello):
             raise PeerRejected("the first message is not a hello")
         link = Link(connection, hello, self._metrics)
-        self._join(link)
+        self._add_link(link)
         return link
 
-    def _join(self, link: Link) -> None:
+    def _add_link(self, link: Link) -> None:
         self._links[link.box] = link
         self._metrics.peer_links.set(len(self._links))
         self._log.say("Linked with a peer.", peer=link.box)
         for hook in self.on_link:
             gevent.spawn(hook, link)
 
-    def _leave(self, link: Link) -> None:
+    def _remove_link(self, link: Link) -> None:
         if self._links.get(link.box) is link:
             del self._links[link.box]
             self._log.say("Lost the link to a peer.", peer=link.box)
@@ -263,18 +265,22 @@
         link.close()
 
     def _read_link(self, link: Link) -> None:
-        unknown = UnknownMessages(
+        unknown_messages = UnknownMessages(
             link.box, log=self._log, count=self._metrics.count_unknown_message
         )
         try:
             while True:
-                self._handle_message(link, unknown.next_known(link.receive))
+                self._handle_message(link, unknown_messages.next_known(link.receive))
         except SOCKET_FAILURES:
             pass
         except PeerRejected as error:
-            self._log.say("Cut a peer that broke the protocol.", peer=link.box, error=str(error))
+            self._log.say(
+                "Closed the link to a peer that violated the protocol.",
+                peer=link.box,
+                error=str(error),
+            )
         finally:
-            self._leave(link)
+            self._remove_link(link)
 
     def _handle_message(self, link: Link, message: wire.PeerMessage) -> None:
         if isinstance(message, wire.Answer):
--- a/springrock/coordination/permits.py
+++ b/springrock/coordination/permits.py
@@ -1,8 +1,8 @@
-"""Permits: the owner's book of what it allowed, and the holder's book of what it may run.
+"""Permits: the books of the owner, which grants them, and of the holder, which uses them.
 
-A permit says "run this request on this replica, with this adapter, start within some seconds,
-be over within some seconds". Both sides count on their own monotonic clock: the holder from
-before it asked, the owner from after it granted, so the holder always stops first.
+A permit allows a box to run one request on a replica with an adapter. It limits the time until the
+request is sent and the time until it ends. Each side measures with its own monotonic clock: the
+holder from before it asked, the owner from when it granted, so the holder always stops first.
 """
 
 from __future__ import annotations
@@ -18,10 +18,13 @@
     """A permit in the owner's book.
 
     Attributes:
-        request_id: The request that it is for.
-        holder: The box that it was given to.
-        granted_at: When it was granted, on the local monotonic clock.
-        ends_at: When it is over by itself, on the local monotonic clock.
+        number: The permit's number, unique in the book.
+        request_id: The request that the permit is for.
+        adapter: ``ADAPTER@VERSION``, or empty for the base model alone.
+        workload: The workload of the request.
+        holder: The box that asked for the permit.
+        granted_at: When the permit was granted, on the local monotonic clock.
+        ends_at: When the permit expires, on the local monotonic clock.
     """
 
     number: int
@@ -34,7 +37,7 @@
 
 
 class PermitBook:
-    """What the owner of one replica has granted and not got back."""
+    """The permits of one replica that its owner has granted and that were not returned yet."""
 
     def __init__(self) -> None:
         self._last_number = 0
@@ -43,7 +46,7 @@
         self._reported_overdue: set[int] = set()
 
     def grant(self, ask: wire.Ask, *, holder: str, life_s: float) -> Outstanding:
-        """Enter a new permit."""
+        """Grant a permit that expires after `life_s`, and add it to the book."""
         self._last_number += 1
         now = monotonic()
         permit = Outstanding(
@@ -60,7 +63,7 @@
         return permit
 
     def end(self, number: int) -> Outstanding | None:
-        """Strike a permit; return it, or None if it was not outstanding."""
+        """Remove a permit; return it, or None if it was not outstanding."""
         permit = self._outstanding.pop(number, None)
         self._reported_overdue.discard(number)
         if permit is not None:
@@ -70,18 +73,18 @@
         return permit
 
     def overdue(self) -> list[Outstanding]:
-        """Return, once each, the permits whose time is over; they stay in the book."""
+        """Return the expired permits that no earlier call returned; they stay in the book."""
         now = monotonic()
-        over = [
+        expired = [
             permit
             for permit in self._outstanding.values()
             if permit.ends_at <= now and permit.number not in self._reported_overdue
         ]
-        self._reported_overdue.update(permit.number for permit in over)
-        return over
+        self._reported_overdue.update(permit.number for permit in expired)
+        return expired
 
     def using(self, adapter: str) -> int:
-        """Return how many permits use an adapter."""
+        """Return the number of outstanding permits that use an adapter."""
         return self._by_adapter[adapter]
 
     def __len__(self) -> int:
@@ -89,27 +92,30 @@
 
 
 class InheritedBook:
-    """Permits that earlier owners of a replica granted and that may still be in use."""
+    """The permits of one replica that earlier owners granted and that may still be in use."""
 
     def __init__(self) -> None:
         self._permits: dict[tuple[int, int], tuple[str, float]] = {}
 
     def add(self, permit: wire.HeldPermit, *, ends_at: float) -> None:
-        """Enter a permit that a box says it holds."""
+        """Add a permit that another box reported as held."""
         self._permits[(permit.fence, permit.permit)] = (permit.adapter, ends_at)
 
     def end(self, fence: int, number: int) -> bool:
-        """Strike a permit; return whether it was in the book."""
+        """Remove a permit; return whether it was in the book."""
         return self._permits.pop((fence, number), None) is not None
 
     def using(self, adapter: str) -> bool:
-        """Whether a permit whose time is not over uses an adapter."""
+        """Whether a permit that has not expired uses an adapter."""
         now = monotonic()
-        return any(used == adapter and until > now for used, until in self._permits.values())
+        return any(
+            used_adapter == adapter and ends_at > now
+            for used_adapter, ends_at in self._permits.values()
+        )
 
     def __len__(self) -> int:
         now = monotonic()
-        return sum(until > now for _, until in self._permits.values())
+        return sum(ends_at > now for _, ends_at in self._permits.values())
 
 
 class Held(NamedTuple):
@@ -123,7 +129,7 @@
 
 
 class HeldBook:
-    """The permits that this box holds, and the highest fence it knows for each replica."""
+    """The permits that this box holds, and the highest known fence of each replica."""
 
     def __init__(self) -> None:
         self._held: dict[tuple[str, int, int], Held] = {}
@@ -131,7 +137,7 @@
         self._owners: dict[str, str] = {}
 
     def enter(self, grant: wire.Grant, *, ends_at: float) -> Held | None:
-        """Enter a grant; return None if a newer owner of the replica is known."""
+        """Add a granted permit; return None if a higher fence of the replica is known."""
         if grant.fence < self._fences.get(grant.replica, 0):
             return None
         held = Held(grant.replica, grant.adapter, grant.fence, grant.permit, ends_at)
@@ -139,11 +145,14 @@
         return held
 
     def release(self, held: Held) -> None:
-        """Strike a permit."""
+        """Remove a permit."""
         self._held.pop((held.replica, held.fence, held.number), None)
 
     def notice_fence(self, replica: str, fence: int, owner: str) -> list[wire.HeldPermit]:
-        """Refuse lower fences from now on, and return what is held on the replica."""
+        """Record the fence of a new owner; return the permits held on the replica.
+
+        Grants under lower fences are refused from now on.
+        """
         if fence >= self._fences.get(replica, 0):
             self._fences[replica] = fence
             self._owners[replica] = owner
@@ -155,12 +164,12 @@
         ]
 
     def owners_of(self, held: Held, granted_by: str) -> set[str]:
-        """Return who must hear that a permit is over: its granter, and a newer owner."""
-        newer = self._owners.get(held.replica)
-        return {granted_by, newer} if newer else {granted_by}
+        """Return the boxes to notify of a permit's end: its granter, and any newer owner."""
+        newer_owner = self._owners.get(held.replica)
+        return {granted_by, newer_owner} if newer_owner else {granted_by}
 
     def fence_of(self, replica: str) -> int:
-        """Return the highest fence known of a replica."""
+        """Return the highest known fence of a replica, or 0 if none is known."""
         return self._fences.get(replica, 0)
 
     def __len__(self) -> int:
--- a/springrock/coordination/relayed.py
+++ b/springrock/coordination/relayed.py
@@ -1,4 +1,4 @@
-"""The platform as a box sees it: by its own calls, or through a peer that still reaches it."""
+"""A platform client that relays table calls through peers when direct calls fail."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 T = TypeVar("T")
 
 _RELAY_TIMEOUT_S = 1.5
-_RELAYS_TRIED = 3
-_DIRECT_AGAIN_AFTER_S = 1.0
+_MAX_RELAYS = 3
+_DIRECT_RETRY_DELAY_S = 1.0
 
 
 class RelayedPlatform:
-    """Calls the platform directly, and its table through zone peers when that fails.
+    """Calls the platform directly; table calls also through peers of the zone.
 
-    A relayed transaction may take effect twice only if its checks allow it; all of this
-    package's transactions check what they write.
+    A transaction may be carried out twice, directly and through a peer, if its checks allow that.
+    All transactions of this package check the rows that they write, so the second one fails.
 
     Args:
-        direct: The client that calls from this box.
+        direct: The client that calls the platform from this box.
         zone: This box's availability zone.
         metrics: The metrics to count in.
-        on_failure: Called when the table did not answer this box.
+        on_failure: Called when a direct call to the table has failed.
     """
 
     def __init__(
@@ -52,15 +52,15 @@
         self._skip_direct_until = 0.0
 
     def use_peers(self, peers: Peers) -> None:
-        """Relay through these peers, and carry their calls."""
+        """Relay calls through these peers, and execute the calls that they relay to this box."""
         self._peers = peers
-        peers.handle(peer_wire.RelayCall, self._on_call)
+        peers.handle(peer_wire.RelayCall, self._on_relay_call)
 
     def transact(self, transaction: wire.Transaction) -> wire.TransactionAnswer:
-        """Carry out a table transaction.
+        """Execute a table transaction.
 
         Raises:
-            PlatformUnavailable: If no answer came; the writes may have taken effect.
+            PlatformUnavailable: If the table did not answer; the writes may have taken effect.
         """
         call = peer_wire.RelayCall(0, "", msgspec.json.encode(transaction))
         return self._call(
@@ -73,7 +73,7 @@
         """Read the rows under a prefix.
 
         Raises:
-            PlatformUnavailable: If no answer came.
+            PlatformUnavailable: If the table did not answer.
         """
         call = peer_wire.RelayCall(0, prefix, b"")
         return self._call(
@@ -83,7 +83,7 @@
         )
 
     def get_object(self, name: str) -> bytes | None:
-        """Read an object, or None if there is none."""
+        """Return the content of an object, or None if it does not exist."""
         return self._direct.get_object(name)
 
     def put_object(self, name: str, data: bytes) -> None:
@@ -95,7 +95,7 @@
         return self._direct.listing()
 
     def _call(self, kind: str, direct: Callable[[], T], relayed: Callable[[], T]) -> T:
-        """Call directly or through peers; the way that has just failed is the last resort."""
+        """Call directly, then through peers; in reverse order after a recent direct failure."""
         if self._direct_allowed():
             try:
                 return self._call_directly(kind, direct)
@@ -121,14 +121,14 @@
     def _record_failure(self, kind: str) -> None:
         self._count(kind, "failed")
         self._on_failure()
-        self._skip_direct_until = monotonic() + _DIRECT_AGAIN_AFTER_S
+        self._skip_direct_until = monotonic() + _DIRECT_RETRY_DELAY_S
 
     def _count(self, kind: str, result: str) -> None:
         self._metrics.table_requests.labels(kind, result).inc()
 
     def _relay(self, call: peer_wire.RelayCall, kind: type[T]) -> T:
         links = self._peers.links(self._zone) if self._peers is not None else []
-        for link in links[:_RELAYS_TRIED]:
+        for link in links[:_MAX_RELAYS]:
             try:
                 answer = link.ask(call, peer_wire.RelayAnswer, timeout_s=_RELAY_TIMEOUT_S)
             except PeerUnreachable:
@@ -138,17 +138,17 @@
                 return msgspec.json.decode(answer.body, type=kind)
         raise PlatformUnavailable("neither this box nor its peers reach the table")
 
-    def _on_call(self, _: Link, call: peer_wire.RelayCall) -> peer_wire.RelayAnswer:
-        """Carry a peer's call directly; never through another peer."""
+    def _on_relay_call(self, _: Link, call: peer_wire.RelayCall) -> peer_wire.RelayAnswer:
+        """Execute a peer's call directly, never through another peer."""
         if not self._direct_allowed():
             return peer_wire.RelayAnswer(call.number, b"")
         try:
-            body = self._carry(call)
+            body = self._execute(call)
         except (PlatformUnavailable, msgspec.MsgspecError):
             body = b""
         return peer_wire.RelayAnswer(call.number, body)
 
-    def _carry(self, call: peer_wire.RelayCall) -> bytes:
+    def _execute(self, call: peer_wire.RelayCall) -> bytes:
         if not call.transaction:
             return msgspec.json.encode(wire.Rows(rows=self._direct.rows(call.prefix)))
         transaction = msgspec.json.decode(call.transaction, type=wire.Transaction)
--- a/springrock/coordination/session.py
+++ b/springrock/coordination/session.py
@@ -1,8 +1,9 @@
-"""A box's session: a row in the table service, renewed while the box lives.
+"""A box's session: a row in the table that the box renews while it runs.
 
-The holder counts its lease from before it *sent* a renewal, a challenger from when it *first
-saw* the last renewal, plus a margin; both on their own monotonic clock. So a holder's lease is
-over before any challenger may act, whatever the delays and pauses.
+The holder of the session counts its lease from before it *sent* a renewal. A challenger, a box that
+wants to take over the holder's replicas, counts from when it *first saw* the last renewal, and adds
+a margin. Each uses its own monotonic clock. So the lease ends before any challenger may act, even
+if messages are delayed or a process is paused.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 
 class SessionValue(msgspec.Struct, frozen=True, array_like=True):
-    """What a session row says of its box."""
+    """The value of a session row."""
 
     box: str
     zone: str
@@ -51,7 +52,7 @@
         box: The name of this box.
         zone: Its availability zone.
         log: The log to write to.
-        on_lost: Called when another box broke the session; all ownership is gone then.
+        on_lost: Called when another box has deleted the session, and with it all ownership.
     """
 
     def __init__(
@@ -68,48 +69,48 @@
         self._lease = lease
         self._log = log
         self._on_lost = on_lost
-        self._unrenewed = Condition(
-            log, begins="Cannot renew the session.", ends="Renew the session again."
+        self._renewal_condition = Condition(
+            log, begins="Cannot renew the session.", ends="The session is renewed again."
         )
         self._lock = RLock()
         self._version = ABSENT
         self._held_until = 0.0
-        self._loop: gevent.Greenlet[..., Any] | None = None
-        self._stop_asked = Event()
+        self._task: gevent.Greenlet[..., Any] | None = None
+        self._stop_requested = Event()
         self.renewed_at = 0.0
         self.box = box
         self.value = SessionValue(box, zone, new_id(), "", 0)
 
     @property
     def key(self) -> str:
-        """The key of the session's row; each incarnation has its own, which lapses by itself."""
+        """The key of the session's row; each incarnation has a row of its own."""
         return key_of(self.value)
 
     @property
     def incarnation(self) -> str:
-        """Changes whenever the session was lost and begun again."""
+        """The identifier of this run of the session; it changes when a lost session restarts."""
         return self.value.incarnation
 
     @property
     def held(self) -> bool:
-        """Whether the lease is certainly not lapsed for any challenger."""
+        """Whether the lease is valid, so that no challenger may regard it as lapsed."""
         return monotonic() < self._held_until
 
     @property
     def table_seen_s(self) -> float:
-        """Seconds since the last renewal that the table confirmed."""
+        """Seconds since the sending of the last renewal that the table confirmed."""
         return monotonic() - self.renewed_at
 
     def start(self, *, peer_address: str) -> None:
-        """Begin renewing in the background."""
+        """Start renewing in the background."""
         self.value = msgspec.structs.replace(self.value, peer_address=peer_address)
-        self._loop = gevent.spawn(self._renew_loop)
+        self._task = gevent.spawn(self._renew_loop)
 
     def stop(self) -> None:
-        """Stop renewing and delete the row if the table can be reached."""
-        self._stop_asked.set()
-        if self._loop is not None:
-            self._loop.kill()
+        """Stop renewing, and delete the row if the table can be reached."""
+        self._stop_requested.set()
+        if self._task is not None:
+            self._task.kill()
         self._held_until = 0.0
         with self._lock:
             try:
@@ -117,42 +118,42 @@
                     Transaction(checks=[Check(self.key, self._version)], deletes=[self.key])
                 )
             except PlatformUnavailable:
-                self._log.say("Left the session row to lapse.")
+                self._log.say("Could not delete the session row; the session will lapse.")
 
     def announce_stopping(self) -> None:
-        """Tell the others that this box is about to stop."""
+        """Mark the session row as stopping, for the other boxes to read."""
         self.value = msgspec.structs.replace(self.value, stopping=True)
         self.renew()
 
     def renew(self) -> bool:
-        """Renew once; return whether the table confirmed."""
+        """Renew once; return whether the table confirmed the renewal."""
         with self._lock:
             try:
                 self.commit(Transaction())
             except (PlatformUnavailable, TransactionConflict) as error:
-                self._unrenewed.begin(error=str(error))
+                self._renewal_condition.begin(error=str(error))
                 return False
-            self._unrenewed.end()
+            self._renewal_condition.end()
             return True
 
     def commit(self, transaction: Transaction) -> int:
-        """Carry out a transaction that holds only while this session stands, and renew with it.
+        """Execute a transaction on the condition that this session exists, and renew with it.
 
         Returns:
             The version of the rows written.
 
         Raises:
             TransactionConflict: If a check failed, the session's own included.
-            PlatformUnavailable: If the outcome is not known.
+            PlatformUnavailable: If the outcome is unknown.
         """
         with self._lock:
             sent_at = monotonic()
             value = msgspec.structs.replace(self.value, renewal=self.value.renewal + 1)
-            own = Put(self.key, msgspec.json.encode(value))
+            own_put = Put(self.key, msgspec.json.encode(value))
             answer = self._platform.transact(
                 Transaction(
                     checks=[Check(self.key, self._version), *transaction.checks],
-                    puts=[own, *transaction.puts],
+                    puts=[own_put, *transaction.puts],
                     deletes=transaction.deletes,
                 )
             )
@@ -169,26 +170,29 @@
         self.renewed_at = sent_at
 
     def _resolve_conflict(self, failed: list[Row]) -> None:
-        """Learn from a failed check whether an earlier write of ours took effect."""
+        """Adopt the state of the session row after a failed check.
+
+        An earlier renewal may have taken effect without an answer, or the row may be deleted.
+        """
         for row in failed:
             if row.key != self.key:
                 continue
             if row.version == ABSENT:
-                self._begin_again()
+                self._restart()
                 return
             existing = msgspec.json.decode(row.value, type=SessionValue)
             self._version = row.version
             self.value = msgspec.structs.replace(self.value, renewal=existing.renewal)
 
-    def _begin_again(self) -> None:
+    def _restart(self) -> None:
         self._version = ABSENT
         self._held_until = 0.0
         self.value = msgspec.structs.replace(self.value, incarnation=new_id(), renewal=0)
-        self._log.say("Lost the session; began a new one.")
+        self._log.say("Another box deleted the session; started a new one.")
         self._on_lost()
 
     def _renew_loop(self) -> None:
-        while not self._stop_asked.is_set():
+        while not self._stop_requested.is_set():
             renewed = self.renew()
-            pause = self._lease.renew_every_s if renewed else self._lease.renew_every_s / 3
-            self._stop_asked.wait(timeout=pause)
+            pause_s = self._lease.renew_every_s if renewed else self._lease.renew_every_s / 3
+            self._stop_requested.wait(timeout=pause_s)
--- a/springrock/coordination/standalone.py
+++ b/springrock/coordination/standalone.py
@@ -1,9 +1,9 @@
-"""Acting as an owner while nobody in the zone can reach the table.
+"""Decides whether an owner may continue to act when no box of its zone can reach the table.
 
-A takeover needs the table, and only boxes of the zone may take over. So an owner whose lease
-cannot be renewed may go on while every peer of its zone that it can reach agrees, freshly, that
-it cannot reach the table either and knows no newer fence. The agreement is short: it ends before
-a challenger's direct probe of this box can time out.
+A takeover needs the table, and only boxes of the zone may take over. So an owner that cannot renew
+its lease may continue while every reachable peer of its zone agrees: the peer cannot reach the
+table either, and knows no higher fence of the owner's replicas. An agreement is short-lived: it
+ends before a challenger's direct probe of this box can time out.
 """
 
 from __future__ import annotations
@@ -22,23 +22,24 @@
 from springrock.log import Log
 from springrock.wire import peer as wire
 
-AGREEMENT_LIFE_S = 2.0
+AGREEMENT_LIFETIME_S = 2.0
 PROBE_TIMEOUT_S = 3.0
-_ASK_EVERY_S = 0.5
+_ASK_INTERVAL_S = 0.5
 _ASK_TIMEOUT_S = 1.0
 
 
 class Standalone:
-    """Finds out whether this box may act without a lease.
+    """Determines whether this box may act as an owner without a lease.
 
     Args:
         session: This box's session.
         peers: The links to the other boxes.
-        held: Knows the highest fences.
-        table_out_after_s: The table counts as out when it was not seen for this long; must be
-            well under the lease, so that there is no gap between lease and agreement.
+        held: The book that knows the highest fence of each replica.
+        table_out_after_s: The table counts as unreachable this long after the last confirmed
+            renewal. It must be well below the lease time, so that an agreement can be reached
+            before the lease ends.
         zone: This box's availability zone.
-        owned: Returns the replicas that this box owns, with their fences.
+        owned: Returns the fences of the replicas that this box owns, by replica.
         log: The log to write to.
     """
 
@@ -65,27 +66,27 @@
         peers.handle(wire.Probe, self._on_probe)
 
     def start(self) -> None:
-        """Begin asking whenever the lease is in danger."""
+        """Start the background task that asks the peers while the table is unreachable."""
         self._task = gevent.spawn(self._ask_loop)
 
     def stop(self) -> None:
-        """Stop asking."""
+        """Stop asking, and drop the current agreement."""
         if self._task is not None:
             self._task.kill()
         self._agreed_until = 0.0
 
     def may_act(self) -> bool:
-        """Whether this box may act as an owner at this moment."""
+        """Whether this box may act as an owner now, by its lease or by agreement."""
         return self._session.held or monotonic() < self._agreed_until
 
     @property
-    def agreed(self) -> bool:
-        """Whether the peers agree at this moment that the table is out."""
+    def has_agreement(self) -> bool:
+        """Whether the last agreement of the peers is still valid."""
         return monotonic() < self._agreed_until
 
     def _ask_loop(self) -> None:
         while True:
-            gevent.sleep(_ASK_EVERY_S)
+            gevent.sleep(_ASK_INTERVAL_S)
             if self._session.renewed_at and self._session.table_seen_s > self._table_out_after_s:
                 self._ask_zone()
 
@@ -94,23 +95,27 @@
         owned = self._owned()
         names = sorted(owned)
         tasks = [
-            gevent.spawn(self._agrees, link, names, owned) for link in self._peers.links(self._zone)
+            gevent.spawn(self._peer_agrees, link, names, owned)
+            for link in self._peers.links(self._zone)
         ]
         gevent.joinall(tasks)
         if all(task.value for task in tasks):
-            if not self.agreed:
-                self._log.say("The zone agrees that the table is out.", peers=len(tasks))
-            self._agreed_until = asked_at + AGREEMENT_LIFE_S
-
-    def _agrees(self, link: Link, names: list[str], owned: dict[str, int]) -> bool:
-        """Return whether a peer agrees; one that cannot be reached does not count."""
+            if not self.has_agreement:
+                self._log.say(
+                    "All reachable peers of the zone agree that the table cannot be reached.",
+                    peers=len(tasks),
+                )
+            self._agreed_until = asked_at + AGREEMENT_LIFETIME_S
+
+    def _peer_agrees(self, link: Link, names: list[str], owned: dict[str, int]) -> bool:
+        """Whether a peer agrees; a peer that cannot be reached counts as agreeing."""
         try:
             answer = link.ask(wire.Probe(0, names), wire.ProbeAnswer, timeout_s=_ASK_TIMEOUT_S)
         except PeerUnreachable:
             return True
-        known = dict(zip(names, answer.fences, strict=False))
-        no_newer = all(known.get(name, 0) <= fence for name, fence in owned.items())
-        return answer.table_seen_s > self._table_out_after_s and no_newer
+        known_fences = dict(zip(names, answer.fences, strict=False))
+        no_higher_fence = all(known_fences.get(name, 0) <= fence for name, fence in owned.items())
+        return answer.table_seen_s > self._table_out_after_s and no_higher_fence
 
     def _on_probe(self, _: Link, probe: wire.Probe) -> wire.ProbeAnswer:
         fences = [self._held.fence_of(name) for name in probe.replicas]
--- a/springrock/coordination/steward.py
+++ b/springrock/coordination/steward.py
@@ -1,8 +1,8 @@
-"""The loads steward: orders the adapter loads of the whole deployment, so that few run at once.
+"""The loads steward: the box that schedules the adapter loads of the whole deployment.
 
-The weight store runs only one load at full speed. The steward is the first live box by
-rendezvous; it only advises. When it cannot be reached, a zone falls back to its share of the
-rate, and the cost is time alone.
+The weight store serves only one load at full speed, so the steward lets few loads run at once. The
+steward is the first live box in rendezvous order. Its turns are advisory: a box that cannot reach
+it loads at its share of the deployment's load rate, which costs only time.
 """
 
 from __future__ import annotations
@@ -21,82 +21,92 @@
 from springrock.log import Log
 from springrock.wire import peer as wire
 
-_TURN_LIFE_S = 5.0
-_BID_TIMEOUT_S = 30.0
+_TURN_LIFETIME_S = 5.0
+_TURN_TIMEOUT_S = 30.0
 
 
-class Bid:
-    """A wish to load, waiting at the steward."""
+class QueuedLoad:
+    """A load that waits at the steward for its turn.
+
+    Attributes:
+        replica: The replica that is to load the adapter.
+        adapter: ``ADAPTER@VERSION``.
+        value: How valuable the load is; the highest value goes first.
+        order: The order of arrival.
+        granted: Set when the load has its turn.
+    """
 
     def __init__(self, replica: str, adapter: str, value: float, order: int) -> None:
         self.replica = replica
         self.adapter = adapter
         self.value = value
         self.order = order
-        self.given = Event()
+        self.granted = Event()
 
 
-class TurnTable:
-    """The steward's book: who waits, and who has the turn.
+class LoadQueue:
+    """The steward's queue of waiting loads, and the turns that it has granted.
 
     Args:
-        turns: How many loads may run at once.
-        turn_life_s: After this a turn that was not given back is over.
+        max_turns: How many loads may run at once.
+        turn_lifetime_s: How long a turn lasts if its end is not reported.
     """
 
-    def __init__(self, *, turns: int = 1, turn_life_s: float = _TURN_LIFE_S) -> None:
-        self._turns = turns
-        self._turn_life_s = turn_life_s
+    def __init__(self, *, max_turns: int = 1, turn_lifetime_s: float = _TURN_LIFETIME_S) -> None:
+        self._max_turns = max_turns
+        self._turn_lifetime_s = turn_lifetime_s
         self._order = itertools.count()
-        self._waiting: list[Bid] = []
-        self._given: dict[str, float] = {}
-
-    def bid(self, replica: str, adapter: str, value: float) -> Bid:
-        """Enter a wish; a replica's earlier wish is replaced."""
-        self._waiting = [bid for bid in self._waiting if bid.replica != replica]
-        bid = Bid(replica, adapter, value, next(self._order))
-        self._waiting.append(bid)
-        self.give()
-        return bid
-
-    def withdraw(self, bid: Bid) -> None:
-        """Take a wish back."""
-        if bid in self._waiting:
-            self._waiting.remove(bid)
-
-    def over(self, replica: str) -> None:
-        """Note that a replica's load is over."""
-        self._given.pop(replica, None)
-        self.give()
-
-    def give(self) -> None:
-        """Give free turns to the most valuable wishes, the oldest among equals."""
+        self._waiting: list[QueuedLoad] = []
+        self._turn_ends: dict[str, float] = {}
+
+    def add(self, replica: str, adapter: str, value: float) -> QueuedLoad:
+        """Add a load to the queue, in place of an earlier waiting load of the same replica."""
+        self._waiting = [load for load in self._waiting if load.replica != replica]
+        load = QueuedLoad(replica, adapter, value, next(self._order))
+        self._waiting.append(load)
+        self.grant_turns()
+        return load
+
+    def withdraw(self, load: QueuedLoad) -> None:
+        """Remove a waiting load from the queue."""
+        if load in self._waiting:
+            self._waiting.remove(load)
+
+    def end_turn(self, replica: str) -> None:
+        """End the turn of a replica whose load is over, and grant free turns."""
+        self._turn_ends.pop(replica, None)
+        self.grant_turns()
+
+    def grant_turns(self) -> None:
+        """Grant free turns to the loads of the highest value, the oldest among equals first."""
         now = monotonic()
-        self._given = {name: until for name, until in self._given.items() if until > now}
-        while self._waiting and len(self._given) < self._turns:
-            best = max(self._waiting, key=lambda bid: (bid.value, -bid.order))
+        self._turn_ends = {
+            name: ends_at for name, ends_at in self._turn_ends.items() if ends_at > now
+        }
+        while self._waiting and len(self._turn_ends) < self._max_turns:
+            best = max(self._waiting, key=lambda load: (load.value, -load.order))
             self._waiting.remove(best)
-            self._given[best.replica] = now + self._turn_life_s
-            best.given.set()
+            self._turn_ends[best.replica] = now + self._turn_lifetime_s
+            best.granted.set()
 
     @property
     def next_expiry_s(self) -> float:
-        """Seconds until the first given turn is over by itself."""
+        """Seconds until the first granted turn expires."""
         now = monotonic()
-        return max(0.01, min((until - now for until in self._given.values()), default=0.01))
+        return max(0.01, min((ends_at - now for ends_at in self._turn_ends.values()), default=0.01))
 
     def __len__(self) -> int:
         return len(self._waiting)
 
 
 class Steward:
-    """This box's side of the loads steward, whichever box holds the role.
+    """Gets turns from the loads steward, and acts as the steward if this box has the role.
 
     Args:
         box: The name of this box.
         zone: Its availability zone.
-        loads_per_s: The deployment's load rate.
-        members: Tells which box is the steward.
+        loads_per_s: The load rate of the whole deployment.
+        members: The view of all boxes, from which the steward is chosen.
         peers: The links to the other boxes.
         log: The log to write to.
     """
@@ -117,35 +127,41 @@
         self._members = members
         self._peers = peers
         self._log = log
-        self._alone_until = 0.0
-        self.turns = TurnTable()
+        self._next_share_at = 0.0
+        self.queue = LoadQueue()
         peers.handle(wire.LoadBid, self._on_bid)
         peers.handle(wire.LoadOver, self._on_over)
 
     @property
     def name(self) -> str:
-        """The box that holds the role, as this box sees it."""
+        """The name of the box that is the steward in this box's view."""
         boxes = [member.box for member in self._members.live()]
         return next(iter(rendezvous_order("loads steward", boxes)), self._box)
 
     def wait_for_turn(self, replica: str, adapter: str, value: float) -> None:
-        """Wait until a load may begin."""
+        """Wait until a load may start.
+
+        Args:
+            replica: The replica that is to load the adapter.
+            adapter: ``ADAPTER@VERSION``.
+            value: How valuable the load is; the steward grants the highest value first.
+        """
         steward = self.name
         if steward == self._box:
             self._wait_here(replica, adapter, value)
             return
         try:
             link = self._peers.link_to(steward)
-            bid = wire.LoadBid(0, replica, adapter, value)
-            link.ask(bid, wire.LoadTurn, timeout_s=_BID_TIMEOUT_S)
+            question = wire.LoadBid(0, replica, adapter, value)
+            link.ask(question, wire.LoadTurn, timeout_s=_TURN_TIMEOUT_S)
         except PeerUnreachable:
             self._wait_for_share()
 
     def end_turn(self, replica: str) -> None:
-        """Tell the steward that a load is over."""
+        """Notify the steward that a replica's load is over."""
         steward = self.name
         if steward == self._box:
-            self.turns.over(replica)
+            self.queue.end_turn(replica)
             return
         try:
             self._peers.link_to(steward).notify(wire.LoadOver(replica))
@@ -153,26 +169,26 @@
             return
 
     def _wait_here(self, replica: str, adapter: str, value: float) -> None:
-        bid = self.turns.bid(replica, adapter, value)
+        load = self.queue.add(replica, adapter, value)
         try:
-            while not bid.given.wait(timeout=self.turns.next_expiry_s):
-                self.turns.give()
+            while not load.granted.wait(timeout=self.queue.next_expiry_s):
+                self.queue.grant_turns()
         finally:
-            self.turns.withdraw(bid)
+            self.queue.withdraw(load)
 
     def _wait_for_share(self) -> None:
-        """Keep this box to its part of its zone's part of the load rate."""
+        """Wait until this box may load at an equal share of its zone's share of the load rate."""
         zones = len({member.zone for member in self._members.live()}) or 1
         boxes = len(self._members.live(self._zone)) or 1
         now = monotonic()
-        begin = max(now, self._alone_until)
-        self._alone_until = begin + zones * boxes / self._loads_per_s / 2
-        self._log.say("The steward is out of reach; loading at this box's share.")
-        gevent.sleep(begin - now)
+        starts_at = max(now, self._next_share_at)
+        self._next_share_at = starts_at + zones * boxes / self._loads_per_s / 2
+        self._log.say("Cannot reach the loads steward; loading at this box's share of the rate.")
+        gevent.sleep(starts_at - now)
 
     def _on_bid(self, _: Link, question: wire.LoadBid) -> wire.LoadTurn:
         self._wait_here(question.replica, question.adapter, question.value)
-        return wire.LoadTurn(question.number, _TURN_LIFE_S)
+        return wire.LoadTurn(question.number, _TURN_LIFETIME_S)
 
     def _on_over(self, _: Link, notice: wire.LoadOver) -> None:
-        self.turns.over(notice.replica)
+        self.queue.end_turn(notice.replica)
