--- a/springrock/coordination/permits.py
+++ b/springrock/coordination/permits.py
@@ -168,7 +168,7 @@
         newer_owner = self._owners.get(held.replica)
         return {granted_by, newer_owner} if newer_owner else {granted_by}
 
-    def fence_of(self, replica: str) -> int:
+    def highest_fence(self, replica: str) -> int:
         """Return the highest known fence of a replica, or 0 if none is known."""
         return self._fences.get(replica, 0)
 
--- a/springrock/coordination/standalone.py
+++ b/springrock/coordination/standalone.py
@@ -61,7 +61,7 @@
         self._zone = zone
         self._owned = owned
         self._log = log
-        self._agreed_until = 0.0
+        self._agreement_valid_until = 0.0
         self._task: gevent.Greenlet[..., Any] | None = None
         peers.handle(wire.Probe, self._on_probe)
 
@@ -73,16 +73,16 @@
         """Stop asking, and drop the current agreement."""
         if self._task is not None:
             self._task.kill()
-        self._agreed_until = 0.0
+        self._agreement_valid_until = 0.0
 
     def may_act(self) -> bool:
         """Whether this box may act as an owner now, by its lease or by agreement."""
-        return self._session.held or monotonic() < self._agreed_until
+        return self._session.held or monotonic() < self._agreement_valid_until
 
     @property
     def has_agreement(self) -> bool:
         """Whether the last agreement of the peers is still valid."""
-        return monotonic() < self._agreed_until
+        return monotonic() < self._agreement_valid_until
 
     def _ask_loop(self) -> None:
         while True:
@@ -105,7 +105,7 @@
                     "All reachable peers of the zone agree that the table cannot be reached.",
                     peers=len(tasks),
                 )
-            self._agreed_until = asked_at + AGREEMENT_LIFETIME_S
+            self._agreement_valid_until = asked_at + AGREEMENT_LIFETIME_S
 
     def _peer_agrees(self, link: Link, names: list[str], owned: dict[str, int]) -> bool:
         """Whether a peer agrees; a peer that cannot be reached counts as agreeing."""
@@ -118,5 +118,5 @@
         return answer.table_seen_s > self._table_out_after_s and no_higher_fence
 
     def _on_probe(self, _: Link, probe: wire.Probe) -> wire.ProbeAnswer:
-        fences = [self._held.fence_of(name) for name in probe.replicas]
+        fences = [self._held.highest_fence(name) for name in probe.replicas]
         return wire.ProbeAnswer(probe.number, round(self._session.table_seen_s, 2), fences)
--- a/springrock/coordination/steward.py
+++ b/springrock/coordination/steward.py
@@ -177,7 +177,7 @@
             self.queue.withdraw(load)
 
     def _wait_for_share(self) -> None:
-        """Wait until this box may load at an equal share of its zone's share of the load rate."""
+        """Wait until this box may load at its share: twice the load rate over zones and boxes."""
         zones = len({member.zone for member in self._members.live()}) or 1
         boxes = len(self._members.live(self._zone)) or 1
         now = monotonic()
--- a/tests/coordination/test_catalog.py
+++ b/tests/coordination/test_catalog.py
@@ -26,7 +26,7 @@
     assert catalog.adapter("b:x") == Adapter("b:x", [1], 1)
 
 
-def test_entities_are_found_by_what_they_are() -> None:
+def test_entities_are_found_by_type_and_name() -> None:
     catalog = Catalog()
     catalog.apply(
         change(
@@ -51,25 +51,25 @@
 
 
 @given(STEPS)
-def test_it_is_a_dictionary_of_adapters_and_survives_a_snapshot(
+def test_adapters_behave_as_a_dictionary_and_survive_a_snapshot(
     steps: list[tuple[bool, str, int]],
 ) -> None:
-    catalog, plain = Catalog(), dict[str, Adapter]()
+    catalog, expected = Catalog(), dict[str, Adapter]()
     for revision, (put, name, version) in enumerate(steps, start=1):
         if put:
-            plain[name] = Adapter(name, [version], version)
-            catalog.apply(change(revision, adapters=[plain[name]]))
+            expected[name] = Adapter(name, [version], version)
+            catalog.apply(change(revision, adapters=[expected[name]]))
         else:
-            plain.pop(name, None)
+            expected.pop(name, None)
             catalog.apply(change(revision, deletes=[f"adapter/{name}"]))
     restored = Catalog.from_snapshot(catalog.snapshot())
     for found in (catalog, restored):
-        assert {item.name: item for item in found.adapters()} == plain
-        assert found.adapter_count == len(plain)
+        assert {item.name: item for item in found.adapters()} == expected
+        assert found.adapter_count == len(expected)
         assert found.revision == len(steps)
 
 
-def test_a_snapshot_keeps_what_is_no_adapter() -> None:
+def test_a_snapshot_keeps_workloads_marks_and_pins() -> None:
     catalog = Catalog()
     catalog.apply(
         change(1, workloads=[Workload("w")], marks=[Mark.drain("r")], pins=[Pin("r", "x@1")])
--- a/tests/coordination/test_members.py
+++ b/tests/coordination/test_members.py
@@ -1,4 +1,4 @@
-"""Which boxes a box knows, and when it reads of those of other zones."""
+"""The view of all boxes, and how often the session rows of all zones are read."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class ScriptedTable:
-    """The session rows, and how often all of them were read."""
+    """A table of session rows that records the times at which the rows of all zones were read."""
 
     def __init__(self) -> None:
-        self.rows_of: dict[str, Row] = {}
-        self.whole_reads_at: list[float] = []
+        self.rows_by_key: dict[str, Row] = {}
+        self.full_reads_at: list[float] = []
         self.now = 100.0
 
     def add(self, box: str, zone: str) -> None:
@@ -28,12 +28,12 @@
             box=box, zone=zone, incarnation=f"of-{box}", peer_address="a:1", renewal=0
         )
         key = f"{SESSION_PREFIX}{zone}/{box}"
-        self.rows_of[key] = Row(key=key, value=msgspec.json.encode(value), version=1)
+        self.rows_by_key[key] = Row(key=key, value=msgspec.json.encode(value), version=1)
 
     def rows(self, prefix: str) -> list[Row]:
         if prefix == SESSION_PREFIX:
-            self.whole_reads_at.append(self.now)
-        return [row for key, row in self.rows_of.items() if key.startswith(prefix)]
+            self.full_reads_at.append(self.now)
+        return [row for key, row in self.rows_by_key.items() if key.startswith(prefix)]
 
 
 @pytest.fixture
@@ -43,15 +43,15 @@
     return table
 
 
-def follow(table: ScriptedTable, members: Members, *, for_s: float) -> None:
-    """Scan as often as the task would while all is calm."""
-    ends_at = table.now + for_s
+def scan_repeatedly(table: ScriptedTable, members: Members, *, duration_s: float) -> None:
+    """Scan as often as the background task does while nothing is wrong."""
+    ends_at = table.now + duration_s
     while table.now < ends_at:
         members.scan()
         table.now += members.pause_s
 
 
-def make(table: ScriptedTable) -> Members:
+def make_members(table: ScriptedTable) -> Members:
     return Members(
         table,  # type: ignore[arg-type]
         LEASE,
@@ -61,25 +61,28 @@
     )
 
 
-def test_a_box_soon_knows_those_of_other_zones_that_started_with_it(table: ScriptedTable) -> None:
-    """Two boxes that start together may each read the rows just before the other's is there.
+def test_boxes_of_other_zones_that_start_together_soon_find_each_other(
+    table: ScriptedTable,
+) -> None:
+    """Two boxes that start together may each read the rows before the other has written its own.
 
-    No link tells them then, and while all is calm other zones were read every 30 s only. The one
-    took a paused box for the steward meanwhile and loaded at its own share, one adapter in 4 s.
+    Without a link between them, they find each other only by reading the rows of all zones. When
+    these were read only every 30 s, one box kept taking a paused box for the loads steward, and
+    loaded at its own share of the rate, one adapter in 4 s.
     """
     table.add("zone-2-b", "zone-2")
-    members = make(table)
+    members = make_members(table)
     members.scan()
     table.add("zone-1-b", "zone-1")
-    follow(table, members, for_s=3.0)
+    scan_repeatedly(table, members, duration_s=3.0)
     assert members.find("zone-1-b") is not None
 
 
-def test_the_longer_it_runs_the_less_often_it_reads_of_all_zones(table: ScriptedTable) -> None:
+def test_all_zones_are_read_less_often_the_longer_a_box_runs(table: ScriptedTable) -> None:
     table.add("zone-2-b", "zone-2")
-    members = make(table)
+    members = make_members(table)
     began_at = table.now
-    follow(table, members, for_s=300.0)
-    early = [at for at in table.whole_reads_at if at < began_at + 32.0]
+    scan_repeatedly(table, members, duration_s=300.0)
+    early = [at for at in table.full_reads_at if at < began_at + 32.0]
     assert len(early) <= 7
-    assert len(table.whole_reads_at) - len(early) <= 300.0 / LEASE.all_zones_scan_every_s
+    assert len(table.full_reads_at) - len(early) <= 300.0 / LEASE.all_zones_scan_every_s
--- a/tests/coordination/test_permits.py
+++ b/tests/coordination/test_permits.py
@@ -11,7 +11,7 @@
     return wire.Grant(1, permit, "engine-1", "harvest@3", fence, 2.0, 20.0, 0.0, 0.0)
 
 
-def test_an_adapter_is_in_use_until_its_last_permit_is_back() -> None:
+def test_an_adapter_is_in_use_until_its_last_permit_is_returned() -> None:
     book = PermitBook()
     first = book.grant(ASK, holder="a", life_s=60)
     second = book.grant(ASK, holder="b", life_s=60)
@@ -24,7 +24,7 @@
     assert len(book) == 0
 
 
-def test_an_overdue_permit_is_told_once_and_stays_in_use() -> None:
+def test_an_overdue_permit_is_reported_once_and_stays_in_use() -> None:
     book = PermitBook()
     permit = book.grant(ASK, holder="a", life_s=-1)
     assert book.overdue() == [permit]
@@ -32,7 +32,7 @@
     assert book.using("harvest@3") == 1
 
 
-def test_a_grant_of_an_older_owner_is_not_taken() -> None:
+def test_a_grant_of_an_older_owner_is_refused() -> None:
     held = HeldBook()
     old = held.enter(grant(1, fence=2), ends_at=monotonic() + 10)
     assert old is not None
@@ -47,10 +47,10 @@
     held = HeldBook()
     held.notice_fence("engine-1", 5, "newer")
     held.notice_fence("engine-1", 4, "older")
-    assert held.fence_of("engine-1") == 5
+    assert held.highest_fence("engine-1") == 5
 
 
-def test_an_inherited_permit_keeps_its_adapter_in_use_until_it_is_over() -> None:
+def test_an_inherited_permit_keeps_its_adapter_in_use_until_it_ends() -> None:
     book = InheritedBook()
     book.add(wire.HeldPermit(2, 1, "harvest@3", 10.0), ends_at=monotonic() + 10)
     book.add(wire.HeldPermit(2, 2, "other@1", 0.0), ends_at=monotonic() - 1)
--- a/tests/coordination/test_relayed.py
+++ b/tests/coordination/test_relayed.py
@@ -1,4 +1,4 @@
-"""The platform as a box sees it, when its own way has just failed."""
+"""The relaying platform client after a direct call has failed."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from springrock.wire import platform as wire
 
 
-class Direct:
-    """A platform that fails so many times, and then answers."""
+class FlakyPlatform:
+    """A platform that fails the first calls and then answers."""
 
     def __init__(self, *, failures: int) -> None:
         self.failures = failures
@@ -41,23 +41,23 @@
             raise PlatformUnavailable("no answer")
 
 
-def make_platform(direct: Direct) -> RelayedPlatform:
-    return RelayedPlatform(direct, zone="zone-1", metrics=Metrics())
+def make_platform(flaky: FlakyPlatform) -> RelayedPlatform:
+    return RelayedPlatform(flaky, zone="zone-1", metrics=Metrics())
 
 
-def test_the_own_way_is_tried_again_when_no_peer_has_one() -> None:
-    direct = Direct(failures=1)
-    platform = make_platform(direct)
+def test_a_direct_call_is_tried_again_when_no_peer_can_relay_it() -> None:
+    flaky = FlakyPlatform(failures=1)
+    platform = make_platform(flaky)
     with pytest.raises(PlatformUnavailable):
         platform.rows("a/")
     assert platform.rows("a/") == []
     assert platform.transact(wire.Transaction()).version == 7
-    assert direct.calls == 3
+    assert flaky.calls == 3
 
 
 def test_a_call_that_failed_directly_is_not_made_twice() -> None:
-    direct = Direct(failures=5)
-    platform = make_platform(direct)
+    flaky = FlakyPlatform(failures=5)
+    platform = make_platform(flaky)
     with pytest.raises(PlatformUnavailable):
         platform.transact(wire.Transaction())
-    assert direct.calls == 1
+    assert flaky.calls == 1
--- a/tests/coordination/test_steward.py
+++ b/tests/coordination/test_steward.py
@@ -27,7 +27,7 @@
     assert not younger.granted.is_set()
 
 
-def test_a_turn_that_is_never_given_back_is_over_by_itself() -> None:
+def test_a_turn_whose_end_is_not_reported_expires() -> None:
     queue = LoadQueue(turn_lifetime_s=0.0)
     queue.add("r1", "a@1", 1.0)
     later = queue.add("r2", "b@1", 1.0)
@@ -35,7 +35,7 @@
     assert later.granted.is_set()
 
 
-def test_a_replica_has_one_wish_and_may_withdraw_it() -> None:
+def test_a_replica_has_one_waiting_load_and_may_withdraw_it() -> None:
     queue = LoadQueue()
     queue.add("r1", "a@1", 1.0)
     queue.add("r2", "b@1", 1.0)
