--- a/springrock/coordination/feed.py
+++ b/springrock/coordination/feed.py
@@ -90,7 +90,7 @@
         self._log = log
         self._metrics = metrics
         self._on_change = on_change
-        self._read_condition = Condition(
+        self._read_failure = Condition(
             log,
             begins="Cannot read the configuration.",
             ends="The configuration is readable again.",
@@ -286,9 +286,9 @@
             before = self.catalog.revision
             try:
                 self.sync()
-                self._read_condition.end()
+                self._read_failure.end()
             except PlatformUnavailable as error:
-                self._read_condition.begin(error=str(error))
+                self._read_failure.begin(error=str(error))
                 self._fetch_from_peers()
             if self.catalog.revision > before:
                 self._peers.broadcast(wire.Head(self.catalog.revision))
--- a/springrock/coordination/listing.py
+++ b/springrock/coordination/listing.py
@@ -37,7 +37,7 @@
         self._poll_s = poll_s
         self._log = log
         self._on_change = on_change
-        self._read_condition = Condition(
+        self._read_failure = Condition(
             log, begins="Cannot read the list.", ends="The list is readable again."
         )
         self._task: gevent.Greenlet[..., Any] | None = None
@@ -69,7 +69,7 @@
         while True:
             try:
                 self.poll()
-                self._read_condition.end()
+                self._read_failure.end()
             except PlatformUnavailable as error:
-                self._read_condition.begin(error=str(error))
+                self._read_failure.begin(error=str(error))
             gevent.sleep(self._poll_s)
--- a/springrock/coordination/members.py
+++ b/springrock/coordination/members.py
@@ -80,7 +80,7 @@
         self._full_scan_wanted = True
         self._log = log
         self._on_change = on_change
-        self._read_condition = Condition(
+        self._read_failure = Condition(
             log, begins="Cannot read the session rows.", ends="The session rows are readable again."
         )
         self._members: dict[str, Member] = {}
@@ -177,10 +177,10 @@
         while True:
             try:
                 self.scan()
-                self._read_condition.end()
+                self._read_failure.end()
             except PlatformUnavailable as error:
                 self._outage = True
-                self._read_condition.begin(error=str(error))
+                self._read_failure.begin(error=str(error))
             self._wake.wait(timeout=self.pause_s)
             self._wake.clear()
 
--- a/springrock/coordination/ownership.py
+++ b/springrock/coordination/ownership.py
@@ -100,7 +100,7 @@
         self._lease = lease
         self._listener = listener
         self._log = log
-        self._read_condition = Condition(
+        self._read_failure = Condition(
             log, begins="Cannot read the replica rows.", ends="The replica rows are readable again."
         )
         self._owned: dict[str, int] = {}
@@ -138,7 +138,7 @@
             self._task.kill()
 
     def session_lost(self) -> None:
-        """Give up all replicas, because another box deleted this box's session."""
+        """Give up all replicas, because this box's session was deleted."""
         for replica in list(self._owned):
             self._stop_owning(replica)
 
@@ -185,9 +185,9 @@
         with self._reconcile_lock:
             try:
                 self.reconcile()
-                self._read_condition.end()
+                self._read_failure.end()
             except PlatformUnavailable as error:
-                self._read_condition.begin(error=str(error))
+                self._read_failure.begin(error=str(error))
 
     def reconcile(self) -> None:
         """Compare each replica's row with its preferred owner, and act on each difference.
--- a/springrock/coordination/session.py
+++ b/springrock/coordination/session.py
@@ -52,7 +52,7 @@
         box: The name of this box.
         zone: Its availability zone.
         log: The log to write to.
-        on_lost: Called when another box has deleted the session, and with it all ownership.
+        on_lost: Called when the session row was deleted; this box owns no replica any more.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         self._lease = lease
         self._log = log
         self._on_lost = on_lost
-        self._renewal_condition = Condition(
+        self._renewal_failure = Condition(
             log, begins="Cannot renew the session.", ends="The session is renewed again."
         )
         self._lock = RLock()
@@ -131,9 +131,9 @@
             try:
                 self.commit(Transaction())
             except (PlatformUnavailable, TransactionConflict) as error:
-                self._renewal_condition.begin(error=str(error))
+                self._renewal_failure.begin(error=str(error))
                 return False
-            self._renewal_condition.end()
+            self._renewal_failure.end()
             return True
 
     def commit(self, transaction: Transaction) -> int:
@@ -188,7 +188,7 @@
         self._version = ABSENT
         self._held_until = 0.0
         self.value = msgspec.structs.replace(self.value, incarnation=new_id(), renewal=0)
-        self._log.say("Another box deleted the session; started a new one.")
+        self._log.say("The session row was deleted; started a new session.")
         self._on_lost()
 
     def _renew_loop(self) -> None:
