--- a/springrock/coordination/claims.py
+++ b/springrock/coordination/claims.py
@@ -125,7 +125,7 @@
             try:
                 batch = self._write_once(batch)
             except PlatformUnavailable:
-                self._resolve_by_reading(batch)
+                self._refuse_unconfirmed(batch)
                 return
 
     def _write_once(self, batch: list[_PendingClaim]) -> list[_PendingClaim]:
@@ -148,7 +148,7 @@
                 pending.resolve(failed)
         return [pending for pending in batch if pending.key not in failed]
 
-    def _resolve_by_reading(self, batch: list[_PendingClaim]) -> None:
+    def _refuse_unconfirmed(self, batch: list[_PendingClaim]) -> None:
         """Refuse the requests of a batch whose transaction got no answer.
 
         No request of the batch has been sent, so "not run" is correct whether or not the write
--- a/springrock/coordination/ownership.py
+++ b/springrock/coordination/ownership.py
@@ -203,9 +203,9 @@
             self._reconcile_replica(
                 upstream, rows.get(name, Row(_key(self.zone, name), ABSENT, b""))
             )
-        self._sweep(rows)
+        self._delete_unused_sessions(rows)
 
-    def _sweep(self, rows: dict[str, Row]) -> None:
+    def _delete_unused_sessions(self, rows: dict[str, Row]) -> None:
         """Delete the zone's lapsed sessions that own no replica, if this box is chosen for it."""
         if self._preferred_owner("session sweep") != self._session.box:
             return
--- a/springrock/coordination/peers.py
+++ b/springrock/coordination/peers.py
@@ -98,7 +98,7 @@
 
     @property
     def address(self) -> str:
-        """The address that this box listens on."""
+        """The address that the server is bound to."""
         assert self._server is not None
         host, port = self._server.socket.getsockname()[:2]
         return f"{host}:{port}"
--- a/springrock/coordination/permits.py
+++ b/springrock/coordination/permits.py
@@ -119,7 +119,14 @@
 
 
 class Held(NamedTuple):
-    """A permit in the holder's book."""
+    """A permit in the holder's book.
+
+    Attributes:
+        adapter: ``ADAPTER@VERSION``, or empty for the base model alone.
+        fence: The fence under which the owner granted the permit.
+        number: The permit's number in the owner's book.
+        ends_at: When the request must have ended, on the local monotonic clock.
+    """
 
     replica: str
     adapter: str
--- a/springrock/coordination/relayed.py
+++ b/springrock/coordination/relayed.py
@@ -26,8 +26,8 @@
 class RelayedPlatform:
     """Calls the platform directly; table calls also through peers of the zone.
 
-    A transaction may be carried out twice, directly and through a peer, if its checks allow that.
-    All transactions of this package check the rows that they write, so the second one fails.
+    A transaction that is sent both directly and through a peer takes effect twice only if its
+    checks allow that. All transactions of this package check the rows that they write.
 
     Args:
         direct: The client that calls the platform from this box.
--- a/springrock/coordination/steward.py
+++ b/springrock/coordination/steward.py
@@ -129,8 +129,8 @@
         self._log = log
         self._next_share_at = 0.0
         self.queue = LoadQueue()
-        peers.handle(wire.LoadBid, self._on_bid)
-        peers.handle(wire.LoadOver, self._on_over)
+        peers.handle(wire.LoadBid, self._on_load_bid)
+        peers.handle(wire.LoadOver, self._on_load_over)
 
     @property
     def name(self) -> str:
@@ -148,7 +148,7 @@
         """
         steward = self.name
         if steward == self._box:
-            self._wait_here(replica, adapter, value)
+            self._wait_in_queue(replica, adapter, value)
             return
         try:
             link = self._peers.link_to(steward)
@@ -168,7 +168,7 @@
         except PeerUnreachable:
             return
 
-    def _wait_here(self, replica: str, adapter: str, value: float) -> None:
+    def _wait_in_queue(self, replica: str, adapter: str, value: float) -> None:
         load = self.queue.add(replica, adapter, value)
         try:
             while not load.granted.wait(timeout=self.queue.next_expiry_s):
@@ -186,9 +186,9 @@
         self._log.say("Cannot reach the loads steward; loading at this box's share of the rate.")
         gevent.sleep(starts_at - now)
 
-    def _on_bid(self, _: Link, question: wire.LoadBid) -> wire.LoadTurn:
-        self._wait_here(question.replica, question.adapter, question.value)
+    def _on_load_bid(self, _: Link, question: wire.LoadBid) -> wire.LoadTurn:
+        self._wait_in_queue(question.replica, question.adapter, question.value)
         return wire.LoadTurn(question.number, _TURN_LIFETIME_S)
 
-    def _on_over(self, _: Link, notice: wire.LoadOver) -> None:
+    def _on_load_over(self, _: Link, notice: wire.LoadOver) -> None:
         self.queue.end_turn(notice.replica)
