--- a/springrock/coordination/feed.py
+++ b/springrock/coordination/feed.py
@@ -265,7 +265,7 @@
         self.recent.append(change)
         self._metrics.revision.set(change.revision)
         self._log.say(
-            "Applied a configuration change.",
+            "Applied a change.",
             revision=change.revision,
             who=change.who,
             statement=change.statement,
