--- a/springrock/policies/__init__.py
+++ b/springrock/policies/__init__.py
@@ -1,7 +1,8 @@
-"""Decision policies. Modules here register themselves.
+"""Policies for eviction, load order and routing. Modules in this package register themselves.
 
-A policy joins by having the one method of its protocol. All policies are pure: they look at
-values and choose, so that they run the same in a box and in virtual time.
+A policy is any object that has the one method of its protocol. Policies choose from the values
+that they are given: they read no clock and do no input or output, so that they behave the same
+in a box and in a simulation with virtual time.
 """
 
 from __future__ import annotations
@@ -13,14 +14,14 @@
 
 
 class Resident(NamedTuple):
-    """An adapter that a replica holds and that may be unloaded now.
+    """An adapter that is loaded on a replica.
 
     Attributes:
         adapter: ``ADAPTER@VERSION``.
-        loaded_at: When it was loaded.
-        used_at: When a request last began or ended on it.
-        rate: The decayed rate of its requests, a second.
-        uses: How many requests began on it since it was loaded.
+        loaded_at: Time at which it was loaded.
+        used_at: Time at which a request last started or ended on it.
+        rate: Exponentially decayed count of its requests.
+        uses: Number of starts and ends of requests on it since it was loaded.
     """
 
     adapter: str
@@ -31,15 +32,16 @@
 
 
 class Want(NamedTuple):
-    """An adapter that requests wait for and that the replica does not hold.
+    """An adapter that is not ready on the replica, with the requests that wait for it.
 
     Attributes:
         adapter: ``ADAPTER@VERSION``.
-        waiting: How many requests wait.
-        worth_in_time: The worth of those that can still be whole in time after a load.
-        oldest_at: When the oldest of them arrived.
-        first_deadline_at: The first of their last useful start times.
-        order: The place in order of arrival.
+        waiting: Number of requests that wait for it.
+        worth_in_time: Total worth of the requests that can still complete before their deadlines
+            if the adapter is loaded now.
+        oldest_at: Arrival time of the oldest of these requests.
+        first_deadline_at: Earliest of the times by which these requests must start.
+        order: Position of the adapter in order of arrival of its first waiting request.
     """
 
     adapter: str
@@ -54,18 +56,18 @@
     """A replica that could serve a request.
 
     Attributes:
-        replica: Its name.
-        owned_here: Whether this box owns it, so that no message is needed.
-        same_zone: Whether it stands in this box's availability zone.
-        ready: Whether it holds the adapter.
-        expected: Whether it is loading the adapter or has requests waiting for it.
-        free_slots: How many adapter slots are unused.
-        running: How many requests run.
-        waiting: How many requests wait.
-        running_limit: How many may run at once.
-        load_s: The usual time of a load, waiting for its turn included.
-        service_s: The usual time that a request runs.
-        affinity: A hash weight of replica and adapter, 0 to 1, equal on every box.
+        replica: Name of the replica.
+        owned_here: Whether this box owns the replica, so that no message to a peer is needed.
+        same_zone: Whether the replica is in this box's availability zone.
+        ready: Whether the adapter is loaded.
+        expected: Whether the adapter is being loaded or has requests waiting for it.
+        free_slots: Number of unused adapter slots.
+        running: Number of running requests.
+        waiting: Number of waiting requests.
+        running_limit: Maximum number of concurrent requests.
+        load_s: Mean duration of an adapter load, including the wait for its turn.
+        service_s: Mean duration of a request.
+        affinity: Hash weight of replica and adapter, from 0 to 1, the same on every box.
     """
 
     replica: str
@@ -83,7 +85,7 @@
 
 
 class Scored(NamedTuple):
-    """A candidate with the expected delay that was reckoned for it, in seconds; low is better."""
+    """A candidate with its score and the reason for it; the lowest score is the best."""
 
     candidate: Candidate
     score: float
@@ -94,21 +96,21 @@
     """Chooses which adapter to unload."""
 
     def victim(self, residents: Sequence[Resident], *, now: float) -> Resident:
-        """Choose one of at least one resident."""
+        """Return the adapter to unload. There is at least one."""
 
 
 class LoadOrder(Protocol):
     """Chooses which adapter to load next."""
 
     def next(self, wants: Sequence[Want], *, now: float) -> Want:
-        """Choose one of at least one want."""
+        """Return the adapter to load. There is at least one."""
 
 
 class Routing(Protocol):
     """Orders the replicas that could serve a request."""
 
     def rank(self, candidates: Sequence[Candidate]) -> list[Scored]:
-        """Return the candidates, the best first."""
+        """Return the candidates with their scores, the best first."""
 
 
 evictions: Registry[Eviction] = Registry("eviction policy")
--- a/springrock/policies/eviction.py
+++ b/springrock/policies/eviction.py
@@ -7,39 +7,41 @@
 
 from springrock.policies import Resident, evictions
 
-_PAYBACK_S = 5.0
-"""A fresh load is protected this long, so that it can pay for itself."""
+_UNUSED_LOAD_PROTECTION_S = 5.0
+"""An adapter that no request has used yet is spared this long, so that its load is not wasted."""
 
 
 class ValueEviction:
-    """Unloads the adapter with the lowest decayed request rate; spares fresh loads if it can."""
+    """Unloads the adapter with the lowest decayed request rate; spares fresh loads if possible."""
 
     def victim(self, residents: Sequence[Resident], *, now: float) -> Resident:
-        """Choose one of at least one resident."""
+        """Return the adapter to unload. There is at least one."""
 
-        def _badness(resident: Resident) -> tuple[bool, float, float]:
-            unpaid = resident.uses == 0 and now - resident.loaded_at < _PAYBACK_S
-            return unpaid, resident.rate, resident.used_at
+        def _retention_key(resident: Resident) -> tuple[bool, float, float]:
+            is_protected = (
+                resident.uses == 0 and now - resident.loaded_at < _UNUSED_LOAD_PROTECTION_S
+            )
+            return is_protected, resident.rate, resident.used_at
 
-        return min(residents, key=_badness)
+        return min(residents, key=_retention_key)
 
 
 class LruEviction:
-    """Unloads the adapter that was not used for the longest time."""
+    """Unloads the least recently used adapter."""
 
     def victim(self, residents: Sequence[Resident], *, now: float) -> Resident:
-        """Choose one of at least one resident."""
+        """Return the adapter to unload. There is at least one."""
         return min(residents, key=lambda resident: resident.used_at)
 
 
 class RandomEviction:
-    """Unloads any adapter; a baseline."""
+    """Unloads an adapter at random; a baseline for comparisons."""
 
     def __init__(self, seed: int = 0) -> None:
         self._random = random.Random(seed)
 
     def victim(self, residents: Sequence[Resident], *, now: float) -> Resident:
-        """Choose one of at least one resident."""
+        """Return the adapter to unload. There is at least one."""
         return self._random.choice(residents)
 
 
--- a/springrock/policies/load_order.py
+++ b/springrock/policies/load_order.py
@@ -1,4 +1,4 @@
-"""Load orders: worth still in time, or order of arrival."""
+"""Load order policies: worth that can still be served in time, or order of arrival."""
 
 from __future__ import annotations
 
@@ -6,30 +6,33 @@
 
 from springrock.policies import Want, load_orders
 
-_LONGEST_PASSING_OVER_S = 4.0
-"""A want that was passed over this long goes first, so that the rare adapter is not starved."""
+_MAX_ADAPTER_WAIT_S = 4.0
+"""An adapter whose oldest request has waited longer goes first: rare adapters do not starve."""
 
 
 class WorthOrder:
-    """Loads first what carries the most worth still in time; bounds the wait of the rare."""
+    """Loads the adapter with the most worth in time first.
+
+    Adapters whose requests have waited too long go before the others.
+    """
 
     def next(self, wants: Sequence[Want], *, now: float) -> Want:
-        """Choose one of at least one want."""
+        """Return the adapter to load. There is at least one."""
 
-        def _goodness(want: Want) -> tuple[bool, float, float]:
-            passed_over = now - want.oldest_at > _LONGEST_PASSING_OVER_S
-            overdue = passed_over and want.worth_in_time > 0
-            first = -want.oldest_at if overdue else want.worth_in_time
-            return overdue, first, -want.order
+        def _priority_key(want: Want) -> tuple[bool, float, float]:
+            waited_too_long = now - want.oldest_at > _MAX_ADAPTER_WAIT_S
+            overdue = waited_too_long and want.worth_in_time > 0
+            rank_value = -want.oldest_at if overdue else want.worth_in_time
+            return overdue, rank_value, -want.order
 
-        return max(wants, key=_goodness)
+        return max(wants, key=_priority_key)
 
 
 class ArrivalOrder:
-    """Loads in order of arrival; a baseline."""
+    """Loads in order of arrival; a baseline for comparisons."""
 
     def next(self, wants: Sequence[Want], *, now: float) -> Want:
-        """Choose one of at least one want."""
+        """Return the adapter to load. There is at least one."""
         return min(wants, key=lambda want: want.order)
 
 
--- a/springrock/policies/routing.py
+++ b/springrock/policies/routing.py
@@ -1,4 +1,4 @@
-"""Routing policies: residency with expected wait, least loaded, random."""
+"""Routing policies: by loaded adapters and expected delay, least loaded, random."""
 
 from __future__ import annotations
 
@@ -7,56 +7,60 @@
 
 from springrock.policies import Candidate, Scored, routings
 
-_OTHER_ZONE_S = 0.004
-_MESSAGE_S = 0.0005
-_SLOT_CONTENTION = 1.25
+_OTHER_ZONE_DELAY_S = 0.004
+_SAME_ZONE_DELAY_S = 0.0005
+_FULL_SLOTS_LOAD_FACTOR = 1.25
 
 
 def _queue_s(candidate: Candidate) -> float:
-    """Return the expected wait for a place in the batch."""
-    over = candidate.running + candidate.waiting - candidate.running_limit + 1
-    if over <= 0:
+    """Return the expected wait for a place in the running batch."""
+    excess = candidate.running + candidate.waiting - candidate.running_limit + 1
+    if excess <= 0:
         return 0.0
-    return over / candidate.running_limit * candidate.service_s
+    return excess / candidate.running_limit * candidate.service_s
 
 
 def _distance_s(candidate: Candidate) -> float:
     if candidate.owned_here:
         return 0.0
-    return _MESSAGE_S if candidate.same_zone else _OTHER_ZONE_S
+    return _SAME_ZONE_DELAY_S if candidate.same_zone else _OTHER_ZONE_DELAY_S
 
 
 class ResidencyRouting:
-    """Expected delay: wait for a place, wait for a load if needed, distance.
+    """Ranks by expected delay: wait for a batch place, for a load if needed, and network distance.
 
-    Among replicas that do not hold the adapter, the one with the highest hash weight is
-    preferred, so that all boxes send the requests for a cold adapter to one place.
+    Among replicas that have not loaded the adapter, the one with the highest hash weight is
+    preferred, so that all boxes send the requests for an unloaded adapter to the same replica.
     """
 
     def rank(self, candidates: Sequence[Candidate]) -> list[Scored]:
-        """Return the candidates, the best first."""
+        """Return the candidates with their scores, the best first."""
         return sorted(map(self._score, candidates), key=lambda scored: scored.score)
 
     def _score(self, candidate: Candidate) -> Scored:
         delay_s = _queue_s(candidate) + _distance_s(candidate)
         if candidate.ready:
-            fill = candidate.running / candidate.running_limit
-            return Scored(candidate, delay_s + fill * _MESSAGE_S, "loaded there")
+            load_fraction = candidate.running / candidate.running_limit
+            return Scored(candidate, delay_s + load_fraction * _SAME_ZONE_DELAY_S, "loaded there")
         if candidate.expected:
             return Scored(candidate, delay_s + candidate.load_s / 2, "load expected there")
         load_s = candidate.load_s
         if not candidate.free_slots:
-            load_s *= _SLOT_CONTENTION
-        # The hash term is over the distances, so that all zones agree on a cold adapter's home.
-        home_s = (1.0 - candidate.affinity) * candidate.load_s
-        return Scored(candidate, delay_s + load_s + home_s, "to be loaded there")
+            load_s *= _FULL_SLOTS_LOAD_FACTOR
+        # The hash term outweighs the distances, so that the boxes of all zones choose the same
+        # replica for an unloaded adapter.
+        affinity_penalty_s = (1.0 - candidate.affinity) * candidate.load_s
+        return Scored(candidate, delay_s + load_s + affinity_penalty_s, "to be loaded there")
 
 
 class LeastLoadedRouting:
-    """The fewest requests running and waiting, the nearest among equals; a baseline."""
+    """Ranks by the number of requests, then by distance; a baseline for comparisons.
+
+    Running and waiting requests count alike.
+    """
 
     def rank(self, candidates: Sequence[Candidate]) -> list[Scored]:
-        """Return the candidates, the best first."""
+        """Return the candidates with their scores, the best first."""
 
         def _load(candidate: Candidate) -> float:
             return candidate.running + candidate.waiting + _distance_s(candidate)
@@ -66,15 +70,15 @@
 
 
 class RandomRouting:
-    """Any order; a baseline."""
+    """Ranks at random; a baseline for comparisons."""
 
     def __init__(self, seed: int = 0) -> None:
         self._random = random.Random(seed)
 
     def rank(self, candidates: Sequence[Candidate]) -> list[Scored]:
-        """Return the candidates, the best first."""
+        """Return the candidates with their scores, the best first."""
         ordered = self._random.sample(list(candidates), len(candidates))
-        return [Scored(candidate, 0.0, "by chance") for candidate in ordered]
+        return [Scored(candidate, 0.0, "at random") for candidate in ordered]
 
 
 routings.register("residency")(ResidencyRouting())
--- a/springrock/serving/__init__.py
+++ b/springrock/serving/__init__.py
@@ -1,1 +1,1 @@
-"""Serving parts: admission, routing, placement and relaying of requests."""
+"""Serving of requests: admission, routing, permits, adapter loads and relaying."""
--- a/springrock/serving/engine_watch.py
+++ b/springrock/serving/engine_watch.py
@@ -1,4 +1,8 @@
-"""Watches one engine for its owner: whether it answers, restarted, and holds what is believed."""
+"""Health check of one engine by its owner.
+
+Detects engines that fail or restart, and differences between the adapters loaded in the engine
+and those recorded by its owner.
+"""
 
 from __future__ import annotations
 
@@ -13,18 +17,18 @@
 if TYPE_CHECKING:
     from springrock.serving.owned_replica import OwnedReplica
 
-_WATCH_EVERY_S = 0.5
-_EJECT_AFTER_FAILURES = 3
+_CHECK_INTERVAL_S = 0.5
+_MAX_FAILED_CHECKS = 3
 
 
 class EngineWatch:
-    """Takes an engine out when it fails, and back in gradually.
+    """Removes an engine after repeated failures, and raises its load gradually when it is back.
 
     Args:
-        replica: The replica that hears of it.
+        replica: The replica whose engine is checked and that is notified of changes.
 
     Attributes:
-        admitted: How many requests may run at once, as far as health is concerned.
+        admitted: Limit of concurrent requests that grows while the engine is healthy.
     """
 
     def __init__(self, replica: OwnedReplica) -> None:
@@ -36,63 +40,65 @@
         self.admitted = 0
 
     def start(self) -> None:
-        """Begin watching."""
+        """Start the checks."""
         self._task = gevent.spawn(self._watch_loop)
 
     def stop(self) -> None:
-        """Stop watching."""
+        """Stop the checks."""
         if self._task is not None:
             self._task.kill(block=False)
 
     def check_soon(self) -> None:
-        """Look at once, as when the engine said something unexpected."""
+        """Run the next check at once, for instance after an unexpected answer of the engine."""
         self._check_again.set()
 
     @property
     def healthy(self) -> bool:
-        """Whether the engine is known, fenced and answering."""
+        """Whether the engine answers and has accepted this owner's fence."""
         return bool(self._boot_id)
 
     def _watch_loop(self) -> None:
         while True:
-            self._watch()
-            self._check_again.wait(timeout=_WATCH_EVERY_S)
+            self._check()
+            self._check_again.wait(timeout=_CHECK_INTERVAL_S)
             self._check_again.clear()
 
-    def _watch(self) -> None:
+    def _check(self) -> None:
         replica = self._replica
-        if replica.ordering:
+        if replica.order_in_progress:
             return
         try:
             if not self._boot_id:
                 replica.order("set_role")
-            orders_before = replica.orders_given
+            orders_before = replica.orders_sent
             loaded = replica.driver.loaded()
         except (UpstreamUnreachable, UpstreamBroke, OrderFailed) as error:
             self._record_failure(str(error))
             return
-        if replica.orders_given == orders_before:
-            # A list that an order has overtaken says nothing.
+        if replica.orders_sent == orders_before:
+            # An order that ran during the query may have made the list out of date.
             self._record_alive(loaded)
 
     def _record_failure(self, detail: str) -> None:
         self._failures += 1
-        if self._failures != _EJECT_AFTER_FAILURES or not self._boot_id:
+        if self._failures != _MAX_FAILED_CHECKS or not self._boot_id:
             return
         replica = self._replica
-        replica.log.say("Took an upstream out.", replica=replica.name, why=detail)
+        replica.log.say(
+            "Removed an upstream after failed checks.", replica=replica.name, why=detail
+        )
         self._boot_id = ""
         self.admitted = 0
-        replica.removed()
+        replica.handle_engine_removed()
 
     def _record_alive(self, loaded: LoadedAdapters) -> None:
         replica = self._replica
         self._failures = 0
         if not self._boot_id:
-            self._apply_loaded(loaded)
+            self._add_engine(loaded)
             return
         if loaded.boot_id != self._boot_id:
-            # A restarted engine knows no fence: the next round tells it before anything else.
+            # A restarted engine has no fence: the next check sets it before any other order.
             replica.log.say("An engine restarted.", replica=replica.name)
             self._boot_id = ""
             replica.residency.replace([])
@@ -102,16 +108,16 @@
             self.admitted = min(replica.pool.running_limit, self.admitted * 2)
             replica.grant_ready()
         if set(loaded.adapters) != set(replica.residency.ready_adapters):
-            replica.holds(loaded.adapters)
+            replica.apply_loaded(loaded.adapters)
 
-    def _apply_loaded(self, loaded: LoadedAdapters) -> None:
+    def _add_engine(self, loaded: LoadedAdapters) -> None:
         replica = self._replica
         self._boot_id = loaded.boot_id
         self.admitted = max(1, replica.pool.running_limit // 4)
         replica.log.say(
-            "Took an upstream in.",
+            "Added an upstream.",
             replica=replica.name,
             boot=loaded.boot_id,
             holds=loaded.adapters,
         )
-        replica.added(loaded.adapters)
+        replica.handle_engine_added(loaded.adapters)
--- a/springrock/serving/loader.py
+++ b/springrock/serving/loader.py
@@ -52,12 +52,12 @@
     def _load_loop(self) -> None:
         replica = self._replica
         while True:
-            replica.load_wanted.wait(timeout=_IDLE_WAIT_S)
-            replica.load_wanted.clear()
+            replica.load_requested.wait(timeout=_IDLE_WAIT_S)
+            replica.load_requested.clear()
             while replica.accepting and self._choose() is not None:
                 if not self._has_room():
-                    replica.place_freed.clear()
-                    replica.place_freed.wait(timeout=_NO_VICTIM_WAIT_S)
+                    replica.capacity_freed.clear()
+                    replica.capacity_freed.wait(timeout=_NO_VICTIM_WAIT_S)
                     continue
                 self._wait_for_turn()
 
@@ -138,7 +138,7 @@
             replica.log.say("An unload failed.", replica=replica.name, error=str(error))
             self._resync()
             return False
-        replica.residency.unloaded(victim.adapter)
+        replica.residency.record_unloaded(victim.adapter)
         replica.metrics.unloads.inc()
         return True
 
--- a/springrock/serving/ordered_engine.py
+++ b/springrock/serving/ordered_engine.py
@@ -1,4 +1,4 @@
-"""What the owner of a replica needs of an engine driver."""
+"""The engine driver interface that the owner of a replica uses."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class OrderedEngine(Protocol):
-    """The part of an engine driver that an owner uses."""
+    """Engine driver with orders, the list of loaded adapters and cancellation."""
 
     def order(self, order: engine_wire.Order) -> None:
-        """Give an order and wait until it is carried out."""
+        """Send an order and wait until it is carried out."""
 
     def loaded(self) -> engine_wire.LoadedAdapters:
-        """Return the exact list of what the engine holds."""
+        """Return the engine's list of loaded adapters."""
 
     def cancel(self, request_id: str) -> bool:
-        """Have a request cancelled."""
+        """Cancel a request; return whether the engine confirmed it."""
--- a/springrock/serving/owned_replica.py
+++ b/springrock/serving/owned_replica.py
@@ -1,8 +1,8 @@
-"""The owner's side of one replica: who may run on it, and what it should hold.
+"""The owner's side of one replica: grants permits, and orders adapter loads and unloads.
 
 Only the owner grants permits and orders loads and unloads, so it knows exactly which adapters
-are in use. One task watches the engine (`engine_watch`), one loads (`loader`), one reviews who
-waits; every question waits in a task of its own.
+are in use. One task watches the engine (`engine_watch`), one loads adapters (`loader`) and one
+reviews the waiting requests. Each permit request waits in a task of its own.
 """
 
 from __future__ import annotations
@@ -31,32 +31,32 @@
 from springrock.serving.ordered_engine import OrderedEngine
 from springrock.serving.residency import Residency
 from springrock.serving.start_forecast import StartForecast
-from springrock.serving.waiting import Waiter, WaitingRoom, run_estimate_s
+from springrock.serving.waiting import Waiter, WaitQueue, estimate_run_s
 from springrock.settings import PolicySection, PoolSection, UpstreamSection
 from springrock.wire import engine as engine_wire
 from springrock.wire import peer as wire
 
-_REVIEW_EVERY_S = 0.1
-_PERMIT_SLACK_S = 2.0
-_CANCEL_EVERY_S = 1.0
+_REVIEW_INTERVAL_S = 0.1
+_PERMIT_MARGIN_S = 2.0
+_CANCEL_INTERVAL_S = 1.0
 
 
 class OwnedReplica:
     """One replica that this box owns.
 
     Args:
-        upstream: Which replica.
-        pool: Its pool's settings.
+        upstream: The replica's settings.
+        pool: The settings of its pool.
         policy: Limits of queues and permits.
-        fence: The fence of this ownership.
-        driver: Speaks to the engine.
-        may_act: Whether this box may act as an owner at this moment.
-        eviction: Chooses victims.
-        load_order: Chooses loads.
+        fence: Fencing number of this ownership.
+        driver: Sends orders and queries to the engine.
+        may_act: Returns whether this box may act as an owner now.
+        eviction: Chooses the adapters to unload.
+        load_order: Chooses the adapter to load next.
         log: The log to write to.
-        metrics: The metrics to count in.
-        on_change: Called when routing should hear of a change.
-        on_lost: Called when the engine knows a newer fence.
+        metrics: The metrics to update.
+        on_change: Called after a change of state that routing depends on.
+        on_lost: Called when the engine has seen a higher fence.
     """
 
     def __init__(
@@ -86,21 +86,21 @@
         self.log = log
         self.metrics = metrics
         self.permits = PermitBook()
-        self.waiting = WaitingRoom()
+        self.waiting = WaitQueue()
         self.residency = Residency(pool.adapter_slots)
         self.estimate = Estimate(step_ms=pool.step_ms, load_s=pool.load_s)
         self.forecast = StartForecast(
             waiting=self.waiting,
             residency=self.residency,
             estimate=self.estimate,
-            least_load_s=pool.load_s,
+            min_load_s=pool.load_s,
             running=lambda: self.running,
             running_limit=lambda: self.running_limit,
         )
-        self.load_wanted = Event()
-        self.place_freed = Event()
-        self.ordering = False
-        self.orders_given = 0
+        self.load_requested = Event()
+        self.capacity_freed = Event()
+        self.order_in_progress = False
+        self.orders_sent = 0
         self.unload_after = monotonic() + policy.longest_permit_s
         self.inherited = InheritedBook()
         self.pinned: Callable[[], list[str]] = list
@@ -113,16 +113,16 @@
 
     @property
     def name(self) -> str:
-        """The replica's name."""
+        """Name of the replica."""
         return self.upstream.name
 
     def start(self) -> None:
-        """Begin watching the engine."""
+        """Start watching the engine and reviewing the waiting requests."""
         self.watch.start()
         self._tasks = [gevent.spawn(self._review_loop)]
 
     def stop(self) -> None:
-        """Stop watching and refuse everyone who waits."""
+        """Stop watching and refuse all waiting requests."""
         self._closing = True
         self.watch.stop()
         for task in self._tasks:
@@ -130,40 +130,40 @@
         for waiter in self.waiting:
             self._refuse(waiter, refusals.moved(self.name))
 
-    # Asking.
+    # Permit requests.
 
     @property
     def accepting(self) -> bool:
-        """Whether new requests may come."""
+        """Whether the replica accepts new requests."""
         open_here = self.watch.healthy and not (self._closing or self._drained)
         return open_here and self.may_act()
 
     @property
     def running_limit(self) -> int:
-        """How many requests may run now; grows again after the engine was out."""
+        """Number of requests that may run now; it grows gradually after the engine was removed."""
         return min(self.pool.running_limit, self.watch.admitted)
 
     def set_drained(self, drained: bool) -> None:
-        """Take the replica out of service, or back in."""
+        """Begin or end the drain of the replica."""
         if drained == self._drained:
             return
         self._drained = drained
-        self.log.say("Drain begins." if drained else "Drain ends.", replica=self.name)
+        self.log.say("Drain started." if drained else "Drain ended.", replica=self.name)
         if drained:
             for waiter in self.waiting:
                 self._refuse(waiter, refusals.leaving(self.name))
         self._on_change(self)
 
     def close(self) -> None:
-        """Grant nothing more; who waits is told that the replica moves."""
+        """Stop granting, and refuse the waiting requests because the replica changes its owner."""
         self._closing = True
         for waiter in self.waiting:
             self._refuse(waiter, refusals.moved(self.name))
         self._on_change(self)
 
-    def ask(self, ask: wire.Ask, holder: str) -> Waiter | Result[wire.Grant, Refusal]:
-        """Take a question: either it waits, or it is decided at once."""
-        refusal = self._admission(ask)
+    def request_permit(self, ask: wire.Ask, holder: str) -> Waiter | Result[wire.Grant, Refusal]:
+        """Return a waiter for a permit request, or the refusal if it is refused at once."""
+        refusal = self._admission_refusal(ask)
         if refusal is not None:
             self.metrics.permits.labels("refused").inc()
             return Error(refusal)
@@ -174,85 +174,95 @@
         self.waiting.add(waiter)
         self.grant_ready()
         if not ready:
-            self.load_wanted.set()
+            self.load_requested.set()
             self._on_change(self)
         return waiter
 
     def withdraw(self, waiter: Waiter) -> None:
-        """Let a waiter go whose asker no longer wants an answer."""
+        """Cancel a permit request; refund the permit if it was already granted."""
         if self.waiting.remove(waiter):
-            waiter.refuse(Refusal(Cause.CALLER_GONE, "withdrawn by the asker"))
+            waiter.refuse(Refusal(Cause.CALLER_GONE, "withdrawn by the requesting box"))
         elif waiter.permit is not None:
             self.refund(waiter.permit, 0)
 
     def refund(self, number: int, tokens: int) -> None:
-        """Take a permit back."""
+        """End a permit.
+
+        Args:
+            number: Number of the permit.
+            tokens: Number of tokens of a complete answer, 0 without one, or `wire.NOT_LOADED` if
+                the engine did not have the adapter.
+        """
         permit = self.permits.end(number)
         if permit is None:
             return
         if tokens > 0:
             self.estimate.record_service_time(monotonic() - permit.granted_at, tokens)
         if tokens == wire.NOT_LOADED:
-            self.log.say("The engine lost an adapter.", replica=self.name, adapter=permit.adapter)
-            self.residency.unloaded(permit.adapter)
+            self.log.say(
+                "The engine no longer has an adapter that was recorded as loaded.",
+                replica=self.name,
+                adapter=permit.adapter,
+            )
+            self.residency.record_unloaded(permit.adapter)
             self.watch.check_soon()
         self._after_end(permit)
 
-    def give_back_inherited(self, fence: int, number: int) -> None:
-        """Take a permit back that an earlier owner granted."""
+    def refund_inherited(self, fence: int, number: int) -> None:
+        """End a permit that an earlier owner granted."""
         if self.inherited.end(fence, number):
-            self.place_freed.set()
+            self.capacity_freed.set()
             self.grant_ready()
 
     @property
     def running(self) -> int:
-        """How many requests may be running, inherited ones included."""
+        """Number of requests that may be running, including those under earlier owners' permits."""
         return len(self.permits) + len(self.inherited)
 
     def _after_end(self, permit: Outstanding) -> None:
         if permit.adapter:
             self.residency.record_use(permit.adapter)
         self.metrics.permits_outstanding.dec()
-        self.place_freed.set()
+        self.capacity_freed.set()
         self.grant_ready()
         self._on_change(self)
 
-    def _admission(self, ask: wire.Ask) -> Refusal | None:
+    def _admission_refusal(self, ask: wire.Ask) -> Refusal | None:
         if not self.may_act() or self._closing:
             return refusals.moved(self.name)
         if not self.accepting:
             return refusals.leaving(self.name)
         if len(self.waiting) >= self.policy.queue_limit:
             return refusals.queue_full(retry_after_s=self.estimate.service_s)
-        wait_s = self.forecast.start_s(ask)
-        return self._too_late(wait_s, ask)
+        wait_s = self.forecast.expected_wait_s(ask)
+        return self._deadline_refusal(wait_s, ask)
 
-    def _too_late(self, wait_s: float, ask: wire.Ask) -> Refusal | None:
-        need_s = wait_s + run_estimate_s(ask.max_tokens, self.estimate.token_s)
-        if need_s <= ask.deadline_s:
+    def _deadline_refusal(self, wait_s: float, ask: wire.Ask) -> Refusal | None:
+        needed_s = wait_s + estimate_run_s(ask.max_tokens, self.estimate.token_s)
+        if needed_s <= ask.deadline_s:
             return None
         retry_after_s = max(wait_s, self.estimate.load_s, self.estimate.service_s)
-        return refusals.too_late(need_s, ask.deadline_s, retry_after_s=retry_after_s)
+        return refusals.cannot_finish(needed_s, ask.deadline_s, retry_after_s=retry_after_s)
 
-    # Granting.
+    # Grants.
 
     def grant_ready(self) -> None:
-        """Grant to those who wait and can begin now, the highest priority first."""
+        """Grant permits to the waiting requests that can start now, the highest priority first."""
         if not self.accepting:
             return
         room = self.running_limit - self.running
         if room <= 0 or not len(self.waiting):
             return
-        able = [waiter for waiter in self.waiting if self.residency.ready(waiter.ask.adapter)]
-        able.sort(key=lambda waiter: (-waiter.ask.priority, waiter.arrived_at))
-        for waiter in able[:room]:
+        grantable = [waiter for waiter in self.waiting if self.residency.ready(waiter.ask.adapter)]
+        grantable.sort(key=lambda waiter: (-waiter.ask.priority, waiter.arrived_at))
+        for waiter in grantable[:room]:
             self._grant(waiter)
 
     def _grant(self, waiter: Waiter) -> None:
         self.waiting.remove(waiter)
         ask = waiter.ask
-        life_s = min(waiter.deadline.left_s, self.policy.longest_permit_s - _PERMIT_SLACK_S)
-        permit = self.permits.grant(ask, holder=waiter.holder, life_s=life_s + _PERMIT_SLACK_S)
+        valid_s = min(waiter.deadline.left_s, self.policy.longest_permit_s - _PERMIT_MARGIN_S)
+        permit = self.permits.grant(ask, holder=waiter.holder, life_s=valid_s + _PERMIT_MARGIN_S)
         if ask.adapter:
             self.residency.record_use(ask.adapter)
         waited_s = monotonic() - waiter.arrived_at
@@ -269,7 +279,7 @@
                 adapter=ask.adapter,
                 fence=self.fence,
                 start_within_s=round(self.policy.start_window_s + waited_s, 3),
-                end_within_s=round(life_s, 3),
+                end_within_s=round(valid_s, 3),
                 waited_s=round(waited_s, 4),
                 stall_s=round(stall_s, 4),
             )
@@ -280,27 +290,27 @@
             self.metrics.permits.labels("refused").inc()
             waiter.refuse(refusal)
 
-    def removed(self) -> None:
-        """Refuse everyone who waits: the engine does not answer."""
+    def handle_engine_removed(self) -> None:
+        """Refuse all waiting requests after the engine was removed for failed checks."""
         for waiter in self.waiting:
             self._refuse(waiter, refusals.leaving(self.name))
         self._on_change(self)
 
-    def added(self, adapters: list[str]) -> None:
-        """Begin with what an engine holds that is new or was out."""
+    def handle_engine_added(self, adapters: list[str]) -> None:
+        """Apply the engine's list of loaded adapters when it joins or rejoins."""
         self.residency.loading = ""
         self.residency.unloading = ""
-        self.load_wanted.set()
-        self.holds(adapters)
+        self.load_requested.set()
+        self.apply_loaded(adapters)
 
-    def holds(self, adapters: list[str]) -> None:
-        """Take the engine's own list of what it holds."""
+    def apply_loaded(self, adapters: list[str]) -> None:
+        """Replace the known loaded adapters by the engine's own list."""
         self.residency.replace(adapters)
         self.grant_ready()
         self._on_change(self)
 
     def refuse_waiting_for(self, adapter: str, refusal: Refusal) -> None:
-        """Refuse everyone who waits for an adapter."""
+        """Refuse all requests that wait for an adapter."""
         for waiter in self.waiting:
             if waiter.ask.adapter == adapter:
                 self._refuse(waiter, refusal)
@@ -308,30 +318,34 @@
     # Orders.
 
     def order(self, kind: engine_wire.OrderKind, adapter: str = "") -> None:
-        """Give the engine an order under this ownership's fence.
+        """Send the engine an order under this ownership's fence.
 
         Raises:
-            OrderFailed: If it was not carried out.
-            UpstreamUnreachable, UpstreamBroke: If it may not have been.
+            OrderFailed: If the order was not carried out.
+            UpstreamUnreachable, UpstreamBroke: If the order may not have been carried out.
         """
         if not self.may_act():
             raise OrderFailed("the lease is not held")
         order = engine_wire.Order(kind=kind, fence=self.fence, adapter=adapter)
-        self.ordering = True
-        self.orders_given += 1
+        self.order_in_progress = True
+        self.orders_sent += 1
         try:
             self.driver.order(order)
         except StaleFence:
-            self.log.say("The engine knows a newer owner.", replica=self.name, fence=self.fence)
+            self.log.say(
+                "The engine rejected an order: it has seen a newer owner.",
+                replica=self.name,
+                fence=self.fence,
+            )
             self._closing = True
             self._on_lost(self)
             raise OrderFailed("a newer owner exists") from None
         finally:
-            self.ordering = False
+            self.order_in_progress = False
 
     def adapter_ready(self, adapter: str) -> None:
-        """Note that a load is done, and let its waiters go."""
-        self.residency.loaded(adapter)
+        """Record a completed load and grant permits to the requests that waited for it."""
+        self.residency.record_loaded(adapter)
         now = monotonic()
         for waiter in self.waiting:
             if waiter.ask.adapter == adapter:
@@ -340,7 +354,7 @@
         self._on_change(self)
 
     def report(self, owner: str) -> wire.ReplicaReport:
-        """Return what routing should know."""
+        """Return this replica's state for the routing of all boxes."""
         expected = set(self.waiting.adapters) - set(self.residency.ready_adapters)
         if self.residency.loading:
             expected.add(self.residency.loading)
@@ -364,34 +378,41 @@
         return 0 if monotonic() >= self.unload_after else -1
 
     def in_use(self, adapter: str) -> bool:
-        """Whether a request may be running on an adapter, by this owner's permit or another's."""
+        """Whether requests wait for an adapter or may be running on it.
+
+        Permits of earlier owners count as well.
+        """
         if self.permits.using(adapter) or self.waiting.waiting_for(adapter):
             return True
         return self.inherited.using(adapter)
 
-    # Watching.
+    # Review.
 
     def _review_loop(self) -> None:
         while True:
-            gevent.sleep(_REVIEW_EVERY_S)
+            gevent.sleep(_REVIEW_INTERVAL_S)
             self.review()
 
     def review(self) -> None:
-        """Refuse who can no longer finish, and end the permits whose time is over."""
+        """Refuse requests that can no longer finish in time; cancel those with expired permits."""
         now = monotonic()
         for waiter in self.waiting:
-            if waiter.last_start_at(self.estimate.token_s) < now + self.forecast.least_wait_s(
+            if waiter.latest_start_at(self.estimate.token_s) < now + self.forecast.min_wait_s(
                 waiter
             ):
-                retry_after_s = self.forecast.backlog_s(waiter)
-                self._refuse(waiter, refusals.waited_in_vain(retry_after_s=retry_after_s))
+                retry_after_s = self.forecast.queue_wait_s(waiter)
+                self._refuse(waiter, refusals.cannot_finish_any_more(retry_after_s=retry_after_s))
         for permit in self.permits.overdue():
-            self.log.say("A permit ran out.", replica=self.name, request=permit.request_id)
+            self.log.say(
+                "A permit expired; cancelling its request.",
+                replica=self.name,
+                request=permit.request_id,
+            )
             gevent.spawn(self._cancel_until_confirmed, permit)
         self.grant_ready()
 
     def _cancel_until_confirmed(self, permit: Outstanding) -> None:
-        """Have an overdue request cancelled; its adapter is in use until the engine confirms."""
+        """Cancel a request with an expired permit; its adapter counts as used until confirmed."""
         while not self._closing and not self.driver.cancel(permit.request_id):
-            gevent.sleep(_CANCEL_EVERY_S)
+            gevent.sleep(_CANCEL_INTERVAL_S)
         self.refund(permit.number, 0)
--- a/springrock/serving/owner.py
+++ b/springrock/serving/owner.py
@@ -196,12 +196,12 @@
 
     # Asking.
 
-    def ask(self, ask: wire.Ask) -> Result[wire.Grant, Refusal]:
+    def request_permit(self, ask: wire.Ask) -> Result[wire.Grant, Refusal]:
         """Ask on behalf of this box itself; waits for the decision."""
         replica = self._replicas.get(ask.replica)
         if replica is None:
             return Error(_not_owner(ask.replica))
-        answer = replica.ask(ask, self._box)
+        answer = replica.request_permit(ask, self._box)
         if not isinstance(answer, Waiter):
             return answer
         try:
@@ -218,13 +218,13 @@
         if replica.fence == notice.fence:
             replica.refund(notice.permit, notice.tokens)
         else:
-            replica.give_back_inherited(notice.fence, notice.permit)
+            replica.refund_inherited(notice.fence, notice.permit)
 
     def _on_ask(self, link: Link, ask: wire.Ask) -> wire.Answer:
         replica = self._replicas.get(ask.replica)
         if replica is None:
             return wire.Deny(ask.number, _not_owner(ask.replica))
-        answer = replica.ask(ask, link.box)
+        answer = replica.request_permit(ask, link.box)
         if isinstance(answer, Waiter):
             key = (link.box, ask.number)
             self._waiters[key] = (replica, answer)
--- a/springrock/serving/refusals.py
+++ b/springrock/serving/refusals.py
@@ -1,4 +1,4 @@
-"""The refusals of a replica's owner, each before the request has run."""
+"""Refusals by the owner of a replica, each before the request has run."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 
 
 def moved(replica: str) -> Refusal:
-    """Return what is told to those who ask where the replica no longer is."""
+    """Return the refusal of requests to a box that no longer owns the replica."""
     detail = f"{replica} is owned elsewhere now"
     return Refusal(Cause.NOT_OWNER, detail, RunState.NOT_RUN, _MOVED_RETRY_S)
 
 
 def leaving(replica: str) -> Refusal:
-    """Return what is told while a replica takes nothing."""
+    """Return the refusal while a replica accepts no requests."""
     detail = f"{replica} takes no new work"
     return Refusal(Cause.UPSTREAM_LEAVING, detail, RunState.NOT_RUN, _MOVED_RETRY_S)
 
 
 def queue_full(*, retry_after_s: float) -> Refusal:
-    """Return what is told while too many wait."""
+    """Return the refusal while the queue is at its limit."""
     return Refusal(Cause.QUEUE_FULL, "the queue is full", RunState.NOT_RUN, retry_after_s)
 
 
-def too_late(need_s: float, deadline_s: float, *, retry_after_s: float) -> Refusal:
-    """Return what is told at once to a request that cannot finish in time."""
-    detail = f"needs {need_s:.2f} s and has {deadline_s:.2f} s"
+def cannot_finish(needed_s: float, deadline_s: float, *, retry_after_s: float) -> Refusal:
+    """Return the refusal of a request that cannot finish before its deadline on arrival."""
+    detail = f"needs {needed_s:.2f} s and has {deadline_s:.2f} s"
     return Refusal(Cause.CANNOT_FINISH, detail, RunState.NOT_RUN, retry_after_s)
 
 
-def waited_in_vain(*, retry_after_s: float) -> Refusal:
-    """Return what is told to a request that waited and cannot finish in time any more."""
+def cannot_finish_any_more(*, retry_after_s: float) -> Refusal:
+    """Return the refusal of a request that has waited too long to finish before its deadline."""
     detail = "waited until it could no longer finish in time"
     return Refusal(Cause.CANNOT_FINISH, detail, RunState.NOT_RUN, retry_after_s)
--- a/springrock/serving/residency.py
+++ b/springrock/serving/residency.py
@@ -1,4 +1,4 @@
-"""What one replica holds: adapters that are ready, loading or being unloaded, and their use."""
+"""The adapters of one replica: ready, being loaded or being unloaded, and how they are used."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from springrock.policies import Resident
 
 _RATE_HALF_LIFE_S = 60.0
-_REMEMBERED_RATES = 4_096
+_MAX_TRACKED_RATES = 4_096
 
 
-class _Decayed:
-    """A count of events that halves every half-life."""
+class _DecayedCount:
+    """A count of events that decays exponentially."""
 
     __slots__ = ("_at", "_count")
 
@@ -33,9 +33,9 @@
     """The adapters of one replica.
 
     Attributes:
-        slots: How many adapters it can hold.
-        loading: The adapter being loaded, or empty.
-        unloading: The adapter being unloaded, or empty.
+        slots: Maximum number of loaded adapters.
+        loading: The adapter being loaded, or an empty string.
+        unloading: The adapter being unloaded, or an empty string.
     """
 
     def __init__(self, slots: int) -> None:
@@ -43,56 +43,57 @@
         self.loading = ""
         self.unloading = ""
         self._ready: dict[str, Resident] = {}
-        self._rates: dict[str, _Decayed] = {}
+        self._rates: dict[str, _DecayedCount] = {}
 
     def ready(self, adapter: str) -> bool:
-        """Whether a request can begin on an adapter; the base model always is."""
+        """Whether a request can start on an adapter; the base model (no name) is always ready."""
         return not adapter or (adapter in self._ready and adapter != self.unloading)
 
     @property
     def ready_adapters(self) -> list[str]:
-        """The adapters on which requests can begin, sorted."""
+        """The adapters on which requests can start, sorted."""
         return sorted(adapter for adapter in self._ready if adapter != self.unloading)
 
     @property
     def free_slots(self) -> int:
-        """How many slots hold nothing."""
+        """Number of slots without an adapter."""
         return self.slots - len(self._ready) - (1 if self.loading else 0)
 
     def record_want(self, adapter: str) -> None:
-        """Count a request for an adapter, loaded or not."""
-        if len(self._rates) >= _REMEMBERED_RATES:
-            self._forget_rare()
-        self._rates.setdefault(adapter, _Decayed()).add(monotonic())
+        """Count a request for an adapter, whether or not it is loaded."""
+        if len(self._rates) >= _MAX_TRACKED_RATES:
+            self._drop_lowest_rates()
+        self._rates.setdefault(adapter, _DecayedCount()).add(monotonic())
 
     def record_use(self, adapter: str) -> None:
-        """Count that a request begins or ends on an adapter."""
+        """Count the start or end of a request on an adapter."""
         resident = self._ready.get(adapter)
         if resident is not None:
             now = monotonic()
             self._ready[adapter] = resident._replace(used_at=now, uses=resident.uses + 1)
 
-    def loaded(self, adapter: str) -> None:
-        """Note that an adapter is ready."""
+    def record_loaded(self, adapter: str) -> None:
+        """Record that an adapter was loaded."""
         self.loading = ""
         now = monotonic()
         self._ready[adapter] = Resident(adapter, now, now, 0.0, 0)
 
-    def unloaded(self, adapter: str) -> Resident | None:
-        """Note that an adapter is gone; return how it was used."""
+    def record_unloaded(self, adapter: str) -> Resident | None:
+        """Record that an adapter was unloaded; return its usage, or None if it was not loaded."""
         self.unloading = ""
         return self._ready.pop(adapter, None)
 
     def replace(self, adapters: Iterable[str]) -> None:
-        """Take over the exact list that the engine gave."""
+        """Replace the loaded adapters by the engine's list."""
         now = monotonic()
-        held = self._ready
+        before = self._ready
         self._ready = {
-            adapter: held.get(adapter, Resident(adapter, now, now, 0.0, 0)) for adapter in adapters
+            adapter: before.get(adapter, Resident(adapter, now, now, 0.0, 0))
+            for adapter in adapters
         }
 
     def residents(self) -> list[Resident]:
-        """Return every ready adapter with its present rate."""
+        """Return every loaded adapter with its current rate."""
         now = monotonic()
         return [
             resident._replace(rate=self.rate(resident.adapter, now))
@@ -100,12 +101,12 @@
         ]
 
     def rate(self, adapter: str, now: float) -> float:
-        """Return the decayed count of requests for an adapter."""
+        """Return the exponentially decayed count of requests for an adapter."""
         decayed = self._rates.get(adapter)
         return decayed.value(now) if decayed else 0.0
 
-    def _forget_rare(self) -> None:
+    def _drop_lowest_rates(self) -> None:
         now = monotonic()
         ordered = sorted(self._rates, key=lambda adapter: self._rates[adapter].value(now))
-        for adapter in ordered[: _REMEMBERED_RATES // 2]:
+        for adapter in ordered[: _MAX_TRACKED_RATES // 2]:
             del self._rates[adapter]
--- a/springrock/serving/retry_budget.py
+++ b/springrock/serving/retry_budget.py
@@ -1,28 +1,28 @@
-"""A budget of retries: a share of traffic, so that retries never multiply an overload."""
+"""Limits retries to a share of the traffic, so that they do not multiply an overload."""
 
 from __future__ import annotations
 
 
 class RetryBudget:
-    """Each request earns a part of a retry; each retry spends one.
+    """Balance of retries: each request adds a fraction of a retry, each retry costs one.
 
     Args:
-        share: Retries earned by one request.
-        reserve: The most that can be saved up, and what there is at the start.
+        share: Retries added by one request.
+        reserve: Maximum balance, and the balance at the start.
     """
 
     def __init__(self, *, share: float = 0.1, reserve: float = 20.0) -> None:
         self._share = share
         self._reserve = reserve
-        self._saved = reserve
+        self._balance = reserve
 
     def earn(self) -> None:
-        """Note a first try."""
-        self._saved = min(self._reserve, self._saved + self._share)
+        """Add the share of a new request to the balance."""
+        self._balance = min(self._reserve, self._balance + self._share)
 
     def spend(self) -> bool:
-        """Take one retry out; return whether there was one."""
-        if self._saved < 1.0:
+        """Spend one retry; return whether the balance allowed it."""
+        if self._balance < 1.0:
             return False
-        self._saved -= 1.0
+        self._balance -= 1.0
         return True
--- a/springrock/serving/router.py
+++ b/springrock/serving/router.py
@@ -162,7 +162,7 @@
             deadline_s=round(request.deadline.left_s, 3),
         )
         answer = (
-            self._owner.ask(ask) if report.owner == self._box else self._ask_peer(ask, report.owner)
+            self._owner.request_permit(ask) if report.owner == self._box else self._ask_peer(ask, report.owner)
         )
         if answer.is_error():
             return Error(answer.error)
--- a/springrock/serving/start_forecast.py
+++ b/springrock/serving/start_forecast.py
@@ -1,4 +1,4 @@
-"""How long a request at an owned replica would wait until it starts."""
+"""Estimates how long a request at an owned replica waits until it starts."""
 
 from __future__ import annotations
 
@@ -6,65 +6,67 @@
 
 from springrock.serving.estimate import Estimate
 from springrock.serving.residency import Residency
-from springrock.serving.waiting import Waiter, WaitingRoom
+from springrock.serving.waiting import Waiter, WaitQueue
 from springrock.wire import peer as wire
 
 
 class StartForecast:
-    """Reckons waits from what runs, waits and loads at one replica. All times are in seconds.
+    """Estimates waits from the running and waiting requests and the adapter loads of one replica.
+
+    All times are in seconds.
 
     Args:
-        waiting: Who waits.
-        residency: What is loaded.
-        estimate: What loads and requests took lately.
-        least_load_s: The least time of a load.
-        running: Returns how many requests may be running.
-        running_limit: Returns how many may run.
+        waiting: The waiting requests.
+        residency: The loaded adapters.
+        estimate: Moving averages of the times of loads and requests.
+        min_load_s: Minimum duration of a load.
+        running: Returns the number of requests that may be running.
+        running_limit: Returns the maximum number of running requests.
     """
 
     def __init__(
         self,
         *,
-        waiting: WaitingRoom,
+        waiting: WaitQueue,
         residency: Residency,
         estimate: Estimate,
-        least_load_s: float,
+        min_load_s: float,
         running: Callable[[], int],
         running_limit: Callable[[], int],
     ) -> None:
         self._waiting = waiting
         self._residency = residency
         self._estimate = estimate
-        self._least_load_s = least_load_s
+        self._min_load_s = min_load_s
         self._running = running
         self._running_limit = running_limit
 
-    def start_s(self, ask: wire.Ask) -> float:
-        """Return the expected wait of a question asked now."""
-        place_s = self._place_wait_s()
+    def expected_wait_s(self, ask: wire.Ask) -> float:
+        """Return the expected wait of a permit request that arrives now."""
+        batch_wait_s = self._batch_wait_s()
         if self._residency.ready(ask.adapter):
-            return place_s
-        return max(place_s, self._load_wait_s(ask))
+            return batch_wait_s
+        return max(batch_wait_s, self._load_wait_s(ask))
 
-    def backlog_s(self, waiter: Waiter) -> float:
-        """Return after how long what waits here now should be over."""
-        place_s = max(self._place_wait_s(), self._estimate.service_s)
+    def queue_wait_s(self, waiter: Waiter) -> float:
+        """Return the expected time until the requests that wait now have started."""
+        batch_wait_s = max(self._batch_wait_s(), self._estimate.service_s)
         if self._residency.ready(waiter.ask.adapter):
-            return place_s
+            return batch_wait_s
         loads = len(set(self._waiting.adapters) - set(self._residency.ready_adapters))
-        return max(place_s, loads * self._estimate.load_s)
+        return max(batch_wait_s, loads * self._estimate.load_s)
 
-    def least_wait_s(self, waiter: Waiter) -> float:
-        """Return the least time that a waiter has still to wait."""
+    def min_wait_s(self, waiter: Waiter) -> float:
+        """Return the minimum time that a request has still to wait."""
         adapter = waiter.ask.adapter
         if self._residency.ready(adapter) or adapter == self._residency.loading:
             return 0.0
-        return self._least_load_s
+        return self._min_load_s
 
-    def _place_wait_s(self) -> float:
+    def _batch_wait_s(self) -> float:
         limit = max(1, self._running_limit())
-        over = self._running() + self._ready_waiting() - limit + 1
-        return max(0, over) / limit * self._estimate.service_s
+        excess = self._running() + self._ready_waiting() - limit + 1
+        return max(0, excess) / limit * self._estimate.service_s
 
     def _ready_waiting(self) -> int:
         return sum(self._residency.ready(waiter.ask.adapter) for waiter in self._waiting)
@@ -75,6 +77,10 @@
         wants = self._waiting.wants(
             self._residency.ready, load_s=self._estimate.load_s, token_s=self._estimate.token_s
         )
-        mine = sum(want.worth_in_time for want in wants if want.adapter == ask.adapter) + ask.worth
-        ahead = sum(want.worth_in_time >= mine for want in wants if want.adapter != ask.adapter)
+        worth_here = (
+            sum(want.worth_in_time for want in wants if want.adapter == ask.adapter) + ask.worth
+        )
+        ahead = sum(
+            want.worth_in_time >= worth_here for want in wants if want.adapter != ask.adapter
+        )
         return (ahead + 1) * self._estimate.load_s
--- a/springrock/serving/waiting.py
+++ b/springrock/serving/waiting.py
@@ -1,4 +1,4 @@
-"""The requests that wait at the owner of a replica, for a load or for a place in the batch."""
+"""Requests that wait at the owner of a replica for an adapter load or a place in the batch."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 from springrock.policies import Want
 from springrock.wire import peer as wire
 
-_SAFETY = 1.15
-_START_S = 0.05
+_RUN_TIME_MARGIN = 1.15
+_RUN_START_S = 0.05
 
 
-def run_estimate_s(tokens: int, token_s: float) -> float:
-    """Return the time to allow for a run, on the safe side.
+def estimate_run_s(tokens: int, token_s: float) -> float:
+    """Return a conservative estimate of the duration of a run.
 
     Args:
-        tokens: How many tokens are asked for.
-        token_s: The usual time of a token.
+        tokens: Number of tokens requested.
+        token_s: Mean time per token.
     """
-    return _START_S + tokens * token_s * _SAFETY
+    return _RUN_START_S + tokens * token_s * _RUN_TIME_MARGIN
 
 
 class Waiter:
-    """One request that waits.
+    """One waiting permit request.
 
     Attributes:
-        ask: What was asked.
-        holder: The box that asked.
-        arrived_at: When, on the local monotonic clock.
-        stalled: Whether its adapter was not loaded on arrival.
-        ready_at: When its adapter became ready.
-        permit: The number of its permit, once granted.
+        ask: The permit request.
+        holder: The box that sent it and will hold the permit.
+        arrived_at: Time of arrival on the local monotonic clock.
+        stalled: Whether its adapter was not ready on arrival.
+        ready_at: Time at which its adapter became ready.
+        permit: Number of its permit, once granted.
     """
 
     def __init__(self, ask: wire.Ask, holder: str, *, stalled: bool) -> None:
@@ -50,71 +50,71 @@
         self._result: AsyncResult[Result[wire.Grant, Refusal]] = AsyncResult()
 
     def wait(self) -> Result[wire.Grant, Refusal]:
-        """Wait for the decision."""
+        """Wait for the grant or the refusal."""
         result = self._result.get()
         assert result is not None
         return result
 
     def grant(self, grant: wire.Grant) -> None:
-        """Let the request go."""
+        """End the wait with a permit."""
         self.permit = grant.permit
         self._result.set(Ok(grant))
 
     def refuse(self, refusal: Refusal) -> None:
-        """End the wait without a permit."""
+        """End the wait with a refusal."""
         self._result.set(Error(refusal))
 
-    def last_start_at(self, token_s: float) -> float:
-        """Return the last time at which a start still gives a whole answer in time."""
-        return self.deadline.at - run_estimate_s(self.ask.max_tokens, token_s)
+    def latest_start_at(self, token_s: float) -> float:
+        """Return the latest start time that still allows a complete answer before the deadline."""
+        return self.deadline.at - estimate_run_s(self.ask.max_tokens, token_s)
 
 
-class WaitingRoom:
-    """All waiters of one replica, in order of arrival."""
+class WaitQueue:
+    """The waiting requests of one replica, in order of arrival."""
 
     def __init__(self) -> None:
         self._waiters: list[Waiter] = []
-        self._by_adapter: Counter[str] = Counter()
-        self._first_order: dict[str, int] = {}
-        self._orders = 0
+        self._counts_by_adapter: Counter[str] = Counter()
+        self._arrival_orders: dict[str, int] = {}
+        self._arrivals = 0
 
     def add(self, waiter: Waiter) -> None:
-        """Let a request wait."""
+        """Append a waiter."""
         self._waiters.append(waiter)
         adapter = waiter.ask.adapter
-        self._by_adapter[adapter] += 1
-        if adapter not in self._first_order:
-            self._orders += 1
-            self._first_order[adapter] = self._orders
+        self._counts_by_adapter[adapter] += 1
+        if adapter not in self._arrival_orders:
+            self._arrivals += 1
+            self._arrival_orders[adapter] = self._arrivals
 
     def remove(self, waiter: Waiter) -> bool:
-        """Take a waiter out; return whether it was in."""
+        """Remove a waiter; return whether it was in the queue."""
         if waiter not in self._waiters:
             return False
         self._waiters.remove(waiter)
         adapter = waiter.ask.adapter
-        self._by_adapter[adapter] -= 1
-        if not self._by_adapter[adapter]:
-            del self._by_adapter[adapter]
-            del self._first_order[adapter]
+        self._counts_by_adapter[adapter] -= 1
+        if not self._counts_by_adapter[adapter]:
+            del self._counts_by_adapter[adapter]
+            del self._arrival_orders[adapter]
         return True
 
     def waiting_for(self, adapter: str) -> int:
-        """Return how many wait for an adapter."""
-        return self._by_adapter[adapter]
+        """Return the number of requests that wait for an adapter."""
+        return self._counts_by_adapter[adapter]
 
     @property
     def adapters(self) -> list[str]:
-        """The adapters waited for, sorted."""
-        return sorted(self._by_adapter)
+        """The adapters of the waiting requests, sorted."""
+        return sorted(self._counts_by_adapter)
 
     def wants(self, ready: Callable[[str], bool], *, load_s: float, token_s: float) -> list[Want]:
-        """Return what should be loaded: the adapters waited for that are not ready.
+        """Return the adapters that requests wait for and that are not ready.
 
         Args:
-            ready: Tells whether an adapter is ready.
-            load_s: How long a load takes.
-            token_s: How long a token takes.
+            ready: Returns whether an adapter is ready.
+            load_s: Expected duration of a load.
+            token_s: Mean time per token.
         """
         earliest_start = monotonic() + load_s
         groups: dict[str, list[Waiter]] = {}
@@ -128,19 +128,19 @@
     def _want(
         self, adapter: str, group: list[Waiter], earliest_start: float, token_s: float
     ) -> Want:
-        last_starts = [waiter.last_start_at(token_s) for waiter in group]
+        latest_starts = [waiter.latest_start_at(token_s) for waiter in group]
         worth = sum(
             waiter.ask.worth
-            for waiter, last_start in zip(group, last_starts, strict=True)
-            if last_start >= earliest_start
+            for waiter, latest_start in zip(group, latest_starts, strict=True)
+            if latest_start >= earliest_start
         )
         return Want(
             adapter=adapter,
             waiting=len(group),
             worth_in_time=worth,
             oldest_at=group[0].arrived_at,
-            first_deadline_at=min(last_starts),
-            order=self._first_order[adapter],
+            first_deadline_at=min(latest_starts),
+            order=self._arrival_orders[adapter],
         )
 
     def __iter__(self) -> Iterator[Waiter]:
