--- a/springrock/serving/admission.py
+++ b/springrock/serving/admission.py
@@ -1,4 +1,4 @@
-"""Admission: what a request asks for is checked against the catalog, and its version pinned."""
+"""Admission: checks a request against the catalog and pins its adapter version."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 class Admission:
-    """Turns what a caller sent into a request that can be served, or refuses it.
+    """Converts a caller's request into one that can be served, or refuses it.
 
     Args:
-        catalog: Returns the catalog in force.
-        view: Knows the pools.
-        limits: The workloads' limits.
+        catalog: Returns the current catalog.
+        view: Routing view, which has the pools.
+        limits: The request limits of the workloads.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
     def admit(
         self, body: CompletionBody, terms: Terms, *, chat: bool
     ) -> Result[ServingRequest, Refusal]:
-        """Check a completion request and pin its version."""
+        """Check a completion request and pin its adapter version."""
         arrived_at = monotonic()
         name = ModelName.from_text(body.model)
         if name is None:
@@ -66,7 +66,7 @@
         )
 
     def limit(self, workload: str) -> Refusal | None:
-        """Count a request against its workload's limit."""
+        """Count a request against its workload's limit; return a refusal if it is over."""
         retry_after_s = self._limits.admit(workload)
         if not retry_after_s:
             return None
--- a/springrock/serving/answer.py
+++ b/springrock/serving/answer.py
@@ -1,4 +1,4 @@
-"""One answer on its way: verified events, resumed at the exact position when a stream breaks."""
+"""An answer in progress: verified events; a broken stream is resumed at the exact position."""
 
 from __future__ import annotations
 
@@ -26,23 +26,23 @@
 
 RESUMES_WITHOUT_PROGRESS = 3
 RESUME_PAUSE_S = 0.05
-_CANCEL_EVERY_S = 0.5
+_CANCEL_INTERVAL_S = 0.5
 BROKEN_RETRY_AFTER_S = 1.0
 _CHECK_INTERVAL_S = 5.0
-_SILENCE_LIMIT_S = 15.0
+_MAX_SILENCE_S = 15.0
 
 
 class Answer:
-    """One answer on its way: iterate for its events, and close it always.
+    """An answer in progress. Iterating yields its events; it must always be closed.
 
     Args:
-        request: The request as sent.
-        permitted: The permit that it runs under.
-        driver: Speaks to the engine.
-        stream: The begun stream.
-        refund: Returns the permit, with the number of tokens of a whole answer.
+        request: The request as sent to the engine.
+        permitted: The permit under which it runs.
+        driver: Opens streams of the engine and cancels requests.
+        stream: The open stream.
+        refund: Refunds the permit; takes the number of tokens of a complete answer, or 0.
         log: The log to write to.
-        metrics: The metrics to count in.
+        metrics: The metrics to update.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         self._request = request
         self._driver = driver
         self._stream = stream
-        self._give_back = refund
+        self._refund = refund
         self._log = log
         self._metrics = metrics
         self._closed = False
@@ -74,14 +74,14 @@
 
     @property
     def tokens(self) -> int:
-        """How many tokens have come."""
+        """Number of tokens received."""
         return self._stream.position
 
     def pull_first(self) -> None:
         """Wait for the first event.
 
         Raises:
-            UpstreamBroke: If it cannot be had from this engine.
+            UpstreamBroke: If the engine does not deliver it.
         """
         self._first = self._next()
 
@@ -89,7 +89,7 @@
         """Yield the events.
 
         Raises:
-            RequestRefused: If the answer cannot become whole.
+            RequestRefused: If the answer cannot be completed.
         """
         if self._first is not None:
             event, self._first = self._first, None
@@ -98,11 +98,11 @@
             try:
                 event = self._next()
             except UpstreamBroke as error:
-                raise RequestRefused(self._cut(error)) from None
+                raise RequestRefused(self._cut_refusal(error)) from None
             yield event
 
     def close(self) -> None:
-        """Give the permit back; have the engine cancel an answer that is not whole."""
+        """Refund the permit; before that, cancel an incomplete answer in the engine."""
         if self._closed:
             return
         self._closed = True
@@ -111,11 +111,11 @@
         whole = self._stream.whole
         self._stream.close()
         if whole:
-            self._give_back(self._stream.position)
+            self._refund(self._stream.position)
         else:
             request_id = self._request.request_id
             gevent.spawn(
-                cancel_until_confirmed, self._driver, request_id, self._ends_at, self._give_back
+                cancel_until_confirmed, self._driver, request_id, self._ends_at, self._refund
             )
 
     @property
@@ -123,7 +123,7 @@
         return min(_CHECK_INTERVAL_S, max(0.0, self._ends_at - monotonic()))
 
     def _watch_loop(self) -> None:
-        """Break the stream at the permit's end, or when the engine has long been silent."""
+        """Abort the stream when the permit expires or the engine sends nothing for too long."""
         while True:
             now = monotonic()
             if self._stream.position != self._seen_position:
@@ -132,8 +132,8 @@
             if now >= self._ends_at:
                 self._stream.abort()
                 return
-            if now - self._seen_at > _SILENCE_LIMIT_S:
-                # The reader may resume the stream, which is then watched anew.
+            if now - self._seen_at > _MAX_SILENCE_S:
+                # The reader may resume the stream: the silence is then measured from here.
                 self._seen_at = now
                 self._stream.abort()
             gevent.sleep(self._next_check_s)
@@ -152,7 +152,7 @@
                 raise UpstreamBroke("the stream ended") from None
 
     def _resume(self, broke: UpstreamBroke) -> None:
-        """Go on at the exact position, if the engine still has the stream."""
+        """Resume at the exact position if the engine still has the stream; else raise `broke`."""
         if not self._resumes_left or monotonic() >= self._ends_at:
             raise broke
         self._resumes_left -= 1
@@ -171,7 +171,7 @@
         self._stream = stream
         self._events = iter(stream)
 
-    def _cut(self, error: UpstreamBroke) -> Refusal:
+    def _cut_refusal(self, error: UpstreamBroke) -> Refusal:
         if monotonic() >= self._ends_at:
             return Refusal(Cause.DEADLINE_PASSED, "the deadline passed", RunState.CUT)
         return Refusal(cause_of(error), str(error), RunState.CUT, BROKEN_RETRY_AFTER_S)
@@ -180,19 +180,20 @@
 def cancel_until_confirmed(
     driver: EngineDriver, request_id: str, ends_at: float, refund: Callable[[int], None]
 ) -> None:
-    """Return a permit only when the engine has confirmed that the request is over.
+    """Cancel a request and refund its permit once the engine has confirmed the cancellation.
 
-    Without that the permit runs out at its owner, who keeps the adapter in use and goes on asking.
+    Without confirmation the permit expires at its owner. The owner then counts the adapter as used
+    and repeats the cancellation until it is confirmed.
     """
     while monotonic() < ends_at:
         if driver.cancel(request_id):
             refund(0)
             return
-        gevent.sleep(_CANCEL_EVERY_S)
+        gevent.sleep(_CANCEL_INTERVAL_S)
 
 
 def cause_of(error: UpstreamBroke) -> Cause:
-    """Return the cause that callers are told."""
+    """Return the cause of the refusal that callers receive for a broken stream."""
     if isinstance(error, WrongAnswer):
         return Cause.WRONG_ADAPTER
     if isinstance(error, UpstreamGarbage):
--- a/springrock/serving/limits.py
+++ b/springrock/serving/limits.py
@@ -1,7 +1,7 @@
 """Request limits per workload over all boxes, without a central counter.
 
-Each box takes the part of a workload's limit that its demand has in the demand of all boxes, as
-far as they have told it. Before anything is heard, the parts are equal.
+Each box applies a share of a workload's limit: its own demand divided by the demand of all boxes
+that have reported theirs. Without reports the shares are equal.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 from springrock.quotas.bucket import BucketLimits, TokenBucket
 from springrock.wire import peer as wire
 
-_TELL_EVERY_S = 4.0
-_DEMAND_LIFE_S = 20.0
+_REPORT_INTERVAL_S = 4.0
+_DEMAND_VALID_S = 20.0
 _DEMAND_WEIGHT = 0.5
 _BURST_S = 1.0
-_LEAST_PART = 0.02
+_MIN_SHARE = 0.02
 
 
 class Limits:
-    """The limits of one box.
+    """The request limits that one box applies.
 
     Args:
         box: The name of this box.
-        catalog: Returns the catalog in force.
-        members: Tells how many boxes share a limit.
-        peers: Carries the demand of each box to the others.
+        catalog: Returns the current catalog.
+        members: The boxes that share the limits.
+        peers: The links to the other boxes, over which the boxes exchange their demand.
     """
 
     def __init__(
@@ -56,21 +56,21 @@
         peers.handle(wire.Demand, self._on_demand)
 
     def start(self) -> None:
-        """Begin telling this box's demand."""
+        """Start reporting this box's demand to the peers."""
         self._task = gevent.spawn(self._notify_loop)
 
     def stop(self) -> None:
-        """Stop telling."""
+        """Stop reporting."""
         if self._task is not None:
             self._task.kill()
 
     def admit(self, name: str) -> float:
-        """Count a request of a workload; return 0, or the seconds after which to come back."""
+        """Count a request of a workload; return 0 if admitted, else the seconds to retry after."""
         workload = self._catalog().workload(name)
         if workload is None or not workload.requests_per_s:
             return 0.0
         self._counts[name] = self._counts.get(name, 0) + 1
-        rate = workload.requests_per_s * self.part(workload)
+        rate = workload.requests_per_s * self.share_of(workload)
         limits = BucketLimits(rate, max(1.0, rate * _BURST_S))
         now = monotonic()
         bucket = self._buckets.get(name)
@@ -79,20 +79,20 @@
         bucket.change(limits, now=now)
         return bucket.take(1.0, now=now)
 
-    def part(self, workload: Workload) -> float:
-        """Return this box's part of a workload's limit."""
+    def share_of(self, workload: Workload) -> float:
+        """Return this box's share of a workload's limit."""
         boxes = max(1, len(self._members.live()))
-        horizon = monotonic() - _DEMAND_LIFE_S
-        received = [demand for at, demand in self._received.values() if at > horizon]
-        mine = self._demand.get(workload.name, 0.0)
-        total = mine + sum(demand.get(workload.name, 0.0) for demand in received)
+        oldest_valid_at = monotonic() - _DEMAND_VALID_S
+        received = [demand for at, demand in self._received.values() if at > oldest_valid_at]
+        own_demand = self._demand.get(workload.name, 0.0)
+        total = own_demand + sum(demand.get(workload.name, 0.0) for demand in received)
         if total <= 0 or not received:
             return 1.0 / boxes
-        return min(1.0, max(_LEAST_PART / boxes, mine / total))
+        return min(1.0, max(_MIN_SHARE / boxes, own_demand / total))
 
     def _notify_loop(self) -> None:
         while True:
-            gevent.sleep(_TELL_EVERY_S)
+            gevent.sleep(_REPORT_INTERVAL_S)
             self._measure()
             if self._demand:
                 names = sorted(self._demand)
@@ -102,9 +102,9 @@
     def _measure(self) -> None:
         counts, self._counts = self._counts, {}
         for name in set(counts) | set(self._demand):
-            rate = counts.get(name, 0) / _TELL_EVERY_S
-            before = self._demand.get(name, rate)
-            smoothed = before + _DEMAND_WEIGHT * (rate - before)
+            rate = counts.get(name, 0) / _REPORT_INTERVAL_S
+            previous = self._demand.get(name, rate)
+            smoothed = previous + _DEMAND_WEIGHT * (rate - previous)
             if smoothed < 0.01:
                 self._demand.pop(name, None)
             else:
--- a/springrock/serving/loader.py
+++ b/springrock/serving/loader.py
@@ -1,4 +1,8 @@
-"""The load loop of one owned replica: one load for all who wait, the most worth in time first."""
+"""The load loop of one owned replica.
+
+One load serves all requests that wait for the adapter. The load order policy chooses which adapter
+is loaded next.
+"""
 
 from __future__ import annotations
 
@@ -20,55 +24,55 @@
 from springrock.policies import Resident, Want
 from springrock.serving.owned_replica import OwnedReplica
 
-_LOAD_TRIES = 3
-_IDLE_WAIT_S = 1.0
-_NO_VICTIM_WAIT_S = 0.05
+_MAX_LOAD_ATTEMPTS = 3
+_IDLE_CHECK_INTERVAL_S = 1.0
+_RETRY_PAUSE_S = 0.05
 _FAILURES = (OrderFailed, UpstreamUnreachable, UpstreamBroke)
 
 
 class Loader:
-    """Loads what one replica should hold.
+    """Loads the adapters that requests wait for, and the pinned ones, on one replica.
 
     Args:
         replica: The replica.
-        steward: Gives turns on the weight store.
+        steward: Grants turns to load from the weight store.
     """
 
     def __init__(self, replica: OwnedReplica, steward: Steward) -> None:
         self._replica = replica
         self._steward = steward
-        self._failed_tries: Counter[str] = Counter()
+        self._failed_attempts: Counter[str] = Counter()
         self._task: gevent.Greenlet[..., Any] | None = None
 
     def start(self) -> None:
-        """Begin loading."""
+        """Start the load loop."""
         self._task = gevent.spawn(self._load_loop)
 
     def stop(self) -> None:
-        """Stop loading."""
+        """Stop the load loop."""
         if self._task is not None:
             self._task.kill(block=False)
 
     def _load_loop(self) -> None:
         replica = self._replica
         while True:
-            replica.load_requested.wait(timeout=_IDLE_WAIT_S)
+            replica.load_requested.wait(timeout=_IDLE_CHECK_INTERVAL_S)
             replica.load_requested.clear()
             while replica.accepting and self._choose() is not None:
-                if not self._has_room():
+                if not self._can_make_room():
                     replica.capacity_freed.clear()
-                    replica.capacity_freed.wait(timeout=_NO_VICTIM_WAIT_S)
+                    replica.capacity_freed.wait(timeout=_RETRY_PAUSE_S)
                     continue
-                self._wait_for_turn()
+                self._load_in_turn()
 
-    def _wait_for_turn(self) -> None:
+    def _load_in_turn(self) -> None:
         want = self._choose()
         if want is None:
             return
         began_at = monotonic()
         self._steward.wait_for_turn(self._replica.name, want.adapter, want.worth_in_time)
         try:
-            # The best may have changed while the turn was awaited.
+            # The best choice may have changed during the wait for the turn.
             want = self._choose()
             if want is not None and self._make_room(want):
                 self._load(want, began_at)
@@ -84,22 +88,22 @@
         )
         if wants:
             return replica.load_order.next(wants, now=monotonic())
-        return self._missing_pin()
+        return self._next_missing_pin()
 
-    def _missing_pin(self) -> Want | None:
+    def _next_missing_pin(self) -> Want | None:
         now = monotonic()
         for adapter in self._replica.pinned():
             if not self._replica.residency.ready(adapter):
                 return Want(adapter, 0, 0.0, now, now, 0)
         return None
 
-    # Making room.
+    # Unloads.
 
-    def _has_room(self) -> bool:
+    def _can_make_room(self) -> bool:
         return self._replica.residency.free_slots > 0 or bool(self._evictable())
 
     def _evictable(self) -> list[Resident]:
-        """Return the adapters that nobody uses, waits for or pinned."""
+        """Return the loaded adapters that are not pinned and that no request uses or waits for."""
         replica = self._replica
         if monotonic() < replica.unload_after:
             return []
@@ -142,7 +146,7 @@
         replica.metrics.unloads.inc()
         return True
 
-    # Loading.
+    # Loads.
 
     def _load(self, want: Want, began_at: float) -> None:
         replica = self._replica
@@ -160,7 +164,7 @@
         except _FAILURES as error:
             self._record_failed(want, str(error))
             return
-        self._failed_tries.pop(want.adapter, None)
+        self._failed_attempts.pop(want.adapter, None)
         replica.estimate.record_load(monotonic() - began_at)
         replica.metrics.loads.labels("done").inc()
         replica.adapter_ready(want.adapter)
@@ -170,20 +174,20 @@
         replica.residency.loading = ""
         replica.metrics.loads.labels("failed").inc()
         replica.log.say("A load failed.", replica=replica.name, adapter=want.adapter, error=detail)
-        self._failed_tries[want.adapter] += 1
-        if self._failed_tries[want.adapter] >= _LOAD_TRIES:
-            del self._failed_tries[want.adapter]
+        self._failed_attempts[want.adapter] += 1
+        if self._failed_attempts[want.adapter] >= _MAX_LOAD_ATTEMPTS:
+            del self._failed_attempts[want.adapter]
             retry_after_s = replica.estimate.load_s
             refusal = Refusal(Cause.LOAD_FAILED, detail, RunState.NOT_RUN, retry_after_s)
             replica.refuse_waiting_for(want.adapter, refusal)
         self._resync()
 
     def _resync(self) -> None:
-        """After an order of unknown outcome, take the engine's own list."""
+        """Replace the known adapters by the engine's list after an order that may have failed."""
         try:
             loaded = self._replica.driver.loaded()
         except (UpstreamUnreachable, UpstreamBroke):
-            gevent.sleep(_NO_VICTIM_WAIT_S)
+            gevent.sleep(_RETRY_PAUSE_S)
             return
         self._replica.residency.replace(loaded.adapters)
         self._replica.grant_ready()
--- a/springrock/serving/owner.py
+++ b/springrock/serving/owner.py
@@ -1,4 +1,4 @@
-"""The owner's door for peers: questions, returns and withdrawals for the replicas owned here."""
+"""Handles the permit requests, refunds and withdrawals of all boxes for the replicas owned here."""
 
 from __future__ import annotations
 
@@ -29,26 +29,26 @@
 from springrock.settings import PolicySection
 from springrock.wire import peer as wire
 
-_REPORT_EVERY_S = 0.1
-_FULL_REPORT_EVERY_S = 30.0
+_REPORT_INTERVAL_S = 0.1
+_FULL_REPORT_INTERVAL_S = 30.0
 _NOTICE_TIMEOUT_S = 2.0
 
 
 class Owner:
-    """All replicas that this box owns, and the peers' questions about them.
+    """The replicas that this box owns, and the handlers of peers' messages about them.
 
     Args:
         box: The name of this box.
         policy: The choice of policies and the limits.
-        may_act: Whether this box may act as an owner at this moment.
-        members: Tells which boxes may hold permits.
+        may_act: Returns whether this box may act as an owner now.
+        members: The boxes of the deployment, each of which may hold permits.
         peers: The links to the other boxes.
-        held: This box's own book of held permits.
-        steward: Gives turns on the weight store.
-        view: Takes this box's own reports.
-        catalog: Returns the catalog in force.
+        held: The permits that this box itself holds.
+        steward: Grants turns to load from the weight store.
+        view: Routing view that receives the reports on this box's own replicas.
+        catalog: Returns the current catalog.
         log: The log to write to.
-        metrics: The metrics to count in.
+        metrics: The metrics to update.
     """
 
     def __init__(
@@ -88,14 +88,14 @@
         peers.handle(wire.Return, self._on_return)
         peers.handle(wire.Withdraw, self._on_withdraw)
         peers.handle(wire.FenceNotice, self._on_fence_notice)
-        peers.on_link.append(self._greet)
+        peers.on_link.append(self._send_all_reports)
 
     def start(self) -> None:
-        """Begin reporting to the peers."""
+        """Start reporting to the peers."""
         self._tasks = [gevent.spawn(self._report_loop), gevent.spawn(self._refresh_loop)]
 
     def stop(self) -> None:
-        """Stop reporting."""
+        """Stop reporting and give up all owned replicas."""
         for task in self._tasks:
             task.kill()
         for name in list(self._replicas):
@@ -109,7 +109,7 @@
     # Ownership.
 
     def gained(self, upstream: Upstream, fence: int, *, previous: str) -> None:
-        """Begin to act as the owner of a replica."""
+        """Start to act as the owner of a replica."""
         settings = upstream.settings
         replica = OwnedReplica(
             settings,
@@ -123,7 +123,7 @@
             log=self._log,
             metrics=self._metrics,
             on_change=self._handle_change,
-            on_lost=self._lose_soon,
+            on_lost=self._schedule_loss,
         )
         replica.pinned = lambda: [pin.adapter for pin in self._catalog().pins(settings.name)]
         replica.set_drained(self._out_of_service(settings.name))
@@ -135,7 +135,7 @@
         self._loaders[settings.name].start()
 
     def closed(self, replica: str) -> None:
-        """Grant nothing more on a replica that is about to move."""
+        """Stop granting permits for a replica that is about to change its owner."""
         self._replicas[replica].close()
 
     def lost(self, replica: str) -> None:
@@ -148,16 +148,16 @@
         self._metrics.owned_replicas.set(len(self._replicas))
         self._metrics.permits_outstanding.dec(len(owned.permits))
 
-    def _lose_soon(self, replica: OwnedReplica) -> None:
+    def _schedule_loss(self, replica: OwnedReplica) -> None:
         gevent.spawn(self.lost, replica.name)
 
     def record_leaving(self, leaving: set[str]) -> None:
-        """Take the platform's list of leaving upstreams."""
+        """Replace the set of upstreams that the platform lists as leaving."""
         self._leaving = leaving
         self.review_service()
 
     def review_service(self) -> None:
-        """Take replicas out of service, or back in, by the list and the catalog."""
+        """Begin or end drains according to the platform's list and the catalog."""
         for replica in self.replicas:
             replica.set_drained(self._out_of_service(replica.name))
 
@@ -165,24 +165,24 @@
         return replica in self._leaving or self._catalog().drained(replica)
 
     def _recover_permits(self, replica: OwnedReplica) -> None:
-        """Ask every box which permits it holds under older fences; unload nothing in use.
+        """Fetch the permits of earlier owners from all boxes, to unload no adapter in use.
 
-        Until every box that may hold one has answered, nothing at all is unloaded.
+        If a box does not answer, unloads stay forbidden until the longest permit has expired.
         """
         began_at = monotonic()
         for permit in self._held.notice_fence(replica.name, replica.fence, self._box):
             replica.inherited.add(permit, ends_at=began_at + permit.seconds_left)
         others = [member for member in self._members.all() if member.box != self._box]
-        tasks = [gevent.spawn(self._ask_held, replica, member.box) for member in others]
+        tasks = [gevent.spawn(self._fetch_held_permits, replica, member.box) for member in others]
         gevent.joinall(tasks)
         if all(task.value for task in tasks):
             replica.unload_after = began_at
-            self._log.say("All boxes told their permits.", replica=replica.name)
+            self._log.say("Received the held permits of all boxes.", replica=replica.name)
         else:
-            self._log.say("Some boxes did not tell their permits.", replica=replica.name)
+            self._log.say("Some boxes did not report their held permits.", replica=replica.name)
         self._handle_change(replica)
 
-    def _ask_held(self, replica: OwnedReplica, box: str) -> bool:
+    def _fetch_held_permits(self, replica: OwnedReplica, box: str) -> bool:
         notice = wire.FenceNotice(0, replica.name, replica.fence)
         try:
             link = self._peers.link_to(box)
@@ -194,10 +194,10 @@
             replica.inherited.add(permit, ends_at=now + permit.seconds_left)
         return True
 
-    # Asking.
+    # Permit requests.
 
     def request_permit(self, ask: wire.Ask) -> Result[wire.Grant, Refusal]:
-        """Ask on behalf of this box itself; waits for the decision."""
+        """Request a permit for this box itself; wait for the grant or the refusal."""
         replica = self._replicas.get(ask.replica)
         if replica is None:
             return Error(_not_owner(ask.replica))
@@ -211,7 +211,7 @@
             raise
 
     def refund(self, notice: wire.Return) -> None:
-        """Take a permit back."""
+        """End a permit, whether this owner or an earlier one granted it."""
         replica = self._replicas.get(notice.replica)
         if replica is None:
             return
@@ -251,7 +251,7 @@
         held = self._held.notice_fence(notice.replica, notice.fence, link.box)
         return wire.HeldPermits(notice.number, held)
 
-    # Reporting.
+    # Reports.
 
     def _handle_change(self, replica: OwnedReplica) -> None:
         if self._replicas.get(replica.name) is not replica:
@@ -264,7 +264,7 @@
         sent: dict[str, wire.ReplicaReport] = {}
         while True:
             self._change.wait()
-            gevent.sleep(_REPORT_EVERY_S)
+            gevent.sleep(_REPORT_INTERVAL_S)
             self._change.clear()
             names, self._changed = self._changed, set()
             for name in sorted(names):
@@ -272,20 +272,20 @@
                 if replica is None:
                     continue
                 report = replica.report(self._box)
-                if _differs(sent.get(name), report, replica.pool.running_limit):
+                if _is_worth_sending(sent.get(name), report, replica.pool.running_limit):
                     sent[name] = report
                     self._peers.broadcast(report)
 
     def _refresh_loop(self) -> None:
-        """Tell everything again now and then, so that a lost report costs seconds."""
+        """Send all reports periodically, so that a lost one is soon replaced."""
         while True:
-            gevent.sleep(_FULL_REPORT_EVERY_S)
+            gevent.sleep(_FULL_REPORT_INTERVAL_S)
             for replica in self.replicas:
                 report = replica.report(self._box)
                 self._view.apply(report)
                 self._peers.broadcast(report)
 
-    def _greet(self, link: Link) -> None:
+    def _send_all_reports(self, link: Link) -> None:
         for replica in self.replicas:
             try:
                 link.notify(replica.report(self._box))
@@ -293,10 +293,12 @@
                 return
 
 
-def _differs(before: wire.ReplicaReport | None, after: wire.ReplicaReport, limit: int) -> bool:
-    """Whether a report says something that routing should hear before the next full one.
+def _is_worth_sending(
+    before: wire.ReplicaReport | None, after: wire.ReplicaReport, limit: int
+) -> bool:
+    """Whether a report differs enough from the last one to be sent before the periodic reports.
 
-    The load alone is told only when it moves from one quarter of the limit to another.
+    A change of load alone counts if it is at least a quarter of the limit.
     """
     if before is None:
         return True
--- a/springrock/serving/relay.py
+++ b/springrock/serving/relay.py
@@ -1,7 +1,8 @@
-"""The relay: sends a permitted request to its engine and hands the verified answer on.
+"""The relay: sends a permitted request to its engine and returns the verified answer.
 
-A request that was certainly not run is tried elsewhere; one that may have run is run again only
-if it is repeatable and nothing reached the caller. Everything else ends with a typed refusal.
+A request that has certainly not run is tried on another replica. One that may have run is run
+again only if it is repeatable and nothing reached the caller. Any other failure ends with a typed
+refusal.
 """
 
 from __future__ import annotations
@@ -44,10 +45,10 @@
 
     Args:
         router: Gets the permits.
-        claims: Claims what is not repeatable.
+        claims: Claims the identifiers of requests that are not repeatable, so that they run once.
         driver_for: Returns the driver of a replica.
         log: The log to write to.
-        metrics: The metrics to count in.
+        metrics: The metrics to update.
     """
 
     def __init__(
@@ -70,7 +71,7 @@
         """Get a permit, send the request and wait for the first token.
 
         Returns:
-            The answer, which the caller must close; or why there is none.
+            The answer, which must be closed, or the refusal.
         """
         self._budget.earn()
         claim = _Claim(self._claims, request)
@@ -86,10 +87,10 @@
                         refusal = permit.error
                     return Error(may_have_run or refusal)
                 permitted = permit.ok
-                tried = self._try(request, permitted, claim)
-                if tried.is_ok():
-                    return tried
-                refusal = tried.error
+                attempt = self._run_once(request, permitted, claim)
+                if attempt.is_ok():
+                    return attempt
+                refusal = attempt.error
                 if refusal.run_state is not RunState.NOT_RUN:
                     may_have_run = refusal
                 if not self._may_retry(request, refusal):
@@ -98,7 +99,7 @@
                     return Error(may_have_run or refusal)
                 avoid |= {permitted.upstream.name}
                 self._log.say(
-                    f"Try {request.request_id} again: {refusal.cause}.",
+                    f"Retry {request.request_id}: {refusal.cause}.",
                     request=request.request_id,
                     cause=refusal.cause,
                 )
@@ -112,10 +113,10 @@
         safe = refusal.run_state is RunState.NOT_RUN or request.terms.repeatable
         return safe and self._budget.spend()
 
-    def _try(
+    def _run_once(
         self, request: ServingRequest, permitted: Permitted, claim: _Claim
     ) -> Result[Answer, Refusal]:
-        """Run a request once under a permit; the permit is given back unless an answer comes."""
+        """Run a request once under a permit; refund the permit if there is no answer."""
         refund = _once(lambda tokens: self._router.refund(permitted, tokens))
         try:
             claimed = claim.claim()
@@ -148,14 +149,16 @@
         except UpstreamUnreachable as error:
             claim.sent = False
             refund(0)
-            return Error(_not_run(Cause.NO_UPSTREAM, str(error), BROKEN_RETRY_AFTER_S))
+            return Error(_not_run_refusal(Cause.NO_UPSTREAM, str(error), BROKEN_RETRY_AFTER_S))
         except UpstreamSaidNo as error:
             claim.sent = False
             refund(NOT_LOADED if "not loaded" in error.reason else 0)
-            return Error(_not_run(Cause.UPSTREAM_REFUSED, error.reason, error.retry_after_s or 1.0))
+            return Error(
+                _not_run_refusal(Cause.UPSTREAM_REFUSED, error.reason, error.retry_after_s or 1.0)
+            )
         except UpstreamBroke as error:
-            found = _find_begun(driver, sent)
-            if found is None:
+            started_stream = _find_started_stream(driver, sent)
+            if started_stream is None:
                 gevent.spawn(
                     cancel_until_confirmed,
                     driver,
@@ -163,8 +166,8 @@
                     permitted.held.ends_at,
                     refund,
                 )
-                return Error(_unknown(error))
-            stream = found
+                return Error(_may_have_run_refusal(error))
+            stream = started_stream
         except BaseException:
             gevent.spawn(
                 cancel_until_confirmed, driver, sent.request_id, permitted.held.ends_at, refund
@@ -186,7 +189,7 @@
             answer.pull_first()
         except UpstreamBroke as error:
             answer.close()
-            return Error(_unknown(error))
+            return Error(_may_have_run_refusal(error))
         except BaseException:
             answer.close()
             raise
@@ -195,7 +198,7 @@
 
 
 class _Claim:
-    """The claim of one request, if it needs one.
+    """The claim on the identifier of one request; without effect for repeatable requests.
 
     Attributes:
         sent: Whether the request may have reached an engine.
@@ -205,19 +208,19 @@
         terms = request.terms
         self._claims = claims
         self._request_id = "" if terms.repeatable else terms.request_id
-        self._taken = False
+        self._is_claimed = False
         self.sent = False
 
     def claim(self) -> Result[None, Refusal]:
-        if not self._request_id or self._taken:
+        if not self._request_id or self._is_claimed:
             return Ok(None)
         result = self._claims.claim(self._request_id)
-        self._taken = result.is_ok()
+        self._is_claimed = result.is_ok()
         return result
 
     def release(self) -> None:
-        if self._taken:
-            self._taken = False
+        if self._is_claimed:
+            self._is_claimed = False
             gevent.spawn(self._claims.release, self._request_id)
 
     def release_if_unsent(self) -> None:
@@ -225,8 +228,8 @@
             self.release()
 
 
-def _find_begun(driver: EngineDriver, sent: EngineRequest) -> EngineStream | None:
-    """Return the stream of a request whose first answer was lost, if the engine has begun it."""
+def _find_started_stream(driver: EngineDriver, sent: EngineRequest) -> EngineStream | None:
+    """Return the stream of a request that the engine has started, although the response was lost."""
     for _ in range(RESUMES_WITHOUT_PROGRESS):
         try:
             return driver.resume(sent, 0)
@@ -238,19 +241,19 @@
 
 
 def _once(refund: Callable[[int], None]) -> Callable[[int], None]:
-    """Return a function that gives a permit back the first time it is called."""
+    """Return a function that refunds a permit at its first call and does nothing at later ones."""
     left = [refund]
 
-    def _give_back(tokens: int) -> None:
+    def _refund_once(tokens: int) -> None:
         if left:
             left.pop()(tokens)
 
-    return _give_back
+    return _refund_once
 
 
-def _not_run(cause: Cause, detail: str, retry_after_s: float) -> Refusal:
+def _not_run_refusal(cause: Cause, detail: str, retry_after_s: float) -> Refusal:
     return Refusal(cause, detail, RunState.NOT_RUN, retry_after_s)
 
 
-def _unknown(error: UpstreamBroke) -> Refusal:
+def _may_have_run_refusal(error: UpstreamBroke) -> Refusal:
     return Refusal(cause_of(error), str(error), RunState.UNKNOWN, BROKEN_RETRY_AFTER_S)
--- a/springrock/serving/router.py
+++ b/springrock/serving/router.py
@@ -1,4 +1,4 @@
-"""The router: chooses replicas for a request and gets a permit from the owner of one."""
+"""The router: chooses a replica for a request and gets a permit from its owner."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from springrock.settings import UpstreamSection
 from springrock.wire import peer as wire
 
-_TRIES = 4
-_ANSWER_GRACE_S = 1.0
+_MAX_ATTEMPTS = 4
+_ANSWER_MARGIN_S = 1.0
 _NO_UPSTREAM_RETRY_AFTER_S = 2.0
 _TRY_ELSEWHERE = frozenset(
     {
@@ -38,7 +38,12 @@
     """A permit to run a request on a replica.
 
     Attributes:
-        start_before: The request must be sent before this time on the local monotonic clock.
+        upstream: Settings of the replica.
+        owner: The box that granted the permit.
+        held: The permit's entry in this box's book.
+        start_before: Time on the local monotonic clock before which the request must be sent.
+        waited_s: Seconds that the request waited at the owner.
+        stall_s: Seconds of the wait that an adapter load took.
     """
 
     upstream: UpstreamSection
@@ -50,15 +55,15 @@
 
 
 class Router:
-    """Finds a place for each request.
+    """Gets permits for requests.
 
     Args:
         box: The name of this box.
-        view: What is believed of the replicas.
-        owner: Answers for the replicas owned here.
+        view: The last reported state of the replicas.
+        owner: Grants the permits for the replicas that this box owns.
         peers: The links to the other owners.
-        held: This box's book of held permits.
-        routing: Orders the candidates.
+        held: The permits that this box holds.
+        routing: Ranks the candidates.
         log: The log to write to.
     """
 
@@ -85,15 +90,15 @@
     def permit(
         self, request: ServingRequest, *, avoid: frozenset[str]
     ) -> Result[Permitted, Refusal]:
-        """Get a permit for a request, trying further owners where that makes sense.
+        """Get a permit for a request; after some refusals try the owners of other replicas.
 
         Args:
             request: The request.
-            avoid: Replicas that failed it before.
+            avoid: Replicas on which the request has failed before.
         """
         refusal = _no_upstream(request)
         tried = set(avoid)
-        for _ in range(_TRIES):
+        for _ in range(_MAX_ATTEMPTS):
             chosen = self._choose(request, tried)
             if chosen is None:
                 break
@@ -114,7 +119,7 @@
         return Error(refusal)
 
     def refund(self, permitted: Permitted, tokens: int) -> None:
-        """Return a permit to the owner that gave it, and to a newer one."""
+        """Refund a permit to the owner that granted it, and to a newer owner if one is known."""
         held = permitted.held
         self._held.release(held)
         notice = wire.Return(held.replica, held.number, held.fence, tokens)
@@ -162,7 +167,9 @@
             deadline_s=round(request.deadline.left_s, 3),
         )
         answer = (
-            self._owner.request_permit(ask) if report.owner == self._box else self._ask_peer(ask, report.owner)
+            self._owner.request_permit(ask)
+            if report.owner == self._box
+            else self._ask_peer(ask, report.owner)
         )
         if answer.is_error():
             return Error(answer.error)
@@ -175,7 +182,7 @@
         except PeerUnreachable as error:
             return self._unreachable(ask, str(error))
         try:
-            answer = result.get(timeout=ask.deadline_s + _ANSWER_GRACE_S)
+            answer = result.get(timeout=ask.deadline_s + _ANSWER_MARGIN_S)
         except (PeerUnreachable, gevent.Timeout) as error:
             link.withdraw(number)
             return self._unreachable(ask, str(error))
@@ -187,7 +194,7 @@
         if isinstance(answer, wire.Deny):
             return Error(answer.refusal)
         if not isinstance(answer, wire.Grant):
-            return self._unreachable(ask, "an answer of another kind")
+            return self._unreachable(ask, "unexpected type of answer from the owner")
         return Ok(answer)
 
     def _unreachable(self, ask: wire.Ask, detail: str) -> Result[wire.Grant, Refusal]:
@@ -197,7 +204,7 @@
     def _accept_grant(
         self, grant: wire.Grant, owner: str, asked_at: float
     ) -> Result[Permitted, Refusal]:
-        """Enter a grant, unless it came too late or under an old fence."""
+        """Store a granted permit, unless it arrived too late or has an outdated fence."""
         ends_at = asked_at + grant.waited_s + grant.end_within_s
         held = self._held.enter(grant, ends_at=ends_at)
         if held is None:
--- a/springrock/serving/services.py
+++ b/springrock/serving/services.py
@@ -1,4 +1,4 @@
-"""Plain services: chooses a replica of the pool and sends the call at most as often as allowed."""
+"""Plain services: chooses a replica of the pool, sends the call, and retries it where allowed."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from springrock.settings import PoolSection, UpstreamSection
 from springrock.wire.caller import REPEATABLE_HEADER, REQUEST_ID_HEADER, Terms
 
-_TRIES = 3
+_MAX_ATTEMPTS = 3
 _EJECT_S = 2.0
 _FAILURES_TO_EJECT = 3
 _RETRY_AFTER_S = 1.0
@@ -37,8 +37,8 @@
     Args:
         zone: This box's availability zone; replicas in it are preferred.
         pools: All pools.
-        claims: Claims what is not repeatable.
-        out_of_service: Tells whether a replica is leaving or drained.
+        claims: Claims the identifiers of calls that are not repeatable, so that they run once.
+        out_of_service: Returns whether a replica is leaving or drained.
         log: The log to write to.
     """
 
@@ -78,7 +78,7 @@
         request_id: str,
         terms: Terms,
     ) -> Result[ServiceAnswer, Refusal]:
-        """Run a call on one replica of a pool."""
+        """Run a call on a pool, on other replicas after failures where that is safe."""
         pool = self._pools.get(pool_name)
         if pool is None:
             detail = f"there is no service {pool_name!r}"
@@ -112,12 +112,12 @@
         deadline = Deadline(terms.deadline_s)
         tried: set[str] = set()
         self._budget.earn()
-        refusal = _none_left(pool.name)
+        refusal = _no_upstream(pool.name)
         may_have_run: Refusal | None = None
-        for _ in range(_TRIES):
+        for _ in range(_MAX_ATTEMPTS):
             upstream = self._choose(pool, tried) or self._choose(pool, set())
             if upstream is None:
-                refusal = self._rested(pool) or refusal
+                refusal = self._backoff_refusal(pool) or refusal
                 break
             self._log.say(
                 f"Route {headers[REQUEST_ID_HEADER]} to {upstream.name}.",
@@ -168,31 +168,34 @@
 
     def _choose(self, pool: PoolSection, tried: set[str]) -> UpstreamSection | None:
         now = monotonic()
-        able = [
+        available = [
             upstream
             for upstream in pool.replicas
             if upstream.name not in tried
             and not self._out_of_service(upstream.name)
             and not self._backoffs[upstream.name].active
         ]
-        healthy = [item for item in able if self._ejected_until.get(item.name, 0.0) <= now]
-        return min(healthy or able, key=self._load, default=None)
+        healthy = [item for item in available if self._ejected_until.get(item.name, 0.0) <= now]
+        return min(healthy or available, key=self._load, default=None)
 
-    def _record_refusal(self, name: str, rest_s: float) -> None:
-        """Leave a replica alone that turned a call away, for as long as it asked."""
+    def _record_refusal(self, name: str, backoff_s: float) -> None:
+        """Start the backoff that a replica requested with its refusal."""
         backoff = self._backoffs[name]
-        if rest_s <= backoff.left_s:
+        if backoff_s <= backoff.left_s:
             return
-        backoff.extend(rest_s)
-        self._log.say("A service asks for rest.", replica=name, for_s=round(rest_s, 3))
+        backoff.extend(backoff_s)
+        self._log.say("A service requested a backoff.", replica=name, for_s=round(backoff_s, 3))
 
-    def _rested(self, pool: PoolSection) -> Refusal | None:
-        """Return the refusal that says when the first rest in a pool is over; None without one."""
+    def _backoff_refusal(self, pool: PoolSection) -> Refusal | None:
+        """Return a refusal with the time until the first backoff in a pool ends.
+
+        None if no replica is backing off.
+        """
         backoffs = [self._backoffs[upstream.name] for upstream in pool.replicas]
         left_s = [backoff.left_s for backoff in backoffs if backoff.active]
         if not left_s:
             return None
-        detail = f"the replicas of {pool.name} ask for rest"
+        detail = f"the replicas of {pool.name} are backing off"
         return Refusal(Cause.UPSTREAM_REFUSED, detail, RunState.NOT_RUN, min(left_s))
 
     def _load(self, upstream: UpstreamSection) -> tuple[float, str]:
@@ -203,13 +206,13 @@
         self._failures[name] += 1
         if self._failures[name] < _FAILURES_TO_EJECT:
             return
-        # One call is let through after each pause; a success ends the ejection.
+        # After each ejection the next failure ejects again at once; a success resets the count.
         self._failures[name] = _FAILURES_TO_EJECT - 1
         self._ejected_until[name] = monotonic() + _EJECT_S
-        self._log.say("Took a service out.", replica=name, for_s=_EJECT_S)
+        self._log.say("Ejected a service after repeated failures.", replica=name, for_s=_EJECT_S)
 
 
-def _none_left(pool: str) -> Refusal:
+def _no_upstream(pool: str) -> Refusal:
     detail = f"no replica of {pool} takes work now"
     return Refusal(Cause.NO_UPSTREAM, detail, RunState.NOT_RUN, _RETRY_AFTER_S)
 
--- a/springrock/serving/view.py
+++ b/springrock/serving/view.py
@@ -1,4 +1,4 @@
-"""The routing view: the newest report of every replica, soft state that may be wrong."""
+"""The routing view: the newest report on every replica, which may be out of date."""
 
 from __future__ import annotations
 
@@ -11,18 +11,21 @@
 from springrock.settings import PoolSection, UpstreamSection
 from springrock.wire import peer as wire
 
-_FULL_SCORE = float(2**64)
+_MAX_SCORE = float(2**64)
 _AVOID_S = 2.0
-_REPORT_LIFE_S = 95.0
+_REPORT_VALID_S = 95.0
 _NO_ROOM_LOAD_FACTOR = 20.0
 
 
 class RoutingView:
-    """What this box believes of every replica of the deployment.
+    """The last reported state of every replica of the deployment.
+
+    Attributes:
+        leaving: Returns whether a replica is leaving or drained.
 
     Args:
         box: The name of this box.
-        zone: Its availability zone.
+        zone: The availability zone of this box.
         pools: All pools.
     """
 
@@ -32,7 +35,7 @@
         self._reports: dict[str, wire.ReplicaReport] = {}
         self._seen_at: dict[str, float] = {}
         self._avoid_until: dict[str, float] = {}
-        self._sent: Counter[str] = Counter()
+        self._sent_since_report: Counter[str] = Counter()
         self._pools = {pool.name: pool for pool in pools}
         self._upstreams: dict[str, tuple[UpstreamSection, PoolSection]] = {
             replica.name: (replica, pool) for pool in pools for replica in pool.replicas
@@ -40,24 +43,24 @@
         self.leaving: Callable[[str], bool] = lambda _: False
 
     def apply(self, report: wire.ReplicaReport) -> None:
-        """Take a report, unless one of a newer owner is known."""
+        """Store a report, unless a report of a newer owner is stored."""
         known = self._reports.get(report.replica)
         if known is not None and known.fence > report.fence:
             return
         self._reports[report.replica] = report
-        self._sent[report.replica] = 0
+        self._sent_since_report[report.replica] = 0
         self._seen_at[report.replica] = monotonic()
 
     def report(self, replica: str) -> wire.ReplicaReport | None:
-        """Return the newest report of a replica."""
+        """Return the newest report on a replica."""
         return self._reports.get(replica)
 
     def record_sent(self, replica: str) -> None:
         """Count a request sent to a replica since its newest report."""
-        self._sent[replica] += 1
+        self._sent_since_report[replica] += 1
 
     def avoid(self, replica: str) -> None:
-        """Pass a replica over for a moment, after its owner could not be reached."""
+        """Exclude a replica briefly, after its owner could not be reached."""
         self._avoid_until[replica] = monotonic() + _AVOID_S
 
     def upstream(self, replica: str) -> UpstreamSection:
@@ -72,7 +75,7 @@
         )
 
     def candidates(self, pool: PoolSection, adapter: str) -> list[Candidate]:
-        """Return the replicas of a pool that could serve a request now."""
+        """Return the replicas of a pool that can serve a request now."""
         now = monotonic()
         found: list[Candidate] = []
         for upstream in pool.replicas:
@@ -81,7 +84,7 @@
                 continue
             if self._avoid_until.get(upstream.name, 0.0) > now:
                 continue
-            if now - self._seen_at[upstream.name] > _REPORT_LIFE_S:
+            if now - self._seen_at[upstream.name] > _REPORT_VALID_S:
                 continue
             found.append(self._candidate(upstream, pool, report, adapter))
         return found
@@ -99,10 +102,10 @@
             ready=not adapter or adapter in report.ready,
             expected=adapter in report.expected,
             free_slots=max(0, report.room),
-            running=report.running + self._sent[upstream.name],
+            running=report.running + self._sent_since_report[upstream.name],
             waiting=report.waiting,
             running_limit=pool.running_limit,
             load_s=load_s,
             service_s=report.service_ms / 1000,
-            affinity=rendezvous_score(adapter, upstream.name) / _FULL_SCORE,
+            affinity=rendezvous_score(adapter, upstream.name) / _MAX_SCORE,
         )
