--- a/springrock/policies/__init__.py
+++ b/springrock/policies/__init__.py
@@ -96,14 +96,14 @@
     """Chooses which adapter to unload."""
 
     def victim(self, residents: Sequence[Resident], *, now: float) -> Resident:
-        """Return the adapter to unload. There is at least one."""
+        """Return the adapter to unload; `residents` is not empty."""
 
 
 class LoadOrder(Protocol):
     """Chooses which adapter to load next."""
 
     def next(self, wants: Sequence[Want], *, now: float) -> Want:
-        """Return the adapter to load. There is at least one."""
+        """Return the adapter to load; `wants` is not empty."""
 
 
 class Routing(Protocol):
--- a/springrock/policies/eviction.py
+++ b/springrock/policies/eviction.py
@@ -15,7 +15,7 @@
     """Unloads the adapter with the lowest decayed request rate; spares fresh loads if possible."""
 
     def victim(self, residents: Sequence[Resident], *, now: float) -> Resident:
-        """Return the adapter to unload. There is at least one."""
+        """Return the adapter to unload; `residents` is not empty."""
 
         def _retention_key(resident: Resident) -> tuple[bool, float, float]:
             is_protected = (
@@ -30,7 +30,7 @@
     """Unloads the least recently used adapter."""
 
     def victim(self, residents: Sequence[Resident], *, now: float) -> Resident:
-        """Return the adapter to unload. There is at least one."""
+        """Return the adapter to unload; `residents` is not empty."""
         return min(residents, key=lambda resident: resident.used_at)
 
 
@@ -41,7 +41,7 @@
         self._random = random.Random(seed)
 
     def victim(self, residents: Sequence[Resident], *, now: float) -> Resident:
-        """Return the adapter to unload. There is at least one."""
+        """Return the adapter to unload; `residents` is not empty."""
         return self._random.choice(residents)
 
 
--- a/springrock/policies/load_order.py
+++ b/springrock/policies/load_order.py
@@ -17,7 +17,7 @@
     """
 
     def next(self, wants: Sequence[Want], *, now: float) -> Want:
-        """Return the adapter to load. There is at least one."""
+        """Return the adapter to load; `wants` is not empty."""
 
         def _priority_key(want: Want) -> tuple[bool, float, float]:
             waited_too_long = now - want.oldest_at > _MAX_ADAPTER_WAIT_S
@@ -32,7 +32,7 @@
     """Loads in order of arrival; a baseline for comparisons."""
 
     def next(self, wants: Sequence[Want], *, now: float) -> Want:
-        """Return the adapter to load. There is at least one."""
+        """Return the adapter to load; `wants` is not empty."""
         return min(wants, key=lambda want: want.order)
 
 
--- a/springrock/policies/routing.py
+++ b/springrock/policies/routing.py
@@ -12,7 +12,7 @@
 _FULL_SLOTS_LOAD_FACTOR = 1.25
 
 
-def _queue_s(candidate: Candidate) -> float:
+def _batch_wait_s(candidate: Candidate) -> float:
     """Return the expected wait for a place in the running batch."""
     excess = candidate.running + candidate.waiting - candidate.running_limit + 1
     if excess <= 0:
@@ -20,7 +20,7 @@
     return excess / candidate.running_limit * candidate.service_s
 
 
-def _distance_s(candidate: Candidate) -> float:
+def _network_delay_s(candidate: Candidate) -> float:
     if candidate.owned_here:
         return 0.0
     return _SAME_ZONE_DELAY_S if candidate.same_zone else _OTHER_ZONE_DELAY_S
@@ -38,7 +38,7 @@
         return sorted(map(self._score, candidates), key=lambda scored: scored.score)
 
     def _score(self, candidate: Candidate) -> Scored:
-        delay_s = _queue_s(candidate) + _distance_s(candidate)
+        delay_s = _batch_wait_s(candidate) + _network_delay_s(candidate)
         if candidate.ready:
             load_fraction = candidate.running / candidate.running_limit
             return Scored(candidate, delay_s + load_fraction * _SAME_ZONE_DELAY_S, "loaded there")
@@ -63,7 +63,7 @@
         """Return the candidates with their scores, the best first."""
 
         def _load(candidate: Candidate) -> float:
-            return candidate.running + candidate.waiting + _distance_s(candidate)
+            return candidate.running + candidate.waiting + _network_delay_s(candidate)
 
         ordered = sorted(candidates, key=_load)
         return [Scored(candidate, _load(candidate), "least loaded") for candidate in ordered]
--- a/springrock/serving/answer.py
+++ b/springrock/serving/answer.py
@@ -67,9 +67,9 @@
         self._events = iter(stream)
         self._first: Event | None = None
         self._ends_at = permitted.held.ends_at
-        self._seen_position = -1
-        self._seen_at = monotonic()
-        self._watch = gevent.spawn_later(self._next_check_s, self._watch_loop)
+        self._last_position = -1
+        self._last_progress_at = monotonic()
+        self._watch_task = gevent.spawn_later(self._next_check_s, self._watch_loop)
         self.permitted = permitted
 
     @property
@@ -107,10 +107,10 @@
             return
         self._closed = True
         self._metrics.chunks.inc(self._stream.position)
-        self._watch.kill(block=False)
-        whole = self._stream.whole
+        self._watch_task.kill(block=False)
+        is_complete = self._stream.whole
         self._stream.close()
-        if whole:
+        if is_complete:
             self._refund(self._stream.position)
         else:
             request_id = self._request.request_id
@@ -126,15 +126,15 @@
         """Abort the stream when the permit expires or the engine sends nothing for too long."""
         while True:
             now = monotonic()
-            if self._stream.position != self._seen_position:
-                self._seen_position = self._stream.position
-                self._seen_at = now
+            if self._stream.position != self._last_position:
+                self._last_position = self._stream.position
+                self._last_progress_at = now
             if now >= self._ends_at:
                 self._stream.abort()
                 return
-            if now - self._seen_at > _MAX_SILENCE_S:
+            if now - self._last_progress_at > _MAX_SILENCE_S:
                 # The reader may resume the stream: the silence is then measured from here.
-                self._seen_at = now
+                self._last_progress_at = now
                 self._stream.abort()
             gevent.sleep(self._next_check_s)
 
@@ -151,10 +151,10 @@
             except StopIteration:
                 raise UpstreamBroke("the stream ended") from None
 
-    def _resume(self, broke: UpstreamBroke) -> None:
-        """Resume at the exact position if the engine still has the stream; else raise `broke`."""
+    def _resume(self, break_error: UpstreamBroke) -> None:
+        """Resume at the exact position if the engine still has the stream; else raise `break_error`."""
         if not self._resumes_left or monotonic() >= self._ends_at:
-            raise broke
+            raise break_error
         self._resumes_left -= 1
         position = self._stream.position
         self._stream.close()
@@ -162,7 +162,7 @@
         try:
             stream = self._driver.resume(self._request, position)
         except (UpstreamUnreachable, UpstreamSaidNo) as error:
-            raise UpstreamBroke(f"{broke}; {error}") from None
+            raise UpstreamBroke(f"{break_error}; {error}") from None
         self._log.say(
             f"Resumed {self._request.request_id} at {position}.",
             request=self._request.request_id,
--- a/springrock/serving/owned_replica.py
+++ b/springrock/serving/owned_replica.py
@@ -128,15 +128,15 @@
         for task in self._tasks:
             task.kill(block=False)
         for waiter in self.waiting:
-            self._refuse(waiter, refusals.moved(self.name))
+            self._refuse(waiter, refusals.owner_changed(self.name))
 
     # Permit requests.
 
     @property
     def accepting(self) -> bool:
         """Whether the replica accepts new requests."""
-        open_here = self.watch.healthy and not (self._closing or self._drained)
-        return open_here and self.may_act()
+        in_service = self.watch.healthy and not (self._closing or self._drained)
+        return in_service and self.may_act()
 
     @property
     def running_limit(self) -> int:
@@ -151,14 +151,14 @@
         self.log.say("Drain started." if drained else "Drain ended.", replica=self.name)
         if drained:
             for waiter in self.waiting:
-                self._refuse(waiter, refusals.leaving(self.name))
+                self._refuse(waiter, refusals.not_accepting(self.name))
         self._on_change(self)
 
     def close(self) -> None:
         """Stop granting, and refuse the waiting requests because the replica changes its owner."""
         self._closing = True
         for waiter in self.waiting:
-            self._refuse(waiter, refusals.moved(self.name))
+            self._refuse(waiter, refusals.owner_changed(self.name))
         self._on_change(self)
 
     def request_permit(self, ask: wire.Ask, holder: str) -> Waiter | Result[wire.Grant, Refusal]:
@@ -229,9 +229,9 @@
 
     def _admission_refusal(self, ask: wire.Ask) -> Refusal | None:
         if not self.may_act() or self._closing:
-            return refusals.moved(self.name)
+            return refusals.owner_changed(self.name)
         if not self.accepting:
-            return refusals.leaving(self.name)
+            return refusals.not_accepting(self.name)
         if len(self.waiting) >= self.policy.queue_limit:
             return refusals.queue_full(retry_after_s=self.estimate.service_s)
         wait_s = self.forecast.expected_wait_s(ask)
@@ -293,7 +293,7 @@
     def handle_engine_removed(self) -> None:
         """Refuse all waiting requests after the engine was removed for failed checks."""
         for waiter in self.waiting:
-            self._refuse(waiter, refusals.leaving(self.name))
+            self._refuse(waiter, refusals.not_accepting(self.name))
         self._on_change(self)
 
     def handle_engine_added(self, adapters: list[str]) -> None:
@@ -382,7 +382,7 @@
 
         Permits of earlier owners count as well.
         """
-        if self.permits.using(adapter) or self.waiting.waiting_for(adapter):
+        if self.permits.using(adapter) or self.waiting.count_for(adapter):
             return True
         return self.inherited.using(adapter)
 
--- a/springrock/serving/owner.py
+++ b/springrock/serving/owner.py
@@ -81,11 +81,11 @@
         self._loaders: dict[str, Loader] = {}
         self._waiters: dict[tuple[str, int], tuple[OwnedReplica, Waiter]] = {}
         self._leaving: set[str] = set()
-        self._changed: set[str] = set()
-        self._change = Event()
+        self._changed_replicas: set[str] = set()
+        self._reports_due = Event()
         self._tasks: list[gevent.Greenlet[..., Any]] = []
         peers.handle(wire.Ask, self._on_ask)
-        peers.handle(wire.Return, self._on_return)
+        peers.handle(wire.Return, self._on_refund)
         peers.handle(wire.Withdraw, self._on_withdraw)
         peers.handle(wire.FenceNotice, self._on_fence_notice)
         peers.on_link.append(self._send_all_reports)
@@ -238,7 +238,7 @@
             case Result(error=refusal):
                 return wire.Deny(ask.number, refusal)
 
-    def _on_return(self, _: Link, notice: wire.Return) -> None:
+    def _on_refund(self, _: Link, notice: wire.Return) -> None:
         self.refund(notice)
 
     def _on_withdraw(self, link: Link, notice: wire.Withdraw) -> None:
@@ -257,16 +257,16 @@
         if self._replicas.get(replica.name) is not replica:
             return
         self._view.apply(replica.report(self._box))
-        self._changed.add(replica.name)
-        self._change.set()
+        self._changed_replicas.add(replica.name)
+        self._reports_due.set()
 
     def _report_loop(self) -> None:
         sent: dict[str, wire.ReplicaReport] = {}
         while True:
-            self._change.wait()
+            self._reports_due.wait()
             gevent.sleep(_REPORT_INTERVAL_S)
-            self._change.clear()
-            names, self._changed = self._changed, set()
+            self._reports_due.clear()
+            names, self._changed_replicas = self._changed_replicas, set()
             for name in sorted(names):
                 replica = self._replicas.get(name)
                 if replica is None:
--- a/springrock/serving/refusals.py
+++ b/springrock/serving/refusals.py
@@ -4,19 +4,19 @@
 
 from springrock.errors import Cause, Refusal, RunState
 
-_MOVED_RETRY_S = 1.0
+_RETRY_AFTER_S = 1.0
 
 
-def moved(replica: str) -> Refusal:
+def owner_changed(replica: str) -> Refusal:
     """Return the refusal of requests to a box that no longer owns the replica."""
     detail = f"{replica} is owned elsewhere now"
-    return Refusal(Cause.NOT_OWNER, detail, RunState.NOT_RUN, _MOVED_RETRY_S)
+    return Refusal(Cause.NOT_OWNER, detail, RunState.NOT_RUN, _RETRY_AFTER_S)
 
 
-def leaving(replica: str) -> Refusal:
+def not_accepting(replica: str) -> Refusal:
     """Return the refusal while a replica accepts no requests."""
     detail = f"{replica} takes no new work"
-    return Refusal(Cause.UPSTREAM_LEAVING, detail, RunState.NOT_RUN, _MOVED_RETRY_S)
+    return Refusal(Cause.UPSTREAM_LEAVING, detail, RunState.NOT_RUN, _RETRY_AFTER_S)
 
 
 def queue_full(*, retry_after_s: float) -> Refusal:
--- a/springrock/serving/relay.py
+++ b/springrock/serving/relay.py
@@ -117,7 +117,7 @@
         self, request: ServingRequest, permitted: Permitted, claim: _Claim
     ) -> Result[Answer, Refusal]:
         """Run a request once under a permit; refund the permit if there is no answer."""
-        refund = _once(lambda tokens: self._router.refund(permitted, tokens))
+        refund = _only_once(lambda tokens: self._router.refund(permitted, tokens))
         try:
             claimed = claim.claim()
         except BaseException:
@@ -229,7 +229,7 @@
 
 
 def _find_started_stream(driver: EngineDriver, sent: EngineRequest) -> EngineStream | None:
-    """Return the stream of a request that the engine has started, although the response was lost."""
+    """Return the stream of a request whose response was lost, if the engine has started it."""
     for _ in range(RESUMES_WITHOUT_PROGRESS):
         try:
             return driver.resume(sent, 0)
@@ -240,13 +240,13 @@
     return None
 
 
-def _once(refund: Callable[[int], None]) -> Callable[[int], None]:
+def _only_once(refund: Callable[[int], None]) -> Callable[[int], None]:
     """Return a function that refunds a permit at its first call and does nothing at later ones."""
-    left = [refund]
+    unused = [refund]
 
     def _refund_once(tokens: int) -> None:
-        if left:
-            left.pop()(tokens)
+        if unused:
+            unused.pop()(tokens)
 
     return _refund_once
 
--- a/springrock/serving/router.py
+++ b/springrock/serving/router.py
@@ -137,10 +137,10 @@
 
     def _choose(self, request: ServingRequest, tried: set[str]) -> Scored | None:
         candidates = self._view.candidates(request.pool, request.model.adapter_key)
-        untried = [item for item in candidates if item.replica not in tried]
-        if not untried:
+        remaining = [item for item in candidates if item.replica not in tried]
+        if not remaining:
             return None
-        ranked = self._routing.rank(untried)
+        ranked = self._routing.rank(remaining)
         best = ranked[0]
         self._log.say(
             f"Route {request.request_id} to {best.candidate.replica}: {best.reason}.",
@@ -180,12 +180,12 @@
             link = self._peers.link_to(owner)
             number, result = link.begin(ask)
         except PeerUnreachable as error:
-            return self._unreachable(ask, str(error))
+            return self._owner_unreachable(ask, str(error))
         try:
             answer = result.get(timeout=ask.deadline_s + _ANSWER_MARGIN_S)
         except (PeerUnreachable, gevent.Timeout) as error:
             link.withdraw(number)
-            return self._unreachable(ask, str(error))
+            return self._owner_unreachable(ask, str(error))
         except BaseException:
             link.withdraw(number)
             if result.ready() and isinstance(result.value, wire.Grant):
@@ -194,10 +194,10 @@
         if isinstance(answer, wire.Deny):
             return Error(answer.refusal)
         if not isinstance(answer, wire.Grant):
-            return self._unreachable(ask, "unexpected type of answer from the owner")
+            return self._owner_unreachable(ask, "unexpected type of answer from the owner")
         return Ok(answer)
 
-    def _unreachable(self, ask: wire.Ask, detail: str) -> Result[wire.Grant, Refusal]:
+    def _owner_unreachable(self, ask: wire.Ask, detail: str) -> Result[wire.Grant, Refusal]:
         self._view.avoid(ask.replica)
         return Error(Refusal(Cause.OWNER_UNREACHABLE, detail, RunState.NOT_RUN, 1.0))
 
@@ -208,7 +208,7 @@
         ends_at = asked_at + grant.waited_s + grant.end_within_s
         held = self._held.enter(grant, ends_at=ends_at)
         if held is None:
-            return Error(_expired("a newer owner of the replica is known"))
+            return Error(_permit_unusable("a newer owner of the replica is known"))
         permitted = Permitted(
             upstream=self._view.upstream(grant.replica),
             owner=owner,
@@ -219,7 +219,7 @@
         )
         if monotonic() >= permitted.start_before:
             self.refund(permitted, 0)
-            return Error(_expired("the permit came too late to be used"))
+            return Error(_permit_unusable("the permit came too late to be used"))
         return Ok(permitted)
 
 
@@ -228,5 +228,5 @@
     return Refusal(Cause.NO_UPSTREAM, detail, RunState.NOT_RUN, _NO_UPSTREAM_RETRY_AFTER_S)
 
 
-def _expired(detail: str) -> Refusal:
+def _permit_unusable(detail: str) -> Refusal:
     return Refusal(Cause.PERMIT_EXPIRED, detail, RunState.NOT_RUN, 1.0)
--- a/springrock/serving/waiting.py
+++ b/springrock/serving/waiting.py
@@ -99,7 +99,7 @@
             del self._arrival_orders[adapter]
         return True
 
-    def waiting_for(self, adapter: str) -> int:
+    def count_for(self, adapter: str) -> int:
         """Return the number of requests that wait for an adapter."""
         return self._counts_by_adapter[adapter]
 
--- a/tests/serving/test_services.py
+++ b/tests/serving/test_services.py
@@ -1,4 +1,4 @@
-"""Plain services that turn calls away and say for how long they want rest."""
+"""Plain services that refuse calls and state for how long they want a backoff."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from tests.forwarding.scripted import ScriptedReplica, answer, read_request
 
 POOL = "rosters"
-REST_S = 30.0
+BACKOFF_S = 30.0
 TERMS = Terms("r1", "calls", 5.0, 1.0, 0, True)
 
 
 class Service:
-    """A service that answers every call alike, and counts them."""
+    """A service that gives the same answer to every call, and counts the calls."""
 
     def __init__(self, status: str, *headers: str) -> None:
         self._answer = answer("r1", b"{}", "Connection: close", *headers, status=status)
@@ -38,8 +38,8 @@
 
 
 @pytest.fixture
-def resting() -> Iterator[Service]:
-    service = Service("503 Service Unavailable", f"Retry-After: {REST_S}")
+def backing_off() -> Iterator[Service]:
+    service = Service("503 Service Unavailable", f"Retry-After: {BACKOFF_S}")
     with service.replica:
         yield service
 
@@ -51,13 +51,13 @@
         yield service
 
 
-def make_services(*of: Service) -> Services:
-    # The zone of the first is the box's own, so that it is tried first.
+def make_services(*scripted: Service) -> Services:
+    # The first replica is in the box's own zone, so that it is called first.
     replicas = [
         UpstreamSection(
             name=f"r-{number}", availability_zone=f"zone-{number}", address=service.replica.address
         )
-        for number, service in enumerate(of, start=1)
+        for number, service in enumerate(scripted, start=1)
     ]
     return Services(
         zone="zone-1",
@@ -69,30 +69,36 @@
 
 
 def call(services: Services) -> Result[ServiceAnswer, Refusal]:
-    more: dict[str, Any] = {"body": b"", "content_type": "application/json", "request_id": "r1"}
-    return services.call(POOL, "POST", "/x", terms=TERMS, **more)
+    arguments: dict[str, Any] = {
+        "body": b"",
+        "content_type": "application/json",
+        "request_id": "r1",
+    }
+    return services.call(POOL, "POST", "/x", terms=TERMS, **arguments)
 
 
-def test_a_service_that_asked_for_rest_is_called_once(resting: Service, serving: Service) -> None:
-    services = make_services(resting, serving)
+def test_a_service_that_requested_a_backoff_is_not_called_again(
+    backing_off: Service, serving: Service
+) -> None:
+    services = make_services(backing_off, serving)
     assert all(call(services).is_ok() for _ in range(5))
-    assert resting.calls == 1
+    assert backing_off.calls == 1
     assert serving.calls == 5
 
 
-def test_where_all_ask_for_rest_a_call_is_refused_at_once_and_told_when_it_is_over(
-    resting: Service,
+def test_calls_are_refused_with_the_time_left_while_all_replicas_back_off(
+    backing_off: Service,
 ) -> None:
-    services = make_services(resting)
+    services = make_services(backing_off)
     refusals = [call(services).error for _ in range(3)]
-    assert resting.calls == 1
+    assert backing_off.calls == 1
     for refusal in refusals:
         assert refusal.cause is Cause.UPSTREAM_REFUSED
         assert refusal.run_state is RunState.NOT_RUN
-        assert REST_S - 5.0 < refusal.retry_after_s <= REST_S
+        assert BACKOFF_S - 5.0 < refusal.retry_after_s <= BACKOFF_S
 
 
-def test_a_service_that_names_no_time_is_tried_again() -> None:
+def test_a_service_that_states_no_valid_backoff_is_called_again() -> None:
     service = Service("503 Service Unavailable", "Retry-After: soon")
     with service.replica:
         services = make_services(service)
