--- a/springrock/serving/answer.py
+++ b/springrock/serving/answer.py
@@ -152,7 +152,7 @@
                 raise UpstreamBroke("the stream ended") from None
 
     def _resume(self, break_error: UpstreamBroke) -> None:
-        """Resume at the exact position if the engine still has the stream; else raise `break_error`."""
+        """Resume at the exact position; raise the error if the engine no longer has the stream."""
         if not self._resumes_left or monotonic() >= self._ends_at:
             raise break_error
         self._resumes_left -= 1
--- a/springrock/serving/owned_replica.py
+++ b/springrock/serving/owned_replica.py
@@ -144,7 +144,7 @@
         return min(self.pool.running_limit, self.watch.admitted)
 
     def set_drained(self, drained: bool) -> None:
-        """Begin or end the drain of the replica."""
+        """Start or end the drain of the replica."""
         if drained == self._drained:
             return
         self._drained = drained
--- a/springrock/serving/owner.py
+++ b/springrock/serving/owner.py
@@ -157,7 +157,7 @@
         self.review_service()
 
     def review_service(self) -> None:
-        """Begin or end drains according to the platform's list and the catalog."""
+        """Start or end drains by the platform's list of leaving upstreams and the catalog."""
         for replica in self.replicas:
             replica.set_drained(self._out_of_service(replica.name))
 
@@ -165,7 +165,7 @@
         return replica in self._leaving or self._catalog().drained(replica)
 
     def _recover_permits(self, replica: OwnedReplica) -> None:
-        """Fetch the permits of earlier owners from all boxes, to unload no adapter in use.
+        """Fetch all boxes' permits of earlier owners, so that no adapter in use is unloaded.
 
         If a box does not answer, unloads stay forbidden until the longest permit has expired.
         """
--- a/springrock/serving/relay.py
+++ b/springrock/serving/relay.py
@@ -110,8 +110,8 @@
     def _may_retry(self, request: ServingRequest, refusal: Refusal) -> bool:
         if request.deadline.passed or refusal.cause is Cause.ALREADY_CLAIMED:
             return False
-        safe = refusal.run_state is RunState.NOT_RUN or request.terms.repeatable
-        return safe and self._budget.spend()
+        safe_to_retry = refusal.run_state is RunState.NOT_RUN or request.terms.repeatable
+        return safe_to_retry and self._budget.spend()
 
     def _run_once(
         self, request: ServingRequest, permitted: Permitted, claim: _Claim
--- a/springrock/serving/services.py
+++ b/springrock/serving/services.py
@@ -26,7 +26,7 @@
 from springrock.wire.caller import REPEATABLE_HEADER, REQUEST_ID_HEADER, Terms
 
 _MAX_ATTEMPTS = 3
-_EJECT_S = 2.0
+_EJECTION_S = 2.0
 _FAILURES_TO_EJECT = 3
 _RETRY_AFTER_S = 1.0
 
@@ -132,8 +132,8 @@
             refusal = result.error
             if refusal.run_state is not RunState.NOT_RUN:
                 may_have_run = refusal
-            safe = refusal.run_state is RunState.NOT_RUN or terms.repeatable
-            if not safe or deadline.passed or not self._budget.spend():
+            safe_to_retry = refusal.run_state is RunState.NOT_RUN or terms.repeatable
+            if not safe_to_retry or deadline.passed or not self._budget.spend():
                 break
         return Error(may_have_run or refusal)
 
@@ -176,7 +176,7 @@
             and not self._backoffs[upstream.name].active
         ]
         healthy = [item for item in available if self._ejected_until.get(item.name, 0.0) <= now]
-        return min(healthy or available, key=self._load, default=None)
+        return min(healthy or available, key=self._load_key, default=None)
 
     def _record_refusal(self, name: str, backoff_s: float) -> None:
         """Start the backoff that a replica requested with its refusal."""
@@ -198,9 +198,9 @@
         detail = f"the replicas of {pool.name} are backing off"
         return Refusal(Cause.UPSTREAM_REFUSED, detail, RunState.NOT_RUN, min(left_s))
 
-    def _load(self, upstream: UpstreamSection) -> tuple[float, str]:
-        far = upstream.availability_zone != self._zone
-        return self._running[upstream.name] + (0.5 if far else 0.0), upstream.name
+    def _load_key(self, upstream: UpstreamSection) -> tuple[float, str]:
+        in_other_zone = upstream.availability_zone != self._zone
+        return self._running[upstream.name] + (0.5 if in_other_zone else 0.0), upstream.name
 
     def _record_failure(self, name: str) -> None:
         self._failures[name] += 1
@@ -208,8 +208,8 @@
             return
         # After each ejection the next failure ejects again at once; a success resets the count.
         self._failures[name] = _FAILURES_TO_EJECT - 1
-        self._ejected_until[name] = monotonic() + _EJECT_S
-        self._log.say("Ejected a service after repeated failures.", replica=name, for_s=_EJECT_S)
+        self._ejected_until[name] = monotonic() + _EJECTION_S
+        self._log.say("Ejected a service after repeated failures.", replica=name, for_s=_EJECTION_S)
 
 
 def _no_upstream(pool: str) -> Refusal:
--- a/springrock/serving/view.py
+++ b/springrock/serving/view.py
@@ -12,7 +12,7 @@
 from springrock.wire import peer as wire
 
 _MAX_SCORE = float(2**64)
-_AVOID_S = 2.0
+_UNREACHABLE_OWNER_PAUSE_S = 2.0
 _REPORT_VALID_S = 95.0
 _NO_ROOM_LOAD_FACTOR = 20.0
 
@@ -61,7 +61,7 @@
 
     def avoid(self, replica: str) -> None:
         """Exclude a replica briefly, after its owner could not be reached."""
-        self._avoid_until[replica] = monotonic() + _AVOID_S
+        self._avoid_until[replica] = monotonic() + _UNREACHABLE_OWNER_PAUSE_S
 
     def upstream(self, replica: str) -> UpstreamSection:
         """Return a replica's settings."""
