--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: each module is a command that takes figures anew with real processes."""
+"""Benchmarks and analyses: commands that measure real processes or read their logs."""
--- a/bench/calibration.py
+++ b/bench/calibration.py
@@ -1,7 +1,8 @@
-"""How well the placers reckoned, from the structured logs of entry boxes.
+"""Accuracy of the placers' time estimates, from the structured logs of entry boxes.
 
-A grant says when the first event should come, an assignment is reckoned to take a fixed time; what
-came of each stands in later lines. A ratio above 1 says that it took longer than was reckoned.
+A grant states when the first event is expected, and the load of an assigned adapter is expected to
+take a fixed time. Later log lines show the actual times. A ratio above 1 means that the actual time
+was longer than the estimate.
 """
 
 from __future__ import annotations
@@ -16,97 +17,97 @@
 
 import defopt
 
-from bench.lines import said_in
+from bench.lines import log_records
 from springrock.placement.planner import COLD_LOAD_S, WARM_LOAD_S
 
 _GRANTED = "placer: Granted an engine."
 _ASSIGNED = "placer: Assigned an adapter."
-_CAME = "placer: Loaded an adapter."
+_LOADED = "placer: Loaded an adapter."
 _ANSWERED = "forwarder: Answered a request."
 
-_TEXTS = (_GRANTED, _ASSIGNED, _CAME, _ANSWERED)
+_TEXTS = (_GRANTED, _ASSIGNED, _LOADED, _ANSWERED)
 
 _ATTEMPT = re.compile(r"^(?P<instance>\S+) answered at (?P<began_s>[\d.]+) s")
 
-_SHORTEST_S = 0.005
-"""Less than this is a request's way to the engine, and no matter of what was reckoned."""
+_MIN_TIME_S = 0.005
+"""Shorter times are due to the transport of the request, which the placer does not estimate."""
 
 _PERCENTILES = 100
 
 
 class Outcome(NamedTuple):
-    """What was reckoned, and what came of it, in seconds."""
+    """An estimated time and the actual one, in seconds."""
 
     kind: str
-    reckoned_s: float
+    estimated_s: float
     actual_s: float
 
     @property
     def ratio(self) -> float:
-        """How many times as long as reckoned it took."""
-        return max(self.actual_s, _SHORTEST_S) / max(self.reckoned_s, _SHORTEST_S)
+        """The actual time divided by the estimate."""
+        return max(self.actual_s, _MIN_TIME_S) / max(self.estimated_s, _MIN_TIME_S)
 
 
-class _Reckoned:
-    """What was reckoned and has not come yet."""
+class _PendingEstimates:
+    """Estimates whose actual times have not been found yet."""
 
     def __init__(self) -> None:
         self._grants: dict[tuple[str, str], float] = {}
-        self._assigned: dict[tuple[str, str], float] = {}
+        self._assigned_at: dict[tuple[str, str], float] = {}
 
-    def outcome(self, said: dict[str, Any]) -> Outcome | None:
-        """Take a line; return what came of an earlier one, if it tells."""
-        match said["text"]:
+    def outcome(self, record: dict[str, Any]) -> Outcome | None:
+        """Read a log record; return the outcome of the earlier estimate that it completes, if any."""
+        match record["text"]:
             case str(text) if text == _GRANTED:
-                name = (said["request"], said["instance"])
-                self._grants[name] = said["first_event_in_ms"] / 1000
+                name = (record["request"], record["instance"])
+                self._grants[name] = record["first_event_in_ms"] / 1000
             case str(text) if text == _ASSIGNED:
-                self._assigned[(said["instance"], said["adapter"])] = said["timestamp"]
-            case str(text) if text == _CAME:
-                return self._load(said)
+                self._assigned_at[(record["instance"], record["adapter"])] = record["timestamp"]
+            case str(text) if text == _LOADED:
+                return self._load_outcome(record)
             case str(text) if text == _ANSWERED:
-                return self._first_event(said)
+                return self._first_event_outcome(record)
         return None
 
-    def _load(self, said: dict[str, Any]) -> Outcome | None:
-        at = self._assigned.pop((said["instance"], said["adapter"]), None)
+    def _load_outcome(self, record: dict[str, Any]) -> Outcome | None:
+        at = self._assigned_at.pop((record["instance"], record["adapter"]), None)
         if at is None:
             return None
-        kind, reckoned_s = (
-            ("cold load", COLD_LOAD_S) if said["cold"] else ("warm load", WARM_LOAD_S)
+        kind, estimated_s = (
+            ("cold load", COLD_LOAD_S) if record["cold"] else ("warm load", WARM_LOAD_S)
         )
-        return Outcome(kind, reckoned_s, said["timestamp"] - at)
+        return Outcome(kind, estimated_s, record["timestamp"] - at)
 
-    def _first_event(self, said: dict[str, Any]) -> Outcome | None:
-        answered = _ATTEMPT.match(said["attempts"][-1]) if said["attempts"] else None
+    def _first_event_outcome(self, record: dict[str, Any]) -> Outcome | None:
+        answered = _ATTEMPT.match(record["attempts"][-1]) if record["attempts"] else None
         if answered is None:
             return None
-        reckoned_s = self._grants.pop((said["request"], answered["instance"]), None)
-        if reckoned_s is None:
+        estimated_s = self._grants.pop((record["request"], answered["instance"]), None)
+        if estimated_s is None:
             return None
-        target_s = said["target_ms"] / 1000
-        kind = "first event, reckoned in time" if reckoned_s <= target_s else "first event, late"
-        return Outcome(kind, reckoned_s, said["age_ms"] / 1000 - float(answered["began_s"]))
+        target_s = record["target_ms"] / 1000
+        kind = "first event, reckoned in time" if estimated_s <= target_s else "first event, late"
+        return Outcome(kind, estimated_s, record["age_ms"] / 1000 - float(answered["began_s"]))
 
 
 def outcomes_in(lines: Iterable[str]) -> Iterator[Outcome]:
-    """Yield what came of grants and assignments; anything else is passed over.
+    """Yield the outcomes of grants and assignments; skip all other lines.
 
     Args:
-        lines: Lines that end in a JSON object each, whatever stands before it.
+        lines: Log lines; a JSON object ends each structured line, after any prefix.
     """
-    reckoned = _Reckoned()
-    for said in sorted(said_in(lines, _TEXTS), key=lambda said: said["timestamp"]):
-        outcome = reckoned.outcome(said)
+    pending = _PendingEstimates()
+    for record in sorted(log_records(lines, _TEXTS), key=lambda record: record["timestamp"]):
+        outcome = pending.outcome(record)
         if outcome is not None:
             yield outcome
 
 
 def report(*logs: Path) -> None:
-    """Print how well the placers reckoned, by kind.
+    """Print the accuracy of the placers' estimates, by kind.
 
     Args:
-        logs: Files with the structured logs of boxes, each a run of its own.
+        logs: Files with the structured logs of boxes, one for each run.
     """
     for log in logs:
         ratios: dict[str, list[float]] = defaultdict(list)
@@ -115,10 +116,10 @@
                 ratios[outcome.kind].append(outcome.ratio)
         print(log.name)
         for kind, values in sorted(ratios.items()):
-            print(f"  {kind}: {_spread(values)}")
+            print(f"  {kind}: {_summary_of(values)}")
 
 
-def _spread(ratios: list[float]) -> str:
+def _summary_of(ratios: list[float]) -> str:
     if len(ratios) < 2:
         return f"{len(ratios)}"
     at = quantiles(ratios, n=_PERCENTILES, method="inclusive")
--- a/bench/capacity_page.py
+++ b/bench/capacity_page.py
@@ -1,4 +1,4 @@
-"""The table of slopes in docs/CAPACITY.md."""
+"""Writes the table of measured slopes in docs/CAPACITY.md."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     Attributes:
         what: What was measured.
         points: The points, as text.
-        slope: What one more unit adds, as text.
+        slope: The increase for each unit, as text.
     """
 
     what: str
@@ -27,22 +27,24 @@
     slope: str
 
 
-def row_of(what: str, points: list[tuple[float, float]], unit: str, scale: float, form: str) -> Row:
+def make_row(
+    what: str, points: list[tuple[float, float]], unit: str, scale: float, form: str
+) -> Row:
     """Return the row of measured points.
 
     Args:
         what: What was measured.
-        points: Pairs of what was varied and what came of it.
+        points: Pairs of the varied quantity and the measured value.
         unit: The unit of the slope, after its scale.
-        scale: What the slope is multiplied by.
-        form: How a point is written.
+        scale: The factor by which the slope is multiplied.
+        form: The format string of a measured value.
     """
     slope = Slope.from_points(points)
     text = ", ".join(f"{x:.0f}: {form.format(y)}" for x, y in points)
     return Row(what, text, f"{slope.per_unit * scale:.3g} {unit}")
 
 
-def table_of(rows: Iterable[Row]) -> str:
+def make_table(rows: Iterable[Row]) -> str:
     """Return the table in Markdown."""
     lines = ["| what | points | slope |", "|---|---|---|"]
     lines += [f"| {row.what} | {row.points} | {row.slope} |" for row in rows]
@@ -50,7 +52,7 @@
 
 
 def write_into_page(table: str) -> None:
-    """Put the table into the page, in place of the one that stands there."""
+    """Replace the table in the page; do nothing if there is no page."""
     if not _PAGE.exists():
         return
     head, _, rest = _PAGE.read_text().partition(_BEGIN)
--- a/bench/first_try.py
+++ b/bench/first_try.py
@@ -1,7 +1,7 @@
-"""What callers got at their first try, from the structured logs of entry boxes.
+"""Outcomes of callers' first attempts, from the structured logs of entry boxes.
 
-A refusal that is followed by a later success counts as a refusal, and time that a request waited
-without being served is shown by how long it was. Requests that reached no box are not in any log.
+A refusal counts as a refusal even if a retry succeeds later. The report includes how long requests
+waited that were not served. Requests that reached no box are in no log and are not counted.
 """
 
 from __future__ import annotations
@@ -15,24 +15,25 @@
 
 import defopt
 
-from bench.lines import said_in
+from bench.lines import log_records
 
 LATE_WORTH = 0.3
-"""What an answer after its target counts, of one within it: about what the users state for every
-kind of request (0.29 to 0.31 of the worth in time)."""
+"""Worth of an answer after its latency target, where one within the target is worth 1. The users
+state 0.29 to 0.31 for the different kinds of requests."""
 
 _ENDINGS = ("forwarder: Answered a request.", "forwarder: Refused a request.")
 _OK = range(200, 300)
 
 
 class Ending(NamedTuple):
-    """How one try ended at a box.
+    """How one attempt ended at a box.
 
     Attributes:
-        served: Whether it got a success; of a stream its first event.
-        age_s: Seconds until then.
-        returning: Whether the client had tried before.
-        reason: Why this box itself ended it; empty if a replica's answer was passed on.
+        served: Whether it succeeded; for a stream, whether its first event was sent.
+        age_s: Seconds from the arrival of the request to this ending.
+        target_s: The latency target in seconds.
+        returning: Whether the attempt is a retry by the client.
+        reason: Why the box itself refused the request; empty if it forwarded a replica's answer.
     """
 
     served: bool
@@ -43,15 +44,15 @@
 
 
 class FirstTries(NamedTuple):
-    """What callers got.
+    """Statistics of first attempts and retries.
 
     Attributes:
-        first: How many first tries there were.
-        worth: The mean worth of first tries, one in time counting as 1.
-        retries: How many tries were not the first.
-        failed_retries: How many of those were not served.
-        waited_s: How long each try waited that was not served.
-        refusals: The times in seconds that refusals took, by reason.
+        first: Number of first attempts.
+        worth: Mean worth of the first attempts; one answered within its target is worth 1.
+        retries: Number of retries.
+        failed_retries: Number of retries that were not served.
+        waited_s: How long each attempt waited that was not served, in seconds.
+        refusals: How long each refusal took in seconds, by reason.
     """
 
     first: int
@@ -63,8 +64,8 @@
 
     @classmethod
     def from_endings(cls, endings: Iterable[Ending]) -> FirstTries:
-        """Sum up the endings of all boxes."""
-        first: list[float] = []
+        """Compute the statistics of the endings of all boxes."""
+        worths: list[float] = []
         retries = failed_retries = 0
         waited_s: list[float] = []
         refusals: dict[str, list[float]] = defaultdict(list)
@@ -73,38 +74,38 @@
                 retries += 1
                 failed_retries += not ending.served
             else:
-                first.append(_worth_of(ending))
+                worths.append(_worth_of(ending))
             if not ending.served:
                 waited_s.append(ending.age_s)
             if ending.reason:
                 refusals[ending.reason].append(ending.age_s)
-        worth = sum(first) / len(first) if first else 0.0
-        return cls(len(first), worth, retries, failed_retries, waited_s, dict(refusals))
+        worth = sum(worths) / len(worths) if worths else 0.0
+        return cls(len(worths), worth, retries, failed_retries, waited_s, dict(refusals))
 
     def lines(self) -> Iterator[str]:
         """Yield the report as lines of text."""
         yield f"first tries {self.first}, worth {self.worth:.3f}"
         yield f"other tries {self.retries}, of them not served {self.failed_retries}"
-        yield f"waited and not served: {_spread(self.waited_s)}"
+        yield f"waited and not served: {_summary_of(self.waited_s)}"
         for reason, times in sorted(self.refusals.items(), key=lambda item: -len(item[1])):
-            yield f"  {reason}: {_spread(times)}"
+            yield f"  {reason}: {_summary_of(times)}"
 
 
 def endings_in(lines: Iterable[str]) -> Iterator[Ending]:
-    """Yield the endings that stand in a log; anything else is passed over.
+    """Yield the endings recorded in a log; skip all other lines.
 
     Args:
-        lines: Lines that end in a JSON object each, whatever stands before it.
+        lines: Log lines; a JSON object ends each structured line, after any prefix.
     """
-    for said in said_in(lines, _ENDINGS):
-        if "target_ms" not in said:
+    for record in log_records(lines, _ENDINGS):
+        if "target_ms" not in record:
             continue
         yield Ending(
-            served=said["status"] in _OK,
-            age_s=said["age_ms"] / 1000,
-            target_s=said["target_ms"] / 1000,
-            returning=said["returning"],
-            reason=said["reason"] or "",
+            served=record["status"] in _OK,
+            age_s=record["age_ms"] / 1000,
+            target_s=record["target_ms"] / 1000,
+            returning=record["returning"],
+            reason=record["reason"] or "",
         )
 
 
@@ -114,8 +115,8 @@
     return 1.0 if ending.age_s <= ending.target_s else LATE_WORTH
 
 
-def _spread(times: list[float]) -> str:
-    """Return how many there are, their sum and their percentiles, in seconds."""
+def _summary_of(times: list[float]) -> str:
+    """Return the count of the times, and their sum and percentiles in seconds."""
     if len(times) < 2:
         return f"{len(times)}, {sum(times):.2f} s"
     at = quantiles(times, n=100, method="inclusive")
@@ -123,10 +124,10 @@
 
 
 def report(*logs: Path) -> None:
-    """Print what callers got at their first try.
+    """Print the outcomes of callers' first attempts.
 
     Args:
-        logs: Files with the structured logs of boxes, each a run of its own.
+        logs: Files with the structured logs of boxes, one for each run.
     """
     for log in logs:
         print(log.name)
--- a/bench/hop.py
+++ b/bench/hop.py
@@ -1,4 +1,4 @@
-"""What one entry hop costs: processor time for each chunk and request, memory when idle.
+"""Measures the cost of one entry hop: processor time of each chunk and request, and idle memory.
 
 Run: python -m bench.hop
 """
@@ -23,7 +23,7 @@
 
 
 class HopCost(NamedTuple):
-    """The cost of one hop."""
+    """The cost of one hop; `us` are microseconds of processor time."""
 
     idle_mb: float
     idle_cpu_share: float
@@ -57,7 +57,7 @@
 def _per_unit(
     cluster: Cluster, pid: int, requests: int, tokens: int, idle_cpu_share: float
 ) -> float:
-    """Return the processor seconds of one request of so many tokens."""
+    """Return the processor seconds that one request of `tokens` tokens uses, without idle use."""
 
     def _send() -> None:
         headers = {"Springrock-Deadline-Ms": "120000"}
@@ -71,7 +71,7 @@
 
 
 def main() -> int:
-    """Print the figures of three runs."""
+    """Print the results of three measurements."""
     print("idle MB   idle core   us/chunk   us/request   MB after load")
     for _ in range(3):
         cost = measure()
--- a/bench/lines.py
+++ b/bench/lines.py
@@ -1,4 +1,4 @@
-"""The structured lines of entry boxes, found in whatever log holds them."""
+"""Reads the structured log lines of entry boxes from files that may hold other lines as well."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from typing import Any
 
 
-def said_in(lines: Iterable[str], texts: Collection[str]) -> Iterator[dict[str, Any]]:
-    """Yield what the lines with one of some texts say; anything else is passed over.
+def log_records(lines: Iterable[str], texts: Collection[str]) -> Iterator[dict[str, Any]]:
+    """Yield the parsed records of log lines with one of the texts; skip all other lines.
 
     Args:
-        lines: Lines that end in a JSON object each, whatever stands before it.
-        texts: The sentences looked for, with their prefixes.
+        lines: Log lines; a JSON object ends each structured line, after any prefix.
+        texts: The log messages to select, with their prefixes.
     """
     for line in lines:
         if not any(text in line for text in texts):
--- a/bench/loads.py
+++ b/bench/loads.py
@@ -1,7 +1,7 @@
-"""Why adapters were brought from the weight store, from the structured logs of entry boxes.
+"""Causes of adapter loads from the weight store, from the structured logs of entry boxes.
 
-The first load of an adapter is due to whoever asks for it; each later one is told apart by where
-the adapter stood, or was at hand, when it came.
+The first load of an adapter is unavoidable. Later loads are classified by where the adapter was
+loaded, or in an engine's cache, when the load completed.
 """
 
 from __future__ import annotations
@@ -15,33 +15,34 @@
 
 import defopt
 
-from bench.lines import said_in
+from bench.lines import log_records
 from springrock.placement.residency import MAX_CACHED_ADAPTERS
 
 _ASSIGNED = "placer: Assigned an adapter."
-_CAME = "placer: Loaded an adapter."
+_LOADED = "placer: Loaded an adapter."
 _UNLOADED = "placer: Ordered: unload."
-_TEXTS = (_ASSIGNED, _CAME, _UNLOADED)
-_GIVEN_UP = ("taken", "done")
+_TEXTS = (_ASSIGNED, _LOADED, _UNLOADED)
+_UNLOADED_ANSWERS = ("taken", "done")
 
 
 class Cause(StrEnum):
-    """Why an adapter was brought."""
+    """Why an adapter was loaded from the weight store."""
 
-    FIRST = "not brought before"
+    FIRST = "not loaded before"
     COPY = "one more copy"
-    STANDS_IN_ZONE = "stands ready in the zone"
-    STANDS_ELSEWHERE = "stands ready in another zone"
-    AT_HAND_IN_ZONE = "at hand at an engine of the zone"
-    AT_HAND_ELSEWHERE = "at hand at an engine of another zone"
-    GONE = "no engine has it any more"
+    STANDS_IN_ZONE = "already loaded in the zone"
+    STANDS_ELSEWHERE = "already loaded in another zone"
+    AT_HAND_IN_ZONE = "cached by an engine of the zone"
+    AT_HAND_ELSEWHERE = "cached by an engine of another zone"
+    GONE = "no longer cached by any engine"
 
 
 class Load(NamedTuple):
     """A load from the weight store.
 
     Attributes:
-        at_s: When it was done, in the log's own time.
+        at_s: When it completed, as a timestamp of the log.
+        cause: Why the adapter was loaded.
     """
 
     at_s: float
@@ -51,51 +52,51 @@
 
 
 class _Engines:
-    """What the engines hold and have at hand, as far as the placers' lines tell."""
+    """The adapters that each engine has loaded or cached, according to the placers' log lines."""
 
     def __init__(self) -> None:
         self._zones: dict[str, str] = {}
         self._copies: set[tuple[str, str]] = set()
-        self._stands: dict[str, set[str]] = defaultdict(set)
-        self._came_as: dict[str, dict[str, int]] = defaultdict(dict)
+        self._loaded_on: dict[str, set[str]] = defaultdict(set)
+        self._arrival_numbers: dict[str, dict[str, int]] = defaultdict(dict)
         self._arrivals = Counter[str]()
 
-    def record_assigned(self, said: dict[str, Any]) -> None:
-        """Learn what a load that is to be ordered is for."""
-        name = (said["instance"], said["adapter"])
-        self._zones[said["instance"]] = said["zone"]
-        self._copies.discard(name)
-        if said["is_copy"]:
-            self._copies.add(name)
-
-    def record_arrival(self, said: dict[str, Any]) -> None:
-        """Learn that an adapter came."""
-        adapter, instance = said["adapter"], said["instance"]
+    def record_assigned(self, record: dict[str, Any]) -> None:
+        """Record an assignment: the zone of the engine, and whether the load adds a copy."""
+        pair = (record["instance"], record["adapter"])
+        self._zones[record["instance"]] = record["zone"]
+        self._copies.discard(pair)
+        if record["is_copy"]:
+            self._copies.add(pair)
+
+    def record_arrival(self, record: dict[str, Any]) -> None:
+        """Record that an engine loaded an adapter."""
+        adapter, instance = record["adapter"], record["instance"]
         self._arrivals[instance] += 1
-        self._stands[adapter].add(instance)
-        self._came_as[adapter][instance] = self._arrivals[instance]
+        self._loaded_on[adapter].add(instance)
+        self._arrival_numbers[adapter][instance] = self._arrivals[instance]
 
-    def record_unloaded(self, said: dict[str, Any]) -> None:
-        """Learn that an adapter gave up its place."""
-        self._stands[said["adapter"]].discard(said["instance"])
+    def record_unloaded(self, record: dict[str, Any]) -> None:
+        """Record that an engine unloaded an adapter."""
+        self._loaded_on[record["adapter"]].discard(record["instance"])
 
     def cause_of(self, adapter: str, instance: str) -> Cause:
-        """Return why an adapter is brought to an engine."""
-        if not self._came_as[adapter]:
+        """Return the cause of a load of an adapter to an engine."""
+        if not self._arrival_numbers[adapter]:
             return Cause.FIRST
         if (instance, adapter) in self._copies:
             return Cause.COPY
         zone = self._zones.get(instance)
-        existing = self._zones_of(self._stands[adapter])
-        if existing:
-            return Cause.STANDS_IN_ZONE if zone in existing else Cause.STANDS_ELSEWHERE
-        at_hand = self._zones_of(self._reconcilers(adapter))
-        if at_hand:
-            return Cause.AT_HAND_IN_ZONE if zone in at_hand else Cause.AT_HAND_ELSEWHERE
+        holding = self._zones_of(self._loaded_on[adapter])
+        if holding:
+            return Cause.STANDS_IN_ZONE if zone in holding else Cause.STANDS_ELSEWHERE
+        caching = self._zones_of(self._cache_holders(adapter))
+        if caching:
+            return Cause.AT_HAND_IN_ZONE if zone in caching else Cause.AT_HAND_ELSEWHERE
         return Cause.GONE
 
-    def _reconcilers(self, adapter: str) -> Iterator[str]:
-        for instance, number in self._came_as[adapter].items():
+    def _cache_holders(self, adapter: str) -> Iterator[str]:
+        for instance, number in self._arrival_numbers[adapter].items():
             if self._arrivals[instance] - number < MAX_CACHED_ADAPTERS:
                 yield instance
 
@@ -104,32 +105,32 @@
 
 
 def loads_in(lines: Iterable[str]) -> Iterator[Load]:
-    """Yield the loads from the weight store that stand in a log; anything else is passed over.
+    """Yield the loads from the weight store that a log records; skip all other lines.
 
-    Engines that crash or leave say nothing here: what they held counts as standing there still.
+    The logs do not show when an engine crashes or leaves: its adapters still count as loaded.
 
     Args:
-        lines: Lines that end in a JSON object each, after the time.
+        lines: Log lines; a JSON object ends each structured line, after the time.
     """
     engines = _Engines()
-    for said in sorted(said_in(lines, _TEXTS), key=lambda said: said["timestamp"]):
-        match said["text"]:
+    for record in sorted(log_records(lines, _TEXTS), key=lambda record: record["timestamp"]):
+        match record["text"]:
             case str(text) if text == _ASSIGNED:
-                engines.record_assigned(said)
-            case str(text) if text == _CAME:
-                if said["cold"]:
-                    cause = engines.cause_of(said["adapter"], said["instance"])
-                    yield Load(said["timestamp"], said["adapter"], said["instance"], cause)
-                engines.record_arrival(said)
-            case _ if said["answer"] in _GIVEN_UP:
-                engines.record_unloaded(said)
+                engines.record_assigned(record)
+            case str(text) if text == _LOADED:
+                if record["cold"]:
+                    cause = engines.cause_of(record["adapter"], record["instance"])
+                    yield Load(record["timestamp"], record["adapter"], record["instance"], cause)
+                engines.record_arrival(record)
+            case _ if record["answer"] in _UNLOADED_ANSWERS:
+                engines.record_unloaded(record)
 
 
 def report(*logs: Path) -> None:
-    """Print why adapters were brought from the weight store.
+    """Print the causes of adapter loads from the weight store.
 
     Args:
-        logs: Files with the structured logs of boxes, each a run of its own.
+        logs: Files with the structured logs of boxes, one for each run.
     """
     for log in logs:
         with log.open(encoding="utf-8", errors="replace") as lines:
--- a/bench/meter.py
+++ b/bench/meter.py
@@ -1,4 +1,4 @@
-"""Meters of other processes: processor time and memory, as the kernel accounts them."""
+"""Reads the processor time and memory of other processes from the kernel's accounting."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
 
 
 def call_many(call: Callable[[], None], *, times: int, threads: int) -> None:
-    """Make so many calls, several at once, and wait for all."""
+    """Make `times` calls on `threads` threads, and wait until all have returned."""
     with ThreadPoolExecutor(threads) as pool:
-        for done in [pool.submit(call) for _ in range(times)]:
-            done.result()
+        for future in [pool.submit(call) for _ in range(times)]:
+            future.result()
 
 
 class Slope(NamedTuple):
     """A straight line through measured points.
 
     Attributes:
-        per_unit: What one more unit adds.
-        base: What stands at no unit.
+        per_unit: The increase for each unit.
+        base: The value at zero units.
     """
 
     per_unit: float
--- a/bench/plot.py
+++ b/bench/plot.py
@@ -24,19 +24,20 @@
 
 
 class Bar(Struct, frozen=True):
-    """The figures of one version, one for each series."""
+    """The values of one bar group, one for each series."""
 
     label: str
     values: tuple[float, ...]
 
 
 class Chart(Struct, frozen=True):
-    """What is drawn.
+    """The data of a bar chart.
 
     Attributes:
-        title: What the bars show, with their unit.
-        series: The name of each value of a bar.
-        most: The value of a bar of full length.
+        title: The title, with the unit of the values.
+        series: The names of the series.
+        most: The value that a bar of full length stands for.
+        bars: The bar groups, from top to bottom.
     """
 
     title: str
@@ -86,7 +87,7 @@
 
 
 def main() -> int:
-    """Draw the chart anew."""
+    """Read the data and write the image."""
     data = parse((FOLDER / "policy.jsonc").read_text()).data
     (FOLDER / "policy.svg").write_text(svg_of(convert(data, Chart)))
     return 0
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -1,4 +1,5 @@
-"""Compares the policies in a deployment of the co-operative's size, over several seeds.
+"""Compares placement policies in a deployment of the size that a co-operative runs, over several
+seeds.
 
 Run: python -m bench.policy [--seconds N] [--rate N] [--seeds N]
 """
@@ -30,7 +31,7 @@
     "random": {"eviction": "random", "load_order": "arrival", "routing": "random"},
     "value, worth, residency": {},
 }
-_AT_ONCE = 3
+_CONCURRENT_RUNS = 3
 
 
 def run_once(name: str, seed: int, *, seconds: float, rate: float) -> Report:
@@ -57,7 +58,7 @@
 
 
 def _send(load: LoadSettings, folder: Path) -> list[Outcome]:
-    """Send the load from a process of its own, so that runs at once do not slow each other."""
+    """Send the load from a separate process, so that concurrent runs do not slow each other."""
     settings, out = folder / "load.json", folder / "outcomes.json"
     settings.write_bytes(msgspec.json.encode(load))
     command = [sys.executable, "-m", "springrock", "load", str(settings), "--out", str(out)]
@@ -66,7 +67,7 @@
 
 
 def mean_of(reports: list[Report]) -> tuple[Report, str]:
-    """Return the mean of several runs, and the spread of worth in time."""
+    """Return the means of several runs, and the range of their worth in time as text."""
     numbers = {
         column: statistics.fmean(getattr(report, column) for report in reports)
         for column in COLUMNS
@@ -78,14 +79,14 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Print a table of means and the spreads."""
+    """Run all policies; print the range of each one's worth in time and a table of means."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seconds", type=float, default=40.0)
     parser.add_argument("--rate", type=float, default=10.0)
     parser.add_argument("--seeds", type=int, default=5)
     options = parser.parse_args(arguments)
     jobs = [(name, seed) for seed in range(1, options.seeds + 1) for name in POLICIES]
-    with ThreadPoolExecutor(_AT_ONCE) as pool:
+    with ThreadPoolExecutor(_CONCURRENT_RUNS) as pool:
         reports = list(
             pool.map(lambda job: run_once(*job, seconds=options.seconds, rate=options.rate), jobs)
         )
--- a/bench/settings_page.py
+++ b/bench/settings_page.py
@@ -30,7 +30,7 @@
 
 
 def page() -> str:
-    """Return the whole page."""
+    """Return the page in Markdown."""
     seen: list[type[Section]] = []
     box = _section(BoxSettings, "", seen)
     return _HEAD + "".join([*box, _ENTRY_HEAD, *_section(EntrySettings, "", seen)])
@@ -39,18 +39,18 @@
 def _section(kind: type[Section], path: str, seen: list[type[Section]]) -> list[str]:
     seen.append(kind)
     doc = inspect.cleandoc(kind.__doc__ or "")
-    notes = dict(_ATTRIBUTE.findall(doc))
+    meanings = dict(_ATTRIBUTE.findall(doc))
     lines = [f"\n## {path or 'the file'}\n\n{doc.partition(chr(10) * 2)[0]}\n\n"]
     lines.append("| key | kind | default | meaning |\n|---|---|---|---|\n")
-    below: list[str] = []
+    subsections: list[str] = []
     for field in msgspec.structs.fields(kind):
-        record = " ".join(notes.get(field.name, "").split())
-        lines.append(f"| `{field.name}` | {_kind(field.type)} | {_default(field)} | {record} |\n")
+        meaning = " ".join(meanings.get(field.name, "").split())
+        lines.append(f"| `{field.name}` | {_kind(field.type)} | {_default(field)} | {meaning} |\n")
         for inner in _sections_of(field.type):
-            many = "[]" if get_args(field.type) else ""
+            brackets = "[]" if get_args(field.type) else ""
             if inner not in seen:
-                below += _section(inner, f"{path}.{field.name}{many}".lstrip("."), seen)
-    return lines + below
+                subsections += _section(inner, f"{path}.{field.name}{brackets}".lstrip("."), seen)
+    return lines + subsections
 
 
 def _sections_of(kind: Any) -> list[type[Section]]:
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,4 +1,4 @@
-"""The slopes behind docs/CAPACITY.md, taken with real processes; rewrites the page's table.
+"""Measures the slopes of docs/CAPACITY.md with real processes, and rewrites the page's table.
 
 Run: python -m bench.slopes [--quick]
 """
@@ -17,7 +17,7 @@
 import msgspec
 
 from bench import hop
-from bench.capacity_page import Row, row_of, table_of, write_into_page
+from bench.capacity_page import Row, make_row, make_table, write_into_page
 from bench.meter import call_many, cpu_s, resident_mb
 from springrock.coordination.catalog import Adapter, Catalog, Change, Workload
 from springrock.coordination.feed import HEAD_KEY, SNAPSHOT_NAME, HeadValue
@@ -26,7 +26,7 @@
 from tests.cluster import Cluster
 from tests.processes import wait_until
 
-_WATCH_S = 30.0
+_IDLE_S = 30.0
 _FRAME_BYTES = 46
 """Websocket, TCP and IP headers of one small message."""
 _PRODUCTION_LEASE = {
@@ -38,29 +38,33 @@
 }
 
 
-def zone_of(boxes: int, *, engines: int = 2) -> Shape:
-    """Return one zone with so many boxes."""
+def zone_shape(boxes: int, *, engines: int = 2) -> Shape:
+    """Return a shape of one zone."""
     return Shape.from_small(zones=1, boxes_per_zone=boxes, engines=engines)
 
 
 class _Zone(Cluster):
-    """A zone with the leases that are used in production."""
+    """A zone with the lease settings of production."""
 
     def __init__(self, folder: Path, shape: Shape, **more: Any) -> None:
         super().__init__(folder, shape, lease=_PRODUCTION_LEASE, **more)
 
 
-def in_zone(shape: Shape, measure: Callable[[Cluster], Any], **more: Any) -> Any:
+def run_in_zone(shape: Shape, measure: Callable[[Cluster], Any], **more: Any) -> Any:
     """Run a measurement in a zone of real processes."""
     with tempfile.TemporaryDirectory() as folder, _Zone(Path(folder), shape, **more) as cluster:
         return measure(cluster)
 
 
-# Idle boxes against the number of peers.
+# Idle boxes, by number of peers.
 
 
-class Idle(NamedTuple):
-    """What one idle box of a zone uses, and what the platform sees of all."""
+class IdleZone(NamedTuple):
+    """The resource use of one idle box of a zone, and the time that changes and takeovers take.
+
+    Attributes:
+        spread_s: Seconds until a configuration change is in force on every box.
+        takeover_s: Seconds until the replicas of a killed box have another owner."""
 
     boxes: int
     cpu_share: float
@@ -74,20 +78,20 @@
     takeover_s: float
 
 
-def idle(boxes: int) -> Idle:
-    """Measure a zone of idle boxes, then the spread of a change, then a takeover."""
-    return in_zone(zone_of(boxes, engines=6), _measure_idle)
+def measure_idle_zone(boxes: int) -> IdleZone:
+    """Measure a zone of idle boxes, the propagation of a change, and a takeover."""
+    return run_in_zone(zone_shape(boxes, engines=6), _idle_zone_of)
 
 
-def _measure_idle(cluster: Cluster) -> Idle:
+def _idle_zone_of(cluster: Cluster) -> IdleZone:
     names = cluster.shape.box_names
     time.sleep(_PRODUCTION_LEASE["lapse_after_s"] + 8.0)
     before = _totals(cluster)
-    time.sleep(_WATCH_S)
+    time.sleep(_IDLE_S)
     after = _totals(cluster)
-    used = {key: (after[key] - before[key]) / _WATCH_S for key in after}
+    used = {key: (after[key] - before[key]) / _IDLE_S for key in after}
     boxes = len(names)
-    return Idle(
+    return IdleZone(
         boxes=boxes,
         cpu_share=used["cpu"] / boxes,
         peer_bytes_per_s=used["bytes"] / boxes,
@@ -122,7 +126,7 @@
 
 
 def _spread_s(cluster: Cluster) -> float:
-    """Return the worst of five changes, until every box runs it."""
+    """Return the longest time of five changes until the change is in force on every box."""
     worst = 0.0
     for number in range(5):
         began = time.monotonic()
@@ -134,7 +138,7 @@
 
 
 def _takeover_s(cluster: Cluster) -> float:
-    """Kill the box that owns the most; return when all that it owned is owned again."""
+    """Kill the box that owns the most replicas; return the seconds until all have another owner."""
     owners = {engine: cluster.owner_of(engine) for engine in cluster.addresses.engines}
     victim = max(set(owners.values()), key=list(owners.values()).count)
     lost = [engine for engine, owner in owners.items() if owner == victim]
@@ -150,12 +154,12 @@
     return time.monotonic() - began
 
 
-# Memory against adapters and streams.
+# Memory, by number of adapters and streams.
 
 
 def adapters_mb(count: int) -> float:
-    """Return the resident memory of a box with so many adapters in its catalog."""
-    return in_zone(zone_of(1, engines=1), lambda cluster: _with_adapters(cluster, count))
+    """Return the resident memory in MB of a box with `count` adapters in its catalog."""
+    return run_in_zone(zone_shape(1, engines=1), lambda cluster: _with_adapters(cluster, count))
 
 
 def _with_adapters(cluster: Cluster, count: int) -> float:
@@ -194,9 +198,9 @@
 
 
 def streams_mb(counts: list[int]) -> list[tuple[float, float]]:
-    """Return the resident memory of a box against its open streams."""
-    shape = replace(zone_of(1, engines=1), running_limit=1_000)
-    return in_zone(shape, lambda cluster: _with_streams(cluster, counts))
+    """Return pairs of a number of open streams and the resident memory in MB of a box."""
+    shape = replace(zone_shape(1, engines=1), running_limit=1_000)
+    return run_in_zone(shape, lambda cluster: _with_streams(cluster, counts))
 
 
 def _with_streams(cluster: Cluster, counts: list[int]) -> list[tuple[float, float]]:
@@ -231,19 +235,19 @@
 
 
 class PermitCost(NamedTuple):
-    """What one permit from another box costs, on top of one from the own box."""
+    """The additional cost of a permit from another box, over one from the box itself."""
 
     bytes_sent: float
     messages_sent: float
     both_ends_us: float
 
 
-def permit() -> PermitCost:
+def measure_permit() -> PermitCost:
     """Measure requests through a box that does not own the replica."""
-    return in_zone(zone_of(2, engines=1), _measure_permit)
+    return run_in_zone(zone_shape(2, engines=1), _permit_cost_of)
 
 
-def _measure_permit(cluster: Cluster) -> PermitCost:
+def _permit_cost_of(cluster: Cluster) -> PermitCost:
     owner = cluster.owner_of("small-engine-1")
     other = next(name for name in cluster.shape.box_names if name != owner)
     own_us = _request_us(cluster, owner)
@@ -259,7 +263,7 @@
 
 
 def _request_us(cluster: Cluster, box: str, requests: int = 1_000) -> float:
-    """Return the processor time that all boxes spend for one short request."""
+    """Return the processor time in microseconds that all boxes together use for a short request."""
     pids = [cluster.processes[name].pid for name in cluster.shape.box_names]
 
     def _send() -> None:
@@ -271,37 +275,37 @@
     return (sum(map(cpu_s, pids)) - before) / requests * 1e6
 
 
-# The table of the page.
+# The table in the page.
 
 
 def rows(*, quick: bool) -> list[Row]:
-    """Take all slopes."""
+    """Measure all slopes."""
     counts = [2, 5, 10] if quick else [2, 5, 10, 20, 30]
-    zones = [idle(count) for count in counts]
+    zones = [measure_idle_zone(count) for count in counts]
     adapter_counts = [1_000, 50_000, 190_000]
     memory = [(float(count), adapters_mb(count)) for count in adapter_counts]
     streams = streams_mb([50, 200, 400])
-    one_permit = permit()
-    one_hop = hop.measure()
+    permit = measure_permit()
+    hop_cost = hop.measure()
     return [
         *_zone_rows(zones),
-        row_of("MB resident against adapters", memory, "B for an adapter", 1e6, "{:.1f}"),
-        row_of("MB resident against open streams", streams, "KB for a stream", 1e3, "{:.1f}"),
+        make_row("MB resident against adapters", memory, "B for an adapter", 1e6, "{:.1f}"),
+        make_row("MB resident against open streams", streams, "KB for a stream", 1e3, "{:.1f}"),
         Row(
             "permit from another box",
-            f"{one_permit.messages_sent:.2f} messages, {one_permit.bytes_sent:.0f} B, with "
-            f"headers {one_permit.bytes_sent + one_permit.messages_sent * _FRAME_BYTES:.0f} B",
-            f"{one_permit.both_ends_us:.0f} us at both ends together",
+            f"{permit.messages_sent:.2f} messages, {permit.bytes_sent:.0f} B, with "
+            f"headers {permit.bytes_sent + permit.messages_sent * _FRAME_BYTES:.0f} B",
+            f"{permit.both_ends_us:.0f} us at both ends together",
         ),
         Row(
             "entry hop",
-            f"idle {one_hop.idle_mb:.1f} MB",
-            f"{one_hop.chunk_us:.0f} us a chunk, {one_hop.request_us:.0f} us a request",
+            f"idle {hop_cost.idle_mb:.1f} MB",
+            f"{hop_cost.chunk_us:.0f} us a chunk, {hop_cost.request_us:.0f} us a request",
         ),
     ]
 
 
-def _zone_rows(zones: list[Idle]) -> list[Row]:
+def _zone_rows(zones: list[IdleZone]) -> list[Row]:
     def _points(field: str) -> list[tuple[float, float]]:
         return [(float(zone.boxes), float(getattr(zone, field))) for zone in zones]
 
@@ -310,51 +314,51 @@
         for zone in zones
     ]
     return [
-        row_of(
+        make_row(
             "peer B/s sent by an idle box, with headers",
             with_headers,
             "B/s for a peer",
             1,
             "{:.0f}",
         ),
-        row_of(
+        make_row(
             "peer messages/s sent by an idle box",
             _points("peer_messages_per_s"),
             "/s for a peer",
             1,
             "{:.2f}",
         ),
-        row_of(
+        make_row(
             "platform B/s read by an idle box",
             _points("platform_bytes_per_s"),
             "B/s for a box",
             1,
             "{:.0f}",
         ),
-        row_of(
+        make_row(
             "table writes/s of a box",
             _points("table_writes_per_s"),
             "/s for a box more",
             1,
             "{:.3f}",
         ),
-        row_of(
+        make_row(
             "table reads/s of a box", _points("table_reads_per_s"), "/s for a box more", 1, "{:.2f}"
         ),
-        row_of(
+        make_row(
             "% of a core used by an idle box", _points("cpu_share"), "% for a peer", 100, "{:.2%}"
         ),
-        row_of(
+        make_row(
             "MB resident of an idle box", _points("resident_mb"), "KB for a peer", 1e3, "{:.1f}"
         ),
-        row_of(
+        make_row(
             "s until a change is in force on all (worst of 5)",
             _points("spread_s"),
             "s for a box",
             1,
             "{:.2f}",
         ),
-        row_of(
+        make_row(
             "s until a killed owner's replicas are owned again",
             _points("takeover_s"),
             "s for a box",
@@ -365,8 +369,8 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Take the slopes and rewrite the table of the page."""
-    table = table_of(rows(quick="--quick" in arguments))
+    """Measure the slopes and rewrite the table in the page."""
+    table = make_table(rows(quick="--quick" in arguments))
     print(table)
     write_into_page(table)
     return 0
--- a/bench/start.py
+++ b/bench/start.py
@@ -1,8 +1,8 @@
-"""What a start of an entry box costs: processor time of the process up to its first log line.
+"""Measures the processor time that an entry box uses from its start to its first log line.
 
-The box finds a store address where nobody listens, so that nothing but the start is measured.
+Nothing listens at the store address in the box's settings, so that only the start is measured.
 
-Run: python -m bench.start [--times N] [--python PROGRAM]; the environment goes to the box.
+Run: python -m bench.start [--times N] [--python PROGRAM]; the box inherits the environment.
 """
 
 from __future__ import annotations
@@ -39,14 +39,14 @@
 
 
 def cpu_s_of_start(settings: Path, *, python: str = sys.executable) -> float:
-    """Start a box, kill it at its first line, and return the processor seconds it took.
+    """Start a box, kill it at its first log line, and return the processor seconds it used.
 
     Args:
         settings: The box's settings file.
-        python: The program that runs it.
+        python: The Python interpreter that runs it.
 
     Raises:
-        RuntimeError: If the box ended without that line.
+        RuntimeError: If the box ended before it wrote that line.
     """
     process = subprocess.Popen(
         [python, "-m", "springrock", "entry"],
@@ -60,24 +60,24 @@
         _, status, usage = os.wait4(process.pid, 0)
     process.returncode = os.waitstatus_to_exitcode(status)
     if not has_started:
-        raise RuntimeError("the box ended before its first line")
+        raise RuntimeError("the box ended before it wrote its first log line")
     return usage.ru_utime + usage.ru_stime
 
 
 def report(*, times: int = 15, python: str = sys.executable) -> None:
-    """Print the processor time of starts of an entry box.
+    """Print the processor time that starts of an entry box use.
 
     Args:
-        times: How many starts.
-        python: The program that runs the box.
+        times: Number of starts.
+        python: The Python interpreter that runs the box.
     """
     with tempfile.TemporaryDirectory() as folder:
         settings = Path(folder) / "box.jsonc"
         settings.write_text(json.dumps(settings_of_a_box()))
-        taken = sorted(cpu_s_of_start(settings, python=python) for _ in range(times))
+        used_s = sorted(cpu_s_of_start(settings, python=python) for _ in range(times))
     print(
         f"{times} starts, processor seconds to the first line: "
-        f"median {statistics.median(taken):.3f}, least {taken[0]:.3f}, most {taken[-1]:.3f}"
+        f"median {statistics.median(used_s):.3f}, least {used_s[0]:.3f}, most {used_s[-1]:.3f}"
     )
 
 
