--- a/bench/calibration.py
+++ b/bench/calibration.py
@@ -56,7 +56,7 @@
         self._assigned_at: dict[tuple[str, str], float] = {}
 
     def outcome(self, record: dict[str, Any]) -> Outcome | None:
-        """Read a log record; return the outcome of the earlier estimate that it completes, if any."""
+        """Read a log record; return the outcome of the estimate that it completes, if any."""
         match record["text"]:
             case str(text) if text == _GRANTED:
                 name = (record["request"], record["instance"])
--- a/bench/soak/__main__.py
+++ b/bench/soak/__main__.py
@@ -1,4 +1,4 @@
-"""The command: `python -m bench.soak`."""
+"""The command `python -m bench.soak`: plays schedules of faults and reports broken promises."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from bench.soak.interrupts import Interrupted, Interrupts
 from bench.soak.options import PLAY_S, Options, read_options
 from bench.soak.play import play
-from bench.soak.report import breaches, judge_all, report_lines
+from bench.soak.report import count_findings, judge_all, report_lines
 from bench.soak.schedule import draw_schedule
 from bench.soak.shape import Shape
 
@@ -26,18 +26,18 @@
 BAD_INPUT = 2
 NOT_JUDGED = 3
 NOT_PLAYED = 4
-"""Processes could not be started or reached, which tells nothing of promises."""
+"""Processes could not be started or reached, so no promise was judged."""
 
 INTERRUPTED = 130
 
-_MOST_PAUSED_S = 2.0
-"""A machine that stood still for longer in all tells nothing of time bounds."""
+_MAX_PAUSED_S = 2.0
+"""If the machine paused the soak for longer in total, time bounds cannot be judged."""
 
-_SEEDS = 1_000_000
+_SEED_COUNT = 1_000_000
 
 
 def main(arguments: list[str]) -> int:
-    """Play what was asked for; return the exit code."""
+    """Play the seeds that the arguments ask for; return the exit code."""
     try:
         options = read_options(arguments)
     except SoakInputError as error:
@@ -45,17 +45,19 @@
         return BAD_INPUT
     interrupts = Interrupts()
     interrupts.listen()
-    worst = PASSED
+    worst_code = PASSED
     try:
         for seed, seconds in _plays(options):
-            worst = max(worst, _play_once(seed, seconds, options, interrupts), key=_badness)
+            worst_code = max(
+                worst_code, _play_once(seed, seconds, options, interrupts), key=_severity
+            )
     except Interrupted:
         print("Interrupted.")
         return INTERRUPTED
-    return worst
+    return worst_code
 
 
-def _badness(code: int) -> int:
+def _severity(code: int) -> int:
     return (PASSED, NOT_JUDGED, NOT_PLAYED, FAILED).index(code)
 
 
@@ -64,26 +66,28 @@
     if options.seed is not None:
         yield options.seed, options.seconds
         return
-    chance = random.SystemRandom()
+    rng = random.SystemRandom()
     ends_at = time.monotonic() + options.seconds
     while time.monotonic() < ends_at:
-        yield chance.randrange(_SEEDS), min(PLAY_S, options.seconds)
+        yield rng.randrange(_SEED_COUNT), min(PLAY_S, options.seconds)
 
 
 def _play_once(seed: int, seconds: float, options: Options, interrupts: Interrupts) -> int:
-    """Play one seed, print its report, and keep its folder if it failed."""
+    """Play one seed, print its report, and keep its folder unless it passed or was not judged."""
     shape = Shape.from_boxes(options.boxes)
     schedule = draw_schedule(seed, seconds=seconds, shape=shape)
     print("\n".join(schedule.lines()), flush=True)
     folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-", dir=options.keep))
     keep = False
     try:
-        seen = play(
-            schedule, shape=shape, folder=folder, without=options.without, guard=interrupts.held
+        observations = play(
+            schedule, shape=shape, folder=folder, without=options.without, guard=interrupts.deferred
+        )
+        verdicts = judge_all(observations)
+        lines = report_lines(schedule, observations, verdicts)
+        code = _code_of(
+            count_findings(verdicts), sum(pause.lasted_s for pause in observations.pauses)
         )
-        verdicts = judge_all(seen)
-        lines = report_lines(schedule, seen, verdicts)
-        code = _code_of(breaches(verdicts), sum(pause.lasted_s for pause in seen.pauses))
         lines += ["", _outcome(code, seed)]
         if code == FAILED:
             keep = True
@@ -103,10 +107,10 @@
             shutil.rmtree(folder, ignore_errors=True)
 
 
-def _code_of(found: int, paused_s: float) -> int:
-    if paused_s > _MOST_PAUSED_S:
+def _code_of(finding_count: int, paused_s: float) -> int:
+    if paused_s > _MAX_PAUSED_S:
         return NOT_JUDGED
-    return FAILED if found else PASSED
+    return FAILED if finding_count else PASSED
 
 
 def _outcome(code: int, seed: int) -> str:
--- a/bench/soak/callers.py
+++ b/bench/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers: each wants one thing after the other, with a key, a deadline, patience and retries."""
+"""Callers, which make one call after the other, with an API key, a deadline and retries."""
 
 from __future__ import annotations
 
@@ -16,28 +16,29 @@
 from tests.routed.deployment import HOST, MODEL
 
 BODY = b"hello"
-PATIENCE_S = 3.0
-"""How long a caller waits for all its attempts together."""
+CALL_TIMEOUT_S = 3.0
+"""The time limit of a call over all its attempts."""
 
 _READ_BYTES = 65_536
-_SHORTEST_ATTEMPT_S = 0.05
+_MIN_ATTEMPT_S = 0.05
 _RETRY_PAUSE_S = 0.1
-_LONGEST_WAIT_PART = 1 / 3
-"""Of the time left, what a caller waits at most when it is told to come back."""
+_MAX_WAIT_FRACTION = 1 / 3
+"""The largest part of the remaining time that a caller waits before a retry, whatever `Retry-After`
+says."""
 
-_KEPT_S = 3.0
-_NOT_RUN = (408, 421, 429, 503)
-_FINAL = (400, 401, 404, 413)
+_KEEP_ALIVE_S = 3.0
+_NOT_RUN_STATUSES = (408, 421, 429, 503)
+_FINAL_STATUSES = (400, 401, 404, 413)
 
 
 class Role(NamedTuple):
-    """What a caller does.
+    """The behaviour of a caller.
 
     Attributes:
-        routes: The routes that it draws from.
-        keys: The keys that it draws from.
-        pause_s: How long it rests between two calls, on average.
-        retries: Whether it tries again.
+        routes: The routes to draw from.
+        keys: The names of the keys to draw from.
+        pause_s: The average pause between two calls.
+        retries: Whether the caller retries.
     """
 
     routes: tuple[str, ...]
@@ -48,16 +49,16 @@
 
 PLAIN = Role(("lookup", "join", "open", MOVABLE), ("one", "two", "goes"), 0.06)
 STREAMING = Role(("items", "minutes"), ("one", "two", "goes"), 0.1)
-PRESSING = Role(("lookup",), ("few",), 0.05, retries=False)
-ROLES = (PLAIN,) * 10 + (STREAMING,) * 6 + (PRESSING,) * 2
+LIMITED = Role(("lookup",), ("few",), 0.05, retries=False)
+ROLES = (PLAIN,) * 10 + (STREAMING,) * 6 + (LIMITED,) * 2
 
 
 class Callers:
-    """All callers, each a thread.
+    """All callers; each runs in its own thread.
 
     Args:
         boxes: The boxes' addresses for clients, by name.
-        seed: The seed of what they want.
+        seed: The seed of the calls.
     """
 
     def __init__(self, boxes: dict[str, str], *, seed: int) -> None:
@@ -74,18 +75,18 @@
         ]
 
     def start(self) -> None:
-        """Begin to call."""
+        """Start calling."""
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> None:
-        """Let each caller end its call, and wait for that."""
+        """Let each caller end its current call, and wait until all have ended."""
         self._stop.set()
         for thread in self._threads:
             thread.join()
 
 
-class _Kept(NamedTuple):
+class _PooledConnection(NamedTuple):
     connection: http.client.HTTPConnection
     used_at: float
 
@@ -105,10 +106,10 @@
         self._rng = rng
         self._callers = callers
         self._count = 0
-        self._kept: dict[str, _Kept] = {}
+        self._pool: dict[str, _PooledConnection] = {}
 
     def run(self, stop: threading.Event) -> None:
-        """Call until told to stop."""
+        """Make calls until `stop` is set."""
         while not stop.wait(self._rng.expovariate(1 / self._role.pause_s)):
             self._call()
 
@@ -118,14 +119,14 @@
         adapter = self._rng.choice(ADAPTERS) if route in STREAMS else ""
         call = f"{self._number}-{self._count}"
         began_at = monotonic()
-        ends_at = began_at + PATIENCE_S
+        ends_at = began_at + CALL_TIMEOUT_S
         while True:
             attempt = self._attempt(call, route, key, adapter, ends_at)
             self._callers.attempts.append(attempt)
-            if not self._tries_again(attempt):
+            if not self._should_retry(attempt):
                 break
             time.sleep(self._wait_s(attempt, ends_at))
-            if ends_at - monotonic() < _SHORTEST_ATTEMPT_S:
+            if ends_at - monotonic() < _MIN_ATTEMPT_S:
                 break
         self._callers.calls.append(
             Call(
@@ -139,15 +140,17 @@
             )
         )
 
-    def _tries_again(self, attempt: Attempt) -> bool:
-        if attempt.answered or not self._role.retries or attempt.status in _FINAL:
+    def _should_retry(self, attempt: Attempt) -> bool:
+        if attempt.answered or not self._role.retries or attempt.status in _FINAL_STATUSES:
             return False
-        return attempt.repeatable or attempt.status in _NOT_RUN or attempt.error == "refused"
+        return (
+            attempt.repeatable or attempt.status in _NOT_RUN_STATUSES or attempt.error == "refused"
+        )
 
     def _wait_s(self, attempt: Attempt, ends_at: float) -> float:
-        reported_s = attempt.retry_after_s or _RETRY_PAUSE_S
+        requested_s = attempt.retry_after_s or _RETRY_PAUSE_S
         left_s = ends_at - monotonic()
-        return max(0.0, min(reported_s, left_s * _LONGEST_WAIT_PART))
+        return max(0.0, min(requested_s, left_s * _MAX_WAIT_FRACTION))
 
     def _attempt(self, call: str, route: str, key: str, adapter: str, ends_at: float) -> Attempt:
         self._count += 1
@@ -162,18 +165,18 @@
         )
         connection = self._connection_to(attempt)
         attempt_once(attempt, connection, ends_at=ends_at)
-        if attempt.whole and connection.sock is not None:
-            self._kept[attempt.box] = _Kept(connection, attempt.ended_at)
+        if attempt.is_complete and connection.sock is not None:
+            self._pool[attempt.box] = _PooledConnection(connection, attempt.ended_at)
         else:
             connection.close()
         return attempt
 
     def _connection_to(self, attempt: Attempt) -> http.client.HTTPConnection:
-        kept = self._kept.pop(attempt.box, None)
-        if kept is not None and attempt.sent_at - kept.used_at < _KEPT_S:
-            return kept.connection
-        if kept is not None:
-            kept.connection.close()
+        pooled = self._pool.pop(attempt.box, None)
+        if pooled is not None and attempt.sent_at - pooled.used_at < _KEEP_ALIVE_S:
+            return pooled.connection
+        if pooled is not None:
+            pooled.connection.close()
         host, port = split_address(self._boxes[attempt.box])
         return http.client.HTTPConnection(host, port)
 
@@ -181,7 +184,7 @@
 def attempt_once(
     attempt: Attempt, connection: http.client.HTTPConnection, *, ends_at: float
 ) -> None:
-    """Send an attempt and note what comes of it."""
+    """Send an attempt and record its outcome in it."""
     try:
         _exchange(attempt, connection, ends_at)
     except ConnectionRefusedError:
@@ -192,7 +195,7 @@
 
 
 def _exchange(attempt: Attempt, connection: http.client.HTTPConnection, ends_at: float) -> None:
-    left_s = max(_SHORTEST_ATTEMPT_S, ends_at - monotonic())
+    left_s = max(_MIN_ATTEMPT_S, ends_at - monotonic())
     connection.timeout = left_s
     if connection.sock is not None:
         connection.sock.settimeout(left_s)
@@ -207,7 +210,7 @@
     attempt.retry_after_s = None if retry_after is None else float(retry_after)
     while block := response.read1(_READ_BYTES):
         attempt.body += block
-    attempt.whole = response.length in (None, 0)
+    attempt.is_complete = response.length in (None, 0)
     response.close()
 
 
--- a/bench/soak/crashing.py
+++ b/bench/soak/crashing.py
@@ -1,4 +1,4 @@
-"""Requests that crash the replicas that run them, sent again and again, and who starts these."""
+"""Sends requests that crash the replicas that run them, and has the crashed replicas restarted."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 from springrock.settings import split_address
 
 _PAUSE_S = 0.15
-"""Between two tries: in the shortest span of such a fault some twenty, at all boxes."""
+"""Pause between two attempts. Some twenty attempts, over all boxes, fit into the shortest fault."""
 
 _TIMEOUT_S = 2.0
-_ENDS_WITHIN_S = 0.1
-"""A process that a request has crashed is seen to have ended after so long."""
+_EXIT_DELAY_S = 0.1
+"""Time until the exit of a crashed process can be observed."""
 
 
 class CrashingCaller(threading.Thread):
-    """Sends one request at boxes drawn anew, under a new id each time, until it is stopped.
+    """Sends one request repeatedly to random boxes, each time under a new id, until it is stopped.
 
     Args:
         route: The route of the request.
         boxes: The boxes' addresses for clients, by name.
-        seed: The seed of what it draws.
-        attempts: Takes each attempt.
-        restart: Starts replicas anew that have crashed.
+        seed: The seed of the random draws, also part of the request's path.
+        attempts: The list to which each attempt is appended.
+        restart: Restarts the replicas that have crashed.
     """
 
     def __init__(
@@ -50,21 +50,21 @@
         self._adapter = self._rng.choice(ADAPTERS) if route in STREAMS else ""
         self._attempts = attempts
         self._restart = restart
-        self._stop_asked = threading.Event()
+        self._stop_requested = threading.Event()
 
     def run(self) -> None:
-        """Send until told to stop."""
+        """Send attempts until `stop` is called."""
         count = 0
-        while not self._stop_asked.wait(_PAUSE_S):
+        while not self._stop_requested.wait(_PAUSE_S):
             count += 1
             self._send(count)
             self._restart()
 
     def stop(self) -> None:
-        """Let it end its try, wait for that, and see that no replica is left crashed."""
-        self._stop_asked.set()
+        """Stop after the current attempt, wait for its end, and restart crashed replicas."""
+        self._stop_requested.set()
         self.join()
-        time.sleep(_ENDS_WITHIN_S)
+        time.sleep(_EXIT_DELAY_S)
         self._restart()
 
     def _send(self, count: int) -> None:
@@ -76,7 +76,7 @@
             key="one",
             adapter=self._adapter,
             sent_at=monotonic(),
-            of_request=self._path,
+            repeated_path=self._path,
         )
         self._attempts.append(attempt)
         host, port = split_address(self._boxes[attempt.box])
--- a/bench/soak/deployment.py
+++ b/bench/soak/deployment.py
@@ -1,4 +1,4 @@
-"""The processes of a soak: those of the routed tests, with a proxy between boxes and all else."""
+"""The processes of a soak: those of the routed tests, and a proxy between boxes and all others."""
 
 from __future__ import annotations
 
@@ -43,19 +43,19 @@
 from tests.routed.deployment import MODEL, Deployment
 
 _UNROUTED_SERVICE = "strangers"
-_REACHED_WITHIN_S = 3.0
-_ANSWERS_WITHIN_S = 3.0
+_FAULT_TIMEOUT_S = 3.0
+_READINESS_TIMEOUT_S = 3.0
 
 
 @dataclass
 class SoakDeployment(Deployment):
-    """Starts everything, changes it, and tells what replicas saw.
+    """Starts the processes, injects faults, changes the configuration, and reads replicas' events.
 
     Attributes:
-        guard: Held while a process is started.
-        shape: What runs.
+        guard: A context that is entered while a process is started.
+        shape: The boxes and replicas.
         changes: The configurations that were written.
-        versions: The versions of adapters that were named.
+        versions: The versions of adapters that were published.
     """
 
     guard: Callable[[], AbstractContextManager[None]] = nullcontext
@@ -80,21 +80,21 @@
             "stop": {"within_s": STOP_WITHIN_S, "notice_s": 0.2},
         }
         self._configured = Configured()
-        self._named: dict[str, int] = {}
+        self._named_versions: dict[str, int] = {}
         self._removed_rows: set[str] = set()
         self._plans = {plan.name: plan for plan in self.shape.replicas}
         self._routes: dict[str, str] = {}
         self._proxy = ""
         self.crashing_attempts: list[Attempt] = []
         self._crashing: dict[str, CrashingCaller] = {}
-        self._given_away: set[str] = set()
-        self._earlier: Path | None = None
-        self._restarting = threading.RLock()
+        self._reassigned: set[str] = set()
+        self._earlier_build: Path | None = None
+        self._restart_lock = threading.RLock()
 
     # Start.
 
     def start(self) -> None:
-        """Start everything and wait until every box serves."""
+        """Start all processes and wait until every box serves."""
         self.addresses["store"] = free_addresses(1)[0]
         self.processes.spawn("store", ["standin", "rowstore"], {"address": self.addresses["store"]})
         links = [f"{box}>store" for box in self.shape.boxes]
@@ -111,25 +111,28 @@
         self.wait_ready(replicas=len(self.shape.replicas))
 
     def restart_with_earlier_build(self, box: str) -> None:
-        """Kill a box and start it with the build of the last landing.
+        """Kill a box and start it with the build of the last release.
 
-        A box that does without a mechanism stays one: only this build can be told so.
+        A box with a disabled mechanism keeps this build, as earlier builds cannot disable it.
         """
         if self.box_module != Deployment.box_module:
             self.processes.restart(box)
             return
-        if self._earlier is None:
-            self._earlier = build_at(LAST_LANDING, self.folder)
-        self.processes.use_build(box, self._earlier)
-        self._restart_knowing_seeds(box, [])
+        if self._earlier_build is None:
+            self._earlier_build = build_at(LAST_LANDING, self.folder)
+        self.processes.use_build(box, self._earlier_build)
+        self._restart_with_seeds(box, [])
 
     def restart_with_this_build(self, box: str) -> None:
         """Kill a box and start it with this build."""
         self.processes.use_build(box, None)
-        self._restart_knowing_seeds(box, self.seeds_of(box))
+        self._restart_with_seeds(box, self.seeds_of(box))
 
-    def _restart_knowing_seeds(self, box: str, seeds: list[str]) -> None:
-        """Restart a box; one of the last landing, which knows no such setting, is told none."""
+    def _restart_with_seeds(self, box: str, seeds: list[str]) -> None:
+        """Restart a box with these seeds; omit the setting if there are none.
+
+        The earlier build does not know this setting.
+        """
         path = self.folder / f"{box}.jsonc"
         settings = json.loads(path.read_text())
         settings.pop("start", None)
@@ -139,7 +142,7 @@
         self.processes.restart(box)
 
     def store_address_of(self, box: str) -> str:
-        """Where a box reaches the store: through the proxy."""
+        """Return the address of the proxy through which a box reaches the store."""
         return self._routes[f"{box}>store"]
 
     def _start_planned(self, plan: ReplicaPlan) -> None:
@@ -168,10 +171,10 @@
         ]
         return {"address": self._proxy, "routes": routes}
 
-    # The operator.
+    # Operator's changes.
 
     def change(self, **fields: bool) -> None:
-        """Change what the configuration says, and note when that was acknowledged."""
+        """Change the configuration, and record when the change was acknowledged."""
         self._configured = self._configured._replace(**fields)
         self.tenants = self._configured.tenants()
         began_at = monotonic()
@@ -185,18 +188,18 @@
         )
 
     def name_next_version(self, adapter: str) -> None:
-        """Name the next version of an adapter."""
-        version = self._named.get(adapter, 1) + 1
-        self._named[adapter] = version
+        """Publish the next version of an adapter."""
+        version = self._named_versions.get(adapter, 1) + 1
+        self._named_versions[adapter] = version
         self.name_version(adapter, version)
         self.versions.append(
             NamedVersion(acknowledged_at=monotonic(), adapter=adapter, version=version)
         )
 
-    def write_again(self) -> None:
-        """Write what a store lacks that came back from a copy, as the operator does."""
+    def rewrite_missing(self) -> None:
+        """Repeat the operator's writes, which a store restored from a copy may lack."""
         self.configure(self._configured.routes(), self.version)
-        for adapter, version in self._named.items():
+        for adapter, version in self._named_versions.items():
             self.name_version(adapter, version)
         for instance in sorted(self._removed_rows):
             self.remove_replica_row(instance)
@@ -204,25 +207,25 @@
     # Faults.
 
     def fault(self, name: str, **fault: Any) -> None:
-        """Switch the faults of a stand-in that may have been started a moment ago."""
+        """Set the faults of a stand-in; retry while it is still starting."""
         url = f"http://{self.addresses[name]}/standin/faults"
         wait_until(
             lambda: self._posted(url, json.dumps(fault)),
-            within_s=_REACHED_WITHIN_S,
-            what=f"{name} takes its fault",
+            within_s=_FAULT_TIMEOUT_S,
+            what=f"{name} sets its faults",
         )
 
     def link_fault(self, links: tuple[str, ...], **fault: Any) -> None:
-        """Switch the faults of some links; no fault heals them."""
+        """Set the faults of some links; no fault restores them."""
         body = json.dumps({"routes": list(links), **fault})
         wait_until(
             lambda: self._posted(f"http://{self._proxy}/standin/faults", body),
-            within_s=_REACHED_WITHIN_S,
-            what="the proxy takes a fault",
+            within_s=_FAULT_TIMEOUT_S,
+            what="the proxy sets its faults",
         )
 
     def begin_crashing(self, route: str, seed: str) -> None:
-        """Begin to send a request that crashes replicas."""
+        """Start to send a request that crashes replicas."""
         caller = CrashingCaller(
             route,
             self.clients,
@@ -234,40 +237,40 @@
         caller.start()
 
     def end_crashing(self, seed: str) -> None:
-        """Undo `begin_crashing`."""
+        """Stop sending a request that crashes replicas."""
         self._crashing.pop(seed).stop()
 
     def _restart_crashed(self) -> None:
-        """Start the replicas anew that a request has crashed, as the platform does."""
-        with self._restarting:
-            for name in self._plans.keys() - self._given_away:
+        """Replace the replicas that a request has crashed, as the platform does."""
+        with self._restart_lock:
+            for name in self._plans.keys() - self._reassigned:
                 if self.processes[name].poll() == CRASHED:
                     self.replace_replica(name)
 
     def replace_replica(self, name: str) -> None:
-        """End a replica, drop its record, and start it anew."""
-        with self._restarting:
+        """Kill a replica, drop its records, and start it again."""
+        with self._restart_lock:
             self.processes.kill(name)
             self._drop_records_of(name)
             self.processes.restart(name)
 
-    def give_address_away(self, name: str) -> None:
-        """End a replica and let one of another service listen where it listened."""
-        with self._restarting:
-            self._given_away.add(name)
+    def reassign_address(self, name: str) -> None:
+        """Kill a replica and start a replica of another service at its address."""
+        with self._restart_lock:
+            self._reassigned.add(name)
             self.processes.kill(name)
         settings = json.loads((self.folder / f"{name}.jsonc").read_text())
         settings["service"] = _UNROUTED_SERVICE
         self.processes.spawn(f"{name}-stranger", ["standin", "replica"], settings)
 
-    def take_address_back(self, name: str) -> None:
-        """Undo `give_address_away`."""
+    def restore_address(self, name: str) -> None:
+        """Kill the replica of the other service and start the original one."""
         self.processes.kill(f"{name}-stranger")
         self.replace_replica(name)
-        self._given_away.discard(name)
+        self._reassigned.discard(name)
 
     def write_foreign_row(self, instance: str, *, at: str, service: str) -> None:
-        """Write a record that names another service's replica."""
+        """Write a record of a service with the address of another service's replica, `at`."""
         self._removed_rows.discard(instance)
         value = {
             "service": service,
@@ -279,7 +282,7 @@
         self.write_row(names.REPLICA_TABLE, instance, json.dumps(value).encode())
 
     def remove_replica_row(self, instance: str) -> None:
-        """Drop a record."""
+        """Delete the record of a replica."""
         self._removed_rows.add(instance)
         self._transact({"remove": [{"table": names.REPLICA_TABLE, "key": instance}]})
 
@@ -287,17 +290,17 @@
         for instance in {event.instance for event in self._events_of(name)}:
             self.remove_replica_row(instance)
 
-    # What replicas saw.
+    # Observations.
 
     def replica_events(self) -> list[ReplicaEvent]:
-        """All that the replicas saw, killed ones too."""
+        """Return the events of all replicas, including killed ones."""
         return [event for name in self._plans for event in self._events_of(name)]
 
-    def ask_silent_boxes_for_stacks(self) -> list[str]:
-        """Have each box that answers nothing at all write where it stands to its log, and end.
+    def dump_stacks_of_silent_boxes(self) -> list[str]:
+        """Make each box that does not answer write its stacks to its log and exit.
 
         Returns:
-            The names of such boxes.
+            The names of these boxes.
         """
         silent = [box for box in self.shape.boxes if not self._answers(box)]
         for box in silent:
@@ -312,7 +315,7 @@
     def _answers(self, box: str) -> bool:
         url = f"http://{self.readiness[box]}{names.READINESS_PATH}"
         try:
-            urllib3.request("GET", url, timeout=_ANSWERS_WITHIN_S, retries=False)
+            urllib3.request("GET", url, timeout=_READINESS_TIMEOUT_S, retries=False)
         except urllib3.exceptions.HTTPError:
             return False
         return True
--- a/bench/soak/errors.py
+++ b/bench/soak/errors.py
@@ -1,4 +1,4 @@
-"""What makes a soak impossible to start; each error tells what was given and what is allowed."""
+"""Errors in the arguments of the soak; each message states the given and the allowed values."""
 
 from __future__ import annotations
 
@@ -10,35 +10,35 @@
 
 
 class UnknownMechanism(SoakInputError):
-    """A mechanism that no mutation takes out."""
+    """There is no mutation that disables the mechanism."""
 
     def __init__(self, name: str, known: Iterable[str]) -> None:
         super().__init__(f"unknown mechanism {name!r}; known are {', '.join(sorted(known))}")
 
 
 class BadSeed(SoakInputError):
-    """A seed that is no whole number."""
+    """The seed is not a whole number."""
 
     def __init__(self, text: str) -> None:
         super().__init__(f"a seed is a whole number, not {text!r}")
 
 
 class BadMinutes(SoakInputError):
-    """A length that no play can have."""
+    """The length of the play is not a number or out of range."""
 
-    def __init__(self, text: str, *, least: float, most: float) -> None:
-        super().__init__(f"minutes are a number from {least:.2f} to {most:.0f}, not {text!r}")
+    def __init__(self, text: str, *, minimum: float, maximum: float) -> None:
+        super().__init__(f"minutes are a number from {minimum:.2f} to {maximum:.0f}, not {text!r}")
 
 
 class BadBoxes(SoakInputError):
-    """A number of boxes that is no number, or too small."""
+    """The number of boxes is not a whole number or too small."""
 
-    def __init__(self, text: str, *, least: int) -> None:
-        super().__init__(f"boxes are a whole number of at least {least}, not {text!r}")
+    def __init__(self, text: str, *, minimum: int) -> None:
+        super().__init__(f"boxes are a whole number of at least {minimum}, not {text!r}")
 
 
 class TooManyBoxes(SoakInputError):
-    """More processes than half of the machine's memory holds."""
+    """The processes need more than half of the machine's memory."""
 
     def __init__(self, boxes: int, *, needed_mb: int, allowed_mb: int) -> None:
         super().__init__(
@@ -48,14 +48,14 @@
 
 
 class SeedAndReplay(SoakInputError):
-    """Both a seed and a replay were asked for."""
+    """Both `--seed` and `--replay` were given."""
 
     def __init__(self) -> None:
         super().__init__("either --seed or --replay, not both")
 
 
 class BadFolder(SoakInputError):
-    """A folder that cannot be made."""
+    """The folder for the logs of failed seeds cannot be created."""
 
     def __init__(self, path: str, reason: str) -> None:
-        super().__init__(f"nothing can be kept in {path!r}: {reason}")
+        super().__init__(f"cannot create the folder {path!r}: {reason}")
--- a/bench/soak/faults/boxes.py
+++ b/bench/soak/faults/boxes.py
@@ -1,4 +1,4 @@
-"""Faults of the boxes' processes."""
+"""Faults of box processes."""
 
 from __future__ import annotations
 
@@ -6,93 +6,95 @@
 import signal
 
 from bench.soak.deployment import SoakDeployment
-from bench.soak.faults.fault import FAULTS, Fault, some_of
+from bench.soak.faults.fault import FAULTS, Fault, sample_targets
 from bench.soak.shape import STOP_WITHIN_S, Shape
 
 
 class _BoxFault(Fault):
-    """Befalls one box, several or all."""
+    """Affects one or more boxes."""
 
     def targets(self, rng: random.Random, shape: Shape) -> tuple[str, ...]:
-        """Draw what it befalls."""
-        return some_of(rng, shape.boxes)
+        """Draw the targets."""
+        return sample_targets(rng, shape.boxes)
 
     def claims(self, targets: tuple[str, ...]) -> frozenset[str]:
-        """Return what no other fault may befall meanwhile."""
+        """Return the resources that no other fault may affect at the same time."""
         return frozenset(f"box/{target}" for target in targets)
 
 
 @FAULTS.register
 class PausedBox(_BoxFault):
-    """Boxes stand still and wake."""
+    """Pauses boxes and resumes them."""
 
     name = "paused_box"
     weight = 2.0
     longest_s = 5.0
 
     def begin(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it on."""
+        """Start the fault."""
         for box in targets:
             deployment.processes.signal(box, signal.SIGSTOP)
 
     def end(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it off."""
+        """End the fault."""
         for box in targets:
             deployment.processes.signal(box, signal.SIGCONT)
 
 
-class _EndedBox(_BoxFault):
+class _RestartedBox(_BoxFault):
+    """Ends boxes; they start again at the end of the fault."""
+
     def end(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it off."""
+        """End the fault."""
         for box in targets:
             deployment.processes.restart(box)
 
 
 @FAULTS.register
-class KilledBox(_EndedBox):
-    """Boxes are killed and start again."""
+class KilledBox(_RestartedBox):
+    """Kills boxes and starts them again."""
 
     name = "killed_box"
     shortest_s = 0.2
     longest_s = 2.0
 
     def begin(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it on."""
+        """Start the fault."""
         for box in targets:
             deployment.processes.signal(box, signal.SIGKILL)
 
 
 @FAULTS.register
-class StoppedBox(_EndedBox):
-    """Boxes are told to stop, killed if they have not within their time, and start again."""
+class StoppedBox(_RestartedBox):
+    """Asks boxes to stop, kills them if they do not stop in time, and starts them again."""
 
     name = "stopped_box"
     shortest_s = STOP_WITHIN_S
     longest_s = STOP_WITHIN_S + 0.5
 
     def begin(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it on."""
+        """Start the fault."""
         for box in targets:
             deployment.processes.signal(box, signal.SIGTERM)
 
 
 @FAULTS.register
 class EarlierBuild(_BoxFault):
-    """Boxes are killed and come back with the build of the last landing, and then with this one."""
+    """Kills boxes and starts them with the build of the last release, and later with this build."""
 
     name = "earlier_build"
     weight = 0.0
-    drawn_apart = 0.5
-    drawn_after = 2
+    separate_probability = 0.5
+    separate_order = 2
     shortest_s = 4.0
     longest_s = 12.0
 
     def begin(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it on."""
+        """Start the fault."""
         for box in targets:
             deployment.restart_with_earlier_build(box)
 
     def end(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it off."""
+        """End the fault."""
         for box in targets:
             deployment.restart_with_this_build(box)
--- a/bench/soak/faults/configuration.py
+++ b/bench/soak/faults/configuration.py
@@ -1,4 +1,4 @@
-"""What the operator does while all the rest goes on."""
+"""Changes of the configuration while requests and other faults go on."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 from bench.soak.shape import ADAPTERS, Shape
 
 
-class _Change(Fault):
-    """Changes one thing of the configuration and takes it back."""
+class _ConfigurationChange(Fault):
+    """Changes one field of the configuration and reverts it."""
 
     field = ""
-    begun = True
+    changed_value = True
 
     def targets(self, rng: random.Random, shape: Shape) -> tuple[str, ...]:
-        """Draw what it befalls."""
+        """Draw the targets."""
         return (self.field,)
 
     def claims(self, targets: tuple[str, ...]) -> frozenset[str]:
-        """Return what no other fault may befall meanwhile."""
+        """Return the resources that no other fault may affect at the same time."""
         return frozenset(f"configuration/{target}" for target in targets)
 
     def begin(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it on."""
-        deployment.change(**{self.field: self.begun})
+        """Start the fault."""
+        deployment.change(**{self.field: self.changed_value})
 
     def end(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it off."""
-        deployment.change(**{self.field: not self.begun})
+        """End the fault."""
+        deployment.change(**{self.field: not self.changed_value})
 
 
 @FAULTS.register
-class RouteMoved(_Change):
-    """A route goes to another service."""
+class RouteMoved(_ConfigurationChange):
+    """Moves a route to another service."""
 
     name = "route_moved"
     shortest_s = 3.0
@@ -43,20 +43,20 @@
 
 
 @FAULTS.register
-class KeyTakenAway(_Change):
-    """A team loses one of its keys; it lasts past the bound, else nothing could be judged."""
+class KeyRemoved(_ConfigurationChange):
+    """Removes a key of a team, for longer than the bound after which no request with it may run."""
 
     name = "key_taken_away"
     weight = 3.0
     shortest_s = 4.5
     longest_s = 7.0
     field = "goes"
-    begun = False
+    changed_value = False
 
 
 @FAULTS.register
-class QuotaLowered(_Change):
-    """A team's quota is lowered."""
+class QuotaLowered(_ConfigurationChange):
+    """Lowers a team's quota."""
 
     name = "quota_lowered"
     shortest_s = 3.0
@@ -65,26 +65,26 @@
 
 
 @FAULTS.register
-class VersionNamed(Fault):
-    """A new version of an adapter is named, for good."""
+class VersionPublished(Fault):
+    """Publishes a new version of an adapter; this is not reverted."""
 
     name = "version_named"
     shortest_s = 0.2
     longest_s = 0.4
 
     def targets(self, rng: random.Random, shape: Shape) -> tuple[str, ...]:
-        """Draw what it befalls."""
+        """Draw the targets."""
         return (rng.choice(ADAPTERS),)
 
     def claims(self, targets: tuple[str, ...]) -> frozenset[str]:
-        """Return what no other fault may befall meanwhile."""
+        """Return the resources that no other fault may affect at the same time."""
         return frozenset(f"version/{target}" for target in targets)
 
     def begin(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it on."""
+        """Start the fault."""
         for adapter in targets:
             deployment.name_next_version(adapter)
 
     def end(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it off."""
+        """End the fault."""
         return
--- a/bench/soak/faults/fault.py
+++ b/bench/soak/faults/fault.py
@@ -1,4 +1,4 @@
-"""What a fault is, and the list of all that registered themselves."""
+"""The interface of faults, and their registry."""
 
 from __future__ import annotations
 
@@ -11,48 +11,48 @@
 
 
 class Fault(ABC):
-    """One kind of fault, switched on and off from outside the boxes.
+    """A kind of fault, started and ended from outside the boxes.
 
     Attributes:
-        name: Its name in schedules and reports.
-        weight: How often it is drawn, beside others.
-        shortest_s: The least that it lasts.
-        longest_s: The most that it lasts.
-        drawn_apart: If above 0, how likely it is drawn once in a cycle, by a generator of its own,
-            so that it does not change what else a seed draws.
-        drawn_after: Of the faults drawn apart those with a higher number are drawn later, so that
-            one that joins does not change what earlier ones draw.
+        name: The name in schedules and reports.
+        weight: The relative frequency with which the fault is drawn.
+        shortest_s: The shortest duration in seconds.
+        longest_s: The longest duration in seconds.
+        separate_probability: If above 0, the probability that the fault is drawn once in a cycle
+            by a separate random generator, so that it does not change what else a seed draws.
+        separate_order: The order of the separate draws; lower numbers are drawn first. A new fault
+            gets a higher number, so that it does not change the draws of existing ones.
     """
 
     name = ""
     weight = 1.0
     shortest_s = 1.0
     longest_s = 3.0
-    drawn_apart = 0.0
-    drawn_after = 0
+    separate_probability = 0.0
+    separate_order = 0
 
     @abstractmethod
     def targets(self, rng: random.Random, shape: Shape) -> tuple[str, ...]:
-        """Draw what it befalls."""
+        """Draw the targets."""
 
     @abstractmethod
     def claims(self, targets: tuple[str, ...]) -> frozenset[str]:
-        """Return what no other fault may befall meanwhile."""
+        """Return the resources that no other fault may affect at the same time."""
 
     @abstractmethod
     def begin(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it on."""
+        """Start the fault."""
 
     @abstractmethod
     def end(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it off, so that nothing of it is left."""
+        """End the fault and undo all its effects."""
 
 
 FAULTS: Registry[Fault] = Registry()
 
 
-def some_of(rng: random.Random, names: tuple[str, ...]) -> tuple[str, ...]:
-    """Draw one, several or all of some names, in order; one is drawn in half of the cases."""
+def sample_targets(rng: random.Random, names: tuple[str, ...]) -> tuple[str, ...]:
+    """Draw one name in half of the cases, otherwise one or more; return them sorted."""
     if rng.random() < 0.5:
         return (rng.choice(names),)
     return tuple(sorted(rng.sample(names, rng.randint(1, len(names)))))
--- a/bench/soak/faults/links.py
+++ b/bench/soak/faults/links.py
@@ -1,4 +1,4 @@
-"""Faults of the ways between boxes and the store, and between boxes and replicas."""
+"""Faults of the links from boxes to the store, and from boxes to replicas."""
 
 from __future__ import annotations
 
@@ -6,40 +6,40 @@
 from typing import Any
 
 from bench.soak.deployment import SoakDeployment
-from bench.soak.faults.fault import FAULTS, Fault, some_of
+from bench.soak.faults.fault import FAULTS, Fault, sample_targets
 from bench.soak.shape import Shape
 
 _DELAY_S = 0.15
 
 
 class _LinkFault(Fault):
-    """Befalls the ways from some boxes to the store, or those to some replicas."""
+    """Affects the links from some boxes to the store, or those to some replicas."""
 
     fault: dict[str, Any] = {}
 
     def targets(self, rng: random.Random, shape: Shape) -> tuple[str, ...]:
-        """Draw what it befalls."""
+        """Draw the targets."""
         if rng.random() < 0.5:
-            return tuple(f"{box}>store" for box in some_of(rng, shape.boxes))
+            return tuple(f"{box}>store" for box in sample_targets(rng, shape.boxes))
         names = tuple(plan.name for plan in shape.replicas)
-        return tuple(f">{name}" for name in some_of(rng, names))
+        return tuple(f">{name}" for name in sample_targets(rng, names))
 
     def claims(self, targets: tuple[str, ...]) -> frozenset[str]:
-        """Return what no other fault may befall meanwhile."""
+        """Return the resources that no other fault may affect at the same time."""
         return frozenset(f"link/{target}" for target in targets)
 
     def begin(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it on."""
+        """Start the fault."""
         deployment.link_fault(targets, **self.fault)
 
     def end(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it off."""
+        """End the fault."""
         deployment.link_fault(targets)
 
 
 @FAULTS.register
 class LinkDelayed(_LinkFault):
-    """Every block of bytes waits."""
+    """Delays every block of bytes."""
 
     name = "link_delayed"
     fault = {"delay_s": _DELAY_S}
@@ -47,7 +47,7 @@
 
 @FAULTS.register
 class LinkReset(_LinkFault):
-    """Open connections are closed at once and new ones refused."""
+    """Closes open connections and refuses new ones."""
 
     name = "link_reset"
     shortest_s = 0.3
@@ -57,7 +57,7 @@
 
 @FAULTS.register
 class LinkSilent(_LinkFault):
-    """Nothing passes and nothing is closed."""
+    """Passes no bytes, and leaves connections open."""
 
     name = "link_silent"
     longest_s = 4.0
--- a/bench/soak/faults/replicas.py
+++ b/bench/soak/faults/replicas.py
@@ -1,4 +1,4 @@
-"""Faults of replicas, and of what the store says of them."""
+"""Faults of replicas, and of their records in the store."""
 
 from __future__ import annotations
 
@@ -6,63 +6,63 @@
 import signal
 
 from bench.soak.deployment import SoakDeployment
-from bench.soak.faults.fault import FAULTS, Fault, some_of
+from bench.soak.faults.fault import FAULTS, Fault, sample_targets
 from bench.soak.shape import Shape
 
 _CUT_AFTER_EVENTS = 3
-_REST_S = 2.0
+_BACK_OFF_S = 2.0
 _LIMIT_PER_S = 1.5
 _FOREIGN_INSTANCE = "i-foreign"
 
 
 class _ReplicaFault(Fault):
-    """Befalls one replica of a service, several or all."""
+    """Affects one or more replicas of a service."""
 
     services: tuple[str, ...] = ("rosters", "catalog", "language")
 
     def targets(self, rng: random.Random, shape: Shape) -> tuple[str, ...]:
-        """Draw what it befalls."""
-        return some_of(rng, shape.replicas_of(rng.choice(self.services)))
+        """Draw the targets."""
+        return sample_targets(rng, shape.replicas_of(rng.choice(self.services)))
 
     def claims(self, targets: tuple[str, ...]) -> frozenset[str]:
-        """Return what no other fault may befall meanwhile."""
+        """Return the resources that no other fault may affect at the same time."""
         return frozenset(f"replica/{target}" for target in targets)
 
     def end(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it off."""
+        """End the fault."""
         for replica in targets:
             deployment.fault(replica)
 
 
 @FAULTS.register
 class RefusingReplica(_ReplicaFault):
-    """Replicas say that they did not run requests."""
+    """Makes replicas answer that they did not run requests."""
 
     name = "refusing_replica"
     weight = 2.0
 
     def begin(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it on."""
+        """Start the fault."""
         for replica in targets:
             deployment.fault(replica, refuse=True)
 
 
 @FAULTS.register
 class FailingReplica(_ReplicaFault):
-    """Replicas run requests and answer that they failed."""
+    """Makes replicas run requests and answer that they failed."""
 
     name = "failing_replica"
     weight = 2.0
 
     def begin(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it on."""
+        """Start the fault."""
         for replica in targets:
             deployment.fault(replica, fail=True)
 
 
 @FAULTS.register
 class CutStream(_ReplicaFault):
-    """Engines break one stream each in the middle of an event."""
+    """Makes each engine break one stream in the middle of an event."""
 
     name = "cut_stream"
     weight = 3.0
@@ -71,52 +71,52 @@
     services = ("language",)
 
     def begin(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it on."""
+        """Start the fault."""
         for replica in targets:
             deployment.fault(replica, cut_after=_CUT_AFTER_EVENTS)
 
 
 @FAULTS.register
 class PausedReplica(_ReplicaFault):
-    """Replicas stand still and wake."""
+    """Pauses replicas and resumes them."""
 
     name = "paused_replica"
 
     def begin(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it on."""
+        """Start the fault."""
         for replica in targets:
             deployment.processes.signal(replica, signal.SIGSTOP)
 
     def end(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it off."""
+        """End the fault."""
         for replica in targets:
             deployment.processes.signal(replica, signal.SIGCONT)
 
 
-class _EndingReplica(_ReplicaFault):
-    """The platform drops the records of replicas that are gone; then they come back."""
+class _ReplacedReplica(_ReplicaFault):
+    """Ends replicas; at the end of the fault the platform drops their records and replaces them."""
 
     def end(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it off."""
+        """End the fault."""
         for replica in targets:
             deployment.replace_replica(replica)
 
 
 @FAULTS.register
-class CrashedReplica(_EndingReplica):
-    """Replicas are killed and come back as new incarnations at the same address."""
+class CrashedReplica(_ReplacedReplica):
+    """Kills replicas; they are replaced by new instances at the same address."""
 
     name = "crashed_replica"
 
     def begin(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it on."""
+        """Start the fault."""
         for replica in targets:
             deployment.processes.signal(replica, signal.SIGKILL)
 
 
 @FAULTS.register
-class LeavingReplica(_EndingReplica):
-    """Replicas say that they leave, serve on, and end."""
+class LeavingReplica(_ReplacedReplica):
+    """Makes replicas announce that they are leaving and go on serving, and then ends them."""
 
     name = "leaving_replica"
     weight = 2.0
@@ -124,86 +124,86 @@
     longest_s = 6.0
 
     def begin(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it on."""
+        """Start the fault."""
         for replica in targets:
             deployment.fault(replica, leaving=True)
 
 
-class _SpokenFault(_ReplicaFault):
-    """Befalls one replica, which tells of it in its answers only."""
+class _ReportedFault(_ReplicaFault):
+    """Affects one replica, which reports it in the headers of its answers only."""
 
     weight = 0.0
-    drawn_apart = 0.5
-    drawn_after = 1
+    separate_probability = 0.5
+    separate_order = 1
 
     def targets(self, rng: random.Random, shape: Shape) -> tuple[str, ...]:
-        """Draw what it befalls."""
+        """Draw the targets."""
         return (rng.choice(shape.replicas_of(rng.choice(self.services))),)
 
 
 @FAULTS.register
-class LeavingOnlySaid(_SpokenFault, _EndingReplica):
-    """A replica says in its answers that it leaves, while its record stands, and ends."""
+class LeavingOnlyInAnswers(_ReportedFault, _ReplacedReplica):
+    """A replica says in its answers that it is leaving, keeps its record, and then ends."""
 
     name = "leaving_only_said"
     shortest_s = 4.0
     longest_s = 8.0
 
     def begin(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it on."""
+        """Start the fault."""
         for replica in targets:
             deployment.fault(replica, leaving=True, silent=True)
 
 
 @FAULTS.register
-class RestAskedFor(_SpokenFault):
-    """A replica turns requests away and asks for rest each time."""
+class BackOffRequested(_ReportedFault):
+    """A replica refuses requests and asks their box to back off each time."""
 
     name = "rest_asked_for"
     shortest_s = 3.0
     longest_s = 6.0
 
     def begin(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it on."""
+        """Start the fault."""
         for replica in targets:
-            deployment.fault(replica, refuse=True, asks_rest_s=_REST_S)
+            deployment.fault(replica, refuse=True, asks_rest_s=_BACK_OFF_S)
 
 
 @FAULTS.register
-class LimitNamed(_SpokenFault):
-    """A replica names in its answers how many requests a second it takes."""
+class LimitNamed(_ReportedFault):
+    """A replica names a limit of requests a second in its answers."""
 
     name = "limit_named"
-    drawn_after = 2
+    separate_order = 2
     shortest_s = 7.0
     longest_s = 10.0
 
     def begin(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it on."""
+        """Start the fault."""
         for replica in targets:
             deployment.fault(replica, limit_per_s=_LIMIT_PER_S)
 
 
 @FAULTS.register
 class ReusedAddress(_ReplicaFault):
-    """A replica's address is taken by one of a service that no route goes to."""
+    """A replica of a service without routes takes over the address of another one."""
 
     name = "reused_address"
     services = ("rosters", "catalog")
 
     def targets(self, rng: random.Random, shape: Shape) -> tuple[str, ...]:
-        """Draw what it befalls."""
+        """Draw the targets."""
         return (rng.choice(shape.replicas_of(rng.choice(self.services))),)
 
     def begin(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it on."""
+        """Start the fault."""
         for replica in targets:
-            deployment.give_address_away(replica)
+            deployment.reassign_address(replica)
 
     def end(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it off."""
+        """End the fault."""
         for replica in targets:
-            deployment.take_address_back(replica)
+            deployment.restore_address(replica)
 
 
 @FAULTS.register
@@ -214,17 +214,17 @@
     services = ("language",)
 
     def targets(self, rng: random.Random, shape: Shape) -> tuple[str, ...]:
-        """Draw what it befalls."""
+        """Draw the targets."""
         return (rng.choice(shape.replicas_of("language")),)
 
     def claims(self, targets: tuple[str, ...]) -> frozenset[str]:
-        """Return what no other fault may befall meanwhile."""
+        """Return the resources that no other fault may affect at the same time."""
         return frozenset({"foreign_row"})
 
     def begin(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it on."""
+        """Start the fault."""
         deployment.write_foreign_row(_FOREIGN_INSTANCE, at=targets[0], service="rosters")
 
     def end(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Switch it off."""
+        """End the fault."""
         deployment.remove_replica_row(_FOREIGN_INSTANCE)
--- a/bench/soak/faults/requests.py
+++ b/bench/soak/faults/requests.py
@@ -1,4 +1,4 @@
-"""Faults that callers bring."""
+"""Faults that callers cause."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 
 @FAULTS.register
 class CrashingRequest(Fault):
-    """A request crashes each replica that begins to run it, and comes again at any box."""
+    """A request that crashes each replica that begins to run it, sent repeatedly to any box."""
 
     name = "crashing_request"
     weight = 0.0
-    drawn_apart = 0.5
+    separate_probability = 0.5
     shortest_s = 7.0
     longest_s = 14.0
 
     def targets(self, rng: random.Random, shape: Shape) -> tuple[str, ...]:
-        """Draw its route, and what tells it from others."""
+        """Draw the route and an identifier that is unique to this request."""
         return (rng.choice(sorted(SERVICE_OF_ROUTE)), f"{rng.randrange(10**6):06}")
 
     def claims(self, targets: tuple[str, ...]) -> frozenset[str]:
-        """Return what no other fault may befall meanwhile."""
+        """Return the resources that no other fault may affect at the same time."""
         return frozenset({f"request/{targets[1]}"})
 
     def begin(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Begin to send it."""
+        """Start to send the request repeatedly."""
         deployment.begin_crashing(*targets)
 
     def end(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
-        """Send it no more."""
+        """Stop sending the request."""
         deployment.end_crashing(targets[1])
--- a/bench/soak/interrupts.py
+++ b/bench/soak/interrupts.py
@@ -1,4 +1,4 @@
-"""Signals that end the soak, held back while a process is started that must then be ended, too."""
+"""Signals that end the soak, deferred while it starts a process, so that none is left running."""
 
 from __future__ import annotations
 
@@ -9,40 +9,40 @@
 
 
 class Interrupted(BaseException):
-    """The soak was told to stop."""
+    """A signal asked the soak to stop."""
 
 
 class Interrupts:
-    """Raises `Interrupted` once in the main thread, when a signal comes or as soon as it may."""
+    """Raises `Interrupted` once in the main thread, on a signal or when its deferral ends."""
 
     def __init__(self) -> None:
-        self._held = False
+        self._deferring = False
         self._pending = False
         self._raised = False
 
     def listen(self) -> None:
-        """Take over the signals that end a program."""
+        """Install the handlers of SIGINT and SIGTERM."""
         for number in (signal.SIGINT, signal.SIGTERM):
-            signal.signal(number, self._record)
+            signal.signal(number, self._handle_signal)
 
     @contextmanager
-    def held(self) -> Iterator[None]:
-        """Hold interrupts back."""
-        self._held = True
+    def deferred(self) -> Iterator[None]:
+        """Defer interrupts within the context."""
+        self._deferring = True
         try:
             yield
         finally:
-            self._held = False
+            self._deferring = False
         if self._pending:
             self._raise()
 
-    def _record(self, *_: Any) -> None:
+    def _handle_signal(self, *_: Any) -> None:
         self._pending = True
-        if not self._held:
+        if not self._deferring:
             self._raise()
 
     def _raise(self) -> None:
-        """Raise once: what is ended after that is not interrupted again."""
+        """Raise the first time only, so that the clean-up after it is not interrupted."""
         self._pending = False
         if not self._raised:
             self._raised = True
--- a/bench/soak/judges/__init__.py
+++ b/bench/soak/judges/__init__.py
@@ -1,4 +1,4 @@
-"""The judges of a soak. A module here holds classes that register themselves; import it below."""
+"""The judges of a soak. The classes register themselves when their module is imported below."""
 
 from __future__ import annotations
 
--- a/bench/soak/judges/answers.py
+++ b/bench/soak/judges/answers.py
@@ -1,4 +1,4 @@
-"""Promises on answers: whole, one's own, exactly continued."""
+"""Judges of promises about answers: complete, of the right request, and exactly resumed."""
 
 from __future__ import annotations
 
@@ -9,54 +9,54 @@
 
 @JUDGES.register
 class OwnWholeAnswer(Judge):
-    """Compares each success with the one answer that its request can have."""
+    """Compares each success with the only correct answer to its request."""
 
     name = "own_whole_answer"
-    promise = "a success is the whole answer of a replica to this very request"
+    promise = "a success is the complete answer of a replica to this very request"
 
-    def judge(self, seen: Observations) -> Verdict:
-        """Judge a play."""
-        attempts = [attempt for attempt in seen.attempts if attempt.status == 200]
+    def judge(self, observations: Observations) -> Verdict:
+        """Check the promise against the observations of one play."""
+        attempts = [attempt for attempt in observations.attempts if attempt.status == 200]
         findings = [
             Finding(at=attempt.ended_at, request_id=attempt.request_id, text=text)
             for attempt in attempts
-            if (text := _fault_of(attempt))
+            if (text := _mismatch_of(attempt))
         ]
         return Verdict(looked_at=len(attempts), findings=findings)
 
 
-def _fault_of(attempt: Attempt) -> str:
+def _mismatch_of(attempt: Attempt) -> str:
     if attempt.seal != f"seal-of-{attempt.request_id}":
-        return f"sealed {attempt.seal!r}"
+        return f"has seal {attempt.seal!r}"
     if attempt.echoed_id != attempt.request_id:
-        return f"names request {attempt.echoed_id!r}"
-    if attempt.route in STREAMS or not attempt.whole:
+        return f"has request id {attempt.echoed_id!r}"
+    if attempt.route in STREAMS or not attempt.is_complete:
         return ""
     expected = f"POST /{attempt.route}/{attempt.request_id} 5".encode()
-    return "" if attempt.body == expected else f"body {attempt.body[:60]!r}"
+    return "" if attempt.body == expected else f"has body {attempt.body[:60]!r}"
 
 
 @JUDGES.register
 class ExactContinuation(Judge):
-    """Reads the numbers of the events of each stream."""
+    """Checks the event numbers of each stream."""
 
     name = "exact_continuation"
-    promise = "a stream has each event once and in order, and is whole if it ends as whole"
+    promise = "a stream has each event once and in order, and all events if it ends normally"
 
-    def judge(self, seen: Observations) -> Verdict:
-        """Judge a play."""
+    def judge(self, observations: Observations) -> Verdict:
+        """Check the promise against the observations of one play."""
         attempts = [
             attempt
-            for attempt in seen.attempts
+            for attempt in observations.attempts
             if attempt.status == 200 and attempt.route in STREAMS
         ]
         findings = []
         for attempt in attempts:
             ids = event_ids(attempt.body)
             if ids != list(range(1, len(ids) + 1)):
-                text = f"events {ids}"
-            elif attempt.whole and len(ids) != STREAM_EVENTS:
-                text = f"ends as whole after {len(ids)} of {STREAM_EVENTS} events"
+                text = f"has events {ids}"
+            elif attempt.is_complete and len(ids) != STREAM_EVENTS:
+                text = f"ends normally after {len(ids)} of {STREAM_EVENTS} events"
             else:
                 continue
             findings.append(Finding(at=attempt.ended_at, request_id=attempt.request_id, text=text))
@@ -64,6 +64,6 @@
 
 
 def event_ids(body: bytes) -> list[int]:
-    """Return the numbers of the whole events of a stream."""
-    whole, _, _ = body.rpartition(b"\n\n")
-    return [int(line[4:]) for line in whole.split(b"\n") if line.startswith(b"id: ")]
+    """Return the numbers of the complete events of a stream."""
+    complete, _, _ = body.rpartition(b"\n\n")
+    return [int(line[4:]) for line in complete.split(b"\n") if line.startswith(b"id: ")]
--- a/bench/soak/judges/crashes.py
+++ b/bench/soak/judges/crashes.py
@@ -1,53 +1,57 @@
-"""The promise on requests that crash the replicas that run them."""
+"""The judge of the promise about requests that crash the replicas that run them."""
 
 from __future__ import annotations
 
 from collections import defaultdict
 
 from bench.soak.judges.judge import JUDGES, Finding, Judge, Verdict
-from bench.soak.observations import Observations, touches_knowledge
+from bench.soak.observations import Observations, delays_updates
 from springrock.emulator.replica_events import ReplicaEvent
 
-CRASHES = 3
-KNOWN_AFTER_S = 3.0
-"""So long after the last of these crashes every box must know, but for what keeps news from it."""
+QUARANTINE_CRASHES = 3
+QUARANTINE_APPLY_S = 3.0
+"""Seconds after the last of these crashes until every box must quarantine the request. Faults that
+delay updates extend this time."""
 
-ALLOWED = 3
-"""So many runs more are allowed: a box that saw a crash may end before it has told of it."""
+EXTRA_RUNS = 3
+"""Further runs that are tolerated, as a box that saw a crash may end before it reports it."""
 
 
 @JUDGES.register
 class CrashingRequestStops(Judge):
-    """Counts the runs of requests that crash replicas, each of which ends one."""
+    """Counts the runs of requests that crash replicas; each run ends one replica."""
 
     name = "crashing_request_stops"
     promise = (
-        f"a request under which {CRASHES} replicas ended is sent to {ALLOWED} more at most, "
-        f"once {KNOWN_AFTER_S} s are over"
+        f"a request that has crashed {QUARANTINE_CRASHES} replicas is sent to at most {EXTRA_RUNS} "
+        f"more, counted from {QUARANTINE_APPLY_S} s after the last of these crashes"
     )
 
-    def judge(self, seen: Observations) -> Verdict:
-        """Judge a play."""
+    def judge(self, observations: Observations) -> Verdict:
+        """Check the promise against the observations of one play."""
         runs: dict[str, list[ReplicaEvent]] = defaultdict(list)
-        for attempt, ran in seen.asked_runs():
-            if attempt.of_request:
-                runs[attempt.of_request] += ran
+        for attempt, ran in observations.attempted_runs():
+            if attempt.repeated_path:
+                runs[attempt.repeated_path] += ran
         findings = []
-        for path, of_request in runs.items():
-            late = _late(sorted(of_request, key=lambda run: run.at), seen)
-            if len(late) > ALLOWED:
-                text = f"{path} ran {len(late)} times more; {len(of_request)} runs in all"
-                findings.append(Finding(at=late[ALLOWED].at, text=text))
+        for path, path_runs in runs.items():
+            late_runs = _late_runs(sorted(path_runs, key=lambda run: run.at), observations)
+            if len(late_runs) > EXTRA_RUNS:
+                text = (
+                    f"{path} ran {len(late_runs)} times after the bound, {len(path_runs)} in total"
+                )
+                findings.append(Finding(at=late_runs[EXTRA_RUNS].at, text=text))
         return Verdict(looked_at=sum(len(ran) for ran in runs.values()), findings=findings)
 
 
-def _late(runs: list[ReplicaEvent], seen: Observations) -> list[ReplicaEvent]:
-    """Return the runs that came after every box must have known."""
-    if len(runs) <= CRASHES:
+def _late_runs(runs: list[ReplicaEvent], observations: Observations) -> list[ReplicaEvent]:
+    """Return the runs after the time at which every box must quarantine the request."""
+    if len(runs) <= QUARANTINE_CRASHES:
         return []
-    third_at = runs[CRASHES - 1].at
+    limit_reached_at = runs[QUARANTINE_CRASHES - 1].at
     return [
         run
-        for run in runs[CRASHES:]
-        if run.at - third_at > KNOWN_AFTER_S + seen.disturbed_s(third_at, run.at, touches_knowledge)
+        for run in runs[QUARANTINE_CRASHES:]
+        if run.at - limit_reached_at
+        > QUARANTINE_APPLY_S + observations.disturbed_s(limit_reached_at, run.at, delays_updates)
     ]
--- a/bench/soak/judges/judge.py
+++ b/bench/soak/judges/judge.py
@@ -1,4 +1,4 @@
-"""What a judge is, and the list of all that registered themselves."""
+"""The interface of judges, and their registry."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
     """One breach of a promise.
 
     Attributes:
-        at: When, on the machine's steady clock.
-        request_id: The request; empty if it is not of one.
-        text: What was seen and what was promised.
+        at: When it happened, on the machine's monotonic clock.
+        text: What was observed and, where it helps, what was expected.
+        request_id: The request; empty if no single request is concerned.
     """
 
     at: float
@@ -25,11 +25,11 @@
 
 
 class Verdict(Struct, frozen=True, kw_only=True):
-    """What a judge found.
+    """The result of one judge.
 
     Attributes:
-        looked_at: How many things it judged.
-        findings: What broke the promise.
+        looked_at: Number of checked items, such as requests, runs or windows.
+        findings: Breaches of the promise.
     """
 
     looked_at: int
@@ -37,19 +37,19 @@
 
 
 class Judge(ABC):
-    """Judges one promise by what callers and replicas saw, never by a box's own word.
+    """Checks one promise by what callers and replicas observed, never by what boxes report.
 
     Attributes:
-        name: Its name in reports.
-        promise: What is promised, in a sentence.
+        name: The name in reports.
+        promise: The promise, in a sentence.
     """
 
     name = ""
     promise = ""
 
     @abstractmethod
-    def judge(self, seen: Observations) -> Verdict:
-        """Judge a play."""
+    def judge(self, observations: Observations) -> Verdict:
+        """Check the promise against the observations of one play."""
 
 
 JUDGES: Registry[Judge] = Registry()
--- a/bench/soak/judges/placement.py
+++ b/bench/soak/judges/placement.py
@@ -1,37 +1,37 @@
-"""Promises on adapters, places, services and replicas that leave."""
+"""Judges of promises about adapters, their slots, services and leaving replicas."""
 
 from __future__ import annotations
 
 from bench.soak.judges.judge import JUDGES, Finding, Judge, Verdict
-from bench.soak.observations import Observations, holds_attempt, touches_knowledge
+from bench.soak.observations import Observations, delays_attempt, delays_updates
 from bench.soak.shape import SERVICE_OF_ROUTE
 from springrock.emulator.replica_events import ReplicaEvent, ReplicaEventKind
 
-DRAIN_BOUND_S = 2.5
-"""So long after a replica's leaving is acknowledged it may get new work yet."""
+LEAVING_APPLY_S = 2.5
+"""Seconds after its leaving is acknowledged in which a replica may still get new requests."""
 
 UNLOADED_IN_USE = "unloaded_in_use"
 
-ORDER_WAY_S = 0.1
-"""An order that is on its way for so long may meet a run that was not granted yet when it was
-given; engines let such runs end first."""
+ORDER_TRANSIT_S = 0.1
+"""The most time that an order takes to an engine. A run that is granted in this time may cross an
+unload; engines let such runs end first."""
 
-APPLY_BOUND_S = 5.0
-"""So long after it is acknowledged a configuration may not be in force yet."""
+CONFIGURATION_APPLY_S = 5.0
+"""Seconds after its acknowledgement until a configuration must be in force."""
 
 
 @JUDGES.register
 class RightAdapter(Judge):
-    """Compares the adapter that a request ran on with the one that it asked for."""
+    """Compares the adapter that a request ran on with the one it asked for."""
 
     name = "right_adapter"
     promise = "a request runs on the adapter that it names"
 
-    def judge(self, seen: Observations) -> Verdict:
-        """Judge a play."""
+    def judge(self, observations: Observations) -> Verdict:
+        """Check the promise against the observations of one play."""
         looked_at = 0
         findings = []
-        for attempt, runs in seen.asked_runs():
+        for attempt, runs in observations.attempted_runs():
             if not attempt.adapter:
                 continue
             looked_at += len(runs)
@@ -49,110 +49,117 @@
 
 @JUDGES.register
 class NewestVersion(Judge):
-    """Looks for runs on a version older than one that was named long enough before."""
+    """Looks for runs on a version older than the one that must be in force."""
 
     name = "newest_version"
-    promise = "a request runs on no older version than was named in time"
+    promise = "a request runs on no older version than the one that must be in force"
 
-    def judge(self, seen: Observations) -> Verdict:
-        """Judge a play."""
+    def judge(self, observations: Observations) -> Verdict:
+        """Check the promise against the observations of one play."""
         looked_at = 0
         findings = []
-        for named in seen.versions:
-            for attempt in seen.attempts:
-                if attempt.adapter != named.adapter:
+        for published in observations.versions:
+            for attempt in observations.attempts:
+                if attempt.adapter != published.adapter:
                     continue
-                if attempt.sent_at < named.acknowledged_at + APPLY_BOUND_S:
+                if attempt.sent_at < published.acknowledged_at + CONFIGURATION_APPLY_S:
                     continue
-                late_s = seen.disturbed_s(named.acknowledged_at, attempt.sent_at, touches_knowledge)
-                if attempt.sent_at < named.acknowledged_at + APPLY_BOUND_S + late_s:
+                late_s = observations.disturbed_s(
+                    published.acknowledged_at, attempt.sent_at, delays_updates
+                )
+                if attempt.sent_at < published.acknowledged_at + CONFIGURATION_APPLY_S + late_s:
                     continue
-                runs = seen.runs_of.get(attempt.request_id, [])
+                runs = observations.runs_of.get(attempt.request_id, [])
                 looked_at += len(runs)
                 findings += [
                     Finding(
                         at=run.at,
                         request_id=attempt.request_id,
-                        text=f"ran on {run.adapter}@{run.version}, {named.version} was named",
+                        text=f"ran on {run.adapter}@{run.version}, must be {published.version}",
                     )
                     for run in runs
-                    if run.version < named.version
+                    if run.version < published.version
                 ]
         return Verdict(looked_at=looked_at, findings=findings)
 
 
 @JUDGES.register
-class NoHarmAtEngines(Judge):
-    """Takes the engines' own count of what must not be asked of them."""
+class NoViolationAtEngines(Judge):
+    """Collects the violations that engines recorded, apart from unloads that crossed a run."""
 
     name = "no_harm_at_engines"
-    promise = "no adapter is unloaded under a run, no place is overbooked, no key is passed on"
+    promise = "no adapter is unloaded during a run, no slot is overbooked, no key is forwarded"
 
-    def judge(self, seen: Observations) -> Verdict:
-        """Judge a play."""
-        findings = [_harm(event) for event in _violations(seen) if not _crosses_a_run(event)]
-        return Verdict(looked_at=len(seen.replica_events), findings=findings)
+    def judge(self, observations: Observations) -> Verdict:
+        """Check the promise against the observations of one play."""
+        findings = [
+            _finding_of(event) for event in _violations(observations) if not _crosses_run(event)
+        ]
+        return Verdict(looked_at=len(observations.replica_events), findings=findings)
 
 
 @JUDGES.register
 class NoUnloadCrossesARun(Judge):
-    """Takes the engines' count of unloads that came just after a run had begun."""
+    """Collects the unloads that arrived at an engine just after a run had begun."""
 
     name = "no_unload_crosses_a_run"
-    promise = "no unload is on its way to an engine while a run of that adapter is sent there"
+    promise = "no unload is in flight to an engine while a request for that adapter is sent there"
 
-    def judge(self, seen: Observations) -> Verdict:
-        """Judge a play."""
-        findings = [_harm(event) for event in _violations(seen) if _crosses_a_run(event)]
-        return Verdict(looked_at=len(seen.replica_events), findings=findings)
+    def judge(self, observations: Observations) -> Verdict:
+        """Check the promise against the observations of one play."""
+        findings = [
+            _finding_of(event) for event in _violations(observations) if _crosses_run(event)
+        ]
+        return Verdict(looked_at=len(observations.replica_events), findings=findings)
 
 
-def _violations(seen: Observations) -> list[ReplicaEvent]:
+def _violations(observations: Observations) -> list[ReplicaEvent]:
     return [
         event
-        for event in seen.replica_events
-        if event.kind is ReplicaEventKind.VIOLATION and not _is_of_a_silent_box(seen, event)
+        for event in observations.replica_events
+        if event.kind is ReplicaEventKind.VIOLATION
+        and not _is_of_disturbed_box(observations, event)
     ]
 
 
-def _crosses_a_run(event: ReplicaEvent) -> bool:
-    return event.detail == UNLOADED_IN_USE and event.age_s <= ORDER_WAY_S
+def _crosses_run(event: ReplicaEvent) -> bool:
+    return event.detail == UNLOADED_IN_USE and event.age_s <= ORDER_TRANSIT_S
 
 
-def _is_of_a_silent_box(seen: Observations, event: ReplicaEvent) -> bool:
-    """Whether a run is of a box that was killed, stopped or paused meanwhile, or had ended it.
+def _is_of_disturbed_box(observations: Observations, event: ReplicaEvent) -> bool:
+    """Whether the run's box was killed, stopped or paused meanwhile, or had ended the run itself.
 
-    Such a box tells no placer that it uses an adapter; engines let its runs end first, and notice
-    late that their caller has gone.
+    Such a box does not report to the placer that it uses an adapter. Engines let its runs end
+    first, and notice late that the caller is gone.
     """
-    attempt = seen.attempt_of.get(event.request_id)
+    attempt = observations.attempt_of.get(event.request_id)
     if attempt is None:
         return False
     return attempt.ended_at <= event.at or any(
-        f"box/{attempt.box}" in span.holds
-        for span in seen.spans
+        f"box/{attempt.box}" in span.claimed
+        for span in observations.spans
         if span.began_at < event.at and span.ended_at > attempt.sent_at
     )
 
 
-def _harm(event: ReplicaEvent) -> Finding:
-    text = f"{event.detail} at {event.instance}, under a run of {event.age_s:.3f} s"
+def _finding_of(event: ReplicaEvent) -> Finding:
+    text = f"{event.detail} at {event.instance}, during a run of {event.age_s:.3f} s"
     return Finding(at=event.at, request_id=event.request_id, text=text)
 
 
 @JUDGES.register
 class RightService(Judge):
-    """Compares where requests ran with what configurations allow, the newest in time."""
+    """Compares the services that ran requests with the configurations that may be in force."""
 
     name = "right_service"
-    promise = "a request runs at a service that its route goes to, or went to a moment ago"
+    promise = "a request runs at a service that its route leads to, or led to until a moment ago"
 
-    def judge(self, seen: Observations) -> Verdict:
-        """Judge a play."""
+    def judge(self, observations: Observations) -> Verdict:
+        """Check the promise against the observations of one play."""
         looked_at = 0
         findings = []
-        for attempt, runs in seen.asked_runs():
-            allowed = _services_allowed(seen, attempt.route, attempt.sent_at, runs[-1].at)
+        for attempt, runs in observations.attempted_runs():
+            allowed = _services_allowed(observations, attempt.route, attempt.sent_at, runs[-1].at)
             looked_at += len(runs)
             findings += [
                 Finding(
@@ -166,17 +173,21 @@
         return Verdict(looked_at=looked_at, findings=findings)
 
 
-def _services_allowed(seen: Observations, route: str, sent_at: float, ran_at: float) -> set[str]:
-    """Return the services of all configurations that may be in force for a request."""
+def _services_allowed(
+    observations: Observations, route: str, sent_at: float, ran_at: float
+) -> set[str]:
+    """Return the services of all configurations that may be in force for the request."""
     if route in SERVICE_OF_ROUTE:
         return {SERVICE_OF_ROUTE[route]}
     allowed = set()
-    for change, following in zip(seen.changes, [*seen.changes[1:], None], strict=True):
+    for change, following in zip(
+        observations.changes, [*observations.changes[1:], None], strict=True
+    ):
         if change.began_at > ran_at:
             continue
         if following is not None:
-            ends_at = following.acknowledged_at + APPLY_BOUND_S
-            late_s = seen.disturbed_s(following.acknowledged_at, sent_at, touches_knowledge)
+            ends_at = following.acknowledged_at + CONFIGURATION_APPLY_S
+            late_s = observations.disturbed_s(following.acknowledged_at, sent_at, delays_updates)
             if ends_at + late_s < sent_at:
                 continue
         allowed.add(change.configured.service_of(route))
@@ -185,32 +196,34 @@
 
 @JUDGES.register
 class LeavingGetsNothingNew(Judge):
-    """Looks for arrivals at replicas that had long said that they leave."""
+    """Looks for new requests at replicas whose leaving was acknowledged earlier than the bound."""
 
     name = "leaving_gets_nothing_new"
-    promise = f"a replica gets no new work {DRAIN_BOUND_S} s after its leaving was acknowledged"
+    promise = (
+        f"a replica gets no new request {LEAVING_APPLY_S} s after its leaving was acknowledged"
+    )
 
-    def judge(self, seen: Observations) -> Verdict:
-        """Judge a play."""
+    def judge(self, observations: Observations) -> Verdict:
+        """Check the promise against the observations of one play."""
         leaving = {
             event.instance: event.at
-            for event in seen.replica_events
+            for event in observations.replica_events
             if event.kind is ReplicaEventKind.LEAVING_ACKNOWLEDGED
         }
         looked_at = 0
         findings = []
-        for event in seen.replica_events:
+        for event in observations.replica_events:
             if event.kind is not ReplicaEventKind.RAN or event.instance not in leaving:
                 continue
-            attempt = seen.attempt_of.get(event.request_id)
+            attempt = observations.attempt_of.get(event.request_id)
             if attempt is None or event.first_event > 1:
                 continue
             looked_at += 1
             since = leaving[event.instance]
-            late_s = seen.disturbed_s(since, event.at, touches_knowledge)
-            late_s += seen.disturbed_s(attempt.sent_at, event.at, holds_attempt(attempt))
+            late_s = observations.disturbed_s(since, event.at, delays_updates)
+            late_s += observations.disturbed_s(attempt.sent_at, event.at, delays_attempt(attempt))
             over_s = event.at - since - late_s
-            if over_s > DRAIN_BOUND_S:
-                text = f"{event.instance} ran it {over_s:.1f} s after its leaving, undisturbed"
+            if over_s > LEAVING_APPLY_S:
+                text = f"{event.instance} ran it {over_s:.1f} undisturbed s after its leaving"
                 findings.append(Finding(at=event.at, request_id=event.request_id, text=text))
         return Verdict(looked_at=looked_at, findings=findings)
--- a/bench/soak/judges/runs.py
+++ b/bench/soak/judges/runs.py
@@ -1,4 +1,4 @@
-"""Promises on how often requests run, and on what a refusal says of that."""
+"""Judges of promises about how often requests run, and about refusals that exclude a run."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
     name = "at_most_once"
     promise = "a request that is not repeatable runs at most once"
 
-    def judge(self, seen: Observations) -> Verdict:
-        """Judge a play."""
-        attempts = [attempt for attempt in seen.attempts if not attempt.repeatable]
+    def judge(self, observations: Observations) -> Verdict:
+        """Check the promise against the observations of one play."""
+        attempts = [attempt for attempt in observations.attempts if not attempt.repeatable]
         findings = []
         for attempt in attempts:
-            runs = seen.runs_of.get(attempt.request_id, [])
+            runs = observations.runs_of.get(attempt.request_id, [])
             if len(runs) > 1:
                 places = ", ".join(run.instance for run in runs)
                 text = f"a request on {attempt.route} ran {len(runs)} times, at {places}"
@@ -34,17 +34,17 @@
 
 @JUDGES.register
 class NotRunIsTrue(Judge):
-    """Looks for runs of requests that a box refused with a promise."""
+    """Looks for runs of requests of which a box promised that they do not run."""
 
     name = "not_run_is_true"
     promise = "a request that a box answers with 503, 429, 408 or 421 never runs"
 
-    def judge(self, seen: Observations) -> Verdict:
-        """Judge a play."""
-        attempts = [attempt for attempt in seen.attempts if attempt.promised_not_run]
+    def judge(self, observations: Observations) -> Verdict:
+        """Check the promise against the observations of one play."""
+        attempts = [attempt for attempt in observations.attempts if attempt.promised_not_run]
         findings = []
         for attempt in attempts:
-            runs = seen.runs_of.get(attempt.request_id, [])
+            runs = observations.runs_of.get(attempt.request_id, [])
             if runs:
                 text = f"answered {attempt.status} by {attempt.box}, ran at {runs[0].instance}"
                 findings.append(Finding(at=runs[0].at, request_id=attempt.request_id, text=text))
@@ -52,73 +52,74 @@
 
 
 @JUDGES.register
-class NothingUnasked(Judge):
-    """Looks for runs of requests that no caller sent, or sent otherwise."""
+class NothingUnrequested(Judge):
+    """Looks for runs of requests that no caller sent, or that were changed on the way."""
 
     name = "nothing_unasked"
     promise = "replicas run only what callers sent, unchanged"
 
-    def judge(self, seen: Observations) -> Verdict:
-        """Judge a play."""
+    def judge(self, observations: Observations) -> Verdict:
+        """Check the promise against the observations of one play."""
         findings = []
-        for request_id, runs in seen.runs_of.items():
-            attempt = seen.attempt_of.get(request_id)
+        for request_id, runs in observations.runs_of.items():
+            attempt = observations.attempt_of.get(request_id)
             expected = "" if attempt is None else attempt.path
             findings += [
                 Finding(at=run.at, request_id=request_id, text=f"ran as {run.path!r}")
                 for run in runs
                 if attempt is None or run.path != expected
             ]
-        return Verdict(looked_at=len(seen.runs_of), findings=findings)
+        return Verdict(looked_at=len(observations.runs_of), findings=findings)
 
 
 @JUDGES.register
 class RetryBudgetHolds(Judge):
-    """Counts, in every window, arrivals past the first of each request against the budget."""
+    """Compares repeated arrivals of requests in every window with the retry budget."""
 
     name = "retry_budget"
-    promise = "all boxes together stay within each service's budget of retries"
+    promise = "all boxes together stay within each service's retry budget"
 
-    def judge(self, seen: Observations) -> Verdict:
-        """Judge a play."""
-        services = {event.service for event in seen.replica_events}
-        verdicts = [self._judge_service(seen, service) for service in sorted(services)]
+    def judge(self, observations: Observations) -> Verdict:
+        """Check the promise against the observations of one play."""
+        services = {event.service for event in observations.replica_events}
+        verdicts = [self._judge_service(observations, service) for service in sorted(services)]
         return Verdict(
             looked_at=sum(verdict.looked_at for verdict in verdicts),
             findings=[finding for verdict in verdicts for finding in verdict.findings],
         )
 
-    def _judge_service(self, seen: Observations, service: str) -> Verdict:
+    def _judge_service(self, observations: Observations, service: str) -> Verdict:
         arrivals = sorted(
             (event.at, event.request_id)
-            for event in seen.replica_events
+            for event in observations.replica_events
             if event.service == service and event.kind in _ARRIVALS
         )
-        again: list[float] = []
-        known: set[str] = set()
+        repeats: list[float] = []
+        arrived_ids: set[str] = set()
         for at, request_id in arrivals:
-            if request_id in known:
-                again.append(at)
-            known.add(request_id)
+            if request_id in arrived_ids:
+                repeats.append(at)
+            arrived_ids.add(request_id)
         sent = sorted(
             attempt.sent_at
-            for attempt in seen.attempts
+            for attempt in observations.attempts
             if any(
-                change.configured.service_of(attempt.route) == service for change in seen.changes
+                change.configured.service_of(attempt.route) == service
+                for change in observations.changes
             )
         )
         findings = []
-        for number, start in enumerate(again):
-            count = bisect_right(again, start + RETRY_WINDOW_S) - number
+        for number, start in enumerate(repeats):
+            count = bisect_right(repeats, start + RETRY_WINDOW_S) - number
             allowed = RETRY_RATIO * _requests_for(sent, start) + RETRY_ALLOWANCE
-            if count > allowed + RETRY_RATIO * seen.paused_s(start, start + RETRY_WINDOW_S):
+            if count > allowed + RETRY_RATIO * observations.paused_s(start, start + RETRY_WINDOW_S):
                 text = f"{service}: {count} repeats in {RETRY_WINDOW_S} s, {allowed:.1f} allowed"
                 findings.append(Finding(at=start, text=text))
-        return Verdict(looked_at=len(again), findings=findings[:1])
+        return Verdict(looked_at=len(repeats), findings=findings[:1])
 
 
 def _requests_for(sent: list[float], start: float) -> int:
-    """Return the requests of the window, or of one before it or half before, whichever is most."""
+    """Return the most requests in this window or in one that begins half or one window earlier."""
     shifts = (0.0, RETRY_WINDOW_S / 2, RETRY_WINDOW_S)
     return max(
         bisect_right(sent, start - shift + RETRY_WINDOW_S) - bisect_left(sent, start - shift)
--- a/bench/soak/mechanisms.py
+++ b/bench/soak/mechanisms.py
@@ -1,7 +1,7 @@
-"""Mechanisms that a soak can take out of its boxes, to show that it finds what they are for.
+"""Mechanisms that a soak can disable in its boxes, to show that it detects what they prevent.
 
 Each function patches the running program; only `bench.soak.mutant` calls them. The product has no
-such switch.
+switch to disable these mechanisms.
 """
 
 from __future__ import annotations
@@ -10,10 +10,10 @@
 from typing import Any
 
 MECHANISMS: dict[str, Callable[[], None]] = {}
-"""The patches by the name of the mechanism that each takes out."""
+"""The patches, by the name of the mechanism that each one disables."""
 
 
-def _takes_out(name: str) -> Callable[[Callable[[], None]], Callable[[], None]]:
+def _disables(name: str) -> Callable[[Callable[[], None]], Callable[[], None]]:
     def _register(patch: Callable[[], None]) -> Callable[[], None]:
         MECHANISMS[name] = patch
         return patch
@@ -24,64 +24,64 @@
 def _drop_header(header: str) -> None:
     from springrock.platform.dialect import PlatformDialect
 
-    whole = PlatformDialect.request_headers
+    original = PlatformDialect.request_headers
 
     def _without(self: Any, request: Any, terms: Any) -> Any:
-        return whole(self, request, terms).without((header,))
+        return original(self, request, terms).without((header,))
 
     PlatformDialect.request_headers = _without  # type: ignore[method-assign]
 
 
-@_takes_out("expected_instance")
-def _send_no_expected_instance() -> None:
+@_disables("expected_instance")
+def _omit_expected_instance() -> None:
     from springrock.platform import names
 
     _drop_header(names.EXPECT_INSTANCE)
 
 
-@_takes_out("event_offsets")
-def _resume_from_the_start() -> None:
+@_disables("event_offsets")
+def _omit_event_offsets() -> None:
     from springrock.platform import names
 
     _drop_header(names.LAST_EVENT_ID)
 
 
-@_takes_out("store_eras")
-def _know_no_era() -> None:
+@_disables("store_eras")
+def _ignore_store_eras() -> None:
     from springrock.platform import store
 
     store.era_from_reported = lambda reported: 0
 
 
-@_takes_out("retry_budget")
-def _spend_without_limit() -> None:
+@_disables("retry_budget")
+def _ignore_retry_budget() -> None:
     from springrock.forwarding.budget import RetryBudget
 
-    RetryBudget.spend = lambda self: True  # type: ignore[method-assign]
+    RetryBudget.try_spend = lambda self: True  # type: ignore[method-assign]
 
 
-@_takes_out("key_freshness")
-def _trust_keys_for_ever() -> None:
+@_disables("key_freshness")
+def _never_expire_keys() -> None:
     from springrock.forwarding.keys import KeyTerms
 
     KeyTerms.trust_s = property(lambda self: float("inf"))  # type: ignore[method-assign,assignment]
 
 
-@_takes_out("quota_lease")
-def _count_without_a_lease() -> None:
+@_disables("quota_lease")
+def _ignore_quota_lease() -> None:
     from springrock.quotas.quota_counter import QuotaCounter
 
-    begin = QuotaCounter.__init__
+    original = QuotaCounter.__init__
 
-    def _begin(self: Any, *args: Any, **kwargs: Any) -> None:
-        begin(self, *args, **kwargs)
+    def _init(self: Any, *args: Any, **kwargs: Any) -> None:
+        original(self, *args, **kwargs)
         self._lease_left_s = lambda: float("inf")
 
-    QuotaCounter.__init__ = _begin  # type: ignore[method-assign]
+    QuotaCounter.__init__ = _init  # type: ignore[method-assign]
 
 
-@_takes_out("not_run_honesty")
-def _take_broken_for_not_run() -> None:
+@_disables("not_run_honesty")
+def _report_broken_as_not_run() -> None:
     from springrock.forwarding.request_progress import AttemptOutcome
 
     ran = frozenset({AttemptOutcome.UNDER_WAY, AttemptOutcome.ANSWERED, AttemptOutcome.FAILED})
@@ -90,39 +90,39 @@
     )
 
 
-@_takes_out("drain")
-def _see_nobody_leave() -> None:
+@_disables("drain")
+def _ignore_leaving_replicas() -> None:
     import msgspec
 
     from springrock.platform import replica_rows, tables
 
-    read = replica_rows.replica_from
+    original = replica_rows.replica_from
 
-    def _staying(row: Any, **more: Any) -> Any:
-        return msgspec.structs.replace(read(row, **more), leaving=False)
+    def _without_leaving(row: Any, **more: Any) -> Any:
+        return msgspec.structs.replace(original(row, **more), leaving=False)
 
-    vars(tables)["replica_from"] = _staying
+    vars(tables)["replica_from"] = _without_leaving
 
 
-@_takes_out("quarantine")
-def _send_on_what_crashes_replicas() -> None:
+@_disables("quarantine")
+def _ignore_quarantine() -> None:
     from springrock.quarantine.book import CrashBook
 
     CrashBook.quarantined_for_s = lambda self, fingerprint: None  # type: ignore[method-assign]
     CrashBook.may_be_retried = lambda self, fingerprint: True  # type: ignore[method-assign]
 
 
-@_takes_out("replicas_words")
-def _pass_over_what_answers_tell() -> None:
+@_disables("replicas_words")
+def _ignore_replica_notices() -> None:
     from springrock.forwarding.notices import ReplicaNotices
 
-    ReplicaNotices.take = (  # type: ignore[method-assign]
+    ReplicaNotices.apply = (  # type: ignore[method-assign]
         lambda self, replica, notice, *, sent_at: None
     )
 
 
-@_takes_out("named_limits")
-def _know_no_limit() -> None:
+@_disables("named_limits")
+def _ignore_named_limits() -> None:
     from springrock.permits.named_limits import NamedLimits
 
     NamedLimits.record_limit_named = (  # type: ignore[method-assign]
--- a/bench/soak/mutant.py
+++ b/bench/soak/mutant.py
@@ -1,6 +1,6 @@
-"""Runs `springrock` with one mechanism taken out: `python -m bench.soak.mutant MECHANISM ARGS...`.
+"""Runs `springrock` with one mechanism disabled: `python -m bench.soak.mutant MECHANISM ARGS...`.
 
-Only the soak starts it, to show that it finds what the mechanism is for.
+Only the soak starts it, to show that its judges detect the failures that the mechanism prevents.
 """
 
 from gevent import monkey
--- a/bench/soak/observations.py
+++ b/bench/soak/observations.py
@@ -1,4 +1,4 @@
-"""What was seen of the boxes from outside: by callers, replicas, and whoever switched faults."""
+"""What callers, replicas and the injector of faults observed of the boxes during one play."""
 
 from __future__ import annotations
 
@@ -11,20 +11,23 @@
 from bench.soak.shape import REPEATABLE, Configured
 from springrock.emulator.replica_events import ReplicaEvent, ReplicaEventKind
 
-_PROMISES_NOT_RUN = frozenset({408, 421, 429, 503})
+_NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
 
 class Attempt(Struct, kw_only=True):
-    """One request as its caller saw it; times are of the machine's steady clock.
+    """One attempt at a call, as its caller saw it; times are of the machine's monotonic clock.
 
     Attributes:
-        call: What the caller wanted; several attempts may serve one call.
-        key: The name of the key; empty for none.
+        request_id: The id of the request; each attempt has its own.
+        call: The id of the call; a call may take several attempts.
+        key: The name of the API key; empty for none.
         status: 0 if no answer came.
-        whole: Whether the answer ended as its framing says.
-        instance: The replica that answered, as its answer tells.
-        says_leaving: Whether the answer says that this replica leaves.
-        of_request: The path of a request that comes again under new ids; empty for any other.
+        is_complete: Whether the answer is complete according to its framing.
+        seal: The seal header; only answers of replicas have one.
+        echoed_id: The request id in the answer.
+        instance: The instance id of the replica, from the header of the answer.
+        says_leaving: Whether the answer's header says that the replica is leaving.
+        repeated_path: The path of a request that is repeated under new ids; empty for any other.
     """
 
     request_id: str
@@ -39,36 +42,39 @@
     seal: str = ""
     echoed_id: str = ""
     body: bytes = b""
-    whole: bool = False
+    is_complete: bool = False
     retry_after_s: float | None = None
     error: str = ""
     instance: str = ""
     says_leaving: bool = False
-    of_request: str = ""
+    repeated_path: str = ""
 
     @property
     def path(self) -> str:
-        """The path; it names the attempt, so that answers cannot be taken for each other."""
-        return self.of_request or f"/{self.route}/{self.request_id}"
+        """The path; it contains the request id, so that a mixed-up answer is detected."""
+        return self.repeated_path or f"/{self.route}/{self.request_id}"
 
     @property
     def answered(self) -> bool:
-        """Whether the caller has what it asked for."""
-        return self.status == 200 and self.whole
+        """Whether the caller got a complete success."""
+        return self.status == 200 and self.is_complete
 
     @property
     def promised_not_run(self) -> bool:
-        """Whether the box promised that it has not run and never will."""
-        return self.status in _PROMISES_NOT_RUN and not self.seal
+        """Whether the box promised that the request has not run and will not run."""
+        return self.status in _NOT_RUN_STATUSES and not self.seal
 
     @property
     def repeatable(self) -> bool:
-        """Whether it may run more than once."""
+        """Whether the request may run more than once."""
         return self.route in REPEATABLE
 
 
 class Call(Struct, frozen=True, kw_only=True):
-    """What a caller wanted, over all attempts for it."""
+    """One call of a caller, over all its attempts.
+
+    Attributes:
+        last: A description of the last attempt."""
 
     call: str
     route: str
@@ -80,21 +86,21 @@
 
 
 class FaultSpan(Struct, kw_only=True):
-    """A fault that was switched on, and off at `ended_at`.
+    """The span of a fault, from its start to its end.
 
     Attributes:
-        holds: What it kept from going on or from hearing: the claims of the fault.
+        claimed: The resources that the fault affected; see `Fault.claims`.
     """
 
     name: str
     targets: tuple[str, ...]
-    holds: frozenset[str]
+    claimed: frozenset[str]
     began_at: float
     ended_at: float = float("inf")
 
 
 class Change(Struct, frozen=True, kw_only=True):
-    """A configuration that the operator wrote."""
+    """A configuration that was written, as an operator does."""
 
     began_at: float
     acknowledged_at: float
@@ -102,7 +108,7 @@
 
 
 class NamedVersion(Struct, frozen=True, kw_only=True):
-    """A version of an adapter that the operator named."""
+    """A version of an adapter that was published, as an operator does."""
 
     acknowledged_at: float
     adapter: str
@@ -110,21 +116,21 @@
 
 
 class Pause(Struct, frozen=True):
-    """A span in which the machine let the soak stand still."""
+    """A span in which the machine did not run the soak's process."""
 
     began_at: float
     lasted_s: float
 
 
 class Quiet(Struct, frozen=True):
-    """A span without any fault, from the end of the last one."""
+    """A span without any fault; it begins when the last fault ended."""
 
     began_at: float
     ended_at: float
 
 
 class Observations(Struct, kw_only=True, dict=True):
-    """All that judges go by."""
+    """All observations of one play, which the judges check."""
 
     attempts: list[Attempt]
     calls: list[Call]
@@ -140,8 +146,8 @@
         """The attempts by request id."""
         return {attempt.request_id: attempt for attempt in self.attempts}
 
-    def asked_runs(self) -> Iterator[tuple[Attempt, list[ReplicaEvent]]]:
-        """Yield each request that a caller sent and that ran, with its runs, earliest first."""
+    def attempted_runs(self) -> Iterator[tuple[Attempt, list[ReplicaEvent]]]:
+        """Yield each attempt of a caller whose request ran, with its runs, earliest first."""
         for request_id, runs in self.runs_of.items():
             attempt = self.attempt_of.get(request_id)
             if attempt is not None:
@@ -157,51 +163,54 @@
         return runs
 
     def paused_s(self, start: float, end: float) -> float:
-        """How long the machine stood still within a span."""
+        """Return how long the machine paused the soak within a span."""
         return sum(
             max(0.0, min(end, pause.began_at + pause.lasted_s) - max(start, pause.began_at))
             for pause in self.pauses
         )
 
-    def disturbed_s(self, start: float, end: float, touches: Callable[[FaultSpan], bool]) -> float:
-        """How much of a span lies within chosen faults, and within pauses of the machine."""
+    def disturbed_s(
+        self, start: float, end: float, is_relevant: Callable[[FaultSpan], bool]
+    ) -> float:
+        """Return how much of a span lies within selected faults or within pauses of the machine."""
         spans = [
             (max(start, span.began_at), min(end, span.ended_at))
             for span in self.spans
-            if touches(span)
+            if is_relevant(span)
         ]
         return _length_of(spans) + self.paused_s(start, end)
 
 
-def touches_knowledge(span: FaultSpan) -> bool:
-    """Whether a fault may keep a box from hearing what is new in the store."""
+def delays_updates(span: FaultSpan) -> bool:
+    """Whether a fault may delay a box's updates from the store."""
     return any(
-        held == "store" or held.startswith("box/") or held.endswith(">store") for held in span.holds
+        name == "store" or name.startswith("box/") or name.endswith(">store")
+        for name in span.claimed
     )
 
 
-def holds_attempt(attempt: Attempt) -> Callable[[FaultSpan], bool]:
-    """Return which faults may hold a request up between its box's last look and its run.
+def delays_attempt(attempt: Attempt) -> Callable[[FaultSpan], bool]:
+    """Return a predicate for faults that may delay a request between its box's check and its run.
 
-    What a box that stands still has not yet read, it must judge anew when it wakes: only pauses
-    that begin after the request was sent count.
+    A paused box must check requests that it reads after it resumes against the current state, so
+    only pauses that begin after the request was sent count.
     """
 
-    def _holds(span: FaultSpan) -> bool:
+    def _delays(span: FaultSpan) -> bool:
         box = f"box/{attempt.box}"
-        if box in span.holds:
+        if box in span.claimed:
             return span.began_at > attempt.sent_at
-        return any(held.startswith(("replica/", "link/>")) for held in span.holds)
+        return any(name.startswith(("replica/", "link/>")) for name in span.claimed)
 
-    return _holds
+    return _delays
 
 
 def _length_of(spans: Iterable[tuple[float, float]]) -> float:
     """Return the length of the union of spans."""
-    total, reached = 0.0, float("-inf")
+    total, reached_at = 0.0, float("-inf")
     for start, end in sorted(spans):
-        start = max(start, reached)
+        start = max(start, reached_at)
         if end > start:
             total += end - start
-            reached = end
+            reached_at = end
     return total
--- a/bench/soak/options.py
+++ b/bench/soak/options.py
@@ -1,4 +1,4 @@
-"""The arguments of the command, checked before anything starts."""
+"""Parses and checks the command's arguments."""
 
 from __future__ import annotations
 
@@ -23,26 +23,27 @@
 from bench.soak.shape import Shape
 
 PROCESS_MB = 70
-"""What a process of the soak holds at most, stand-ins and boxes alike."""
+"""The most memory that a process of the soak uses, be it a box or a stand-in."""
 
-_LEAST_BOXES = 2
-_LEAST_MINUTES = 0.25
-"""Room for some faults and the quiet span after them."""
+_MIN_BOXES = 2
+_MIN_MINUTES = 0.25
+"""The shortest play with some faults and the quiet span after them."""
 
-_MOST_MINUTES = 600.0
-_FRESH_MINUTES = 10.0
+_MAX_MINUTES = 600.0
+_RANDOM_SEEDS_MINUTES = 10.0
 PLAY_S = 30.0
-"""The length of one play, where the minutes are for fresh seeds or not given."""
+"""The length of one play, unless a seed and its minutes are given."""
 
 
 class Options(NamedTuple):
-    """What to play.
+    """The seeds to play, and how.
 
     Attributes:
-        seed: The seed; None for fresh ones until the time is over.
-        seconds: The length of the play, or of all plays of fresh seeds together.
-        without: The mechanism taken out; empty for none.
-        keep: Where the folders of failed seeds go.
+        seed: The seed; None to play random seeds until the time is over.
+        seconds: The length of the play, or of all plays of random seeds together.
+        boxes: The number of boxes.
+        without: The mechanism to disable; empty for none.
+        keep: The folder that keeps the logs and findings of failed seeds.
     """
 
     seed: int | None
@@ -56,14 +57,14 @@
     """Return the checked options.
 
     Raises:
-        SoakInputError: If one cannot be used.
+        SoakInputError: If an argument cannot be used.
     """
     given = _parser().parse_args(arguments)
     if given.seed is not None and given.replay is not None:
         raise SeedAndReplay()
     text = given.seed if given.replay is None else given.replay
     seed = None if text is None else _seed_from(text)
-    default_s = _FRESH_MINUTES * 60 if seed is None else PLAY_S
+    default_s = _RANDOM_SEEDS_MINUTES * 60 if seed is None else PLAY_S
     seconds = default_s if given.minutes is None else _minutes_from(given.minutes) * 60
     if given.without and given.without not in MECHANISMS:
         raise UnknownMechanism(given.without, MECHANISMS)
@@ -72,12 +73,12 @@
 
 
 def machine_memory_mb() -> int:
-    """Return the memory of this machine."""
+    """Return the physical memory of this machine in MiB."""
     return os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") // 2**20
 
 
 def check_memory(boxes: int, *, memory_mb: int) -> None:
-    """Check that all processes fit into half of a machine's memory.
+    """Check that all processes of a soak fit into half of a machine's memory.
 
     Raises:
         TooManyBoxes: If they do not.
@@ -90,16 +91,24 @@
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog="python -m bench.soak",
-        description="Plays seeded faults on real boxes and judges what others see of them.",
+        description="Plays seeded faults on real boxes and judges what callers and replicas see.",
         allow_abbrev=False,
     )
-    parser.add_argument("--seed", help="play this seed once; without it fresh seeds are played")
-    parser.add_argument("--replay", help="play a seed that failed once more; as --seed")
-    parser.add_argument("--minutes", help="length of the play, or of all fresh ones together")
+    parser.add_argument("--seed", help="play this seed once; without it random seeds are played")
+    parser.add_argument("--replay", help="play a failed seed again; same as --seed")
+    parser.add_argument(
+        "--minutes", help="length of the play, or of all plays of random seeds together"
+    )
     parser.add_argument("--boxes", default="4", help="number of boxes")
-    parser.add_argument("--without", default="", help=f"one of {', '.join(sorted(MECHANISMS))}")
     parser.add_argument(
-        "--keep", default=tempfile.gettempdir(), help="folder for what a failed seed leaves"
+        "--without",
+        default="",
+        help=f"mechanism to disable: one of {', '.join(sorted(MECHANISMS))}",
+    )
+    parser.add_argument(
+        "--keep",
+        default=tempfile.gettempdir(),
+        help="folder for the logs and findings of failed seeds",
     )
     return parser
 
@@ -124,14 +133,14 @@
         minutes = float(text)
     except ValueError:
         minutes = math.nan
-    if not _LEAST_MINUTES <= minutes <= _MOST_MINUTES:
-        raise BadMinutes(text, least=_LEAST_MINUTES, most=_MOST_MINUTES)
+    if not _MIN_MINUTES <= minutes <= _MAX_MINUTES:
+        raise BadMinutes(text, minimum=_MIN_MINUTES, maximum=_MAX_MINUTES)
     return minutes
 
 
 def _boxes_from(text: str, *, memory_mb: int) -> int:
-    if not text.isascii() or not text.isdigit() or int(text) < _LEAST_BOXES:
-        raise BadBoxes(text, least=_LEAST_BOXES)
+    if not text.isascii() or not text.isdigit() or int(text) < _MIN_BOXES:
+        raise BadBoxes(text, minimum=_MIN_BOXES)
     boxes = int(text)
     check_memory(boxes, memory_mb=memory_mb)
     return boxes
--- a/bench/soak/pauses.py
+++ b/bench/soak/pauses.py
@@ -1,4 +1,4 @@
-"""How long the machine let this process stand still, as others on it want the processor, too."""
+"""Measures pauses of this process while the machine runs other processes."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from springrock.clock import monotonic
 
 _SAMPLE_S = 0.02
-_USUAL_LATENESS_S = 0.1
-"""The soak's own callers share the interpreter with the meter: such lateness tells nothing."""
+_LATENESS_TOLERANCE_S = 0.1
+"""Lateness up to this is ignored, as the soak's callers share the interpreter with the meter."""
 
 
 class PauseMeter:
-    """Samples the steady clock; a sample that is late by more than usual is a pause."""
+    """Samples the monotonic clock; a sample that is later than the tolerance is a pause."""
 
     def __init__(self) -> None:
         self.pauses: list[Pause] = []
@@ -21,17 +21,17 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
-        """Begin to sample."""
+        """Start sampling."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End sampling."""
+        """Stop sampling and wait until the thread has ended."""
         self._stop.set()
         self._thread.join()
 
     @property
     def total_s(self) -> float:
-        """The length of all pauses."""
+        """The total length of all pauses in seconds."""
         return sum(pause.lasted_s for pause in self.pauses)
 
     def _run(self) -> None:
@@ -39,6 +39,6 @@
         while not self._stop.wait(_SAMPLE_S):
             now = monotonic()
             late_s = now - before - _SAMPLE_S
-            if late_s > _USUAL_LATENESS_S:
+            if late_s > _LATENESS_TOLERANCE_S:
                 self.pauses.append(Pause(before, late_s))
             before = now
--- a/bench/soak/play.py
+++ b/bench/soak/play.py
@@ -1,4 +1,5 @@
-"""One play: everything started, faults switched as planned, all that was seen handed on."""
+"""Runs one play: starts all processes and callers, injects the scheduled faults, collects
+observations."""
 
 from __future__ import annotations
 
@@ -13,7 +14,7 @@
 from bench.soak.faults import FAULTS
 from bench.soak.observations import FaultSpan, Observations, Quiet
 from bench.soak.pauses import PauseMeter
-from bench.soak.schedule import Planned, Schedule
+from bench.soak.schedule import PlannedFault, Schedule
 from bench.soak.shape import Shape
 from springrock.clock import monotonic
 
@@ -21,10 +22,16 @@
 
 
 class _Switch(NamedTuple):
-    """The beginning or the end of a planned fault."""
+    """The start or the end of a scheduled fault.
+
+    Attributes:
+        at_s: Seconds from the start of the callers.
+        starts: Whether the fault starts.
+        number: The index of the fault in the schedule.
+    """
 
     at_s: float
-    on: bool
+    starts: bool
     number: int
 
 
@@ -36,14 +43,14 @@
     without: str = "",
     guard: Callable[[], AbstractContextManager[None]] = nullcontext,
 ) -> Observations:
-    """Play a schedule and return what was seen.
+    """Play a schedule and return the observations.
 
     Args:
         schedule: The faults.
-        shape: What runs.
-        folder: Where settings and logs of all processes go.
-        without: The mechanism that the boxes do without; empty for none.
-        guard: Held while a process is started.
+        shape: The boxes and replicas.
+        folder: The folder for the settings and logs of all processes.
+        without: The mechanism that is disabled in the boxes; empty for none.
+        guard: A context that is entered while a process is started.
     """
     deployment = SoakDeployment(folder, shape=shape, guard=guard)
     if without:
@@ -61,7 +68,7 @@
         finally:
             callers.stop()
             meter.stop()
-        deployment.ask_silent_boxes_for_stacks()
+        deployment.dump_stacks_of_silent_boxes()
         return Observations(
             attempts=[*callers.attempts, *deployment.crashing_attempts],
             calls=callers.calls,
@@ -82,11 +89,11 @@
         one = schedule.planned[switch.number]
         fault = FAULTS[one.fault]
         _sleep_until(began_at + switch.at_s)
-        if switch.on:
+        if switch.starts:
             spans[switch.number] = FaultSpan(
                 name=one.fault,
                 targets=one.targets,
-                holds=fault.claims(one.targets),
+                claimed=fault.claims(one.targets),
                 began_at=monotonic(),
             )
             fault.begin(deployment, one.targets)
@@ -96,14 +103,14 @@
     return list(spans.values())
 
 
-def _switches_of(planned: tuple[Planned, ...]) -> list[_Switch]:
+def _switches_of(planned: tuple[PlannedFault, ...]) -> list[_Switch]:
     switches = [_Switch(one.begins_s, True, number) for number, one in enumerate(planned)]
     switches += [_Switch(one.ends_s, False, number) for number, one in enumerate(planned)]
     return sorted(switches)
 
 
 def _quiets_of(schedule: Schedule, spans: list[FaultSpan], began_at: float) -> list[Quiet]:
-    """Return the quiet spans as they were: each from when the last fault had really ended."""
+    """Return the actual quiet spans; each begins when the last fault has actually ended."""
     quiets = []
     for start_s, end_s in schedule.quiets:
         end = began_at + end_s
--- a/bench/soak/registry.py
+++ b/bench/soak/registry.py
@@ -1,4 +1,4 @@
-"""Classes that register themselves under their name."""
+"""A registry of classes that register themselves by name."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Named(Protocol):
-    """Has a name of its own."""
+    """An object with a unique name."""
 
     name: str
 
@@ -16,20 +16,20 @@
 
 
 class DuplicateName(ValueError):
-    """Two classes register under one name."""
+    """Two classes register under the same name."""
 
 
 class Registry(Generic[T]):
-    """One instance of each registered class, in the order of their names."""
+    """Holds one instance of each registered class, and iterates over them sorted by name."""
 
     def __init__(self) -> None:
         self._members: dict[str, T] = {}
 
     def register(self, kind: type[T]) -> type[T]:
-        """Register a class; to be used as its decorator.
+        """Register a class; use this as a class decorator.
 
         Raises:
-            DuplicateName: If the name is taken.
+            DuplicateName: If another class has registered the same name.
         """
         member = kind()
         if member.name in self._members:
@@ -45,5 +45,5 @@
 
     @property
     def names(self) -> tuple[str, ...]:
-        """All names."""
+        """The names of all registered classes, sorted."""
         return tuple(sorted(self._members))
--- a/bench/soak/report.py
+++ b/bench/soak/report.py
@@ -1,4 +1,4 @@
-"""The report of a play, as text."""
+"""The report of one play, as text."""
 
 from __future__ import annotations
 
@@ -9,39 +9,41 @@
 from bench.soak.observations import Observations
 from bench.soak.schedule import Schedule
 
-_STEP_S = 2.0
-_SHOWN_FINDINGS = 5
+_TIMELINE_STEP_S = 2.0
+_MAX_SHOWN_FINDINGS = 5
 
 
-def judge_all(seen: Observations) -> dict[str, Verdict]:
+def judge_all(observations: Observations) -> dict[str, Verdict]:
     """Return the verdict of each judge, by its name."""
-    return {judge.name: judge.judge(seen) for judge in JUDGES}
+    return {judge.name: judge.judge(observations) for judge in JUDGES}
 
 
-def breaches(verdicts: dict[str, Verdict]) -> int:
-    """Return how many findings there are."""
+def count_findings(verdicts: dict[str, Verdict]) -> int:
+    """Return the number of findings of all judges."""
     return sum(len(verdict.findings) for verdict in verdicts.values())
 
 
-def report_lines(schedule: Schedule, seen: Observations, verdicts: dict[str, Verdict]) -> list[str]:
-    """Return the whole report: faults, promises, calls, timeline."""
+def report_lines(
+    schedule: Schedule, observations: Observations, verdicts: dict[str, Verdict]
+) -> list[str]:
+    """Return the lines of the report: faults, promises, calls and timeline."""
     return [
         *_fault_lines(schedule),
-        *_promise_lines(verdicts, _began_at(seen)),
-        *_call_lines(seen),
-        *_timeline(seen),
+        *_promise_lines(verdicts, _began_at(observations)),
+        *_call_lines(observations),
+        *_timeline(observations),
     ]
 
 
-def _began_at(seen: Observations) -> float:
-    return min((attempt.sent_at for attempt in seen.attempts), default=0.0)
+def _began_at(observations: Observations) -> float:
+    return min((attempt.sent_at for attempt in observations.attempts), default=0.0)
 
 
 def _fault_lines(schedule: Schedule) -> list[str]:
-    counts = Counter(one.fault for one in schedule.planned)
+    counts = Counter(entry.fault for entry in schedule.planned)
     seconds: Counter[str] = Counter()
-    for one in schedule.planned:
-        seconds[one.fault] += one.ends_s - one.begins_s  # type: ignore[assignment]
+    for entry in schedule.planned:
+        seconds[entry.fault] += entry.ends_s - entry.begins_s  # type: ignore[assignment]
     lines = [f"{'fault':<28}{'times':>8}{'seconds':>9}"]
     return lines + [f"{name:<28}{counts[name]:>8}{seconds[name]:>9.1f}" for name in sorted(counts)]
 
@@ -50,7 +52,7 @@
     lines = ["", f"{'promise':<28}{'judged':>8}{'broken':>9}"]
     for name, verdict in verdicts.items():
         lines.append(f"{name:<28}{verdict.looked_at:>8}{len(verdict.findings):>9}")
-        lines += _finding_lines(verdict.findings[:_SHOWN_FINDINGS], began_at)
+        lines += _finding_lines(verdict.findings[:_MAX_SHOWN_FINDINGS], began_at)
     return lines
 
 
@@ -61,29 +63,35 @@
     ]
 
 
-def _call_lines(seen: Observations) -> list[str]:
-    calls = Counter(call.route for call in seen.calls)
-    answered = Counter(call.route for call in seen.calls if call.answered)
+def _call_lines(observations: Observations) -> list[str]:
+    calls = Counter(call.route for call in observations.calls)
+    answered = Counter(call.route for call in observations.calls if call.answered)
     lines = ["", f"{'calls of route':<28}{'all':>8}{'answered':>9}"]
     lines += [f"{route:<28}{calls[route]:>8}{answered[route]:>9}" for route in sorted(calls)]
-    paused_s = sum(pause.lasted_s for pause in seen.pauses)
-    return [*lines, f"The machine stood still for {paused_s:.2f} s in all."]
+    paused_s = sum(pause.lasted_s for pause in observations.pauses)
+    return [*lines, f"The machine paused the soak for {paused_s:.2f} s in total."]
 
 
-def _timeline(seen: Observations) -> list[str]:
-    """Return a line for each step: calls that began in it, those answered, and the faults."""
-    began_at = _began_at(seen)
-    last = max((call.began_at for call in seen.calls), default=began_at)
+def _timeline(observations: Observations) -> list[str]:
+    """Return a line for each time step: calls that began in it, answered ones, and faults."""
+    began_at = _began_at(observations)
+    last = max((call.began_at for call in observations.calls), default=began_at)
     lines = ["", f"{'from':>6}{'calls':>7}{'answered':>9}  faults"]
-    for step in range(int((last - began_at) / _STEP_S) + 1):
-        start = began_at + step * _STEP_S
-        end = start + _STEP_S
-        calls = [call for call in seen.calls if start <= call.began_at < end and call.key != "few"]
+    for step in range(int((last - began_at) / _TIMELINE_STEP_S) + 1):
+        start = began_at + step * _TIMELINE_STEP_S
+        end = start + _TIMELINE_STEP_S
+        calls = [
+            call
+            for call in observations.calls
+            if start <= call.began_at < end and call.key != "few"
+        ]
         answered = sum(call.answered for call in calls)
         faults = [
             f"{span.name}({','.join(span.targets)})"
-            for span in seen.spans
+            for span in observations.spans
             if span.began_at < end and span.ended_at > start
         ]
-        lines.append(f"{step * _STEP_S:>5.0f}s{len(calls):>7}{answered:>9}  {' '.join(faults)}")
+        lines.append(
+            f"{step * _TIMELINE_STEP_S:>5.0f}s{len(calls):>7}{answered:>9}  {' '.join(faults)}"
+        )
     return lines
--- a/bench/soak/schedule.py
+++ b/bench/soak/schedule.py
@@ -1,4 +1,4 @@
-"""Which faults befall what, and when: a pure function of the seed, the length and the shape."""
+"""Draws the schedule of faults: a pure function of the seed, the length and the shape."""
 
 from __future__ import annotations
 
@@ -9,27 +9,28 @@
 from bench.soak.shape import Shape
 
 CYCLE_S = 30.0
-"""After so long at most there is a quiet span, in which everything must be served again."""
+"""A cycle ends with a quiet span, in which everything must be served again. Its length is at least
+this, unless the play is shorter."""
 
 QUIET_S = 11.0
-"""The length of a quiet span: the bound of recovery, and some time in which all is judged."""
+"""The length of a quiet span: the bound on recovery, and then some time to judge all calls."""
 
-_LEAD_S = 1.0
-"""Callers go on undisturbed for so long first."""
+_LEAD_IN_S = 1.0
+"""Time at the start of a cycle without faults."""
 
-_BETWEEN_S = (0.2, 1.8)
-_TOGETHER = 0.5
-"""How often a second fault begins with the first."""
+_GAP_RANGE_S = (0.2, 1.8)
+_SECOND_FAULT_PROBABILITY = 0.5
+"""The probability that a second fault begins at the same time as the first."""
 
-_DRAWS_APART = 8
-"""So often a fault with a generator of its own is drawn that meets others."""
+_MAX_SEPARATE_DRAWS = 8
+"""How often a separately drawn fault is drawn again because it conflicts with another fault."""
 
-_REST_S = 1.0
-"""What was befallen is left alone for so long, as processes that start take some time."""
+_TARGET_COOLDOWN_S = 1.0
+"""Time after a fault in which its targets get no other fault, as processes take time to start."""
 
 
-class Planned(NamedTuple):
-    """One fault, in seconds from the start of the callers."""
+class PlannedFault(NamedTuple):
+    """One fault of a schedule; times are in seconds from the start of the callers."""
 
     begins_s: float
     ends_s: float
@@ -41,17 +42,19 @@
     """All faults of a play.
 
     Attributes:
-        planned: The faults, in the order of their beginnings.
+        seed: The seed that the schedule was drawn from.
+        seconds: The length of the play.
+        planned: The faults, in the order of their start.
         quiets: The spans without any fault, each from the end of the last one.
     """
 
     seed: int
     seconds: float
-    planned: tuple[Planned, ...]
+    planned: tuple[PlannedFault, ...]
     quiets: tuple[tuple[float, float], ...]
 
     def lines(self) -> list[str]:
-        """Return the schedule as text."""
+        """Return the schedule as lines of text."""
         lines = [f"seed {self.seed}, {self.seconds:.0f} s, {len(self.planned)} faults"]
         lines += [
             f"  {one.begins_s:6.1f} to {one.ends_s:6.1f} s  {one.fault:<20} {' '.join(one.targets)}"
@@ -63,67 +66,72 @@
 def draw_schedule(seed: int, *, seconds: float, shape: Shape) -> Schedule:
     """Draw the faults of a play."""
     rng = random.Random(seed)
-    planned: list[Planned] = []
+    planned: list[PlannedFault] = []
     quiets: list[tuple[float, float]] = []
     cycles = max(1, int(seconds / CYCLE_S))
     length_s = seconds / cycles
     for number in range(cycles):
         starts_s = number * length_s
         ends_s = starts_s + length_s - QUIET_S
-        planned += _draw_cycle(rng, shape, starts_s + _LEAD_S, ends_s)
-        apart = random.Random(f"{seed}/{number}")
-        planned += _draw_apart(apart, shape, starts_s + _LEAD_S, ends_s, planned)
+        planned += _draw_cycle(rng, shape, starts_s + _LEAD_IN_S, ends_s)
+        separate_rng = random.Random(f"{seed}/{number}")
+        planned += _draw_separate(separate_rng, shape, starts_s + _LEAD_IN_S, ends_s, planned)
         quiets.append((ends_s, starts_s + length_s))
     return Schedule(seed, seconds, tuple(sorted(planned)), tuple(quiets))
 
 
-def _draw_cycle(rng: random.Random, shape: Shape, start_s: float, end_s: float) -> list[Planned]:
-    taken: dict[str, float] = {}
-    planned: list[Planned] = []
+def _draw_cycle(
+    rng: random.Random, shape: Shape, start_s: float, end_s: float
+) -> list[PlannedFault]:
+    claimed_until: dict[str, float] = {}
+    planned: list[PlannedFault] = []
     now_s = start_s
     while now_s < end_s:
-        count = 2 if rng.random() < _TOGETHER else 1
+        count = 2 if rng.random() < _SECOND_FAULT_PROBABILITY else 1
         for _ in range(count):
-            one = _draw_one(rng, shape, now_s, end_s, taken)
-            if one is not None:
-                planned.append(one)
-        now_s += rng.uniform(*_BETWEEN_S)
+            fault = _draw_fault(rng, shape, now_s, end_s, claimed_until)
+            if fault is not None:
+                planned.append(fault)
+        now_s += rng.uniform(*_GAP_RANGE_S)
     return planned
 
 
-def _draw_apart(
-    rng: random.Random, shape: Shape, start_s: float, end_s: float, beside: list[Planned]
-) -> list[Planned]:
-    """Draw the faults that have a generator of their own, each once at most.
+def _draw_separate(
+    rng: random.Random, shape: Shape, start_s: float, end_s: float, scheduled: list[PlannedFault]
+) -> list[PlannedFault]:
+    """Draw the faults that use a separate random generator, each at most once.
 
-    One that would befall what another fault befalls meanwhile is drawn again, or left out.
+    A fault that conflicts with one of `scheduled` is drawn again, or left out after some attempts.
     """
-    planned: list[Planned] = []
-    for fault in sorted(FAULTS, key=lambda fault: fault.drawn_after):
-        if rng.random() >= fault.drawn_apart or end_s - start_s < fault.shortest_s:
+    planned: list[PlannedFault] = []
+    for fault in sorted(FAULTS, key=lambda fault: fault.separate_order):
+        if rng.random() >= fault.separate_probability or end_s - start_s < fault.shortest_s:
             continue
-        for _ in range(_DRAWS_APART):
+        for _ in range(_MAX_SEPARATE_DRAWS):
             begins_s = rng.uniform(start_s, end_s - fault.shortest_s)
             ends_s = min(end_s, begins_s + rng.uniform(fault.shortest_s, fault.longest_s))
             targets = fault.targets(rng, shape)
-            one = Planned(round(begins_s, 3), round(ends_s, 3), fault.name, targets)
-            if not any(_meet(one, other) for other in (*beside, *planned)):
-                planned.append(one)
+            candidate = PlannedFault(round(begins_s, 3), round(ends_s, 3), fault.name, targets)
+            if not any(_conflict(candidate, other) for other in (*scheduled, *planned)):
+                planned.append(candidate)
                 break
     return planned
 
 
-def _meet(one: Planned, other: Planned) -> bool:
-    """Whether two faults befall the same thing at once, or one right after the other."""
-    apart = one.ends_s + _REST_S <= other.begins_s or other.ends_s + _REST_S <= one.begins_s
+def _conflict(one: PlannedFault, other: PlannedFault) -> bool:
+    """Whether two faults affect the same resource at once, or shortly one after the other."""
+    is_apart = (
+        one.ends_s + _TARGET_COOLDOWN_S <= other.begins_s
+        or other.ends_s + _TARGET_COOLDOWN_S <= one.begins_s
+    )
     claimed = FAULTS[one.fault].claims(one.targets) & FAULTS[other.fault].claims(other.targets)
-    return not apart and bool(claimed)
+    return not is_apart and bool(claimed)
 
 
-def _draw_one(
-    rng: random.Random, shape: Shape, now_s: float, end_s: float, taken: dict[str, float]
-) -> Planned | None:
-    """Draw a fault that begins now; None if it finds no room, or what it befalls is taken."""
+def _draw_fault(
+    rng: random.Random, shape: Shape, now_s: float, end_s: float, claimed_until: dict[str, float]
+) -> PlannedFault | None:
+    """Draw a fault that begins now; return None if there is no time or a target is in use."""
     faults = list(FAULTS)
     fault = rng.choices(faults, weights=[fault.weight for fault in faults])[0]
     targets = fault.targets(rng, shape)
@@ -131,7 +139,7 @@
     if ends_s - now_s < fault.shortest_s:
         return None
     claims = fault.claims(targets)
-    if any(taken.get(claim, 0.0) > now_s for claim in claims):
+    if any(claimed_until.get(claim, 0.0) > now_s for claim in claims):
         return None
-    taken.update(dict.fromkeys(claims, ends_s + _REST_S))
-    return Planned(round(now_s, 3), round(ends_s, 3), fault.name, targets)
+    claimed_until.update(dict.fromkeys(claims, ends_s + _TARGET_COOLDOWN_S))
+    return PlannedFault(round(now_s, 3), round(ends_s, 3), fault.name, targets)
--- a/bench/soak/shape.py
+++ b/bench/soak/shape.py
@@ -1,4 +1,4 @@
-"""What a soak runs: its boxes, replicas, routes, teams and keys."""
+"""The boxes, replicas, routes, teams and API keys of a soak."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 WORK_MS = 20.0
 ADAPTER_SLOTS = 2
 ADAPTERS = tuple(f"a{number}" for number in range(1, 8))
-"""One more than the engines have places, so that adapters must give way."""
+"""One more than the adapter slots of all engines, so that adapters must be evicted."""
 
 REVOKE_S = 3.0
 QUOTA_WINDOW_S = 8.0
@@ -20,14 +20,14 @@
 RETRY_WINDOW_S = 5.0
 STOP_WITHIN_S = 3.0
 
-FEW_PER_S = 8.0
-FEW_LOWERED_PER_S = 3.0
+LIMITED_TEAM_PER_S = 8.0
+LIMITED_TEAM_LOWERED_PER_S = 3.0
 
 CRASHING = "crashes-what-runs-it"
-"""Replicas end as they begin to run a request with this in its path."""
+"""A replica crashes when it begins to run a request whose path contains this text."""
 
 MOVABLE = "turns"
-"""The route that is moved to another service."""
+"""The name of the route that moves to another service during a play."""
 
 
 class ReplicaPlan(NamedTuple):
@@ -39,12 +39,12 @@
 
     @property
     def is_engine(self) -> bool:
-        """Whether it holds a model."""
+        """Whether the replica is an engine, which serves a model."""
         return self.service == "language"
 
 
 class Shape(NamedTuple):
-    """The processes of a soak.
+    """The boxes and replicas of a soak.
 
     Attributes:
         boxes: The names of the boxes.
@@ -56,7 +56,7 @@
 
     @classmethod
     def from_boxes(cls, boxes: int) -> Shape:
-        """Return the shape with so many boxes; the replicas are always the same."""
+        """Return the shape with a number of boxes; the replicas are always the same."""
         replicas = [
             ReplicaPlan(f"{service}-{number}", service, ZONES[(number - 1) % len(ZONES)])
             for service, count in (("rosters", 2), ("catalog", 2), ("language", 3))
@@ -66,21 +66,21 @@
 
     @property
     def processes(self) -> int:
-        """All processes: boxes, replicas, store, proxy and the soak itself."""
+        """The number of processes: boxes, replicas, store, proxy and the soak itself."""
         return len(self.boxes) + len(self.replicas) + 3
 
     def replicas_of(self, service: str) -> tuple[str, ...]:
-        """The names of a service's replicas."""
+        """Return the names of a service's replicas."""
         return tuple(plan.name for plan in self.replicas if plan.service == service)
 
 
 class Configured(NamedTuple):
-    """What the operator's configuration says of all that the soak changes.
+    """The parts of the configuration that the soak changes.
 
     Attributes:
-        moved: The movable route goes to its other service.
-        goes: The key that comes and goes is held by its team.
-        lowered: The limited team has its smaller quota.
+        moved: Whether the movable route leads to its second service.
+        goes: Whether the removable key belongs to its team.
+        lowered: Whether the limited team has its lower quota.
     """
 
     moved: bool = False
@@ -88,18 +88,18 @@
     lowered: bool = False
 
     @property
-    def few_per_s(self) -> float:
-        """The rate of the limited team, in requests a second; its burst is a second of it."""
-        return FEW_LOWERED_PER_S if self.lowered else FEW_PER_S
+    def limited_per_s(self) -> float:
+        """The limited team's rate in requests a second; its burst is the rate of one second."""
+        return LIMITED_TEAM_LOWERED_PER_S if self.lowered else LIMITED_TEAM_PER_S
 
     def service_of(self, route_name: str) -> str:
-        """The service that a route goes to."""
+        """Return the service that a route leads to."""
         if route_name == MOVABLE:
             return "catalog" if self.moved else "rosters"
         return SERVICE_OF_ROUTE[route_name]
 
     def routes(self) -> list[dict[str, Any]]:
-        """The routes as the operator writes them."""
+        """Return the routes in the format of the operator's configuration."""
         return [
             route("lookup", "safe", "rosters"),
             route("join", "unsafe", "rosters", maxAttempts=1),
@@ -110,7 +110,7 @@
         ]
 
     def tenants(self) -> list[dict[str, Any]]:
-        """The teams as the operator writes them."""
+        """Return the teams in the format of the operator's configuration."""
         keys = [KEYS["one"], KEYS["goes"]] if self.goes else [KEYS["one"]]
         return [
             {"name": "one", "apiKeys": keys},
@@ -118,8 +118,8 @@
             {
                 "name": "few",
                 "apiKeys": [KEYS["few"]],
-                "ratePerS": self.few_per_s,
-                "burst": self.few_per_s,
+                "ratePerS": self.limited_per_s,
+                "burst": self.limited_per_s,
             },
         ]
 
--- a/tests/soak/made_up.py
+++ b/tests/soak/made_up.py
@@ -1,4 +1,4 @@
-"""Made-up observations, for tests of judges."""
+"""Builders of observations for tests of judges."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def attempt(request_id: str = "r1", **more: Any) -> Attempt:
-    """A request that was answered, unless told otherwise."""
+    """Return an attempt that was answered; `more` overrides its fields."""
     route = more.setdefault("route", "lookup")
     sent_at = more.setdefault("sent_at", 10.0)
     body = f"POST /{route}/{request_id} 5".encode()
@@ -30,24 +30,24 @@
         "seal": f"seal-of-{request_id}",
         "echoed_id": request_id,
         "body": body,
-        "whole": True,
+        "is_complete": True,
     }
     return Attempt(request_id=request_id, **{**defaults, **more})
 
 
 def refused(request_id: str = "r1", status: int = 503, **more: Any) -> Attempt:
-    """A request that a box refused by itself."""
+    """Return an attempt that a box refused itself."""
     more = {"seal": "", "echoed_id": "", "body": b"{}", **more}
     return attempt(request_id, status=status, **more)
 
 
 def events(numbers: range | list[int]) -> bytes:
-    """The body of a stream with these events."""
+    """Return the body of a stream with these events."""
     return b"".join(b"id: %d\ndata: token %d\n\n" % (number, number) for number in numbers)
 
 
 def run(of: Attempt, **more: Any) -> ReplicaEvent:
-    """A run of a request as it should be, unless told otherwise."""
+    """Return a correct run of an attempt; `more` overrides its fields."""
     defaults = {
         "kind": ReplicaEventKind.RAN,
         "at": of.sent_at + 0.05,
@@ -63,7 +63,7 @@
 
 
 def call(**more: Any) -> Call:
-    """A call that was answered, unless told otherwise."""
+    """Return a call that was answered; `more` overrides its fields."""
     defaults = {
         "call": "c1",
         "route": "lookup",
@@ -76,15 +76,15 @@
     return Call(**{**defaults, **more})
 
 
-def span(name: str, *holds: str, began_at: float, ended_at: float) -> FaultSpan:
-    """A fault."""
+def span(name: str, *claimed: str, began_at: float, ended_at: float) -> FaultSpan:
+    """Return the span of a fault that affects the claimed resources."""
     return FaultSpan(
-        name=name, targets=(), holds=frozenset(holds), began_at=began_at, ended_at=ended_at
+        name=name, targets=(), claimed=frozenset(claimed), began_at=began_at, ended_at=ended_at
     )
 
 
-def seen(**more: Any) -> Observations:
-    """Observations with nothing in them but what is given."""
+def make_observations(**more: Any) -> Observations:
+    """Return observations that are empty apart from the given fields."""
     defaults: dict[str, Any] = {
         "attempts": [],
         "calls": [],
@@ -98,6 +98,6 @@
     return Observations(**{**defaults, **more})
 
 
-def found(judge: str, **observations: Any) -> list[Finding]:
-    """What a judge finds in observations."""
-    return JUDGES[judge].judge(seen(**observations)).findings
+def findings_of(judge: str, **observations: Any) -> list[Finding]:
+    """Return the findings of a judge."""
+    return JUDGES[judge].judge(make_observations(**observations)).findings
--- a/tests/soak/test_judges.py
+++ b/tests/soak/test_judges.py
@@ -1,23 +1,33 @@
-"""Each judge, shown failing and passing on made-up observations."""
+"""Tests that each judge finds breaches, and only these, in constructed observations."""
 
 from __future__ import annotations
 
 import pytest
 
 from bench.soak.judges import JUDGES
-from bench.soak.judges.placement import APPLY_BOUND_S, DRAIN_BOUND_S, ORDER_WAY_S
+from bench.soak.judges.placement import CONFIGURATION_APPLY_S, LEAVING_APPLY_S, ORDER_TRANSIT_S
 from bench.soak.judges.service import RECOVERY_S
 from bench.soak.judges.teams import QUOTA_APPLY_S
 from bench.soak.observations import Change, NamedVersion, Pause, Quiet
 from bench.soak.shape import (
-    FEW_PER_S,
+    LIMITED_TEAM_PER_S,
     QUOTA_WINDOW_S,
     RETRY_ALLOWANCE,
     REVOKE_S,
     Configured,
 )
 from springrock.emulator.replica_events import ReplicaEvent, ReplicaEventKind
-from tests.soak.made_up import FIRST, attempt, call, events, found, refused, run, seen, span
+from tests.soak.made_up import (
+    FIRST,
+    attempt,
+    call,
+    events,
+    findings_of,
+    make_observations,
+    refused,
+    run,
+    span,
+)
 
 
 def change(at: float, **configured: bool) -> Change:
@@ -25,16 +35,16 @@
 
 
 @pytest.mark.parametrize("judge", JUDGES.names)
-def test_a_judge_finds_nothing_where_nothing_was_seen(judge: str) -> None:
-    assert found(judge) == []
+def test_a_judge_finds_nothing_in_empty_observations(judge: str) -> None:
+    assert findings_of(judge) == []
     assert JUDGES[judge].promise
 
 
 @pytest.mark.parametrize("judge", JUDGES.names)
-def test_a_judge_finds_nothing_where_all_went_well(judge: str) -> None:
+def test_a_judge_finds_nothing_if_all_promises_were_kept(judge: str) -> None:
     attempts = [attempt("r1"), attempt("r2", route="items"), refused("r3", key="few")]
     assert (
-        found(
+        findings_of(
             judge,
             attempts=attempts,
             calls=[call()],
@@ -46,30 +56,30 @@
 
 
 @pytest.mark.parametrize(("route", "findings"), [("join", 1), ("minutes", 1), ("lookup", 0)])
-def test_only_what_may_be_repeated_runs_twice(route: str, findings: int) -> None:
+def test_only_repeatable_requests_may_run_twice(route: str, findings: int) -> None:
     one = attempt(route=route)
     runs = [run(one), run(one, instance="i-2", at=11.0)]
-    assert len(found("at_most_once", attempts=[one], replica_events=runs)) == findings
+    assert len(findings_of("at_most_once", attempts=[one], replica_events=runs)) == findings
 
 
 @pytest.mark.parametrize("status", [408, 421, 429, 503])
-def test_what_was_promised_not_to_run_must_not_run(status: int) -> None:
+def test_a_run_after_a_promise_that_there_is_none_is_found(status: int) -> None:
     one = refused(status=status)
-    assert len(found("not_run_is_true", attempts=[one], replica_events=[run(one)])) == 1
-    assert found("not_run_is_true", attempts=[one]) == []
+    assert len(findings_of("not_run_is_true", attempts=[one], replica_events=[run(one)])) == 1
+    assert findings_of("not_run_is_true", attempts=[one]) == []
 
 
 @pytest.mark.parametrize("status", [502, 504, 0])
-def test_other_endings_promise_nothing(status: int) -> None:
+def test_other_statuses_do_not_exclude_a_run(status: int) -> None:
     one = refused(status=status)
-    assert found("not_run_is_true", attempts=[one], replica_events=[run(one)]) == []
+    assert findings_of("not_run_is_true", attempts=[one], replica_events=[run(one)]) == []
 
 
-def test_a_run_that_nobody_asked_for_is_found() -> None:
+def test_a_run_that_no_caller_requested_is_found() -> None:
     one = attempt()
-    assert len(found("nothing_unasked", replica_events=[run(one)])) == 1
+    assert len(findings_of("nothing_unasked", replica_events=[run(one)])) == 1
     changed = run(one, path="/lookup/other")
-    assert len(found("nothing_unasked", attempts=[one], replica_events=[changed])) == 1
+    assert len(findings_of("nothing_unasked", attempts=[one], replica_events=[changed])) == 1
 
 
 @pytest.mark.parametrize(("repeats", "findings"), [(9, 1), (8, 0)])
@@ -77,15 +87,15 @@
     assert RETRY_ALLOWANCE == 8.0
     one = attempt(sent_at=-100.0)
     arrivals = [run(one, at=10 + number / 10) for number in range(repeats + 1)]
-    assert len(found("retry_budget", attempts=[one], replica_events=arrivals)) == findings
+    assert len(findings_of("retry_budget", attempts=[one], replica_events=arrivals)) == findings
 
 
-def test_requests_earn_repeats_and_old_repeats_are_forgotten() -> None:
+def test_requests_allow_repeats_and_old_repeats_do_not_count() -> None:
     attempts = [attempt(f"r{number}") for number in range(10)]
     arrivals = [run(attempts[0], at=10 + number / 10) for number in range(11)]
-    assert found("retry_budget", attempts=attempts, replica_events=arrivals) == []
+    assert findings_of("retry_budget", attempts=attempts, replica_events=arrivals) == []
     apart = [run(attempts[0], at=10.0 * number) for number in range(20)]
-    assert found("retry_budget", attempts=attempts[:1], replica_events=apart) == []
+    assert findings_of("retry_budget", attempts=attempts[:1], replica_events=apart) == []
 
 
 @pytest.mark.parametrize(
@@ -98,72 +108,76 @@
         {"body": b""},
     ],
 )
-def test_a_success_is_the_own_whole_answer(spoilt: dict[str, object]) -> None:
-    assert len(found("own_whole_answer", attempts=[attempt(**spoilt)])) == 1
+def test_a_success_with_a_wrong_answer_is_found(spoilt: dict[str, object]) -> None:
+    assert len(findings_of("own_whole_answer", attempts=[attempt(**spoilt)])) == 1
 
 
-def test_an_answer_that_is_seen_to_break_may_lack_its_end() -> None:
-    one = attempt(body=b"POST /loo", whole=False)
-    assert found("own_whole_answer", attempts=[one]) == []
+def test_an_answer_that_breaks_visibly_may_be_incomplete() -> None:
+    one = attempt(body=b"POST /loo", is_complete=False)
+    assert findings_of("own_whole_answer", attempts=[one]) == []
 
 
 @pytest.mark.parametrize("numbers", [[1, 2, 4], [1, 2, 2, 3], [2, 3], [1, 2, 1, 2]])
-def test_events_without_gap_or_repeat(numbers: list[int]) -> None:
-    one = attempt(route="items", body=events(numbers), whole=False)
-    assert len(found("exact_continuation", attempts=[one])) == 1
+def test_gaps_and_repeats_of_events_are_found(numbers: list[int]) -> None:
+    one = attempt(route="items", body=events(numbers), is_complete=False)
+    assert len(findings_of("exact_continuation", attempts=[one])) == 1
 
 
 def test_a_stream_may_break_but_not_end_early() -> None:
     short = events([1, 2, 3]) + b"id: 4\nda"
-    broken = attempt(route="items", body=short, whole=False)
-    assert found("exact_continuation", attempts=[broken]) == []
-    ended = attempt(route="items", body=short, whole=True)
-    assert len(found("exact_continuation", attempts=[ended])) == 1
+    broken = attempt(route="items", body=short, is_complete=False)
+    assert findings_of("exact_continuation", attempts=[broken]) == []
+    ended = attempt(route="items", body=short, is_complete=True)
+    assert len(findings_of("exact_continuation", attempts=[ended])) == 1
 
 
 @pytest.mark.parametrize("wrong", [{"adapter": "a2"}, {"version": 0}])
-def test_another_adapter_is_found(wrong: dict[str, object]) -> None:
+def test_a_run_on_a_wrong_adapter_or_without_a_version_is_found(wrong: dict[str, object]) -> None:
     one = attempt(route="items")
-    assert len(found("right_adapter", attempts=[one], replica_events=[run(one, **wrong)])) == 1
+    assert (
+        len(findings_of("right_adapter", attempts=[one], replica_events=[run(one, **wrong)])) == 1
+    )
 
 
 @pytest.mark.parametrize(
     ("sent_at", "version", "findings"),
     [(9.0, 1, 0), (11.0, 1, 1), (11.0, 2, 0)],
 )
-def test_an_older_version_is_found_once_the_newer_must_be_known(
+def test_an_older_version_is_found_once_the_newer_must_be_in_force(
     sent_at: float, version: int, findings: int
 ) -> None:
-    assert APPLY_BOUND_S == 5.0
+    assert CONFIGURATION_APPLY_S == 5.0
     named = NamedVersion(acknowledged_at=5.0, adapter="a1", version=2)
     one = attempt(route="items", sent_at=sent_at)
     runs = [run(one, version=version)]
     given = {"attempts": [one], "replica_events": runs, "versions": [named]}
-    assert len(found("newest_version", **given)) == findings
+    assert len(findings_of("newest_version", **given)) == findings
     outage = span("store_down", "store", began_at=5.0, ended_at=9.0)
-    assert found("newest_version", **given, spans=[outage]) == []
+    assert findings_of("newest_version", **given, spans=[outage]) == []
 
 
 @pytest.mark.parametrize(
     ("detail", "age_s", "judge"),
     [
-        ("unloaded_in_use", ORDER_WAY_S + 0.01, "no_harm_at_engines"),
-        ("unloaded_in_use", ORDER_WAY_S - 0.01, "no_unload_crosses_a_run"),
+        ("unloaded_in_use", ORDER_TRANSIT_S + 0.01, "no_harm_at_engines"),
+        ("unloaded_in_use", ORDER_TRANSIT_S - 0.01, "no_unload_crosses_a_run"),
         ("too_many_adapters", 0.0, "no_harm_at_engines"),
         ("key_passed_on", 0.0, "no_harm_at_engines"),
     ],
 )
-def test_what_engines_count_is_found_by_one_judge(detail: str, age_s: float, judge: str) -> None:
+def test_each_violation_at_an_engine_is_found_by_one_judge(
+    detail: str, age_s: float, judge: str
+) -> None:
     event = run(attempt(), kind=ReplicaEventKind.VIOLATION, detail=detail, age_s=age_s)
-    finding = {name for name in JUDGES.names if found(name, replica_events=[event])}
-    assert finding == {judge}
+    finding_judges = {name for name in JUDGES.names if findings_of(name, replica_events=[event])}
+    assert finding_judges == {judge}
 
 
 @pytest.mark.parametrize(
     ("box", "ended_at", "findings"),
     [("box-1", 10.5, 0), ("box-1", 9.9, 1), ("box-2", 10.5, 1)],
 )
-def test_an_unload_under_a_run_of_a_box_that_was_killed_meanwhile_is_no_harm(
+def test_an_unload_during_a_run_of_a_killed_box_is_no_violation(
     box: str, ended_at: float, findings: int
 ) -> None:
     one = attempt(route="items", box="box-1", sent_at=10.0)
@@ -172,15 +186,15 @@
     event = run(one, kind=kind, at=10.3, detail="unloaded_in_use", age_s=0.25)
     killed = span("killed_box", f"box/{box}", began_at=9.5, ended_at=ended_at)
     given = {"attempts": [one], "replica_events": [event], "spans": [killed]}
-    assert len(found("no_harm_at_engines", **given)) == findings
+    assert len(findings_of("no_harm_at_engines", **given)) == findings
     one.ended_at = 10.2
-    assert found("no_harm_at_engines", **given) == []
+    assert findings_of("no_harm_at_engines", **given) == []
 
 
 def test_a_service_that_no_configuration_names_is_found() -> None:
     one = attempt()
     runs = [run(one, service="strangers")]
-    assert len(found("right_service", attempts=[one], replica_events=runs)) == 1
+    assert len(findings_of("right_service", attempts=[one], replica_events=runs)) == 1
 
 
 @pytest.mark.parametrize(("sent_at", "findings"), [(9.0, 0), (16.0, 1)])
@@ -193,9 +207,9 @@
         "replica_events": [run(one, service="rosters")],
         "changes": [FIRST, change(8.0, moved=True)],
     }
-    assert len(found("right_service", **given)) == findings
+    assert len(findings_of("right_service", **given)) == findings
     outage = span("store_down", "store", began_at=8.0, ended_at=14.0)
-    assert found("right_service", **given, spans=[outage]) == []
+    assert findings_of("right_service", **given, spans=[outage]) == []
 
 
 def leaving_at(at: float) -> ReplicaEvent:
@@ -204,21 +218,23 @@
     )
 
 
-def test_new_work_at_a_leaving_replica_is_found_after_the_bound() -> None:
+def test_a_new_request_at_a_leaving_replica_is_found_after_the_bound() -> None:
     late, in_time = attempt("r1", sent_at=10.0), attempt("r2", sent_at=10.0)
-    leaving = leaving_at(10.0 - DRAIN_BOUND_S)
+    leaving = leaving_at(10.0 - LEAVING_APPLY_S)
     arrivals = [leaving, run(late, at=10.01), run(in_time, at=9.99)]
     given = {"attempts": [late, in_time], "replica_events": arrivals}
-    assert [one.request_id for one in found("leaving_gets_nothing_new", **given)] == ["r1"]
+    assert [one.request_id for one in findings_of("leaving_gets_nothing_new", **given)] == ["r1"]
     outage = span("store_down", "store", began_at=8.0, ended_at=9.0)
-    assert found("leaving_gets_nothing_new", **given, spans=[outage]) == []
-    assert found("leaving_gets_nothing_new", **given, pauses=[Pause(8.0, 1.0)]) == []
+    assert findings_of("leaving_gets_nothing_new", **given, spans=[outage]) == []
+    assert findings_of("leaving_gets_nothing_new", **given, pauses=[Pause(8.0, 1.0)]) == []
 
 
 def test_a_wrong_team_is_found() -> None:
     one = attempt(key="goes")
-    assert found("right_team", attempts=[one], replica_events=[run(one, team="one")]) == []
-    assert len(found("right_team", attempts=[one], replica_events=[run(one, team="two")])) == 1
+    assert findings_of("right_team", attempts=[one], replica_events=[run(one, team="one")]) == []
+    assert (
+        len(findings_of("right_team", attempts=[one], replica_events=[run(one, team="two")])) == 1
+    )
 
 
 REMOVED = [FIRST, change(5.0, goes=False), change(20.0, goes=True)]
@@ -228,44 +244,44 @@
     ("at", "findings"),
     [(5.0 + REVOKE_S - 0.1, 0), (5.0 + REVOKE_S + 0.1, 1), (20.5, 0), (4.0, 0)],
 )
-def test_a_removed_key_is_found_past_its_bound(at: float, findings: int) -> None:
+def test_a_run_with_a_removed_key_is_found_after_the_bound(at: float, findings: int) -> None:
     one = attempt(key="goes", sent_at=at - 0.01)
     given = {"attempts": [one], "replica_events": [run(one, at=at)], "changes": REMOVED}
-    assert len(found("removed_key_runs_nowhere", **given)) == findings
+    assert len(findings_of("removed_key_runs_nowhere", **given)) == findings
 
 
-def test_a_pause_excuses_only_what_was_sent_before_it() -> None:
+def test_a_pause_excuses_only_requests_sent_before_it() -> None:
     pause = span("paused_box", "box/box-1", began_at=7.0, ended_at=12.0)
     before, during = attempt(key="goes", sent_at=6.9), attempt(key="goes", sent_at=7.1)
     for one, findings in ((before, 0), (during, 1)):
         given = {"attempts": [one], "replica_events": [run(one, at=12.1)], "changes": REMOVED}
-        assert len(found("removed_key_runs_nowhere", **given, spans=[pause])) == findings
+        assert len(findings_of("removed_key_runs_nowhere", **given, spans=[pause])) == findings
 
 
 @pytest.mark.parametrize(("extra", "findings"), [(0, 0), (2, 1)])
-def test_a_quota_binds_every_window(extra: int, findings: int) -> None:
-    count = round(FEW_PER_S * (QUOTA_WINDOW_S + 1)) + extra
+def test_a_quota_holds_in_every_window(extra: int, findings: int) -> None:
+    count = round(LIMITED_TEAM_PER_S * (QUOTA_WINDOW_S + 1)) + extra
     attempts = [attempt(f"r{n}", key="few", sent_at=10 + n / 20) for n in range(count)]
     runs = [run(one) for one in attempts]
-    assert len(found("quota_holds", attempts=attempts, replica_events=runs)) == findings
+    assert len(findings_of("quota_holds", attempts=attempts, replica_events=runs)) == findings
 
 
 @pytest.mark.parametrize(("lowered_at", "findings"), [(9.0, 0), (9.0 - QUOTA_APPLY_S, 1)])
-def test_a_lowered_quota_binds_after_its_bound(lowered_at: float, findings: int) -> None:
+def test_a_lowered_quota_holds_after_the_bound(lowered_at: float, findings: int) -> None:
     attempts = [attempt(f"r{n}", key="few", sent_at=10 + n / 20) for n in range(40)]
     given = {
         "attempts": attempts,
         "replica_events": [run(one) for one in attempts],
         "changes": [FIRST, change(lowered_at, lowered=True)],
     }
-    assert len(found("quota_holds", **given)) == findings
+    assert len(findings_of("quota_holds", **given)) == findings
 
 
 def test_a_box_that_does_not_serve_a_route_again_is_found() -> None:
     refusals = [refused("r1", sent_at=9.9 + RECOVERY_S), refused("r2", sent_at=11.0, box="box-2")]
     served = attempt("r3", sent_at=13.0, box="box-2")
     given = {"attempts": [*refusals, served], "quiets": [Quiet(10.0, 21.0)]}
-    findings = found("recovers_in_time", **given)
+    findings = findings_of("recovers_in_time", **given)
     assert [one.text for one in findings] == ["lookup was not served by box-1"]
 
 
@@ -277,23 +293,23 @@
         (10 + RECOVERY_S + 0.1, True, 0),
     ],
 )
-def test_a_call_that_is_not_answered_in_calm_is_found(
+def test_a_call_that_is_not_answered_after_recovery_is_found(
     began_at: float, answered: bool, findings: int
 ) -> None:
     one = call(began_at=began_at, ended_at=began_at + 1, answered=answered)
     given = {"calls": [one], "quiets": [Quiet(10.0, 21.0)]}
-    assert len(found("all_served_in_calm", **given)) == findings
+    assert len(findings_of("all_served_in_calm", **given)) == findings
 
 
-def test_a_box_that_was_asked_too_early_only_is_not_judged() -> None:
+def test_a_box_that_got_only_early_requests_is_not_judged() -> None:
     early = refused("r1", sent_at=11.0)
-    assert found("recovers_in_time", attempts=[early], quiets=[Quiet(10.0, 21.0)]) == []
+    assert findings_of("recovers_in_time", attempts=[early], quiets=[Quiet(10.0, 21.0)]) == []
 
 
-def test_a_call_that_meets_the_next_fault_is_not_judged() -> None:
+def test_a_call_that_ends_after_its_quiet_span_is_not_judged() -> None:
     one = call(began_at=18.0, ended_at=21.5, answered=False)
     quiets = [Quiet(10.0, 21.0), Quiet(40.0, 51.0)]
-    assert found("all_served_in_calm", calls=[one], quiets=quiets) == []
+    assert findings_of("all_served_in_calm", calls=[one], quiets=quiets) == []
 
 
 def test_overlapping_faults_and_pauses_are_not_counted_twice() -> None:
@@ -301,9 +317,9 @@
         span("a", "store", began_at=1.0, ended_at=3.0),
         span("b", "store", began_at=2.0, ended_at=4.0),
     ]
-    everything = seen(spans=spans, pauses=[Pause(6.0, 1.0)])
-    assert everything.disturbed_s(0.0, 10.0, lambda span: True) == pytest.approx(4.0)
-    assert everything.disturbed_s(3.5, 6.5, lambda span: True) == pytest.approx(1.0)
+    observations = make_observations(spans=spans, pauses=[Pause(6.0, 1.0)])
+    assert observations.disturbed_s(0.0, 10.0, lambda span: True) == pytest.approx(4.0)
+    assert observations.disturbed_s(3.5, 6.5, lambda span: True) == pytest.approx(1.0)
 
 
 @pytest.mark.parametrize(
@@ -316,11 +332,11 @@
         ([1.0, 2.0, 30.0, 31.0, 32.0], 0.0, 0),
     ],
 )
-def test_a_request_that_goes_on_crashing_replicas_is_found_after_the_bound(
+def test_a_request_that_still_crashes_replicas_after_the_bound_is_found(
     runs_at: list[float], disturbed_s: float, findings: int
 ) -> None:
     tries = [
-        attempt(f"c{number}", route="join", sent_at=at, of_request="/join/crashing")
+        attempt(f"c{number}", route="join", sent_at=at, repeated_path="/join/crashing")
         for number, at in enumerate(runs_at)
     ]
     given = {
@@ -328,16 +344,16 @@
         "replica_events": [run(one, at=one.sent_at) for one in [*tries, attempt("r1")]],
         "spans": [span("store_down", "store", began_at=4.0, ended_at=4.0 + disturbed_s)],
     }
-    assert len(found("crashing_request_stops", **given)) == findings
+    assert len(findings_of("crashing_request_stops", **given)) == findings
 
 
-def test_what_comes_again_under_new_ids_is_asked_for() -> None:
-    again = attempt("c1", route="join", of_request="/join/crashing")
+def test_repeats_of_a_request_under_new_ids_count_as_requested() -> None:
+    again = attempt("c1", route="join", repeated_path="/join/crashing")
     given = {"attempts": [again], "replica_events": [run(again, path="/join/crashing")]}
-    assert found("nothing_unasked", **given) == []
+    assert findings_of("nothing_unasked", **given) == []
 
 
-LEAVES = {"instance": "i-1", "says_leaving": True}
+LEAVING_NOTICE = {"instance": "i-1", "says_leaving": True}
 
 
 @pytest.mark.parametrize(
@@ -349,26 +365,26 @@
         (12.5, "box-1", "i-2", 0),
     ],
 )
-def test_what_goes_to_a_replica_long_after_its_word_is_found(
+def test_a_request_to_a_replica_long_after_its_leaving_notice_is_found(
     sent_at: float, box: str, instance: str, findings: int
 ) -> None:
-    passed_on = attempt("r1", **LEAVES)
+    forwarded = attempt("r1", **LEAVING_NOTICE)
     late = attempt("r2", sent_at=sent_at, box=box)
     given = {
-        "attempts": [passed_on, late],
-        "replica_events": [run(passed_on), run(late, instance=instance)],
+        "attempts": [forwarded, late],
+        "replica_events": [run(forwarded), run(late, instance=instance)],
     }
-    assert len(found("leaving_answer_is_heeded", **given)) == findings
+    assert len(findings_of("leaving_answer_is_heeded", **given)) == findings
 
 
-def test_a_box_that_ended_since_may_have_forgotten_what_a_replica_told_it() -> None:
-    passed_on, late = attempt("r1", **LEAVES), attempt("r2", sent_at=14.0)
+def test_a_box_that_was_killed_may_have_lost_a_leaving_notice() -> None:
+    forwarded, late = attempt("r1", **LEAVING_NOTICE), attempt("r2", sent_at=14.0)
     given = {
-        "attempts": [passed_on, late],
-        "replica_events": [run(passed_on), run(late)],
+        "attempts": [forwarded, late],
+        "replica_events": [run(forwarded), run(late)],
         "spans": [span("killed_box", "box/box-1", began_at=11.0, ended_at=11.5)],
     }
-    assert found("leaving_answer_is_heeded", **given) == []
+    assert findings_of("leaving_answer_is_heeded", **given) == []
 
 
 @pytest.mark.parametrize(
@@ -381,7 +397,7 @@
         ([0.6, 0.7, 1.9], "box-2", 0),
     ],
 )
-def test_what_reaches_a_replica_within_its_rest_is_counted(
+def test_requests_to_a_replica_during_its_back_off_are_counted(
     after_s: list[float], box: str, findings: int
 ) -> None:
     first = refused("r0", sent_at=10.0)
@@ -389,12 +405,12 @@
         attempt(f"r{at}", sent_at=10.0 + seconds, box=box)
         for at, seconds in enumerate(after_s, start=1)
     ]
-    asked = run(first, at=10.0, kind=ReplicaEventKind.REFUSED, asked_rest_s=2.0)
+    refusal = run(first, at=10.0, kind=ReplicaEventKind.REFUSED, asked_rest_s=2.0)
     given = {
         "attempts": [first, *later],
-        "replica_events": [asked, *(run(one, at=one.sent_at) for one in later)],
+        "replica_events": [refusal, *(run(one, at=one.sent_at) for one in later)],
     }
-    assert len(found("rest_is_given", **given)) == findings
+    assert len(findings_of("rest_is_given", **given)) == findings
 
 
 @pytest.mark.parametrize(
@@ -407,7 +423,7 @@
         (0.3, -1.0, "box-1", False),
     ],
 )
-def test_what_reaches_a_replica_that_names_a_limit_is_counted(
+def test_requests_to_a_replica_that_names_a_limit_are_counted(
     every_s: float, named: float, box: str, findings: bool
 ) -> None:
     first = attempt("r0", sent_at=10.0, instance="i-1")
@@ -418,6 +434,6 @@
         "attempts": [first, *later],
         "replica_events": [run(one, at=one.sent_at, named_per_s=named) for one in (first, *later)],
     }
-    assert bool(found("limit_is_kept", **given)) is findings
-    held = span("paused_box", f"box/{box}", began_at=10.2, ended_at=10.3)
-    assert not found("limit_is_kept", **given, spans=[held])
+    assert bool(findings_of("limit_is_kept", **given)) is findings
+    paused = span("paused_box", f"box/{box}", began_at=10.2, ended_at=10.3)
+    assert not findings_of("limit_is_kept", **given, spans=[paused])
--- a/tests/soak/test_options.py
+++ b/tests/soak/test_options.py
@@ -64,7 +64,7 @@
     assert read_options(["--seed", "5", "--minutes", "0.5"]).seconds == 30.0
 
 
-def test_the_command_tells_what_is_wrong_and_starts_nothing(tmp_path: Path) -> None:
+def test_the_command_prints_the_error_and_starts_nothing(tmp_path: Path) -> None:
     done = subprocess.run(
         [sys.executable, "-m", "bench.soak", "--without", "gravity", "--keep", str(tmp_path)],
         capture_output=True,
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("mechanism", sorted(MECHANISMS))
-def test_every_mechanism_can_be_taken_out(mechanism: str) -> None:
+def test_every_mechanism_can_be_disabled(mechanism: str) -> None:
     with tempfile.NamedTemporaryFile("w", suffix=".jsonc") as settings:
         settings.write("{}")
         settings.flush()
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak itself, on two fixed seeds, and how it ends when it is interrupted."""
+"""Tests of the soak with two fixed seeds, and of its clean-up when it is interrupted."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 PASSED = 0
 FAILED = 1
 NOT_JUDGED = 3
-PLAYS_AT_MOST = 3
-"""A play in which the machine stood still tells nothing, and is played again."""
+MAX_PLAYS = 3
+"""A play during which the machine paused the soak cannot be judged, and is repeated."""
 
 INTERRUPTED = 130
 
@@ -34,8 +34,8 @@
     )
 
 
-def processes_that_name(text: str) -> list[int]:
-    """The running processes with a text in their command."""
+def processes_with(text: str) -> list[int]:
+    """Return the ids of running processes with a text in their command."""
     found = []
     for entry in Path("/proc").iterdir():
         try:
@@ -49,7 +49,14 @@
 
 @dataclass
 class Played:
-    """How a play ended."""
+    """The result of a play.
+
+    Attributes:
+        code: The exit code.
+        output: What the command printed.
+        left: The folder for the logs of a failed seed.
+        verdicts: The verdicts by judge; empty unless the play failed.
+    """
 
     code: int
     output: str
@@ -59,7 +66,7 @@
 
 @pytest.fixture(scope="module", params=["1", "3"])
 def played(request: pytest.FixtureRequest, tmp_path_factory: pytest.TempPathFactory) -> Played:
-    for _ in range(PLAYS_AT_MOST):
+    for _ in range(MAX_PLAYS):
         played = play(request.param, tmp_path_factory.mktemp("soak"))
         if played.code != NOT_JUDGED:
             break
@@ -83,7 +90,7 @@
         assert played.verdicts[promise].findings == [], played.output
 
 
-def test_a_seed_that_passed_leaves_nothing_and_one_that_failed_its_logs(played: Played) -> None:
+def test_only_a_failed_seed_keeps_its_logs(played: Played) -> None:
     left = [path.name for path in played.left.rglob("*")]
     if played.code == PASSED:
         assert left == []
@@ -93,7 +100,9 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
-def test_an_interrupted_soak_leaves_nothing_behind(number: int, tmp_path: Path) -> None:
+def test_an_interrupted_soak_ends_its_processes_and_removes_its_files(
+    number: int, tmp_path: Path
+) -> None:
     process = soak("--seed", "3", keep=tmp_path)
     wait_until(
         lambda: any(path.name == "box-1.log" for path in tmp_path.rglob("*.log")),
@@ -103,5 +112,5 @@
     process.send_signal(number)
     output, _ = process.communicate(timeout=60)
     assert process.returncode == INTERRUPTED, output
-    assert processes_that_name(str(tmp_path)) == []
+    assert processes_with(str(tmp_path)) == []
     assert list(tmp_path.iterdir()) == []
