--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -64,7 +64,8 @@
 
     Attributes:
         spread_s: Seconds until a configuration change is in force on every box.
-        takeover_s: Seconds until the replicas of a killed box have another owner."""
+        takeover_s: Seconds until the replicas of a killed box have another owner.
+    """
 
     boxes: int
     cpu_share: float
@@ -159,10 +160,10 @@
 
 def adapters_mb(count: int) -> float:
     """Return the resident memory in MB of a box with `count` adapters in its catalog."""
-    return run_in_zone(zone_shape(1, engines=1), lambda cluster: _with_adapters(cluster, count))
+    return run_in_zone(zone_shape(1, engines=1), lambda cluster: _mb_with_adapters(cluster, count))
 
 
-def _with_adapters(cluster: Cluster, count: int) -> float:
+def _mb_with_adapters(cluster: Cluster, count: int) -> float:
     adapters = [
         Adapter(f"base:community-{number:06d}", [1, 2, 3], 3, ["minutes"])
         for number in range(count)
@@ -200,10 +201,10 @@
 def streams_mb(counts: list[int]) -> list[tuple[float, float]]:
     """Return pairs of a number of open streams and the resident memory in MB of a box."""
     shape = replace(zone_shape(1, engines=1), running_limit=1_000)
-    return run_in_zone(shape, lambda cluster: _with_streams(cluster, counts))
+    return run_in_zone(shape, lambda cluster: _mb_with_streams(cluster, counts))
 
 
-def _with_streams(cluster: Cluster, counts: list[int]) -> list[tuple[float, float]]:
+def _mb_with_streams(cluster: Cluster, counts: list[int]) -> list[tuple[float, float]]:
     box = cluster.shape.box_names[0]
     engine = next(iter(cluster.addresses.engines))
     headers = {"Springrock-Deadline-Ms": "120000"}
--- a/bench/soak/deployment.py
+++ b/bench/soak/deployment.py
@@ -15,7 +15,7 @@
 import urllib3
 
 from bench.soak.crashing import CrashingCaller
-from bench.soak.observations import Attempt, Change, NamedVersion
+from bench.soak.observations import Attempt, Change, PublishedVersion
 from bench.soak.shape import (
     ADAPTER_SLOTS,
     CRASHING,
@@ -61,7 +61,7 @@
     guard: Callable[[], AbstractContextManager[None]] = nullcontext
     shape: Shape = field(default_factory=lambda: Shape.from_boxes(4))
     changes: list[Change] = field(default_factory=list)
-    versions: list[NamedVersion] = field(default_factory=list)
+    versions: list[PublishedVersion] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         super().__post_init__()
@@ -80,13 +80,13 @@
             "stop": {"within_s": STOP_WITHIN_S, "notice_s": 0.2},
         }
         self._configured = Configured()
-        self._named_versions: dict[str, int] = {}
+        self._published_versions: dict[str, int] = {}
         self._removed_rows: set[str] = set()
         self._plans = {plan.name: plan for plan in self.shape.replicas}
         self._routes: dict[str, str] = {}
         self._proxy = ""
         self.crashing_attempts: list[Attempt] = []
-        self._crashing: dict[str, CrashingCaller] = {}
+        self._crashing_callers: dict[str, CrashingCaller] = {}
         self._reassigned: set[str] = set()
         self._earlier_build: Path | None = None
         self._restart_lock = threading.RLock()
@@ -187,19 +187,19 @@
             )
         )
 
-    def name_next_version(self, adapter: str) -> None:
+    def publish_next_version(self, adapter: str) -> None:
         """Publish the next version of an adapter."""
-        version = self._named_versions.get(adapter, 1) + 1
-        self._named_versions[adapter] = version
+        version = self._published_versions.get(adapter, 1) + 1
+        self._published_versions[adapter] = version
         self.name_version(adapter, version)
         self.versions.append(
-            NamedVersion(acknowledged_at=monotonic(), adapter=adapter, version=version)
+            PublishedVersion(acknowledged_at=monotonic(), adapter=adapter, version=version)
         )
 
     def rewrite_missing(self) -> None:
         """Repeat the operator's writes, which a store restored from a copy may lack."""
         self.configure(self._configured.routes(), self.version)
-        for adapter, version in self._named_versions.items():
+        for adapter, version in self._published_versions.items():
             self.name_version(adapter, version)
         for instance in sorted(self._removed_rows):
             self.remove_replica_row(instance)
@@ -216,7 +216,7 @@
         )
 
     def link_fault(self, links: tuple[str, ...], **fault: Any) -> None:
-        """Set the faults of some links; no fault restores them."""
+        """Set the faults of some links; without faults the links work normally again."""
         body = json.dumps({"routes": list(links), **fault})
         wait_until(
             lambda: self._posted(f"http://{self._proxy}/standin/faults", body),
@@ -224,7 +224,7 @@
             what="the proxy sets its faults",
         )
 
-    def begin_crashing(self, route: str, seed: str) -> None:
+    def start_crashing_request(self, route: str, seed: str) -> None:
         """Start to send a request that crashes replicas."""
         caller = CrashingCaller(
             route,
@@ -233,12 +233,12 @@
             attempts=self.crashing_attempts,
             restart=self._restart_crashed,
         )
-        self._crashing[seed] = caller
+        self._crashing_callers[seed] = caller
         caller.start()
 
-    def end_crashing(self, seed: str) -> None:
+    def stop_crashing_request(self, seed: str) -> None:
         """Stop sending a request that crashes replicas."""
-        self._crashing.pop(seed).stop()
+        self._crashing_callers.pop(seed).stop()
 
     def _restart_crashed(self) -> None:
         """Replace the replicas that a request has crashed, as the platform does."""
--- a/bench/soak/faults/configuration.py
+++ b/bench/soak/faults/configuration.py
@@ -83,7 +83,7 @@
     def begin(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
         """Start the fault."""
         for adapter in targets:
-            deployment.name_next_version(adapter)
+            deployment.publish_next_version(adapter)
 
     def end(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
         """End the fault."""
--- a/bench/soak/faults/fault.py
+++ b/bench/soak/faults/fault.py
@@ -33,7 +33,7 @@
 
     @abstractmethod
     def targets(self, rng: random.Random, shape: Shape) -> tuple[str, ...]:
-        """Draw the targets."""
+        """Draw the targets, such as boxes, links or replicas."""
 
     @abstractmethod
     def claims(self, targets: tuple[str, ...]) -> frozenset[str]:
--- a/bench/soak/faults/requests.py
+++ b/bench/soak/faults/requests.py
@@ -29,8 +29,8 @@
 
     def begin(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
         """Start to send the request repeatedly."""
-        deployment.begin_crashing(*targets)
+        deployment.start_crashing_request(*targets)
 
     def end(self, deployment: SoakDeployment, targets: tuple[str, ...]) -> None:
         """Stop sending the request."""
-        deployment.end_crashing(targets[1])
+        deployment.stop_crashing_request(targets[1])
--- a/bench/soak/judges/crashes.py
+++ b/bench/soak/judges/crashes.py
@@ -9,6 +9,8 @@
 from springrock.emulator.replica_events import ReplicaEvent
 
 QUARANTINE_CRASHES = 3
+"""Number of replica crashes after which a request must be quarantined."""
+
 QUARANTINE_APPLY_S = 3.0
 """Seconds after the last of these crashes until every box must quarantine the request. Faults that
 delay updates extend this time."""
--- a/bench/soak/judges/placement.py
+++ b/bench/soak/judges/placement.py
@@ -88,7 +88,7 @@
     """Collects the violations that engines recorded, apart from unloads that crossed a run."""
 
     name = "no_harm_at_engines"
-    promise = "no adapter is unloaded during a run, no slot is overbooked, no key is forwarded"
+    promise = "no adapter is unloaded during a run, no slot is overbooked, no API key is forwarded"
 
     def judge(self, observations: Observations) -> Verdict:
         """Check the promise against the observations of one play."""
@@ -224,6 +224,6 @@
             late_s += observations.disturbed_s(attempt.sent_at, event.at, delays_attempt(attempt))
             over_s = event.at - since - late_s
             if over_s > LEAVING_APPLY_S:
-                text = f"{event.instance} ran it {over_s:.1f} undisturbed s after its leaving"
+                text = f"{event.instance} ran it {over_s:.1f} s, less faults, after its leaving"
                 findings.append(Finding(at=event.at, request_id=event.request_id, text=text))
         return Verdict(looked_at=looked_at, findings=findings)
--- a/bench/soak/judges/teams.py
+++ b/bench/soak/judges/teams.py
@@ -54,9 +54,7 @@
     """Looks for runs with a removed key after the bound on its removal."""
 
     name = "removed_key_runs_nowhere"
-    promise = (
-        f"no request with a removed key runs later than {REVOKE_S} s after its acknowledgement"
-    )
+    promise = f"no request with a removed key runs {REVOKE_S} s after the removal was acknowledged"
 
     def judge(self, observations: Observations) -> Verdict:
         """Check the promise against the observations of one play."""
--- a/bench/soak/judges/words.py
+++ b/bench/soak/judges/words.py
@@ -12,9 +12,11 @@
 """The shortest of the users' bounds on requests to a leaving replica."""
 
 IN_FLIGHT_S = 0.5
+"""Requests that arrive up to this long after a notice were in flight when it was given."""
+
 MAX_STRAYS = 2
 """The users' bound on requests that reach a replica during the back-off that it asked for. Requests
-that were in flight when it asked do not count."""
+in flight when it asked do not count."""
 
 LIMIT_PROPAGATION_S = 3.0
 """The users' bound on how long an update may take from box to box."""
@@ -22,7 +24,8 @@
 LIMIT_WINDOW_S = 4.0
 LIMIT_FACTOR = 1.5
 LIMIT_EXTRA = 5
-"""The users' bound: a window's limit times the factor, plus the extra requests."""
+"""The users' bound: in any window a replica gets at most the factor times its limit for the window,
+plus the extra requests."""
 
 _ARRIVALS = (ReplicaEventKind.RAN, ReplicaEventKind.REFUSED)
 
--- a/bench/soak/mechanisms.py
+++ b/bench/soak/mechanisms.py
@@ -26,10 +26,10 @@
 
     original = PlatformDialect.request_headers
 
-    def _without(self: Any, request: Any, terms: Any) -> Any:
+    def _without_header(self: Any, request: Any, terms: Any) -> Any:
         return original(self, request, terms).without((header,))
 
-    PlatformDialect.request_headers = _without  # type: ignore[method-assign]
+    PlatformDialect.request_headers = _without_header  # type: ignore[method-assign]
 
 
 @_disables("expected_instance")
--- a/bench/soak/observations.py
+++ b/bench/soak/observations.py
@@ -74,7 +74,8 @@
     """One call of a caller, over all its attempts.
 
     Attributes:
-        last: A description of the last attempt."""
+        last: A description of the last attempt.
+    """
 
     call: str
     route: str
@@ -107,7 +108,7 @@
     configured: Configured
 
 
-class NamedVersion(Struct, frozen=True, kw_only=True):
+class PublishedVersion(Struct, frozen=True, kw_only=True):
     """A version of an adapter that was published, as an operator does."""
 
     acknowledged_at: float
@@ -137,7 +138,7 @@
     replica_events: list[ReplicaEvent]
     spans: list[FaultSpan]
     changes: list[Change]
-    versions: list[NamedVersion]
+    versions: list[PublishedVersion]
     pauses: list[Pause]
     quiets: list[Quiet]
 
--- a/bench/soak/play.py
+++ b/bench/soak/play.py
@@ -1,5 +1,4 @@
-"""Runs one play: starts all processes and callers, injects the scheduled faults, collects
-observations."""
+"""Runs one play: starts processes and callers, injects scheduled faults, collects observations."""
 
 from __future__ import annotations
 
@@ -86,19 +85,19 @@
 ) -> list[FaultSpan]:
     spans: dict[int, FaultSpan] = {}
     for switch in _switches_of(schedule.planned):
-        one = schedule.planned[switch.number]
-        fault = FAULTS[one.fault]
+        planned_fault = schedule.planned[switch.number]
+        fault = FAULTS[planned_fault.fault]
         _sleep_until(began_at + switch.at_s)
         if switch.starts:
             spans[switch.number] = FaultSpan(
-                name=one.fault,
-                targets=one.targets,
-                claimed=fault.claims(one.targets),
+                name=planned_fault.fault,
+                targets=planned_fault.targets,
+                claimed=fault.claims(planned_fault.targets),
                 began_at=monotonic(),
             )
-            fault.begin(deployment, one.targets)
+            fault.begin(deployment, planned_fault.targets)
         else:
-            fault.end(deployment, one.targets)
+            fault.end(deployment, planned_fault.targets)
             spans[switch.number].ended_at = monotonic()
     return list(spans.values())
 
--- a/bench/soak/schedule.py
+++ b/bench/soak/schedule.py
@@ -9,8 +9,8 @@
 from bench.soak.shape import Shape
 
 CYCLE_S = 30.0
-"""A cycle ends with a quiet span, in which everything must be served again. Its length is at least
-this, unless the play is shorter."""
+"""The minimum length of a cycle, unless the play is shorter. A cycle ends with a quiet span, in
+which everything must be served again."""
 
 QUIET_S = 11.0
 """The length of a quiet span: the bound on recovery, and then some time to judge all calls."""
@@ -23,7 +23,7 @@
 """The probability that a second fault begins at the same time as the first."""
 
 _MAX_SEPARATE_DRAWS = 8
-"""How often a separately drawn fault is drawn again because it conflicts with another fault."""
+"""Number of draws of a separately drawn fault; it is left out if all conflict with other faults."""
 
 _TARGET_COOLDOWN_S = 1.0
 """Time after a fault in which its targets get no other fault, as processes take time to start."""
--- a/bench/soak/shape.py
+++ b/bench/soak/shape.py
@@ -125,6 +125,8 @@
 
 
 KEYS = {"one": "key-of-one", "two": "key-of-two", "goes": "key-that-goes", "few": "key-of-few"}
+"""API keys by name. `goes` is removed and restored during a play; `few` is of the limited team."""
+
 TEAM_OF_KEY = {"one": "one", "two": "two", "goes": "one", "few": "few", "": ""}
 
 SERVICE_OF_ROUTE = {
--- a/tests/soak/test_judges.py
+++ b/tests/soak/test_judges.py
@@ -8,7 +8,7 @@
 from bench.soak.judges.placement import CONFIGURATION_APPLY_S, LEAVING_APPLY_S, ORDER_TRANSIT_S
 from bench.soak.judges.service import RECOVERY_S
 from bench.soak.judges.teams import QUOTA_APPLY_S
-from bench.soak.observations import Change, NamedVersion, Pause, Quiet
+from bench.soak.observations import Change, Pause, PublishedVersion, Quiet
 from bench.soak.shape import (
     LIMITED_TEAM_PER_S,
     QUOTA_WINDOW_S,
@@ -147,7 +147,7 @@
     sent_at: float, version: int, findings: int
 ) -> None:
     assert CONFIGURATION_APPLY_S == 5.0
-    named = NamedVersion(acknowledged_at=5.0, adapter="a1", version=2)
+    named = PublishedVersion(acknowledged_at=5.0, adapter="a1", version=2)
     one = attempt(route="items", sent_at=sent_at)
     runs = [run(one, version=version)]
     given = {"attempts": [one], "replica_events": runs, "versions": [named]}
