--- a/bench/hop.py
+++ b/bench/hop.py
@@ -23,7 +23,15 @@
 
 
 class HopCost(NamedTuple):
-    """The cost of one hop; `us` are microseconds of processor time."""
+    """The cost of one hop.
+
+    Attributes:
+        idle_mb: Resident memory of an idle box.
+        idle_cpu_share: Fraction of a core that an idle box uses.
+        chunk_us: Processor time of each chunk of a stream in microseconds.
+        request_us: Processor time of each request in microseconds.
+        loaded_mb: Resident memory after the load.
+    """
 
     idle_mb: float
     idle_cpu_share: float
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -101,7 +101,7 @@
         table_writes_per_s=used["commits"] / boxes,
         table_reads_per_s=used["reads"] / boxes,
         resident_mb=sum(resident_mb(cluster.processes[name].pid) for name in names) / boxes,
-        spread_s=_spread_s(cluster),
+        spread_s=_propagation_s(cluster),
         takeover_s=_takeover_s(cluster),
     )
 
@@ -126,7 +126,7 @@
     return 0.0
 
 
-def _spread_s(cluster: Cluster) -> float:
+def _propagation_s(cluster: Cluster) -> float:
     """Return the longest time of five changes until the change is in force on every box."""
     worst = 0.0
     for number in range(5):
@@ -236,7 +236,13 @@
 
 
 class PermitCost(NamedTuple):
-    """The additional cost of a permit from another box, over one from the box itself."""
+    """The additional cost of a permit from another box, over one from the box itself.
+
+    Attributes:
+        bytes_sent: Bytes that both boxes send to each other.
+        messages_sent: Messages that both boxes send to each other.
+        both_ends_us: Processor time of both boxes together in microseconds.
+    """
 
     bytes_sent: float
     messages_sent: float
--- a/bench/soak/deployment.py
+++ b/bench/soak/deployment.py
@@ -15,7 +15,7 @@
 import urllib3
 
 from bench.soak.crashing import CrashingCaller
-from bench.soak.observations import Attempt, Change, PublishedVersion
+from bench.soak.observations import Attempt, ConfigurationChange, PublishedVersion
 from bench.soak.shape import (
     ADAPTER_SLOTS,
     CRASHING,
@@ -29,9 +29,9 @@
     STOP_WITHIN_S,
     STREAM_EVENTS,
     WORK_MS,
-    Configured,
     ReplicaPlan,
     Shape,
+    SoakConfiguration,
 )
 from springrock.clock import monotonic
 from springrock.emulator.ports import free_addresses
@@ -60,7 +60,7 @@
 
     guard: Callable[[], AbstractContextManager[None]] = nullcontext
     shape: Shape = field(default_factory=lambda: Shape.from_boxes(4))
-    changes: list[Change] = field(default_factory=list)
+    changes: list[ConfigurationChange] = field(default_factory=list)
     versions: list[PublishedVersion] = field(default_factory=list)
 
     def __post_init__(self) -> None:
@@ -79,7 +79,7 @@
             },
             "stop": {"within_s": STOP_WITHIN_S, "notice_s": 0.2},
         }
-        self._configured = Configured()
+        self._configured = SoakConfiguration()
         self._published_versions: dict[str, int] = {}
         self._removed_rows: set[str] = set()
         self._plans = {plan.name: plan for plan in self.shape.replicas}
@@ -180,7 +180,7 @@
         began_at = monotonic()
         self.configure(self._configured.routes())
         self.changes.append(
-            Change(
+            ConfigurationChange(
                 began_at=began_at,
                 acknowledged_at=monotonic(),
                 configured=self._configured,
--- a/bench/soak/judges/placement.py
+++ b/bench/soak/judges/placement.py
@@ -224,6 +224,6 @@
             late_s += observations.disturbed_s(attempt.sent_at, event.at, delays_attempt(attempt))
             over_s = event.at - since - late_s
             if over_s > LEAVING_APPLY_S:
-                text = f"{event.instance} ran it {over_s:.1f} s, less faults, after its leaving"
+                text = f"{event.instance} ran it {over_s:.1f} s after its leaving, excluding faults"
                 findings.append(Finding(at=event.at, request_id=event.request_id, text=text))
         return Verdict(looked_at=looked_at, findings=findings)
--- a/bench/soak/judges/service.py
+++ b/bench/soak/judges/service.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from bench.soak.judges.judge import JUDGES, Finding, Judge, Verdict
-from bench.soak.observations import Observations, Quiet
+from bench.soak.observations import Observations, QuietSpan
 
 RECOVERY_S = 7.0
 """Seconds after the last fault until everything must be served again. In this time processes start,
@@ -70,5 +70,5 @@
         return Verdict(looked_at=looked_at, findings=findings)
 
 
-def _recovered_by(observations: Observations, quiet: Quiet) -> float:
+def _recovered_by(observations: Observations, quiet: QuietSpan) -> float:
     return quiet.began_at + RECOVERY_S + observations.paused_s(quiet.began_at, quiet.ended_at)
--- a/bench/soak/judges/teams.py
+++ b/bench/soak/judges/teams.py
@@ -5,7 +5,12 @@
 from typing import NamedTuple
 
 from bench.soak.judges.judge import JUDGES, Finding, Judge, Verdict
-from bench.soak.observations import Change, Observations, delays_attempt, delays_updates
+from bench.soak.observations import (
+    ConfigurationChange,
+    Observations,
+    delays_attempt,
+    delays_updates,
+)
 from bench.soak.shape import QUOTA_WINDOW_S, REVOKE_S, TEAM_OF_KEY
 
 QUOTA_APPLY_S = 5.0
@@ -81,7 +86,7 @@
         return Verdict(looked_at=looked_at, findings=findings)
 
 
-def _removals_of(changes: list[Change]) -> list[_Removal]:
+def _removals_of(changes: list[ConfigurationChange]) -> list[_Removal]:
     removals = []
     removed_at: float | None = None
     for change in changes:
--- a/bench/soak/observations.py
+++ b/bench/soak/observations.py
@@ -8,7 +8,7 @@
 
 from msgspec import Struct
 
-from bench.soak.shape import REPEATABLE, Configured
+from bench.soak.shape import REPEATABLE, SoakConfiguration
 from springrock.emulator.replica_events import ReplicaEvent, ReplicaEventKind
 
 _NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
@@ -100,12 +100,12 @@
     ended_at: float = float("inf")
 
 
-class Change(Struct, frozen=True, kw_only=True):
+class ConfigurationChange(Struct, frozen=True, kw_only=True):
     """A configuration that was written, as an operator does."""
 
     began_at: float
     acknowledged_at: float
-    configured: Configured
+    configured: SoakConfiguration
 
 
 class PublishedVersion(Struct, frozen=True, kw_only=True):
@@ -123,7 +123,7 @@
     lasted_s: float
 
 
-class Quiet(Struct, frozen=True):
+class QuietSpan(Struct, frozen=True):
     """A span without any fault; it begins when the last fault ended."""
 
     began_at: float
@@ -137,10 +137,10 @@
     calls: list[Call]
     replica_events: list[ReplicaEvent]
     spans: list[FaultSpan]
-    changes: list[Change]
+    changes: list[ConfigurationChange]
     versions: list[PublishedVersion]
     pauses: list[Pause]
-    quiets: list[Quiet]
+    quiets: list[QuietSpan]
 
     @cached_property
     def attempt_of(self) -> dict[str, Attempt]:
--- a/bench/soak/play.py
+++ b/bench/soak/play.py
@@ -11,7 +11,7 @@
 from bench.soak.callers import Callers
 from bench.soak.deployment import SoakDeployment
 from bench.soak.faults import FAULTS
-from bench.soak.observations import FaultSpan, Observations, Quiet
+from bench.soak.observations import FaultSpan, Observations, QuietSpan
 from bench.soak.pauses import PauseMeter
 from bench.soak.schedule import PlannedFault, Schedule
 from bench.soak.shape import Shape
@@ -108,13 +108,13 @@
     return sorted(switches)
 
 
-def _quiets_of(schedule: Schedule, spans: list[FaultSpan], began_at: float) -> list[Quiet]:
+def _quiets_of(schedule: Schedule, spans: list[FaultSpan], began_at: float) -> list[QuietSpan]:
     """Return the actual quiet spans; each begins when the last fault has actually ended."""
     quiets = []
     for start_s, end_s in schedule.quiets:
         end = began_at + end_s
         ended = [span.ended_at for span in spans if span.began_at < end]
-        quiets.append(Quiet(max([began_at + start_s, *ended]), end))
+        quiets.append(QuietSpan(max([began_at + start_s, *ended]), end))
     return quiets
 
 
--- a/bench/soak/shape.py
+++ b/bench/soak/shape.py
@@ -74,7 +74,7 @@
         return tuple(plan.name for plan in self.replicas if plan.service == service)
 
 
-class Configured(NamedTuple):
+class SoakConfiguration(NamedTuple):
     """The parts of the configuration that the soak changes.
 
     Attributes:
--- a/tests/soak/made_up.py
+++ b/tests/soak/made_up.py
@@ -5,11 +5,13 @@
 from typing import Any
 
 from bench.soak.judges import JUDGES, Finding
-from bench.soak.observations import Attempt, Call, Change, FaultSpan, Observations
-from bench.soak.shape import SERVICE_OF_ROUTE, STREAM_EVENTS, Configured
+from bench.soak.observations import Attempt, Call, ConfigurationChange, FaultSpan, Observations
+from bench.soak.shape import SERVICE_OF_ROUTE, STREAM_EVENTS, SoakConfiguration
 from springrock.emulator.replica_events import ReplicaEvent, ReplicaEventKind
 
-FIRST = Change(began_at=0.0, acknowledged_at=0.0, configured=Configured())
+INITIAL_CONFIGURATION = ConfigurationChange(
+    began_at=0.0, acknowledged_at=0.0, configured=SoakConfiguration()
+)
 
 
 def attempt(request_id: str = "r1", **more: Any) -> Attempt:
@@ -90,7 +92,7 @@
         "calls": [],
         "replica_events": [],
         "spans": [],
-        "changes": [FIRST],
+        "changes": [INITIAL_CONFIGURATION],
         "versions": [],
         "pauses": [],
         "quiets": [],
--- a/tests/soak/test_judges.py
+++ b/tests/soak/test_judges.py
@@ -8,17 +8,17 @@
 from bench.soak.judges.placement import CONFIGURATION_APPLY_S, LEAVING_APPLY_S, ORDER_TRANSIT_S
 from bench.soak.judges.service import RECOVERY_S
 from bench.soak.judges.teams import QUOTA_APPLY_S
-from bench.soak.observations import Change, Pause, PublishedVersion, Quiet
+from bench.soak.observations import ConfigurationChange, Pause, PublishedVersion, QuietSpan
 from bench.soak.shape import (
     LIMITED_TEAM_PER_S,
     QUOTA_WINDOW_S,
     RETRY_ALLOWANCE,
     REVOKE_S,
-    Configured,
+    SoakConfiguration,
 )
 from springrock.emulator.replica_events import ReplicaEvent, ReplicaEventKind
 from tests.soak.made_up import (
-    FIRST,
+    INITIAL_CONFIGURATION,
     attempt,
     call,
     events,
@@ -30,8 +30,10 @@
 )
 
 
-def change(at: float, **configured: bool) -> Change:
-    return Change(began_at=at, acknowledged_at=at, configured=Configured(**configured))
+def change(at: float, **configured: bool) -> ConfigurationChange:
+    return ConfigurationChange(
+        began_at=at, acknowledged_at=at, configured=SoakConfiguration(**configured)
+    )
 
 
 @pytest.mark.parametrize("judge", JUDGES.names)
@@ -49,7 +51,7 @@
             attempts=attempts,
             calls=[call()],
             replica_events=[run(attempts[0]), run(attempts[1])],
-            quiets=[Quiet(0.0, 30.0)],
+            quiets=[QuietSpan(0.0, 30.0)],
         )
         == []
     )
@@ -205,7 +207,7 @@
     given = {
         "attempts": [one],
         "replica_events": [run(one, service="rosters")],
-        "changes": [FIRST, change(8.0, moved=True)],
+        "changes": [INITIAL_CONFIGURATION, change(8.0, moved=True)],
     }
     assert len(findings_of("right_service", **given)) == findings
     outage = span("store_down", "store", began_at=8.0, ended_at=14.0)
@@ -237,7 +239,7 @@
     )
 
 
-REMOVED = [FIRST, change(5.0, goes=False), change(20.0, goes=True)]
+REMOVED = [INITIAL_CONFIGURATION, change(5.0, goes=False), change(20.0, goes=True)]
 
 
 @pytest.mark.parametrize(
@@ -272,7 +274,7 @@
     given = {
         "attempts": attempts,
         "replica_events": [run(one) for one in attempts],
-        "changes": [FIRST, change(lowered_at, lowered=True)],
+        "changes": [INITIAL_CONFIGURATION, change(lowered_at, lowered=True)],
     }
     assert len(findings_of("quota_holds", **given)) == findings
 
@@ -280,7 +282,7 @@
 def test_a_box_that_does_not_serve_a_route_again_is_found() -> None:
     refusals = [refused("r1", sent_at=9.9 + RECOVERY_S), refused("r2", sent_at=11.0, box="box-2")]
     served = attempt("r3", sent_at=13.0, box="box-2")
-    given = {"attempts": [*refusals, served], "quiets": [Quiet(10.0, 21.0)]}
+    given = {"attempts": [*refusals, served], "quiets": [QuietSpan(10.0, 21.0)]}
     findings = findings_of("recovers_in_time", **given)
     assert [one.text for one in findings] == ["lookup was not served by box-1"]
 
@@ -297,18 +299,18 @@
     began_at: float, answered: bool, findings: int
 ) -> None:
     one = call(began_at=began_at, ended_at=began_at + 1, answered=answered)
-    given = {"calls": [one], "quiets": [Quiet(10.0, 21.0)]}
+    given = {"calls": [one], "quiets": [QuietSpan(10.0, 21.0)]}
     assert len(findings_of("all_served_in_calm", **given)) == findings
 
 
 def test_a_box_that_got_only_early_requests_is_not_judged() -> None:
     early = refused("r1", sent_at=11.0)
-    assert findings_of("recovers_in_time", attempts=[early], quiets=[Quiet(10.0, 21.0)]) == []
+    assert findings_of("recovers_in_time", attempts=[early], quiets=[QuietSpan(10.0, 21.0)]) == []
 
 
 def test_a_call_that_ends_after_its_quiet_span_is_not_judged() -> None:
     one = call(began_at=18.0, ended_at=21.5, answered=False)
-    quiets = [Quiet(10.0, 21.0), Quiet(40.0, 51.0)]
+    quiets = [QuietSpan(10.0, 21.0), QuietSpan(40.0, 51.0)]
     assert findings_of("all_served_in_calm", calls=[one], quiets=quiets) == []
 
 
