--- a/springrock/platform/__init__.py
+++ b/springrock/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The users' platform: names, formats and calls, translated to this package's own; no decisions.
+"""Adapters to the users' platform: they translate its names, formats and calls, without decisions.
 
-Nothing outside this folder knows the platform's names, beside the deploy files. Its pages tell
-the protocol; this folder follows their version of 2026-11.
+Outside this folder only the deployment files use the platform's names. The platform's pages define
+the protocol; this folder implements their version of 2026-11.
 """
--- a/springrock/platform/dialect.py
+++ b/springrock/platform/dialect.py
@@ -1,4 +1,4 @@
-"""Requests and answers on the platform: headers read and written."""
+"""Translates the headers of requests and answers on the platform."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 from springrock.platform import names
 from springrock.platform.notices import notice_from
 
-_SET_BY_THE_BOX = (
+_BOX_HEADERS = (
     names.DEADLINE_MS,
     names.EXPECT_INSTANCE,
     names.EXPECT_VERSION,
     names.PRIORITY,
     names.HOLD,
     names.PIN_MS,
-    names.MEMORY_BACKUP,
-    names.MEMORY_FROM,
-    names.MEMORY_FETCH,
+    names.KV_BACKUP,
+    names.KV_FROM,
+    names.KV_FETCH,
     "content-length",
 )
-"""What only the system sets at a replica; a client's own value of it is dropped."""
+"""Headers to a replica that only a box may set; a client's own values are dropped."""
 
-_OF_TEAMS = (names.API_KEY, names.TEAM)
-"""What is dropped beside that where there are teams."""
+_TEAM_HEADERS = (names.API_KEY, names.TEAM)
+"""Headers of a client that are dropped as well if teams are configured."""
 
-_MOST_TOKENS = 1_000_000_000
-"""No prompt or answer is that long; a number beyond it is taken for malformed."""
+_MAX_TOKENS = 1_000_000_000
+"""Exceeds any real prompt or answer; a larger count is rejected as malformed."""
 
 _MISDIRECTED = 421
-_STATUSES_OF_NOT_EXECUTED = frozenset({400, 408, 429, 503})
+_NOT_EXECUTED_STATUSES = frozenset({400, 408, 429, 503})
 
 
 class PlatformDialect:
@@ -43,7 +43,7 @@
         """Return a client's request.
 
         Raises:
-            BadRequest: If a number or the key is malformed or the id is missing.
+            BadRequest: If a number or the key is malformed, or the request id is missing.
         """
         request_id = headers.get(names.REQUEST_ID)
         if not request_id:
@@ -69,9 +69,9 @@
 
     def request_headers(self, request: ClientRequest, terms: SendTerms) -> Headers:
         """Return the headers of the request to a replica."""
-        kept = request.headers.end_to_end().without(_SET_BY_THE_BOX)
+        kept = request.headers.end_to_end().without(_BOX_HEADERS)
         if terms.team is not None:
-            kept = kept.without(_OF_TEAMS)
+            kept = kept.without(_TEAM_HEADERS)
         if terms.after_event:
             kept = kept.without((names.LAST_EVENT_ID,))
         added = [
@@ -99,19 +99,19 @@
         if head.status == _MISDIRECTED:
             return True
         promised = head.headers.get(names.NOT_EXECUTED) is not None
-        return promised and head.status in _STATUSES_OF_NOT_EXECUTED
+        return promised and head.status in _NOT_EXECUTED_STATUSES
 
     def wrong_replica(self, head: AnswerHead) -> bool:
-        """Whether the replica is not the one meant, or lacks what was asked for."""
+        """Whether another replica answered, or this one lacks what the request needs."""
         return head.status == _MISDIRECTED
 
     def notice(self, head: AnswerHead) -> ReplicaNotice:
-        """Return what an answer tells of the replica that was meant."""
+        """Return what an answer says about the replica that the request was sent to."""
         return notice_from(head.status, head.headers)
 
 
 def _key_digest(headers: Headers) -> bytes | None:
-    """Return the digest of the client's key; no error tells anything of the key itself."""
+    """Return the digest of the client's key; errors never contain any part of the key."""
     keys = [value for name, value in headers if name.lower() == names.API_KEY.lower()]
     if not keys:
         return None
@@ -119,7 +119,7 @@
         raise BadRequest(f"{names.API_KEY} is given more than once")
     key = keys[0].strip()
     if not key or not key.isascii() or not key.isprintable():
-        raise BadRequest(f"{names.API_KEY} is empty or no text")
+        raise BadRequest(f"{names.API_KEY} is empty or not printable ASCII")
     return digest_of(key)
 
 
@@ -132,13 +132,13 @@
 
 def _tokens(value: str) -> int:
     number = _number(value)
-    if number > _MOST_TOKENS:
-        raise BadRequest(f"{value!r} is more than a request can hold")
+    if number > _MAX_TOKENS:
+        raise BadRequest(f"{value!r} is more tokens than a request can have")
     return int(number)
 
 
 def _prompt_parts(value: str | None) -> tuple[PromptPart, ...]:
-    """Read ID:TOKENS pairs; parts that cannot be read only cost the use of what is kept."""
+    """Parse ID:TOKENS pairs; a malformed header only loses the benefit of cached prompt parts."""
     if not value:
         return ()
     parts = []
@@ -153,5 +153,5 @@
 def _number(value: str) -> float:
     number = read_non_negative(value)
     if number is None:
-        raise BadRequest(f"{value!r} is no number, or out of range")
+        raise BadRequest(f"{value!r} is not a number, or out of range")
     return number
--- a/springrock/platform/engine.py
+++ b/springrock/platform/engine.py
@@ -1,4 +1,4 @@
-"""Reports of and orders to the platform's model engines."""
+"""Fetches state reports from the platform's model engines and sends them orders."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from springrock.platform.notices import notice_from
 from springrock.platform.records import HeldModel, held_adapters, split_version
 
-_CONNECT_S = 0.5
-_REPORT_ANSWER_S = 0.5
-_ORDER_ANSWER_S = 0.12
-"""An order is answered in some milliseconds or not at all; as it states the engine's sequence,
-one that is given again too early is refused, not carried out twice."""
+_CONNECT_TIMEOUT_S = 0.5
+_REPORT_TIMEOUT_S = 0.5
+_ORDER_TIMEOUT_S = 0.12
+"""Engines answer an order within milliseconds or not at all. A premature retry is refused and not
+executed twice, because an order states the engine's expected sequence number."""
 
-_ANSWERS = {
+_ANSWER_BY_STATUS = {
     200: OrderAnswer.DONE,
     202: OrderAnswer.ACCEPTED,
     400: OrderAnswer.REFUSED,
@@ -61,8 +61,8 @@
     """Implements `springrock.placement.control.EngineControl`.
 
     Args:
-        notice_taker: Returns, by an engine's id, what takes the notice in the answer to a call
-            that is about to be sent there.
+        notice_taker: Returns the handler for the notice in an engine's answer, by the engine's id;
+            called before each call to the engine.
     """
 
     def __init__(
@@ -70,33 +70,35 @@
         *,
         notice_taker: Callable[[str], NoticeHandler] = lambda replica_id: ignore_notice,
     ) -> None:
-        self._notice_handler = notice_taker
+        self._notice_handler_for = notice_taker
         self._pool = urllib3.PoolManager(retries=False, num_pools=64, maxsize=2)
 
     def report(self, address: str, *, instance: str) -> EngineState:
         """Return an engine's state."""
         response = self._call(
-            "GET", address, names.REPORT_PATH, instance=instance, answer_s=_REPORT_ANSWER_S
+            "GET", address, names.REPORT_PATH, instance=instance, timeout_s=_REPORT_TIMEOUT_S
         )
         if response.status != 200:
-            raise ControlUnanswered(f"the report was answered with {response.status}")
+            raise ControlUnanswered(
+                f"the engine answered the report call with status {response.status}"
+            )
         try:
             report = msgspec.json.decode(response.data, type=_Report)
         except msgspec.DecodeError as error:
-            raise ControlUnanswered(f"the report cannot be read: {error}") from None
+            raise ControlUnanswered(f"malformed engine report: {error}") from None
         return EngineState(
             sequence=report.sequence,
             busy=report.busy,
             models=frozenset(model.name for model in report.models),
             adapters=held_adapters(report.models),
-            coming=tuple(_coming_from(text) for text in report.coming),
+            coming=tuple(_parse_loading_adapter(text) for text in report.coming),
             running=report.running,
             queued=report.queued,
             born_ms=report.born,
         )
 
     def order(self, address: str, *, instance: str, order: Order) -> OrderAnswer:
-        """Give an order."""
+        """Send an order to an engine."""
         body = _Order(
             operation=order.kind.value,
             model=order.key.model,
@@ -112,12 +114,12 @@
             address,
             names.ORDER_PATH,
             instance=instance,
-            answer_s=_ORDER_ANSWER_S,
+            timeout_s=_ORDER_TIMEOUT_S,
             body=encoded,
         )
-        answer = _ANSWERS.get(response.status)
+        answer = _ANSWER_BY_STATUS.get(response.status)
         if answer is None:
-            raise ControlUnanswered(f"the order was answered with {response.status}")
+            raise ControlUnanswered(f"the engine answered the order with status {response.status}")
         return answer
 
     def _call(
@@ -127,11 +129,11 @@
         path: str,
         *,
         instance: str,
-        answer_s: float,
+        timeout_s: float,
         body: bytes | None = None,
     ) -> urllib3.BaseHTTPResponse:
         headers = {names.EXPECT_INSTANCE: instance}
-        handle_notice = self._notice_handler(instance)
+        handle_notice = self._notice_handler_for(instance)
         if body is not None:
             headers["Content-Type"] = "application/json"
         try:
@@ -140,7 +142,7 @@
                 f"http://{address}{path}",
                 body=body,
                 headers=headers,
-                timeout=urllib3.Timeout(connect=_CONNECT_S, read=answer_s),
+                timeout=urllib3.Timeout(connect=_CONNECT_TIMEOUT_S, read=timeout_s),
             )
         except (urllib3.exceptions.HTTPError, OSError) as error:
             raise ControlUnanswered(f"{address}: {error}") from None
@@ -149,7 +151,7 @@
         return response
 
 
-def _coming_from(text: str) -> HeldAdapter:
-    """Read MODEL/NAME@VERSION."""
+def _parse_loading_adapter(text: str) -> HeldAdapter:
+    """Parse MODEL/NAME@VERSION."""
     model, _, adapter = text.partition("/")
     return HeldAdapter(model, *split_version(adapter))
--- a/springrock/platform/names.py
+++ b/springrock/platform/names.py
@@ -1,4 +1,4 @@
-"""Names on the platform's wire: headers and paths."""
+"""Names in the platform's protocol: headers, paths, tables and keys."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
 TOKEN_COUNT = "Springrock-Token-Count"
 PRIORITY = "Springrock-Request-Priority"
 PROMPT_PARTS = "Springrock-Prompt-Prefix"
-"""All parts of the prompt in order, the request's own last part included."""
+"""All parts of the prompt in order, including the last part, which only this request has."""
 
 API_KEY = "Api-Key"
-"""A client's key, and nothing else; no replica gets it."""
+"""The client's key, without a scheme before it; never forwarded to a replica."""
 
 TEAM = "Springrock-Tenant"
 
 HOLD = "Springrock-Hold"
 PIN_MS = "Springrock-Pin-Ms"
-MEMORY_BACKUP = "Springrock-Kv-Backup"
-MEMORY_FROM = "Kv-From"
-MEMORY_FETCH = "Kv-Fetch"
+KV_BACKUP = "Springrock-Kv-Backup"
+KV_FROM = "Kv-From"
+KV_FETCH = "Kv-Fetch"
 LAST_EVENT_ID = "Last-Event-Id"
 INSTANCE_ID = "Springrock-Instance-Id"
 
 LEAVING = "Server-Leaving"
-"""Set to 1 on all answers of a replica that leaves."""
+"""Set to 1 on all answers of a replica that is shutting down."""
 
 LIMIT = "Server-Limit"
-"""Requests a second, a decimal number, on all answers of a replica that takes no more than so many
-from all boxes together."""
+"""On all answers of a replica with a rate limit: the requests a second that it accepts from all
+boxes together, as a decimal number."""
 
-WORD_PREFIX = "Server-"
-"""So begin the headers in which replicas tell of themselves, those to come as well."""
+NOTICE_PREFIX = "Server-"
+"""Prefix of all headers with notices from replicas, including those of later protocol versions."""
 
 REPORT_PATH = "/v1/report"
 ORDER_PATH = "/v1/order"
@@ -48,7 +48,7 @@
 ROWS_TX_PATH = "/v1/rows-tx"
 
 ERA_HEADER = "Store-Era"
-"""In all answers of the store: how often it has come back from a copy."""
+"""In all answers of the store: how often it has been restored from a copy."""
 
 OPERATOR_TABLE = "op"
 CONFIGURATION_KEY = "config"
--- a/springrock/platform/notices.py
+++ b/springrock/platform/notices.py
@@ -1,4 +1,4 @@
-"""What replicas of the platform tell of themselves in the heads of all their answers."""
+"""Parses the notices that replicas of the platform put into the heads of all their answers."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 
 _MISDIRECTED = 421
 _UNAVAILABLE = 503
-_IS_LEAVING = "1"
+_LEAVING_VALUE = "1"
 _LEAVING = names.LEAVING.lower()
 _LIMIT = names.LIMIT.lower()
 _RETRY_AFTER = HEADER.lower()
-_PREFIX = names.WORD_PREFIX.lower()
+_NOTICE_PREFIX = names.NOTICE_PREFIX.lower()
 
-_KNOWN = frozenset((_LEAVING, _LIMIT, _RETRY_AFTER))
+_KNOWN_HEADERS = frozenset((_LEAVING, _LIMIT, _RETRY_AFTER))
 
-_SHOWN = 40
-"""So many signs of a value that cannot be read are shown in logs."""
+_MAX_LOGGED_CHARS = 40
+"""Characters of a malformed value or unknown name that are logged."""
 
 
 def notice_from(status: int, headers: Headers) -> ReplicaNotice:
-    """Return what the head of an answer tells of the replica that was meant.
+    """Return what the head of an answer says about the replica that the request was sent to.
 
-    Whoever answers 421 may be another one, at an address that was used again.
+    An answer 421 may come from another replica at the same address, so its notices are ignored.
     """
     if status == _MISDIRECTED:
         return NO_NOTICE
     reported = [
         (lowered, value)
         for name, value in headers
-        if (lowered := name.lower()) == _RETRY_AFTER or lowered.startswith(_PREFIX)
+        if (lowered := name.lower()) == _RETRY_AFTER or lowered.startswith(_NOTICE_PREFIX)
     ]
     if not reported:
         return EMPTY_NOTICE
@@ -43,19 +43,23 @@
         if name == _LIMIT:
             limit = read_non_negative(value)
             if limit is None:
-                unreadable = f"{names.LIMIT}: {value[:_SHOWN]}"
+                unreadable = f"{names.LIMIT}: {value[:_MAX_LOGGED_CHARS]}"
             else:
                 limits.append(limit)
         elif name == _RETRY_AFTER and status == _UNAVAILABLE:
             try:
                 backoffs.append(read_retry_after(value))
             except RetryAfterUnreadable:
-                unreadable = f"{HEADER}: {value[:_SHOWN]}"
-    # Of several words the one that spares the replica most.
+                unreadable = f"{HEADER}: {value[:_MAX_LOGGED_CHARS]}"
+    # Of repeated headers, the value that gives the replica the least load applies.
     return ReplicaNotice(
-        leaving=any(name == _LEAVING and value.strip() == _IS_LEAVING for name, value in reported),
+        leaving=any(
+            name == _LEAVING and value.strip() == _LEAVING_VALUE for name, value in reported
+        ),
         backoff_s=max(backoffs, default=0.0),
         unreadable=unreadable,
         limit_per_s=min(limits, default=None),
-        unknown=tuple(name[:_SHOWN] for name, _ in reported if name not in _KNOWN),
+        unknown=tuple(
+            name[:_MAX_LOGGED_CHARS] for name, _ in reported if name not in _KNOWN_HEADERS
+        ),
     )
--- a/springrock/platform/records.py
+++ b/springrock/platform/records.py
@@ -1,4 +1,4 @@
-"""Rows of the platform's store, decoded into this package's values."""
+"""Decodes rows of the platform's store into this package's types."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 T = TypeVar("T")
 
-_VERSION_DIGITS = 18
-"""A version of more digits is none: it would not fit where versions are told between boxes."""
+_MAX_VERSION_DIGITS = 18
+"""A number with more digits is not a version: it would not fit into messages between boxes."""
 
 
 class MalformedRecord(ValueError):
-    """A row that does not follow the platform's pages."""
+    """A row that does not follow the format in the platform's pages."""
 
 
 class _Split(Struct, rename="camel"):
@@ -108,10 +108,10 @@
 
 
 def configuration_from(row: Row) -> own.Configuration:
-    """Return the configuration of a row.
+    """Decode a configuration.
 
     Raises:
-        MalformedRecord: If it is not one.
+        MalformedRecord: If the row is not a configuration.
     """
     config = _decode(row, _Configuration)
     return own.Configuration(
@@ -127,10 +127,10 @@
 
 
 def version_from(row: Row) -> tuple[AdapterKey, int]:
-    """Return the adapter and the version that a row names; an empty adapter for the model's own.
+    """Return the adapter and the version that a row names; the adapter is empty for a base model.
 
     Raises:
-        MalformedRecord: If it is not one.
+        MalformedRecord: If the row does not name a version.
     """
     named = _decode(row, _NamedVersion)
     return AdapterKey(named.model, named.adapter), named.version
@@ -142,30 +142,30 @@
 
 
 def evacuated_zone(key: str) -> str:
-    """Return the zone whose evacuation a row of the operator's table asks for; empty if none."""
+    """Return the zone whose evacuation a key of the operator's table requests; empty if none."""
     is_evacuation = key.startswith(names.EVACUATION_KEY_PREFIX)
     return key.removeprefix(names.EVACUATION_KEY_PREFIX) if is_evacuation else ""
 
 
 def held_adapters(models: list[HeldModel]) -> tuple[HeldAdapter, ...]:
-    """Return the adapters of held models, which are listed as NAME@VERSION.
+    """Parse the adapters of held models, which are listed as NAME@VERSION.
 
-    Of one that is listed in several versions, as while it is replaced, the newest is taken.
+    An adapter that is being replaced is listed in several versions; only the newest is returned.
     """
     newest: dict[AdapterKey, HeldAdapter] = {}
     for model in models:
         for text in model.adapters:
             held = HeldAdapter(model.name, *split_version(text))
-            known = newest.get(held.key)
-            if known is None or held.version > known.version:
+            previous = newest.get(held.key)
+            if previous is None or held.version > previous.version:
                 newest[held.key] = held
     return tuple(newest.values())
 
 
 def split_version(text: str) -> tuple[str, int]:
-    """Split NAME@VERSION; a name alone, or with something else, has version 0."""
+    """Split NAME@VERSION; the version is 0 if it is missing or not a number."""
     name, _, version = text.partition("@")
-    is_version = version.isascii() and version.isdigit() and len(version) <= _VERSION_DIGITS
+    is_version = version.isascii() and version.isdigit() and len(version) <= _MAX_VERSION_DIGITS
     return name, int(version) if is_version else 0
 
 
@@ -173,7 +173,7 @@
     try:
         kind = own.RouteKind(route.kind)
     except ValueError:
-        # A kind that these pages do not tell is treated with the most care.
+        # A kind of a later protocol version is handled as the most restrictive one.
         kind = own.RouteKind.UNSAFE
     split = [own.Share(part.service, part.weight) for part in route.traffic_split]
     return own.Route(
@@ -193,27 +193,27 @@
     )
 
 
-def _regions_from(names_of_regions: list[str] | None) -> frozenset[str] | None:
-    """Return the regions that are allowed; an empty list bounds nothing."""
-    return frozenset(names_of_regions) if names_of_regions else None
+def _regions_from(region_names: list[str] | None) -> frozenset[str] | None:
+    """Return the allowed regions; None, as for an empty list, allows all."""
+    return frozenset(region_names) if region_names else None
 
 
 def _teams_from(tenants: list[_Tenant]) -> tuple[own.Team, ...]:
     teams = tuple(_team_from(tenant) for tenant in tenants)
     digests = [digest for team in teams for digest in team.key_digests]
     if len(digests) != len(set(digests)):
-        raise MalformedRecord("two teams hold the same key")
+        raise MalformedRecord("two teams have the same key")
     return teams
 
 
 def _team_from(tenant: _Tenant) -> own.Team:
     numbers = (tenant.rate_per_s, tenant.burst, tenant.plain_tokens)
     if not all(0 <= number < math.inf for number in numbers):
-        raise MalformedRecord(f"team {tenant.name}: a limit that is negative or no number")
+        raise MalformedRecord(f"team {tenant.name}: a limit is negative or not a finite number")
     try:
         unit = own.QuotaUnit(tenant.unit)
     except ValueError:
-        raise MalformedRecord(f"team {tenant.name}: limits in unknown units") from None
+        raise MalformedRecord(f"team {tenant.name}: the unit of its limits is unknown") from None
     return own.Team(
         name=tenant.name,
         key_digests=frozenset(digest_of(key) for key in tenant.api_keys),
@@ -248,14 +248,16 @@
 
 
 def _slow_start_from(service: _Service) -> own.SlowStart | None:
-    """Return what cold replicas bear.
+    """Return the load limit of recently started replicas; None if the service has none.
 
     Raises:
-        MalformedRecord: If a number is negative or none.
+        MalformedRecord: If a number is negative or not finite.
     """
     numbers = (service.cold_start_s, service.cold_per_s)
     if not all(0 <= number < math.inf for number in numbers):
-        raise MalformedRecord(f"service {service.name}: a slow start that is negative or no number")
+        raise MalformedRecord(
+            f"service {service.name}: a number of its slow start is negative or not finite"
+        )
     if not service.cold_per_s:
         return None
     return own.SlowStart(lasts_s=service.cold_start_s, per_s=service.cold_per_s)
@@ -265,5 +267,5 @@
     try:
         return msgspec.json.decode(row.value, type=kind)
     except msgspec.DecodeError as error:
-        # The decoder names where and what kind, and quotes no value.
+        # The decoder's error names the field and the expected type, but quotes no value.
         raise MalformedRecord(f"{row.key}: {error}") from None
--- a/springrock/platform/replica_rows.py
+++ b/springrock/platform/replica_rows.py
@@ -1,4 +1,4 @@
-"""Rows that replicas write of themselves, read strictly: others may write to that table too."""
+"""Parses and validates the replicas' rows, as other writers have access to their table too."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 
 
 class RowFault(StrEnum):
-    """Why a row names no replica to use; logs and metrics name it."""
+    """Why a row does not describe a usable replica, as shown in logs and metrics."""
 
     UNREADABLE = "unreadable"
-    """Its bytes are no object of fields."""
+    """Its value is not a JSON object."""
     ID = "id"
-    """Its key cannot be the id of a replica."""
+    """Its key is not a valid replica id."""
     MISSING_FIELD = "missing_field"
     WRONG_TYPE = "wrong_type"
     OUT_OF_RANGE = "out_of_range"
     ADDRESS = "address"
-    """Its address is none."""
+    """Its address is not HOST:PORT."""
     UNKNOWN_STATE = "unknown_state"
     UNKNOWN_ZONE = "unknown_zone"
     MODELS = "models"
-    """Its models are none."""
+    """Its list of models is malformed."""
     START_MISSING = "start_missing"
-    """The replica of that id has told its start before, and this row does not."""
+    """It lacks the start time, which earlier rows of the same replica id had."""
 
 
 class ReplicaRowMalformed(ValueError):
-    """A row that names no replica to use.
+    """A row that does not describe a usable replica.
 
     Args:
-        fault: Why.
-        field: The field that shows it; empty if none does.
+        fault: What is wrong with the row.
+        field: The field that is wrong; empty if the fault concerns no single field.
     """
 
     def __init__(self, fault: RowFault, field: str = "") -> None:
@@ -48,88 +48,89 @@
         super().__init__(f"{fault}: {field}" if field else str(fault))
 
 
-_IS_LEAVING = {"ready": False, "draining": True}
+_IS_LEAVING_BY_STATE = {"ready": False, "draining": True}
 
-_LATEST_MS = 253_402_300_799_999
-"""The end of the year 9999: no replica starts later. Times of day are not compared with this box's,
-which may be wrong."""
+_MAX_START_MS = 253_402_300_799_999
+"""The end of the year 9999. Start times are not checked against this box's clock: it may be wrong."""
 
-_MOST_SLOTS = 1_000_000
-"""No replica runs so many requests at once; a number beyond it is taken for malformed."""
+_MAX_SLOTS = 1_000_000
+"""More requests than any replica runs at once; a larger number is rejected as malformed."""
 
-_HIGHEST_SEQUENCE = 2**63 - 1
-_LONGEST_COLD_MS = 86_400_000
-"""No replica is slow from its start for more than a day."""
+_MAX_SEQUENCE = 2**63 - 1
+_MAX_COLD_MS = 86_400_000
+"""One day; no replica is slow after its start for longer."""
 
-_LONGEST_TEXT = 200
-"""In characters: no key of the store, and so no id, service or zone, is longer."""
+_MAX_TEXT_CHARS = 200
+"""The limit of the store's keys, and so of replica ids, services and zones."""
 
-_LABEL = r"[A-Za-z0-9_](?:[A-Za-z0-9_-]{0,61}[A-Za-z0-9_])?"
-_ADDRESS = re.compile(rf"(?:{_LABEL}(?:\.{_LABEL})*|[0-9A-Fa-f:]*:[0-9A-Fa-f:.]*):([0-9]{{1,5}})")
-"""A host that the resolver takes without an error of its own, and a port."""
+_HOST_LABEL = r"[A-Za-z0-9_](?:[A-Za-z0-9_-]{0,61}[A-Za-z0-9_])?"
+_ADDRESS = re.compile(
+    rf"(?:{_HOST_LABEL}(?:\.{_HOST_LABEL})*|[0-9A-Fa-f:]*:[0-9A-Fa-f:.]*):([0-9]{{1,5}})"
+)
+"""A port, and a host that the resolver accepts; it raises errors of its own for other names."""
 
 _INCARNATION = re.compile(r".*@[0-9]+")
 
 
 def replica_from(row: Row, *, knows_zone: Callable[[str], bool]) -> ReplicaRecord:
-    """Return the replica of a row.
+    """Return the replica that a row describes.
 
-    A service that no configuration names yet may come with the next one, and so is taken.
+    The service is not checked: the next configuration may add it.
 
     Args:
         row: The row.
-        knows_zone: Whether a zone is one of the deployment's.
+        knows_zone: Returns whether a zone is one of the deployment's.
 
     Raises:
-        ReplicaRowMalformed: If it names no replica to use.
+        ReplicaRowMalformed: If the row does not describe a usable replica.
     """
     fields = _Fields(_decoded(row.value))
-    born_ms = fields.whole_or_none("born", at_most=_LATEST_MS)
+    born_ms = fields.integer_or_none("born", at_most=_MAX_START_MS)
     _check_id(row.key, born_ms)
     models = _models_from(fields.value_or("models", []))
-    # What these hold is of no use here; another type still tells of another writer.
-    fields.check_kinds("version", (str, int, float))
-    fields.check_kinds("stage", (str,))
+    # These values are unused, but a wrong type shows that something else wrote the row.
+    fields.check_types("version", (str, int, float))
+    fields.check_types("stage", (str,))
     return ReplicaRecord(
         instance=incarnation_of(row.key, born_ms),
         service=fields.text("service"),
         address=_address(fields),
         zone=_zone(fields, knows_zone),
-        running_limit=fields.whole("slots", at_least=1, at_most=_MOST_SLOTS),
+        running_limit=fields.integer("slots", at_least=1, at_most=_MAX_SLOTS),
         leaving=_is_leaving(fields),
         models=frozenset(model.name for model in models),
         adapters=held_adapters(models),
         born_ms=born_ms,
-        sequence=fields.whole_or_none("sequence", at_most=_HIGHEST_SEQUENCE) or 0,
-        cold_s=fields.number_or_zero("coldRemainingMs", at_most=_LONGEST_COLD_MS) / 1000,
+        sequence=fields.integer_or_none("sequence", at_most=_MAX_SEQUENCE) or 0,
+        cold_s=fields.number_or_zero("coldRemainingMs", at_most=_MAX_COLD_MS) / 1000,
     )
 
 
 class _Fields:
-    """The fields of a row, each read as what it must be.
+    """Typed access to the fields of a row.
 
     Args:
-        fields: The fields as they were decoded.
+        fields: The decoded fields.
     """
 
     def __init__(self, fields: dict[str, Any]) -> None:
         self._fields = fields
 
     def value_or(self, name: str, default: Any) -> Any:
-        """Return a field as it is; the default if it is missing."""
+        """Return a field unchecked; the default if it is missing."""
         return self._fields.get(name, default)
 
     def text(self, name: str) -> str:
-        """Return a text that is not empty."""
+        """Return a field that must be a printable, non-empty text."""
         value = self._required(name)
         if not isinstance(value, str):
             raise ReplicaRowMalformed(RowFault.WRONG_TYPE, name)
-        if not value or len(value) > _LONGEST_TEXT or not value.isprintable():
+        if not value or len(value) > _MAX_TEXT_CHARS or not value.isprintable():
             raise ReplicaRowMalformed(RowFault.OUT_OF_RANGE, name)
         return value
 
-    def whole(self, name: str, *, at_least: int, at_most: int) -> int:
-        """Return a whole number; neither a truth value nor a fraction is one."""
+    def integer(self, name: str, *, at_least: int, at_most: int) -> int:
+        """Return a field that must be an integer in a range; booleans and floats are rejected."""
         value = self._required(name)
         if type(value) is not int:
             raise ReplicaRowMalformed(RowFault.WRONG_TYPE, name)
@@ -137,14 +138,14 @@
             raise ReplicaRowMalformed(RowFault.OUT_OF_RANGE, name)
         return value
 
-    def whole_or_none(self, name: str, *, at_most: int) -> int | None:
-        """Return a whole number that is not negative; None if it is missing."""
+    def integer_or_none(self, name: str, *, at_most: int) -> int | None:
+        """Return a field that must be a non-negative integer; None if it is missing."""
         if name not in self._fields:
             return None
-        return self.whole(name, at_least=0, at_most=at_most)
+        return self.integer(name, at_least=0, at_most=at_most)
 
     def number_or_zero(self, name: str, *, at_most: float) -> float:
-        """Return a number that is not negative; 0 if it is missing."""
+        """Return a field that must be a non-negative number; 0 if it is missing."""
         value = self._fields.get(name, 0)
         if type(value) not in (int, float):
             raise ReplicaRowMalformed(RowFault.WRONG_TYPE, name)
@@ -152,9 +153,9 @@
             raise ReplicaRowMalformed(RowFault.OUT_OF_RANGE, name)
         return float(value)
 
-    def check_kinds(self, name: str, kinds: tuple[type, ...]) -> None:
-        """Raise if a field is there and of none of some types."""
-        if name in self._fields and type(self._fields[name]) not in kinds:
+    def check_types(self, name: str, types: tuple[type, ...]) -> None:
+        """Raise if a field is present and has none of the types."""
+        if name in self._fields and type(self._fields[name]) not in types:
             raise ReplicaRowMalformed(RowFault.WRONG_TYPE, name)
 
     def _required(self, name: str) -> Any:
@@ -174,9 +175,9 @@
 
 
 def _check_id(replica_id: str, born_ms: int | None) -> None:
-    """Raise if an id cannot go into a header, or would be another replica's incarnation."""
-    sound = replica_id.isascii() and replica_id.isprintable() and " " not in replica_id
-    if not replica_id or not sound:
+    """Raise if an id does not fit into a header, or equals the incarnation of another replica."""
+    is_valid = replica_id.isascii() and replica_id.isprintable() and " " not in replica_id
+    if not replica_id or not is_valid:
         raise ReplicaRowMalformed(RowFault.ID)
     if born_ms is None and _INCARNATION.fullmatch(replica_id):
         raise ReplicaRowMalformed(RowFault.ID)
@@ -199,9 +200,9 @@
 
 def _is_leaving(fields: _Fields) -> bool:
     state = fields.text("state")
-    if state not in _IS_LEAVING:
+    if state not in _IS_LEAVING_BY_STATE:
         raise ReplicaRowMalformed(RowFault.UNKNOWN_STATE, "state")
-    return _IS_LEAVING[state]
+    return _IS_LEAVING_BY_STATE[state]
 
 
 def _models_from(value: Any) -> list[HeldModel]:
@@ -209,7 +210,7 @@
         models = msgspec.convert(value, list[HeldModel])
     except msgspec.ValidationError:
         raise ReplicaRowMalformed(RowFault.MODELS, "models") from None
-    texts = [text for model in models for text in (model.name, *model.adapters)]
-    if not all(text and text.isprintable() for text in texts):
+    names = [text for model in models for text in (model.name, *model.adapters)]
+    if not all(text and text.isprintable() for text in names):
         raise ReplicaRowMalformed(RowFault.MODELS, "models")
     return models
--- a/springrock/platform/store.py
+++ b/springrock/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store over HTTP: rows read, followed and written under a condition."""
+"""HTTP client of the platform's metadata store: reads, change feeds and conditional writes."""
 
 from __future__ import annotations
 
@@ -33,19 +33,19 @@
 
 T = TypeVar("T")
 
-_CONNECT_S = 0.7
-_ANSWER_S = 0.8
+_CONNECT_TIMEOUT_S = 0.7
+_ANSWER_TIMEOUT_S = 0.8
 _CONNECTIONS = 4
-_PAGE = 500
+_PAGE_ROWS = 500
 _OK = 200
 _CONFLICT = 412
 _GONE = 410
-_ERA_DIGITS = 5
-_ERA_SHOWN = 40
+_MAX_ERA_DIGITS = 5
+_MAX_LOGGED_ERA_CHARS = 40
 
 
 class _Row(Struct, omit_defaults=True):
-    """A row as the store tells it; msgspec reads and writes bytes as base64, as the store does."""
+    """A row in the store's format; msgspec encodes bytes as base64, as the store does."""
 
     table: str
     key: str
@@ -62,7 +62,7 @@
     more: bool = False
 
 
-class _Expected(Struct):
+class _RowVersion(Struct):
     table: str
     part: str
     key: str
@@ -77,31 +77,31 @@
 
 
 class _Transaction(Struct):
-    expected: list[_Expected]
+    expected: list[_RowVersion]
     put: list[_Put]
-    remove: list[_Expected] = field(default_factory=list)
+    remove: list[_RowVersion] = field(default_factory=list)
 
 
 class _Page(NamedTuple):
-    """One answer about rows, and the era that it was given in."""
+    """One answer with rows, and the era of the store that sent it."""
 
     era: int
     page: _Rows
 
     @property
     def version(self) -> int:
-        """The newest version."""
+        """The store's newest version."""
         return _version_in(self.era, self.page.ver)
 
     def rows_in_era(self) -> list[Row]:
-        """Return the rows."""
+        """Return the rows, with versions of the answer's era."""
         return [self._row(row) for row in self.page.rows]
 
     def changes_in_era(self) -> list[Change]:
-        """Return the rows as what changed."""
-        return [self._removed(row) if row.gone else self._row(row) for row in self.page.rows]
+        """Return the rows as changes, with versions of the answer's era."""
+        return [self._removed_row(row) if row.gone else self._row(row) for row in self.page.rows]
 
-    def _removed(self, row: _Row) -> Removed:
+    def _removed_row(self, row: _Row) -> Removed:
         return Removed(row.key, _version_in(self.era, row.ver) if row.ver else 0)
 
     def _row(self, row: _Row) -> Row:
@@ -111,12 +111,12 @@
 class PlatformStore:
     """Implements `springrock.rows.RowStore`.
 
-    Versions are those of `springrock.eras`; no answer of an earlier era is taken after one of a
-    later era.
+    Versions are those of `springrock.eras`. After an answer of one era, answers of earlier eras are
+    rejected.
 
     Args:
         address: ``HOST:PORT`` of the store.
-        on_era: Called with the era as each answer names it; None if it does not.
+        on_era: Called with the era in each answer; None if the answer names none.
     """
 
     def __init__(
@@ -128,15 +128,18 @@
         self._pool = urllib3.PoolManager(retries=False, maxsize=_CONNECTIONS)
 
     def read_all(self, table: str) -> Snapshot:
-        """Read all rows of a table; pages after the first may be newer."""
-        query = f"table={table}&part=&limit={_PAGE}"
+        """Read all rows of a table.
+
+        The snapshot has the version of the first page; rows of later pages may be newer.
+        """
+        query = f"table={table}&part=&limit={_PAGE_ROWS}"
         first = page = self._rows(names.ROWS_GET_PATH, query)
         rows = page.rows_in_era()
         while page.page.more and page.page.rows:
-            # Keys are read from the one just above the last.
+            # The smallest key after the last one read.
             page = self._rows(names.ROWS_GET_PATH, f"{query}&from={page.page.rows[-1].key}%00")
             if page.era != first.era:
-                raise HistoryGone("the store came back from a copy between two pages")
+                raise HistoryGone("the store was restored from a copy between two pages")
             rows += page.rows_in_era()
         return Snapshot(rows, first.version, _seconds(first.page.now_ms))
 
@@ -145,7 +148,7 @@
         query = f"table={table}&after={number_of(after)}&waitMs={round(wait_s * 1000)}"
         page = self._rows(names.ROWS_FEED_PATH, query, wait_s=wait_s)
         if page.era > era_of(after):
-            raise HistoryGone("the store came back from a copy")
+            raise HistoryGone("the store was restored from a copy")
         if page.era < era_of(after):
             raise RowStoreUnavailable(
                 f"changes after {format_version(after)} up to {format_version(page.version)}"
@@ -153,24 +156,25 @@
         return Changes(page.changes_in_era(), page.version, _seconds(page.page.now_ms))
 
     def write(self, table: str, key: str, value: bytes, *, expected: int) -> int:
-        """Write a row if it has the expected version; return the store's newest one after it."""
-        row = _Expected(table, "", key, number_of(expected))
+        """Write a row if it has the expected version; return the store's newest version then."""
+        row = _RowVersion(table, "", key, number_of(expected))
         transaction = _Transaction(expected=[row], put=[_Put(table, "", key, value)])
         return self._transact(row, transaction, era=era_of(expected))
 
     def remove(self, table: str, key: str, *, expected: int) -> None:
         """Remove a row if it has the expected version."""
-        row = _Expected(table, "", key, number_of(expected))
+        row = _RowVersion(table, "", key, number_of(expected))
         transaction = _Transaction(expected=[row], put=[], remove=[row])
         self._transact(row, transaction, era=era_of(expected))
 
-    def _transact(self, expected: _Expected, transaction: _Transaction, *, era: int) -> int:
-        """Have a transaction on one row done; return the store's newest version after it.
+    def _transact(self, expected: _RowVersion, transaction: _Transaction, *, era: int) -> int:
+        """Execute a transaction on one row; return the store's newest version after it.
 
-        Numbers are given out again in a later era, so that there the condition says nothing.
+        If the condition names a version of an earlier era, nothing is written: later eras assign
+        the same numbers again, so that the condition might hold by accident.
         """
         if UNKNOWN_ERA < era < self._era:
-            raise self._conflict(expected)
+            raise self._read_conflict(expected)
         response = self._call("POST", names.ROWS_TX_PATH, body=msgspec.json.encode(transaction))
         if response.status == _CONFLICT:
             raise _conflict_from(self._page(response), expected.key)
@@ -179,15 +183,15 @@
             raise WrittenInAnotherEra(page.version)
         return page.version
 
-    def _conflict(self, expected: _Expected) -> RowConflict:
-        """Return the conflict with a row as it now stands, without a write."""
+    def _read_conflict(self, expected: _RowVersion) -> RowConflict:
+        """Read a row and return the conflict with it."""
         query = f"table={expected.table}&part=&from={expected.key}&limit=1"
         return _conflict_from(self._rows(names.ROWS_GET_PATH, query), expected.key)
 
     def _rows(self, path: str, query: str, *, wait_s: float = 0.0) -> _Page:
         response = self._call("GET", f"{path}?{query}", wait_s=wait_s)
         if response.status == _GONE:
-            raise HistoryGone("the history asked for is gone")
+            raise HistoryGone("the store no longer has the requested history")
         return self._page(_checked(response))
 
     def _page(self, response: urllib3.BaseHTTPResponse) -> _Page:
@@ -196,7 +200,7 @@
     def _call(
         self, method: str, path: str, *, body: bytes | None = None, wait_s: float = 0.0
     ) -> urllib3.BaseHTTPResponse:
-        timeout = urllib3.Timeout(connect=_CONNECT_S, read=_ANSWER_S + wait_s)
+        timeout = urllib3.Timeout(connect=_CONNECT_TIMEOUT_S, read=_ANSWER_TIMEOUT_S + wait_s)
         headers = {"Content-Type": "application/json"} if body is not None else None
         try:
             response = self._pool.request(
@@ -210,7 +214,7 @@
     def _record_era(self, reported: int | None) -> None:
         era = era_from_reported(reported)
         if era < self._era:
-            raise RowStoreUnavailable(f"a late answer of the store's era {reported}")
+            raise RowStoreUnavailable(f"a delayed answer of the store's earlier era {reported}")
         self._era = era
         self._on_era(reported)
 
@@ -224,14 +228,16 @@
     reported = response.headers.get(names.ERA_HEADER)
     if reported is None:
         return None
-    if not (reported.isascii() and reported.isdecimal() and len(reported) <= _ERA_DIGITS):
-        raise RowStoreUnavailable(f"the store's era cannot be read: {reported[:_ERA_SHOWN]!r}")
+    if not (reported.isascii() and reported.isdecimal() and len(reported) <= _MAX_ERA_DIGITS):
+        raise RowStoreUnavailable(
+            f"malformed era of the store: {reported[:_MAX_LOGGED_ERA_CHARS]!r}"
+        )
     return int(reported)
 
 
 def _checked(response: urllib3.BaseHTTPResponse) -> urllib3.BaseHTTPResponse:
     if response.status != _OK:
-        raise RowStoreUnavailable(f"the store answered {response.status}")
+        raise RowStoreUnavailable(f"the store answered with status {response.status}")
     return response
 
 
@@ -239,7 +245,7 @@
     try:
         return msgspec.json.decode(response.data, type=kind)
     except msgspec.DecodeError as error:
-        raise RowStoreUnavailable(f"the store's answer cannot be read: {error}") from None
+        raise RowStoreUnavailable(f"malformed answer of the store: {error}") from None
 
 
 def _conflict_from(page: _Page, key: str) -> RowConflict:
--- a/springrock/platform/tables.py
+++ b/springrock/platform/tables.py
@@ -1,4 +1,4 @@
-"""Listeners of the platform's tables, which hand on what the rows say in this package's values."""
+"""Listeners of the platform's tables: they decode rows and pass the values on."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 from springrock.platform.replica_rows import ReplicaRowMalformed, RowFault, replica_from
 from springrock.rows import Row
 
-_FAULTS_KEPT = 1000
-"""Of so many ids it is remembered what was wrong with their rows, so that not each beat of them
-writes a line."""
+_MAX_REMEMBERED_FAULTS = 1000
+"""Replica ids whose latest fault is remembered, so that a malformed row that is rewritten with each
+heartbeat is logged only once."""
 
 
 class OperatorTable:
-    """Hands on configurations, named versions and evacuations.
+    """Passes on configurations, adapter versions and evacuations.
 
     Args:
         on_configuration: Called with each configuration.
-        on_unreadable: Called when the configuration cannot be read.
+        on_unreadable: Called when the configuration is malformed.
         on_version: Called with each named version of an adapter.
-        evacuations: Learns which zones are evacuated.
+        evacuations: Notified of zones whose evacuation begins or ends.
         log: The log to write to.
     """
 
@@ -53,10 +53,10 @@
         self._log = log
 
     def replace(self, rows: Sequence[Row]) -> None:
-        """Take the whole table.
+        """Apply the full table.
 
-        Versions never go, so what is missing of them means nothing; a zone whose evacuation is
-        missing is taken back.
+        Rows of versions are never removed, so missing ones are ignored. A missing evacuation row
+        ends the evacuation of its zone.
         """
         evacuated = [evacuated_zone(row.key) for row in rows]
         self._evacuations.replace([zone for zone in evacuated if zone])
@@ -64,7 +64,7 @@
             self.change(row)
 
     def change(self, row: Row) -> None:
-        """Take a new or changed row."""
+        """Apply a new or changed row."""
         try:
             if row.key == names.CONFIGURATION_KEY:
                 self._on_configuration(configuration_from(row))
@@ -78,18 +78,18 @@
                 self._on_unreadable()
 
     def remove(self, key: str) -> None:
-        """Learn that a row is gone; of the operator's only an evacuation is taken back so."""
+        """Apply the removal of a row; only the removal of an evacuation has an effect."""
         if zone := evacuated_zone(key):
             self._evacuations.end(zone)
 
 
 class ReplicaTable:
-    """Hands on what replicas write of themselves, and which of them wrote something else.
+    """Passes on the replicas' rows, and the ids of replicas whose rows are malformed.
 
     Args:
-        directory: Learns of them.
-        knows_zone: Whether a zone is one of the deployment's.
-        count_fault: Called with each row that names no replica to use.
+        directory: Receives the replicas.
+        knows_zone: Returns whether a zone is one of the deployment's.
+        count_fault: Called with the fault of each malformed row.
         log: The log to write to.
     """
 
@@ -105,11 +105,11 @@
         self._knows_zone = knows_zone
         self._count_fault = count_fault
         self._log = log
-        self._faults: BoundedDict[RowFault] = BoundedDict(at_most=_FAULTS_KEPT)
+        self._fault_by_id: BoundedDict[RowFault] = BoundedDict(at_most=_MAX_REMEMBERED_FAULTS)
 
     def replace(self, rows: Sequence[Row]) -> None:
-        """Take the whole table."""
-        records = [self._record(row) for row in rows]
+        """Apply the full table."""
+        records = [self._parse(row) for row in rows]
         not_understood = [
             row.key for row, record in zip(rows, records, strict=True) if record is None
         ]
@@ -118,20 +118,20 @@
         )
 
     def change(self, row: Row) -> None:
-        """Take a new or changed row."""
-        record = self._record(row)
+        """Apply a new or changed row."""
+        record = self._parse(row)
         if record is None:
             self._directory.record_not_understood(row.key)
         else:
             self._directory.update(record)
 
     def remove(self, key: str) -> None:
-        """Learn that a replica is gone."""
-        self._faults.pop(key, None)
+        """Apply the removal of a replica's row."""
+        self._fault_by_id.pop(key, None)
         self._directory.remove(key)
 
-    def _record(self, row: Row) -> ReplicaRecord | None:
-        """Return the replica of a row; None if it names none to use."""
+    def _parse(self, row: Row) -> ReplicaRecord | None:
+        """Return the replica of a row; None, and a recorded fault, if the row is malformed."""
         try:
             record = replica_from(row, knows_zone=self._knows_zone)
             if record.born_ms is None and self._directory.newest_start(row.key) is not None:
@@ -139,15 +139,15 @@
         except ReplicaRowMalformed as error:
             self._record_fault(row.key, error)
             return None
-        self._faults.pop(row.key, None)
+        self._fault_by_id.pop(row.key, None)
         return record
 
     def _record_fault(self, key: str, error: ReplicaRowMalformed) -> None:
-        """Count a row that is not understood; say so once until another thing is wrong with it."""
+        """Count a malformed row, and log it unless the id's previous row had the same fault."""
         self._count_fault(error.fault)
-        if self._faults.get(key) is error.fault:
+        if self._fault_by_id.get(key) is error.fault:
             return
-        self._faults.record(key, error.fault)
+        self._fault_by_id.record(key, error.fault)
         self._log.say(
             "Passed over a replica's row.", replica=key, fault=error.fault, field=error.field
         )
--- a/springrock/platform_clients/http.py
+++ b/springrock/platform_clients/http.py
@@ -1,4 +1,4 @@
-"""The platform over HTTP, through urllib3."""
+"""HTTP client of the platform's services."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 T = TypeVar("T")
 _CONNECTIONS = 8
-_PAGES_KNOWN = 8
+_MAX_CACHED_PAGES = 8
 
 
-class _Known(NamedTuple):
-    """A page as read before, and its mark."""
+class _CachedPage(NamedTuple):
+    """A decoded page and its ETag."""
 
     etag: str
     page: object
@@ -33,10 +33,10 @@
     def __init__(self, settings: PlatformSection) -> None:
         self._settings = settings
         self._pool = urllib3.PoolManager(retries=False, maxsize=_CONNECTIONS)
-        self._known: OrderedDict[str, _Known] = OrderedDict()
+        self._cache: OrderedDict[str, _CachedPage] = OrderedDict()
 
     def transact(self, transaction: wire.Transaction) -> wire.TransactionAnswer:
-        """Carry out a table transaction.
+        """Execute a table transaction.
 
         Raises:
             PlatformUnavailable: If no answer came; the writes may have taken effect.
@@ -48,10 +48,10 @@
     def rows(self, prefix: str) -> list[wire.Row]:
         """Read the rows under a prefix, sorted by key."""
         url = f"http://{self._settings.table_address}{wire.ROWS_PATH}?prefix={quote(prefix)}"
-        return self._read_changed(url, wire.Rows).rows
+        return self._read_cached(url, wire.Rows).rows
 
     def get_object(self, name: str) -> bytes | None:
-        """Read an object, or None if there is none."""
+        """Read an object; None if it does not exist."""
         response = self._request("GET", self._object_url(name))
         return None if response.status == 404 else _checked(response)
 
@@ -60,29 +60,29 @@
         self._call("PUT", self._object_url(name), body=data)
 
     def listing(self) -> wire.Listing:
-        """Read the lagging list of boxes and upstreams."""
+        """Read the list of boxes and upstreams, which lags behind their actual state."""
         url = f"http://{self._settings.list_address}{wire.LIST_PATH}"
-        return self._read_changed(url, wire.Listing)
+        return self._read_cached(url, wire.Listing)
 
-    def _read_changed(self, url: str, kind: type[T]) -> T:
-        """Read a page, or take the one read before if it has not changed."""
-        known = self._known.get(url)
-        headers = {"If-None-Match": known.etag} if known else {}
+    def _read_cached(self, url: str, kind: type[T]) -> T:
+        """Read a page; the cached one if the server says that it has not changed."""
+        cached = self._cache.get(url)
+        headers = {"If-None-Match": cached.etag} if cached else {}
         response = self._request("GET", url, headers=headers)
-        if response.status == 304 and known:
-            self._known.move_to_end(url)
-            return known.page  # type: ignore[return-value]
+        if response.status == 304 and cached:
+            self._cache.move_to_end(url)
+            return cached.page  # type: ignore[return-value]
         page = _decode(_checked(response), kind)
-        self._remember(url, response.headers.get("ETag", ""), page)
+        self._add_to_cache(url, response.headers.get("ETag", ""), page)
         return page
 
-    def _remember(self, url: str, etag: str, page: object) -> None:
+    def _add_to_cache(self, url: str, etag: str, page: object) -> None:
         if not etag:
             return
-        self._known[url] = _Known(etag, page)
-        self._known.move_to_end(url)
-        if len(self._known) > _PAGES_KNOWN:
-            self._known.popitem(last=False)
+        self._cache[url] = _CachedPage(etag, page)
+        self._cache.move_to_end(url)
+        if len(self._cache) > _MAX_CACHED_PAGES:
+            self._cache.popitem(last=False)
 
     def _object_url(self, name: str) -> str:
         return f"http://{self._settings.objects_address}{wire.OBJECTS_PATH}{name}"
