--- a/springrock/doors/__init__.py
+++ b/springrock/doors/__init__.py
@@ -1,1 +1,1 @@
-"""Doors: the HTTP servers that callers and operators use. Modules here register themselves."""
+"""Doors: the HTTP servers for callers and operators. Modules here register themselves."""
--- a/springrock/doors/_watch.py
+++ b/springrock/doors/_watch.py
@@ -1,4 +1,4 @@
-"""Notices that a caller closed its connection while its request is being served."""
+"""Detects that a caller closes its connection while its request is being served."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
 
 class CallerWatch:
-    """Raises `CallerGone` in the task that made it, once the caller is gone.
+    """Raises `CallerGone` in the task that created it when the caller closes its connection.
 
     Use as a context manager around the serving of one request.
 
     Args:
-        connection: The caller's socket; nobody else may read it meanwhile.
+        connection: The caller's socket; nothing else may read from it while the watch runs.
     """
 
     def __init__(self, connection: Any) -> None:
         self._connection = connection
-        self._served_by = gevent.getcurrent()
-        self._task: gevent.Greenlet[..., Any] | None = None
+        self._serving_task = gevent.getcurrent()
+        self._watch_task: gevent.Greenlet[..., Any] | None = None
 
     def start(self) -> None:
         """Begin watching."""
-        self._task = gevent.spawn(self._watch)
+        self._watch_task = gevent.spawn(self._watch)
 
     def stop(self) -> None:
-        """Stop watching; after this nothing is raised any more."""
-        if self._task is not None:
-            self._task.kill()
-            self._task = None
+        """Stop watching; afterwards `CallerGone` is no longer raised."""
+        if self._watch_task is not None:
+            self._watch_task.kill()
+            self._watch_task = None
 
     def _watch(self) -> None:
         while True:
@@ -44,5 +44,5 @@
                 data = b""
             if data:
                 return
-            gevent.kill(self._served_by, CallerGone("the caller closed its connection"))
+            gevent.kill(self._serving_task, CallerGone("the caller closed its connection"))
             return
--- a/springrock/doors/caller.py
+++ b/springrock/doors/caller.py
@@ -1,4 +1,4 @@
-"""The callers' door: OpenAI-style completions, plain services, models, health and metrics."""
+"""The HTTP server for callers: OpenAI-style completions, services, models, health, metrics."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 _SERVICE_METHODS = ["GET", "HEAD", "POST", "PUT", "DELETE"]
 _REPEATABLE_METHODS = frozenset({"GET", "HEAD"})
-_MODELS_LISTED = 1_000
+_MAX_LISTED_MODELS = 1_000
 
 
 @doors.register("caller")
@@ -29,7 +29,7 @@
     """Serves callers over HTTP.
 
     Args:
-        host: What it needs of its host.
+        host: The box, as far as the door uses it.
     """
 
     def __init__(self, host: CallerDoorHost) -> None:
@@ -70,13 +70,13 @@
         app.default_error_handler = self._error_page
         return app
 
-    # Small pages.
+    # Models, readiness, metrics and error pages.
 
     def _models(self) -> Any:
         host = self._host
         names = [pool.base_model for pool in host.settings.pools if pool.base_model]
         for adapter in host.catalog.adapters():
-            if len(names) >= _MODELS_LISTED:
+            if len(names) >= _MAX_LISTED_MODELS:
                 break
             names.append(adapter.name)
         return json_response(wire.model_list(names))
@@ -93,7 +93,7 @@
 
     def _error_page(self, error: Any) -> Any:
         if error.status_code == 500:
-            self._log.say("An internal fault.", error=repr(error.exception))
+            self._log.say("A request failed with an internal error.", error=repr(error.exception))
         cause = Cause.INTERNAL_FAULT if error.status_code == 500 else Cause.MALFORMED_REQUEST
         refusal = Refusal(
             cause,
@@ -107,12 +107,12 @@
 
     def _completion(self, *, chat: bool) -> Any:
         watch = CallerWatch(bottle.request.environ[SOCKET_KEY])
-        opened = self._host.open_requests
-        opened.enter()
+        open_requests = self._host.open_requests
+        open_requests.enter()
         streaming = False
         try:
-            # The body is read before the watch may read the same socket.
-            admitted = self._admit(chat=chat)
+            # Read the body before the watch starts, which reads from the same socket.
+            admitted = self._parse_and_admit(chat=chat)
             if admitted.is_error():
                 return self._refuse(admitted.error)
             request = admitted.ok
@@ -121,11 +121,11 @@
             if answered.is_error():
                 return self._refuse(answered.error, request.request_id)
             if not request.body.stream:
-                return self._whole(request, answered.ok)
+                return self._complete_answer(request, answered.ok)
             streaming = True
             bottle.response.headers["Cache-Control"] = "no-store"
             bottle.response.headers["Content-Type"] = "text/event-stream"
-            bottle.response.headers.update(self._headers(request, answered.ok))
+            bottle.response.headers.update(self._answer_headers(request, answered.ok))
             return self._stream(request, answered.ok, watch)
         except CallerGone:
             self._count(RunState.CUT, Cause.CALLER_GONE)
@@ -133,42 +133,44 @@
         finally:
             if not streaming:
                 watch.stop()
-                opened.leave()
+                open_requests.leave()
 
-    def _admit(self, *, chat: bool) -> Result[ServingRequest, Refusal]:
-        raw = read_body(self._settings.body_limit_bytes)
-        if raw is None:
+    def _parse_and_admit(self, *, chat: bool) -> Result[ServingRequest, Refusal]:
+        body_bytes = read_body(self._settings.body_limit_bytes)
+        if body_bytes is None:
             limit = self._settings.body_limit_bytes
             return Error(wire.refuse(Cause.BODY_TOO_LARGE, f"the body is over {limit} bytes"))
-        closed = self._closed()
-        if closed is not None:
-            return Error(closed)
-        body = wire.parse_body(raw, chat=chat)
+        unavailable = self._refuse_if_unavailable()
+        if unavailable is not None:
+            return Error(unavailable)
+        body = wire.parse_body(body_bytes, chat=chat)
         if body.is_error():
             return Error(body.error)
-        terms = self._terms(repeatable=True)
+        terms = self._parse_terms(repeatable=True)
         if terms.is_error():
             return Error(terms.error)
         return self._host.admission.admit(body.ok, terms.ok, chat=chat)
 
-    def _closed(self) -> Refusal | None:
-        """Return why nothing is taken now, if so."""
+    def _refuse_if_unavailable(self) -> Refusal | None:
+        """Return the refusal if this box accepts no requests now, else None."""
         host = self._host
         if host.refusing:
             return Refusal(Cause.BOX_STOPPING, "this box is stopping", retry_after_s=1.0)
         if not host.serving:
             return Refusal(Cause.BOX_STARTING, host.why_not_ready(), retry_after_s=1.0)
         if host.open_requests.count > self._settings.open_requests_limit:
-            return Refusal(Cause.QUEUE_FULL, "this box has too many requests", retry_after_s=1.0)
+            return Refusal(
+                Cause.QUEUE_FULL, "this box has too many open requests", retry_after_s=1.0
+            )
         return None
 
-    def _terms(self, *, repeatable: bool) -> Result[wire.Terms, Refusal]:
+    def _parse_terms(self, *, repeatable: bool) -> Result[wire.Terms, Refusal]:
         headers = bottle.request.headers
         workload = ""
         if self._workload_by_key:
             workload = self._workload_by_key.get(headers.get("Authorization", ""), "")
             if not workload:
-                return Error(wire.refuse(Cause.BAD_CREDENTIAL, "the credential is not known"))
+                return Error(wire.refuse(Cause.BAD_CREDENTIAL, "unknown credential"))
         return wire.parse_terms(
             headers,
             workload=workload,
@@ -177,7 +179,7 @@
             repeatable=repeatable,
         )
 
-    def _headers(self, request: ServingRequest, answer: Answer) -> dict[str, str]:
+    def _answer_headers(self, request: ServingRequest, answer: Answer) -> dict[str, str]:
         permitted = answer.permitted
         return {
             wire.REQUEST_ID_HEADER: request.request_id,
@@ -198,14 +200,16 @@
             self._handle_cut(request, error.refusal)
             yield wire.error_event(error.refusal, request.request_id)
         except (CallerGone, GeneratorExit):
-            self._log.say(f"The caller of {request.request_id} left.", request=request.request_id)
+            self._log.say(
+                f"The caller of {request.request_id} disconnected.", request=request.request_id
+            )
             self._count(RunState.CUT, Cause.CALLER_GONE)
         finally:
             watch.stop()
             answer.close()
             self._host.open_requests.leave()
 
-    def _whole(self, request: ServingRequest, answer: Answer) -> Any:
+    def _complete_answer(self, request: ServingRequest, answer: Answer) -> Any:
         pieces: list[str] = []
         finish_reason = ""
         try:
@@ -220,7 +224,7 @@
         finally:
             answer.close()
         self._count(RunState.ANSWERED)
-        body = wire.whole_answer(
+        body = wire.completion_answer(
             request_id=request.request_id,
             model=str(request.model),
             text="".join(pieces),
@@ -228,7 +232,7 @@
             finish_reason=finish_reason,
             chat=request.chat,
         )
-        headers = self._headers(request, answer)
+        headers = self._answer_headers(request, answer)
         headers[wire.RUN_STATE_HEADER] = RunState.ANSWERED
         return json_response(body, headers=headers)
 
@@ -239,23 +243,23 @@
         request = bottle.request
         self._host.open_requests.enter()
         try:
-            raw = read_body(self._settings.body_limit_bytes)
-            if raw is None:
+            body_bytes = read_body(self._settings.body_limit_bytes)
+            if body_bytes is None:
                 limit = self._settings.body_limit_bytes
                 return self._refuse(
                     wire.refuse(Cause.BODY_TOO_LARGE, f"the body is over {limit} bytes")
                 )
-            closed = self._closed()
-            if closed is not None:
-                return self._refuse(closed)
-            terms = self._terms(repeatable=request.method in _REPEATABLE_METHODS)
+            unavailable = self._refuse_if_unavailable()
+            if unavailable is not None:
+                return self._refuse(unavailable)
+            terms = self._parse_terms(repeatable=request.method in _REPEATABLE_METHODS)
             if terms.is_error():
                 return self._refuse(terms.error)
-            limited = self._host.admission.limit(terms.ok.workload)
-            if limited is not None:
-                return self._refuse(limited, terms.ok.request_id)
+            over_limit = self._host.admission.limit(terms.ok.workload)
+            if over_limit is not None:
+                return self._refuse(over_limit, terms.ok.request_id)
             watch.start()
-            return self._call_service(pool, path, raw, terms.ok)
+            return self._call_service(pool, path, body_bytes, terms.ok)
         except CallerGone:
             self._count(RunState.UNKNOWN, Cause.CALLER_GONE)
             return bottle.HTTPResponse(b"", status=499)
@@ -263,7 +267,7 @@
             watch.stop()
             self._host.open_requests.leave()
 
-    def _call_service(self, pool: str, path: str, raw: bytes, terms: wire.Terms) -> Any:
+    def _call_service(self, pool: str, path: str, body_bytes: bytes, terms: wire.Terms) -> Any:
         request = bottle.request
         request_id = terms.request_id or new_id()
         query = f"?{request.query_string}" if request.query_string else ""
@@ -271,7 +275,7 @@
             pool,
             request.method,
             f"/{path}{query}",
-            body=raw,
+            body=body_bytes,
             content_type=request.content_type or "application/octet-stream",
             request_id=request_id,
             terms=terms,
@@ -289,7 +293,7 @@
             case Result(error=refusal):
                 return self._refuse(refusal, request_id)
 
-    # Endings.
+    # Refusals, cuts and counters.
 
     def _refuse(self, refusal: Refusal, request_id: str = "", *, counted: bool = False) -> Any:
         if not counted:
--- a/springrock/doors/operator.py
+++ b/springrock/doors/operator.py
@@ -1,4 +1,4 @@
-"""The operators' door: statements of the query and command language, under a credential."""
+"""The HTTP server for operators: runs statements of the operators' language, with credentials."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     """Serves operators over HTTP.
 
     Args:
-        host: What it needs of its host.
+        host: The box, as far as the door uses it.
     """
 
     def __init__(self, host: OperatorDoorHost) -> None:
@@ -55,16 +55,18 @@
         return self._server.address
 
     def _statement(self) -> Any:
-        who = self._who(bottle.request.headers.get("Authorization", ""))
+        who = self._operator_of(bottle.request.headers.get("Authorization", ""))
         if who is None:
-            self._log.say("Rejected a credential.")
-            return _failure(401, "BadCredential", "the key is not known")
-        raw = read_body(_BODY_LIMIT_BYTES)
+            self._log.say("Rejected an unknown credential.")
+            return _failure(401, "BadCredential", "unknown key")
+        body_bytes = read_body(_BODY_LIMIT_BYTES)
         try:
-            request = msgspec.json.decode(raw or b"", type=StatementRequest)
+            request = msgspec.json.decode(body_bytes or b"", type=StatementRequest)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
             return _failure(400, "MalformedRequest", str(error))
-        self._log.say(f"{who} asks: {request.statement}", who=who, command=request.command_id)
+        self._log.say(
+            f"{who} sent a statement: {request.statement}", who=who, command=request.command_id
+        )
         return self._run(who, request)
 
     def _run(self, who: str, request: StatementRequest) -> Any:
@@ -79,15 +81,18 @@
         return json_response(msgspec.json.encode(answer))
 
     def _refused(self, status: int, who: str, error: SpringrockError) -> Any:
-        self._log.say(f"Refused {who}.", who=who, error=str(error))
+        self._log.say(f"Refused a statement of {who}.", who=who, error=str(error))
         return _failure(status, type(error).__name__, str(error))
 
-    def _who(self, shown: str) -> str | None:
-        """Return whose key was shown; every key is compared, so that time tells nothing."""
+    def _operator_of(self, authorization: str) -> str | None:
+        """Return the operator with a key, or None.
+
+        All keys are compared, in constant time, so that the duration reveals nothing about them.
+        """
         found = None
         for credential in self._credentials:
             expected = f"Bearer {credential.key}".encode()
-            if hmac.compare_digest(shown.encode(), expected):
+            if hmac.compare_digest(authorization.encode(), expected):
                 found = credential.name
         return found
 
--- a/springrock/drivers/engine.py
+++ b/springrock/drivers/engine.py
@@ -1,4 +1,4 @@
-"""The driver of model engines: streamed completions, fenced orders, reports, over urllib3."""
+"""The driver of model engines: streamed completions, orders with fences, and reports."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
 
 _CONNECTIONS = 64
 _CONNECT_TIMEOUT_S = 2.0
-_FIRST_ANSWER_LIMIT_S = 15.0
+_FIRST_ANSWER_TIMEOUT_S = 15.0
 _REPORT_TIMEOUT_S = 2.0
 _LOAD_TIMEOUT_S = 30.0
-_EVENT_LIMIT_BYTES = 1_048_576
+_MAX_EVENT_BYTES = 1_048_576
 _EVENT_END = b"\n\n"
 _DATA_PREFIX = b"data: "
 _NOT_RUN_STATUSES = frozenset({404, 409, 429, 503})
 
 _JSON_HEADERS = {"Content-Type": "application/json"}
-_FRESH_CONNECTION = {**_JSON_HEADERS, "Connection": "close"}
+_SINGLE_USE_HEADERS = {**_JSON_HEADERS, "Connection": "close"}
 
 
 class Event(NamedTuple):
@@ -45,7 +45,7 @@
 
     Attributes:
         raw: The bytes as the engine sent them, framing included.
-        chunk: What they say, or None for the closing event.
+        chunk: The decoded chunk, or None for the closing event.
     """
 
     raw: bytes
@@ -53,11 +53,11 @@
 
 
 class EngineStream:
-    """The stream of one answer, each event checked against the request.
+    """The stream of one answer; checks that each event belongs to the request.
 
     Attributes:
         position: The position of the next token.
-        whole: Whether the last token has come and the closing event was given on.
+        whole: Whether the last token arrived and the closing event was yielded.
     """
 
     def __init__(
@@ -65,85 +65,85 @@
     ) -> None:
         self._response = response
         self._request = request
-        self._finished = False
+        self._has_last_token = False
         self.position = position
         self.whole = False
 
     def __iter__(self) -> Iterator[Event]:
         try:
-            yield from self._read()
+            yield from self._read_events()
         except (HTTPError, OSError) as error:
-            if not self._finished:
+            if not self._has_last_token:
                 raise UpstreamBroke(f"the stream broke: {error}") from None
         if self.whole:
             return
-        if not self._finished:
-            raise UpstreamBroke("the stream ended early")
-        # The last token says that it is the last; only the closing event was lost.
+        if not self._has_last_token:
+            raise UpstreamBroke("the stream ended before its last token")
+        # The last token is marked as such, so the answer is complete without the closing event.
         self.whole = True
         yield Event(wire.encode_event(wire.DONE), None)
 
-    def _read(self) -> Iterator[Event]:
+    def _read_events(self) -> Iterator[Event]:
         buffer = b""
         for data in self._response.stream():
             buffer += data
             *raw_events, buffer = buffer.split(_EVENT_END)
             for raw in raw_events:
-                event = self._check(raw)
+                event = self._check_event(raw)
                 if event is not None:
                     yield event
             if self.whole:
                 return
-            if len(buffer) > _EVENT_LIMIT_BYTES:
-                raise UpstreamGarbage("an event without end")
+            if len(buffer) > _MAX_EVENT_BYTES:
+                raise UpstreamGarbage("an event exceeds the size limit")
 
     def abort(self) -> None:
-        """End the stream from another task; whoever reads it sees it break."""
+        """End the stream from another task; its reader gets `UpstreamBroke`."""
         with contextlib.suppress(OSError, ValueError, RuntimeError):
             self._response.shutdown()
 
     def close(self) -> None:
-        """Give the connection back, or close it if the answer is not whole."""
+        """Return the connection to the pool, or close it if the answer is incomplete."""
         if self.whole:
             self._response.drain_conn()
             self._response.release_conn()
         else:
             self._response.close()
 
-    def _check(self, raw: bytes) -> Event | None:
+    def _check_event(self, raw: bytes) -> Event | None:
         if not raw.startswith(_DATA_PREFIX):
-            raise UpstreamGarbage("an event without data")
+            raise UpstreamGarbage("an event has no data field")
         data = raw[len(_DATA_PREFIX) :]
         if data == wire.DONE:
-            if not self._finished:
-                raise UpstreamBroke("the stream closed before its last token")
+            if not self._has_last_token:
+                raise UpstreamBroke("the closing event came before the last token")
             self.whole = True
             return Event(raw + _EVENT_END, None)
         try:
             chunk = wire.decode_chunk(data)
         except msgspec.MsgspecError as error:
-            raise UpstreamGarbage(f"not a chunk: {error}") from None
+            raise UpstreamGarbage(f"malformed chunk: {error}") from None
         return self._check_chunk(chunk, raw)
 
     def _check_chunk(self, chunk: wire.Chunk, raw: bytes) -> Event | None:
         request = self._request
         if chunk.id != request.request_id or chunk.model != request.model:
-            raise WrongAnswer(f"asked {request.model}, answered by {chunk.model}")
+            raise WrongAnswer(f"expected an answer of {request.model}, got one of {chunk.model}")
         if chunk.position < self.position:
             return None
         if chunk.position > self.position or not chunk.choices:
-            raise UpstreamGarbage(f"a gap at position {self.position}")
+            raise UpstreamGarbage(f"the chunk at position {self.position} is missing or empty")
         self.position += 1
-        self._finished = chunk.choices[0].finish_reason is not None
+        self._has_last_token = chunk.choices[0].finish_reason is not None
         return Event(raw + _EVENT_END, chunk)
 
 
 @drivers.register("engine")
 class EngineDriver:
-    """Speaks to one model engine.
+    """Sends requests and orders to one model engine.
 
     Args:
-        upstream: Which engine, and where.
+        upstream: The engine's settings.
     """
 
     def __init__(self, upstream: UpstreamSection) -> None:
@@ -151,16 +151,16 @@
         self._pool = urllib3.HTTPConnectionPool(host, port, maxsize=_CONNECTIONS, retries=False)
 
     def begin(self, request: wire.EngineRequest) -> EngineStream:
-        """Send a request and return its answer's stream.
+        """Send a request and return the stream of its answer.
 
         Raises:
-            UpstreamUnreachable: If nothing was sent.
+            UpstreamUnreachable: If no connection could be made, so that nothing was sent.
             UpstreamSaidNo: If the engine refused before running it.
-            UpstreamBroke: If the outcome is not known.
+            UpstreamBroke: If it is unknown whether the engine ran the request.
         """
         path = wire.COMPLETIONS_PATH if request.messages is None else wire.CHAT_PATH
-        headers = _JSON_HEADERS if request.repeatable else _FRESH_CONNECTION
-        timeout = urllib3.Timeout(connect=_CONNECT_TIMEOUT_S, read=_FIRST_ANSWER_LIMIT_S)
+        headers = _JSON_HEADERS if request.repeatable else _SINGLE_USE_HEADERS
+        timeout = urllib3.Timeout(connect=_CONNECT_TIMEOUT_S, read=_FIRST_ANSWER_TIMEOUT_S)
         response = self._send(
             "POST", path, body=msgspec.json.encode(request), headers=headers, timeout=timeout
         )
@@ -172,15 +172,15 @@
         raise UpstreamBroke(f"status {response.status}: {reason}")
 
     def resume(self, request: wire.EngineRequest, position: int) -> EngineStream:
-        """Go on with the retained stream of a request that was sent before.
+        """Resume the stream that the engine has retained for an earlier request.
 
         Raises:
-            UpstreamUnreachable, UpstreamSaidNo, UpstreamBroke: If it cannot be resumed.
+            UpstreamUnreachable, UpstreamSaidNo, UpstreamBroke: If the stream cannot be resumed.
         """
         return self.begin(msgspec.structs.replace(request, resume_from=position))
 
     def cancel(self, request_id: str) -> bool:
-        """Have a request cancelled; return whether the engine confirmed."""
+        """Cancel a request; return whether the engine confirmed it."""
         body = msgspec.json.encode({"request_id": request_id})
         try:
             response = self._send("POST", wire.CANCEL_PATH, body=body, timeout=_REPORT_TIMEOUT_S)
@@ -189,13 +189,13 @@
         return response.status == 200
 
     def order(self, order: wire.Order) -> None:
-        """Give an order and wait until it is carried out.
+        """Send an order and wait until it is executed.
 
         Raises:
-            StaleFence: If the engine knows a newer fence.
-            OrderFailed: If it refused or could not do it.
-            UpstreamUnreachable: If nothing was sent.
-            UpstreamBroke: If the outcome is not known.
+            StaleFence: If the engine has seen a higher fence.
+            OrderFailed: If the engine refused the order or could not execute it.
+            UpstreamUnreachable: If no connection could be made, so that nothing was sent.
+            UpstreamBroke: If it is unknown whether the engine executed the order.
         """
         body = msgspec.json.encode(order)
         response = self._send("POST", wire.ORDERS_PATH, body=body, timeout=_LOAD_TIMEOUT_S)
@@ -207,10 +207,10 @@
         raise OrderFailed(answer.reason)
 
     def loaded(self) -> wire.LoadedAdapters:
-        """Return the exact list of what the engine holds.
+        """Return the adapters that the engine holds.
 
         Raises:
-            UpstreamUnreachable, UpstreamBroke: If there is no usable answer.
+            UpstreamUnreachable, UpstreamBroke: If no usable answer arrives.
         """
         response = self._send("GET", wire.ADAPTERS_PATH, timeout=_REPORT_TIMEOUT_S)
         if response.status != 200:
@@ -243,19 +243,19 @@
         except (HTTPError, OSError) as error:
             raise UpstreamBroke(str(error)) from None
         if stream:
-            _wait_without_timeout(response)
+            _disable_read_timeout(response)
         return response
 
 
-def _wait_without_timeout(response: urllib3.BaseHTTPResponse) -> None:
-    """Take the timeout off a stream's socket: a timer for each read is a tenth of a chunk's cost.
+def _disable_read_timeout(response: urllib3.BaseHTTPResponse) -> None:
+    """Remove the timeout of a stream's socket: a timer for each read is a tenth of a chunk's cost.
 
-    Whoever reads the stream watches its progress instead.
+    The reader of the stream monitors its progress instead.
     """
     connection = response.connection
-    plain = getattr(connection, "sock", None)
-    if plain is not None:
-        plain.settimeout(None)
+    sock = getattr(connection, "sock", None)
+    if sock is not None:
+        sock.settimeout(None)
 
 
 def _decode(response: urllib3.BaseHTTPResponse, kind: type[T]) -> T:
@@ -267,9 +267,9 @@
 
 def _reason_of(response: urllib3.BaseHTTPResponse) -> str:
     try:
-        said = msgspec.json.decode(response.read(65_536), type=dict[str, str])
+        body = msgspec.json.decode(response.read(65_536), type=dict[str, str])
     except (msgspec.MsgspecError, HTTPError, OSError):
         return "no reason given"
     finally:
         response.close()
-    return said.get("reason", "no reason given")
+    return body.get("reason", "no reason given")
--- a/springrock/drivers/service.py
+++ b/springrock/drivers/service.py
@@ -1,4 +1,4 @@
-"""The driver of plain services: one HTTP call, sent at most once by each `call`."""
+"""The driver of plain services: each `call` sends one HTTP request, without retries."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 _CONNECTIONS = 64
 _CONNECT_TIMEOUT_S = 2.0
-_ANSWER_LIMIT_BYTES = 8_388_608
+_MAX_ANSWER_BYTES = 8_388_608
 
 
 class ServiceAnswer(NamedTuple):
-    """A service's whole answer."""
+    """A service's complete answer."""
 
     status: int
     content_type: str
@@ -27,10 +27,10 @@
 
 @drivers.register("service")
 class ServiceDriver:
-    """Speaks to one plain service.
+    """Sends calls to one plain service.
 
     Args:
-        upstream: Which service, and where.
+        upstream: The service's settings.
     """
 
     def __init__(self, upstream: UpstreamSection) -> None:
@@ -40,17 +40,17 @@
     def call(
         self, method: str, path: str, *, body: bytes, headers: dict[str, str], timeout_s: float
     ) -> ServiceAnswer:
-        """Send one call and return the whole answer.
+        """Send one call and return the complete answer.
 
         Raises:
-            UpstreamUnreachable: If nothing was sent.
+            UpstreamUnreachable: If no connection could be made, so that nothing was sent.
             UpstreamSaidNo: If the service refused before running it (status 503 or 429).
-            UpstreamBroke: If the outcome is not known.
+            UpstreamBroke: If it is unknown whether the service ran the call.
         """
         timeout = urllib3.Timeout(connect=min(_CONNECT_TIMEOUT_S, timeout_s), read=timeout_s)
-        # The service closes such a connection; a call that found it open still would be reset.
-        single = headers.get("Connection") == "close"
-        pool = urllib3.PoolManager(retries=False) if single else self._pool
+        # The service closes this connection after the answer; a call that reused it would be reset.
+        single_use = headers.get("Connection") == "close"
+        pool = urllib3.PoolManager(retries=False) if single_use else self._pool
         try:
             response = pool.request(
                 method,
@@ -61,7 +61,7 @@
                 preload_content=False,
                 redirect=False,
             )
-            data = response.read(_ANSWER_LIMIT_BYTES + 1)
+            data = response.read(_MAX_ANSWER_BYTES + 1)
             response.drain_conn()
             response.release_conn()
         except (NewConnectionError, ConnectTimeoutError) as error:
@@ -69,10 +69,10 @@
         except (HTTPError, OSError) as error:
             raise UpstreamBroke(str(error)) from None
         finally:
-            if single:
+            if single_use:
                 pool.clear()
-        if len(data) > _ANSWER_LIMIT_BYTES:
-            raise UpstreamBroke("the answer is over the size limit")
+        if len(data) > _MAX_ANSWER_BYTES:
+            raise UpstreamBroke("the answer exceeds the size limit")
         if response.status in (429, 503):
             raise UpstreamSaidNo(f"status {response.status}", retry_after_in(response.headers))
         content_type = response.headers.get("Content-Type", "application/octet-stream")
--- a/springrock/platform/replica_rows.py
+++ b/springrock/platform/replica_rows.py
@@ -51,7 +51,10 @@
 _IS_LEAVING_BY_STATE = {"ready": False, "draining": True}
 
 _MAX_START_MS = 253_402_300_799_999
-"""The end of the year 9999. Start times are not checked against this box's clock: it may be wrong."""
+"""The end of the year 9999.
+
+Start times are not compared with this box's clock, which may be wrong.
+"""
 
 _MAX_SLOTS = 1_000_000
 """More requests than any replica runs at once; a larger number is rejected as malformed."""
--- a/springrock/platform/store.py
+++ b/springrock/platform/store.py
@@ -151,7 +151,7 @@
             raise HistoryGone("the store was restored from a copy")
         if page.era < era_of(after):
             raise RowStoreUnavailable(
-                f"changes after {format_version(after)} up to {format_version(page.version)}"
+                f"the feed after {format_version(after)} ends at {format_version(page.version)}"
             )
         return Changes(page.changes_in_era(), page.version, _seconds(page.page.now_ms))
 
--- a/springrock/statements/__init__.py
+++ b/springrock/statements/__init__.py
@@ -1,7 +1,7 @@
 """Statements of the operators' language. Modules here register themselves.
 
-A statement joins by having a pattern in lark's notation and a `run` method. The grammar of the
-language is put together from the patterns of all that registered.
+A statement has a pattern in lark's notation and a `run` function. The grammar of the language is
+composed of the patterns of all registered statements.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 
 class Arguments(NamedTuple):
-    """What an operator wrote in one statement, by the names in the pattern.
+    """The values in an operator's statement, by the names of the pattern's terminals.
 
     Attributes:
-        text: The whole statement.
+        text: The full text of the statement.
         values: The first value of each name.
         lists: All values of each name.
     """
@@ -28,23 +28,25 @@
     lists: dict[str, list[str]]
 
     def get(self, name: str, default: str = "") -> str:
-        """Return a value, or the default where nothing was written."""
+        """Return a value, or the default if the statement has none."""
         return self.values.get(name, default)
 
     def number(self, name: str, default: float) -> float:
-        """Return a number, or the default where nothing was written."""
+        """Return a value as a number, or the default if the statement has none."""
         return float(self.values[name]) if name in self.values else default
 
     def integers(self, name: str) -> list[int]:
-        """Return all values of a name as whole numbers."""
+        """Return all values of a name as integers."""
         return [int(value) for value in self.lists.get(name, [])]
 
 
 class Requester(NamedTuple):
-    """Who asks, and under which command id.
+    """The sender of a statement.
 
     Attributes:
-        wait_s: How long to wait for a change to be in force everywhere.
+        name: The operator's name.
+        command_id: Identifies the statement across retries.
+        wait_s: How long to wait until a change is in force on every box.
     """
 
     name: str
@@ -56,9 +58,9 @@
     """One statement of the language.
 
     Attributes:
-        pattern: Its form in lark's notation; the named terminals are in `language`.
-        help: One line for operators.
-        run: Carries it out.
+        pattern: The syntax in lark's notation; `springrock.language` defines the named terminals.
+        help: The syntax in one line for operators.
+        run: Executes the statement.
     """
 
     pattern: str
--- a/springrock/statements/_change.py
+++ b/springrock/statements/_change.py
@@ -1,4 +1,4 @@
-"""What the changing statements share: committing, expectations, waiting for force everywhere."""
+"""Shared by statements that change the configuration: conditional commits and waiting for boxes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from springrock.errors import StatementError
 from springrock.hosts import StatementHost
 from springrock.statements import Arguments, Requester
-from springrock.statements.show import statuses
+from springrock.statements.show import box_statuses
 from springrock.wire.operator import StatementAnswer
 
 IF_REVISION = '("if"i "revision"i SEEN)?'
@@ -20,8 +20,8 @@
 _CHECK_INTERVAL_S = 0.1
 
 
-def blank(arguments: Arguments, requester: Requester) -> Change:
-    """Return a change that changes nothing yet."""
+def empty_change(arguments: Arguments, requester: Requester) -> Change:
+    """Return a change without any writes or deletes."""
     return Change(
         revision=0,
         command_id=requester.command_id,
@@ -41,16 +41,20 @@
     """Commit a change of one entity.
 
     Args:
-        host: The box that was asked.
-        arguments: The statement; with ``if revision N`` it holds only if the entity was last
-            changed in revision N, 0 meaning that it does not exist.
-        requester: Who asks.
+        host: The box that received the statement.
+        arguments: The statement; with ``if revision N`` the change is committed only if the entity
+            was last changed in revision N; 0 requires that it does not exist.
+        requester: The sender of the statement.
         key: The entity's key.
-        build: Completes the change from the newest catalog; may raise StatementError.
+        build: Adds the writes to an empty change, given the newest catalog; may raise
+            StatementError.
     """
     expects = {key: int(arguments.get("seen"))} if "seen" in arguments.values else {}
     revision = host.feed.commit(
-        lambda catalog: _built(catalog, blank(arguments, requester), build, host), expects=expects
+        lambda catalog: _build_unless_committed(
+            catalog, empty_change(arguments, requester), build, host
+        ),
+        expects=expects,
     )
     text = f"done in revision {revision}"
     if requester.wait_s:
@@ -58,7 +62,7 @@
     return StatementAnswer(text=text, revision=revision)
 
 
-def _built(
+def _build_unless_committed(
     catalog: Catalog,
     change: Change,
     build: Callable[[Catalog, Change], Change],
@@ -72,7 +76,9 @@
 def _wait(host: StatementHost, revision: int, wait_s: float) -> str:
     deadline = Deadline(wait_s)
     while True:
-        behind = [_name(item) for item in statuses(host) if not _runs(item, revision)]
+        behind = [
+            _box_name(item) for item in box_statuses(host) if not _has_revision(item, revision)
+        ]
         if not behind:
             return ", in force on every box"
         if deadline.passed:
@@ -80,30 +86,30 @@
         gevent.sleep(_CHECK_INTERVAL_S)
 
 
-def _runs(status: object, revision: int) -> bool:
+def _has_revision(status: object, revision: int) -> bool:
     return getattr(status, "revision", 0) >= revision
 
 
-def _name(status: object) -> str:
+def _box_name(status: object) -> str:
     return str(getattr(status, "box", status))
 
 
 def put(change: Change, entity: Entity) -> Change:
-    """Return the change with an entity written."""
-    field = {
+    """Return the change with the write of an entity added."""
+    field_name = {
         "Adapter": "adapters",
         "Workload": "workloads",
         "Mark": "marks",
         "Pin": "pins",
     }[type(entity).__name__]
-    return msgspec.structs.replace(change, **{field: [*getattr(change, field), entity]})
+    return msgspec.structs.replace(change, **{field_name: [*getattr(change, field_name), entity]})
 
 
 def delete(change: Change, catalog: Catalog, key: str, what: str) -> Change:
-    """Return the change with an existing entity deleted.
+    """Return the change with the deletion of an existing entity added.
 
     Raises:
-        StatementError: If there is none.
+        StatementError: If the entity does not exist.
     """
     if not catalog.revision_of(key):
         raise StatementError(f"there is no {what}")
--- a/springrock/statements/placement.py
+++ b/springrock/statements/placement.py
@@ -16,8 +16,8 @@
 
 
 def _check_replica(host: StatementHost, replica: str) -> None:
-    known = [item.name for pool in host.settings.pools for item in pool.replicas]
-    if replica not in known:
+    replicas = [item.name for pool in host.settings.pools for item in pool.replicas]
+    if replica not in replicas:
         raise StatementError(f"there is no replica {replica}")
 
 
--- a/springrock/statements/show.py
+++ b/springrock/statements/show.py
@@ -1,4 +1,4 @@
-"""Statements that show what there is: boxes, replicas, adapters, workloads, changes."""
+"""Statements that list boxes, replicas, adapters, workloads and changes."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from springrock.wire.operator import StatementAnswer
 
 _STATUS_TIMEOUT_S = 2.0
-_ROWS = 50
+_DEFAULT_ROWS = 50
 
 
-def statuses(host: StatementHost) -> list[wire.Status | str]:
-    """Return the status of every box, or its name where it did not answer."""
+def box_statuses(host: StatementHost) -> list[wire.Status | str]:
+    """Return the status of every box, or its name if it did not answer."""
     names = sorted({member.box for member in host.members.all()} | {host.name})
     tasks = [gevent.spawn(_status_of, host, name) for name in names]
     gevent.joinall(tasks)
@@ -39,7 +39,7 @@
 
 def _boxes(host: StatementHost, _: Arguments, __: Requester) -> StatementAnswer:
     rows = []
-    for status in statuses(host):
+    for status in box_statuses(host):
         if isinstance(status, str):
             rows.append([status, "", "unreachable", "", "", "", ""])
             continue
@@ -70,29 +70,29 @@
     return StatementAnswer(columns=columns, rows=rows)
 
 
-def _matching(pattern: str) -> Callable[[Adapter], bool]:
+def _name_matcher(pattern: str) -> Callable[[Adapter], bool]:
     if not pattern:
         return lambda _: True
     return lambda adapter: fnmatch.fnmatchcase(adapter.name, pattern)
 
 
 def _adapters(host: StatementHost, arguments: Arguments, _: Requester) -> StatementAnswer:
-    matches = _matching(arguments.get("pattern"))
-    limit = int(arguments.number("count", _ROWS))
-    found = sorted((item for item in host.catalog.adapters() if matches(item)), key=_name_of)
+    matches = _name_matcher(arguments.get("pattern"))
+    limit = int(arguments.number("count", _DEFAULT_ROWS))
+    matching = sorted((item for item in host.catalog.adapters() if matches(item)), key=_name_of)
     rows = [
         [
             adapter.name,
             ",".join(map(str, adapter.versions)),
             str(adapter.current),
             ",".join(adapter.workloads) or "all",
-            " ".join(_holders(host, adapter)),
+            " ".join(_replicas_holding(host, adapter)),
         ]
-        for adapter in found[:limit]
+        for adapter in matching[:limit]
     ]
     columns = ["adapter", "versions", "current", "workloads", "loaded on"]
     return StatementAnswer(
-        text=f"{len(found)} adapters, {len(rows)} shown", columns=columns, rows=rows
+        text=f"{len(matching)} adapters, {len(rows)} shown", columns=columns, rows=rows
     )
 
 
@@ -100,7 +100,7 @@
     return adapter.name
 
 
-def _holders(host: StatementHost, adapter: Adapter) -> list[str]:
+def _replicas_holding(host: StatementHost, adapter: Adapter) -> list[str]:
     name = adapter.name.partition(":")[2]
     holders = []
     for pool in host.settings.pools:
@@ -127,7 +127,7 @@
 
 
 def _changes(host: StatementHost, arguments: Arguments, _: Requester) -> StatementAnswer:
-    limit = int(arguments.number("count", _ROWS))
+    limit = int(arguments.number("count", _DEFAULT_ROWS))
     rows = [
         [
             str(change.revision),
--- a/springrock/statements/why.py
+++ b/springrock/statements/why.py
@@ -1,4 +1,4 @@
-"""Statements that ask why: the decisions about a request, an adapter or a replica."""
+"""Statements that show the logged decisions about a request, an adapter or a replica."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from springrock.statements import Arguments, Requester, Statement, statements
 from springrock.wire.operator import StatementAnswer
 
-_HIDDEN = frozenset({"request", "replica"})
+_OMITTED_FIELDS = frozenset({"request", "replica"})
 
 
-def _answer(host: StatementHost, lines: list[Line], about: str) -> StatementAnswer:
+def _answer(host: StatementHost, lines: list[Line], subject: str) -> StatementAnswer:
     if not lines:
-        return StatementAnswer(text=f"box {host.name} remembers no decision about {about}")
+        return StatementAnswer(text=f"box {host.name} remembers no decision about {subject}")
     rows = [
         [time.strftime("%H:%M:%S", time.gmtime(line.at)), line.text, _details(line)]
         for line in lines
@@ -23,7 +23,9 @@
 
 
 def _details(line: Line) -> str:
-    return " ".join(f"{key}={value}" for key, value in line.fields.items() if key not in _HIDDEN)
+    return " ".join(
+        f"{key}={value}" for key, value in line.fields.items() if key not in _OMITTED_FIELDS
+    )
 
 
 def _why_request(host: StatementHost, arguments: Arguments, _: Requester) -> StatementAnswer:
--- a/springrock/statements/workloads.py
+++ b/springrock/statements/workloads.py
@@ -16,13 +16,13 @@
 def _set(host: StatementHost, arguments: Arguments, requester: Requester) -> StatementAnswer:
     def _build(catalog: Catalog, change: Change) -> Change:
         name = arguments.get("workload")
-        before = catalog.workload(name) or Workload(name)
+        previous = catalog.workload(name) or Workload(name)
         workload = Workload(
             name=name,
-            priority=int(arguments.number("priority", before.priority)),
-            share=arguments.number("share", before.share),
-            requests_per_s=arguments.number("limit", before.requests_per_s),
-            stall_weight=min(1.0, arguments.number("weight", before.stall_weight)),
+            priority=int(arguments.number("priority", previous.priority)),
+            share=arguments.number("share", previous.share),
+            requests_per_s=arguments.number("limit", previous.requests_per_s),
+            stall_weight=min(1.0, arguments.number("weight", previous.stall_weight)),
         )
         return put(change, workload)
 
--- a/springrock/wire/__init__.py
+++ b/springrock/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Wire formats: one module for each protocol spoken with an outside party."""
+"""Wire formats: one module for each protocol with another process."""
--- a/springrock/wire/caller.py
+++ b/springrock/wire/caller.py
@@ -1,4 +1,4 @@
-"""The callers' wire format: OpenAI-style bodies, springrock's headers, typed JSON errors."""
+"""The callers' wire format: OpenAI-style bodies, springrock's headers, JSON errors with types."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 REPLICA_HEADER = "Springrock-Replica"
 
 DEFAULT_MAX_TOKENS = 128
-LONGEST_MAX_TOKENS = 32_768
-_REQUEST_ID_LIMIT = 128
-_WORTH_LIMIT = 1e6
+MAX_TOKENS_LIMIT = 32_768
+_MAX_REQUEST_ID_CHARS = 128
+_MAX_WORTH = 1e6
 
 STATUS_BY_CAUSE = {
     Cause.MALFORMED_REQUEST: 400,
@@ -47,7 +47,7 @@
 }
 _DEFAULT_STATUS = 503
 
-Bad = Result[Any, Refusal]
+ParseResult = Result[Any, Refusal]
 
 
 class Message(msgspec.Struct, frozen=True):
@@ -58,7 +58,7 @@
 
 
 class CompletionBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The part of a completion body that springrock reads; the rest goes through unread."""
+    """The fields of a completion body that springrock interprets; it ignores all others."""
 
     model: str
     prompt: str | None = None
@@ -75,10 +75,10 @@
     Attributes:
         request_id: The caller's identifier, or empty.
         workload: The workload that the request belongs to.
-        deadline_s: Seconds from arrival in which the answer must be whole.
-        worth: The stated worth of a whole answer in time.
-        priority: Higher goes first among equals.
-        repeatable: Whether the request may run more than once.
+        deadline_s: Seconds from the request's arrival within which its answer must be complete.
+        worth: The value that the caller assigns to a complete answer within the deadline.
+        priority: Among otherwise equal requests, a higher priority runs first.
+        repeatable: Whether the request may be run more than once.
     """
 
     request_id: str
@@ -104,8 +104,8 @@
         return Error(refuse(Cause.MALFORMED_REQUEST, "a chat completion needs messages"))
     if not chat and body.prompt is None:
         return Error(refuse(Cause.MALFORMED_REQUEST, "a completion needs a prompt"))
-    if not 1 <= body.max_tokens <= LONGEST_MAX_TOKENS:
-        detail = f"max_tokens must be 1 to {LONGEST_MAX_TOKENS}"
+    if not 1 <= body.max_tokens <= MAX_TOKENS_LIMIT:
+        detail = f"max_tokens must be 1 to {MAX_TOKENS_LIMIT}"
         return Error(refuse(Cause.MALFORMED_REQUEST, detail))
     return Ok(body)
 
@@ -122,14 +122,16 @@
 
     Args:
         headers: The request's headers; must ignore case.
-        workload: The workload that the credential stands for, or empty to take the header's.
-        default_deadline_s: The deadline where none is stated.
-        longest_deadline_s: A longer stated deadline is cut to this.
-        repeatable: What holds where nothing is stated.
+        workload: The workload of the credential, or empty to use the header's.
+        default_deadline_s: The deadline of a request that states none.
+        longest_deadline_s: The maximum; a longer deadline is reduced to it.
+        repeatable: Whether a request that does not state it is repeatable.
     """
     request_id = headers.get(REQUEST_ID_HEADER, "")
-    if len(request_id) > _REQUEST_ID_LIMIT or not request_id.isprintable():
-        return Error(refuse(Cause.MALFORMED_REQUEST, f"{REQUEST_ID_HEADER} is not usable"))
+    if len(request_id) > _MAX_REQUEST_ID_CHARS or not request_id.isprintable():
+        return Error(
+            refuse(Cause.MALFORMED_REQUEST, f"{REQUEST_ID_HEADER} is too long or not printable")
+        )
     try:
         deadline_s = float(headers.get(DEADLINE_HEADER, default_deadline_s * 1000)) / 1000
         worth = float(headers.get(WORTH_HEADER, 1.0))
@@ -138,8 +140,8 @@
         return Error(refuse(Cause.MALFORMED_REQUEST, f"a header is not a number: {error}"))
     if not (math.isfinite(deadline_s) and deadline_s > 0):
         return Error(refuse(Cause.MALFORMED_REQUEST, f"{DEADLINE_HEADER} must be over 0"))
-    if not 0 < worth <= _WORTH_LIMIT:
-        detail = f"{WORTH_HEADER} must be over 0 and at most {_WORTH_LIMIT:.0f}"
+    if not 0 < worth <= _MAX_WORTH:
+        detail = f"{WORTH_HEADER} must be over 0 and at most {_MAX_WORTH:.0f}"
         return Error(refuse(Cause.MALFORMED_REQUEST, detail))
     if not -100 <= priority <= 100:
         return Error(refuse(Cause.MALFORMED_REQUEST, f"{PRIORITY_HEADER} must be -100 to 100"))
@@ -164,7 +166,7 @@
 
 
 def error_body(refusal: Refusal, request_id: str) -> bytes:
-    """Encode a refusal as the JSON that callers read."""
+    """Encode a refusal as the JSON body of an answer to a caller."""
     return msgspec.json.encode(
         {
             "error": {
@@ -188,10 +190,10 @@
     return str(max(1, math.ceil(refusal.retry_after_s)))
 
 
-def whole_answer(
+def completion_answer(
     *, request_id: str, model: str, text: str, tokens: int, finish_reason: str, chat: bool
 ) -> bytes:
-    """Encode a whole answer for a caller that did not ask for a stream."""
+    """Encode a complete answer for a caller that did not request a stream."""
     choice: dict[str, Any] = {"index": 0, "finish_reason": finish_reason}
     if chat:
         choice["message"] = {"role": "assistant", "content": text}
--- a/springrock/wire/engine.py
+++ b/springrock/wire/engine.py
@@ -1,4 +1,4 @@
-"""The model engines' wire format: completions, streamed chunks, fenced orders, reports."""
+"""The model engines' wire format: completions, streamed chunks, orders with fences, reports."""
 
 from __future__ import annotations
 
@@ -15,12 +15,13 @@
 CACHE_EVENTS_PATH = "/v1/cache_events"
 DONE = b"[DONE]"
 NEW = -1
+"""The value of `EngineRequest.resume_from` for a request that is to be run."""
 
 OrderKind = Literal["load_adapter", "unload_adapter", "set_role"]
 
 
 class Order(msgspec.Struct, frozen=True, kw_only=True):
-    """An order to an engine; a fence lower than the highest seen is refused."""
+    """An order to an engine, which refuses a fence lower than the highest one it has seen."""
 
     kind: OrderKind
     fence: int
@@ -29,7 +30,13 @@
 
 
 class OrderAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """What an engine says of an order."""
+    """An engine's answer to an order.
+
+    Attributes:
+        done: Whether the order was executed.
+        reason: Why it was not.
+        fence: The highest fence that the engine has seen.
+    """
 
     done: bool
     reason: str = ""
@@ -37,7 +44,7 @@
 
 
 class LoadedAdapters(msgspec.Struct, frozen=True, kw_only=True):
-    """The exact list of what an engine holds now."""
+    """The adapters that an engine holds at the time of its answer."""
 
     boot_id: str
     fence: int
@@ -46,7 +53,7 @@
 
 
 class EngineState(msgspec.Struct, frozen=True, kw_only=True):
-    """An engine's report of its load; it lags."""
+    """An engine's report of its load, which lags behind its actual state."""
 
     boot_id: str
     running: int
@@ -57,11 +64,11 @@
 
 
 class CacheEvent(msgspec.Struct, frozen=True, kw_only=True):
-    """A change of an engine's prefix cache; published late, and some never.
+    """A change of an engine's prefix cache; events are published late, and some are lost.
 
     Attributes:
-        number: Rises by one with each change; a jump is a gap.
-        prefix: A hash of the model and the prompt's beginning.
+        number: Increases by one with each change; a larger step means that events were lost.
+        prefix: A hash of the model and the beginning of the prompt.
     """
 
     number: int
@@ -73,8 +80,8 @@
     """A completion as sent to an engine.
 
     Attributes:
-        resume_from: The position to go on from in the retained stream of this request;
-            ``NEW`` runs the request.
+        resume_from: The token position at which to resume the stream that the engine has retained
+            for this request; ``NEW`` to run the request.
     """
 
     model: str
@@ -91,13 +98,13 @@
 
 
 class Delta(msgspec.Struct, frozen=True):
-    """The piece of a chat answer in one chunk."""
+    """The text of a chat answer in one chunk."""
 
     content: str = ""
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """The one choice of a chunk."""
+    """The only choice of a chunk."""
 
     text: str = ""
     delta: Delta | None = None
@@ -105,7 +112,7 @@
 
     @property
     def piece(self) -> str:
-        """The text of the chunk, whatever its kind."""
+        """The text of the chunk, of a chat or a plain completion."""
         return self.delta.content if self.delta is not None else self.text
 
 
--- a/springrock/wire/model_name.py
+++ b/springrock/wire/model_name.py
@@ -17,7 +17,7 @@
     Attributes:
         base: The base model.
         adapter: The adapter, or empty for the base model alone.
-        version: The adapter's version, or 0 for "the current one".
+        version: The adapter's version, or 0 for the current one.
     """
 
     base: str
--- a/springrock/wire/operator.py
+++ b/springrock/wire/operator.py
@@ -1,4 +1,4 @@
-"""The operators' wire format: statements in, tables out."""
+"""The operators' wire format: requests with statements, answers with tables."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
     """A statement.
 
     Attributes:
-        command_id: Stays the same when the statement is sent again, so that it acts once.
-        wait_s: After a change, wait this long for it to be in force on every box.
+        command_id: Identical in all retries of a statement, so that it is executed only once.
+        wait_s: How long to wait after a change until it is in force on every box.
     """
 
     statement: str
@@ -24,7 +24,7 @@
     """An answer: a sentence, a table or both.
 
     Attributes:
-        revision: The revision of the change that the statement made, or 0.
+        revision: The configuration revision that the statement created, or 0.
     """
 
     text: str = ""
@@ -34,7 +34,7 @@
 
 
 class StatementFailure(msgspec.Struct, frozen=True, kw_only=True):
-    """Why a statement was refused: the type of the error, and a sentence."""
+    """Why a statement was refused: the type of the error, and a message."""
 
     error: str
     message: str
--- a/springrock/wire/peer.py
+++ b/springrock/wire/peer.py
@@ -1,6 +1,7 @@
-"""The messages between boxes: CBOR arrays over websockets, the first item the kind.
+"""The messages between boxes: CBOR arrays over websockets, whose first item is the kind.
 
-Numbers and short arrays keep frames small; the budget is 8 KB/s for control on each node.
+Integer kinds and arrays without field names keep frames small: the budget for control messages is
+8 KB/s on each node.
 """
 
 from __future__ import annotations
@@ -28,10 +29,10 @@
     """Ask the owner of a replica for a permit.
 
     Attributes:
-        number: Matches the answer to the question on one link.
-        request_id: The request, so that the owner can cancel it when its permit is over.
+        number: Identifies the question on its link; the answer repeats it.
+        request_id: The request, so that the owner can cancel it when its permit expires.
         adapter: ``ADAPTER@VERSION``, or empty for the base model alone.
-        deadline_s: Seconds that are left until the request's deadline.
+        deadline_s: Seconds left until the request's deadline.
     """
 
     number: int
@@ -49,11 +50,11 @@
     """Permission to run one request on a replica.
 
     Attributes:
-        start_within_s: The holder must send the request within this time, counted from before
-            it asked, less the time that the owner says it waited.
-        waited_s: How long the owner held the question for a load or a place.
-        stall_s: The part of it in which the adapter was not loaded.
-        end_within_s: The request must be over within this time of the grant.
+        start_within_s: The holder must send the request within this time, counted from when it sent
+            its question; it includes `waited_s`.
+        waited_s: How long the owner delayed the answer until a load was done or a slot was free.
+        stall_s: The part of `waited_s` in which the adapter was not loaded.
+        end_within_s: The request must end within this time of the grant.
     """
 
     number: int
@@ -68,21 +69,21 @@
 
 
 class Deny(Struct, frozen=True, array_like=True, tag=4):
-    """The owner does not give a permit."""
+    """The owner refuses a permit."""
 
     number: int
     refusal: Refusal
 
 
 NOT_LOADED = -1
-"""In place of a number of tokens: the engine said that it does not hold the adapter."""
+"""Sent instead of a token count if the engine answered that it does not hold the adapter."""
 
 
 class Return(Struct, frozen=True, array_like=True, tag=5):
-    """A permit is over; never answered.
+    """The holder no longer uses a permit; never answered.
 
     Attributes:
-        tokens: How many tokens were streamed if the answer was whole, else 0 or `NOT_LOADED`.
+        tokens: How many tokens were streamed if the answer was complete, else 0 or `NOT_LOADED`.
     """
 
     replica: str
@@ -92,20 +93,20 @@
 
 
 class Withdraw(Struct, frozen=True, array_like=True, tag=6):
-    """The asker no longer wants an answer; never answered."""
+    """The sender no longer needs the answer to its question; never answered."""
 
     number: int
 
 
 class ReplicaReport(Struct, frozen=True, array_like=True, tag=7):
-    """What an owner tells of a replica: soft state for routing; never answered.
+    """The state of a replica as its owner sees it; a hint for routing, never answered.
 
     Attributes:
-        room: How many slots are free; -1 if none is and nothing may be unloaded yet.
-        load_ms: The usual time of a load, the wait for its turn included.
-        service_ms: The usual time that a request runs.
-        ready: The adapters on which requests can begin.
-        expected: The adapters that are loading or waited for.
+        room: How many adapter slots are free; -1 if none is, and no adapter may be unloaded yet.
+        load_ms: The usual time of an adapter load, including the wait for its turn.
+        service_ms: The usual run time of a request.
+        ready: The adapters for which requests can start.
+        expected: The adapters that are being loaded or have requests waiting for them.
     """
 
     replica: str
@@ -122,7 +123,7 @@
 
 
 class FenceNotice(Struct, frozen=True, array_like=True, tag=8):
-    """A new owner asks which permits the peer holds below its fence."""
+    """A new owner asks which permits with lower fences the peer holds."""
 
     number: int
     replica: str
@@ -130,7 +131,7 @@
 
 
 class HeldPermit(Struct, frozen=True, array_like=True):
-    """One permit in a holder's book."""
+    """One permit that a box holds."""
 
     fence: int
     permit: int
@@ -139,31 +140,31 @@
 
 
 class HeldPermits(Struct, frozen=True, array_like=True, tag=9):
-    """The permits that a box holds on a replica, under whatever fence they were granted."""
+    """The permits that a box holds for a replica, regardless of their fences."""
 
     number: int
     permits: list[HeldPermit]
 
 
 class Head(Struct, frozen=True, array_like=True, tag=10):
-    """The highest configuration revision that the sender runs; never answered."""
+    """The highest configuration revision that the sender has applied; never answered."""
 
     revision: int
 
 
 class Probe(Struct, frozen=True, array_like=True, tag=11):
-    """Ask a peer whether it is alive, what it can reach and which fences it knows."""
+    """Ask a peer whether it is alive and reaches the table, and which fences it knows."""
 
     number: int
     replicas: list[str] = []
 
 
 class ProbeAnswer(Struct, frozen=True, array_like=True, tag=12):
-    """What a peer can reach, and the highest fence that it knows of each replica asked.
+    """How recently a peer reached the table, and the highest fence it knows of each replica asked.
 
     Attributes:
-        table_seen_s: Seconds since the peer last had an answer from the table, by itself or
-            through others.
+        table_seen_s: Seconds since the peer last got an answer from the table, directly or through
+            other boxes.
     """
 
     number: int
@@ -172,7 +173,7 @@
 
 
 class LoadBid(Struct, frozen=True, array_like=True, tag=13):
-    """Ask the loads steward for a turn on the weight store."""
+    """Ask the box that schedules adapter loads for a turn on the weight store."""
 
     number: int
     replica: str
@@ -181,14 +182,14 @@
 
 
 class LoadTurn(Struct, frozen=True, array_like=True, tag=14):
-    """A turn on the weight store, to be used within some seconds."""
+    """Permission to load from the weight store, to be used within `use_within_s`."""
 
     number: int
     use_within_s: float
 
 
 class LoadOver(Struct, frozen=True, array_like=True, tag=15):
-    """A load is over; never answered."""
+    """A load has ended; never answered."""
 
     replica: str
 
@@ -208,7 +209,7 @@
 
 
 class RelayCall(Struct, frozen=True, array_like=True, tag=18):
-    """Ask a peer to carry a table call that this box cannot make: a read or a transaction."""
+    """Ask a peer to forward a table call, a read or a transaction, that this box cannot make."""
 
     number: int
     prefix: str
@@ -216,33 +217,33 @@
 
 
 class RelayAnswer(Struct, frozen=True, array_like=True, tag=19):
-    """The table's encoded answer; empty if the peer got none either."""
+    """The table's encoded answer; empty if the peer did not get one either."""
 
     number: int
     body: bytes
 
 
 class Demand(Struct, frozen=True, array_like=True, tag=20):
-    """How many requests a second of each limited workload reach the sender; never answered."""
+    """The rate at which requests of each rate-limited workload reach the sender; never answered."""
 
     workloads: list[str]
     requests_per_s: list[float]
 
 
 class HandOver(Struct, frozen=True, array_like=True, tag=21):
-    """The sender has handed a replica to the receiver in the table; never answered."""
+    """The sender has transferred a replica to the receiver in the table; never answered."""
 
     replica: str
 
 
 class StatusQuery(Struct, frozen=True, array_like=True, tag=22):
-    """Ask a box how it is."""
+    """Ask a box for its status."""
 
     number: int
 
 
 class Status(Struct, frozen=True, array_like=True, tag=23):
-    """How a box is."""
+    """The status of a box."""
 
     number: int
     box: str
@@ -255,7 +256,7 @@
 
 
 class StopBox(Struct, frozen=True, array_like=True, tag=24):
-    """Ask a box to stop as planned; it answers before it begins."""
+    """Ask a box to shut down in an orderly way; it answers before it starts to."""
 
     number: int
     who: str
@@ -279,11 +280,11 @@
     """Decode one frame.
 
     Raises:
-        PeerRejected: If the frame is not a message.
-        UnknownKind: If a later build may have sent it; the link is sound.
+        PeerRejected: If the frame is malformed.
+        UnknownKind: If a later build may have sent the frame; the link remains usable.
     """
     if isinstance(frame, str):
-        raise PeerRejected("a text frame")
+        raise PeerRejected("a text frame instead of a binary one")
     try:
         builtins: Any = cbor2.loads(frame)
         check_kind(builtins, _KINDS)
--- a/springrock/wire/platform.py
+++ b/springrock/wire/platform.py
@@ -1,7 +1,7 @@
 """The platform's wire format: table transactions and reads, objects, the list of boxes.
 
-Reads of rows and of the list are conditional in the usual way of HTTP: an answer carries an
-``ETag``, and one asked for with ``If-None-Match`` is 304 without a body while nothing changed.
+Reads of rows and of the list are HTTP conditional requests: an answer carries an ``ETag``, and a
+request with ``If-None-Match`` is answered with 304 and no body if nothing has changed.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class Transaction(msgspec.Struct, frozen=True, kw_only=True):
-    """A transaction: all checks hold and all writes happen, or nothing does."""
+    """An atomic transaction: nothing is written unless all checks hold."""
 
     checks: list[Check] = []
     puts: list[Put] = []
@@ -50,7 +50,13 @@
 
 
 class TransactionAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """Whether a transaction was committed, and the version that its writes got."""
+    """The outcome of a transaction.
+
+    Attributes:
+        committed: Whether the writes were applied.
+        version: The version of the written rows.
+        failed: The rows whose checks failed.
+    """
 
     committed: bool
     version: int = 0
@@ -64,7 +70,7 @@
 
 
 class Listed(msgspec.Struct, frozen=True, kw_only=True):
-    """A box or an upstream in the platform's lagging list."""
+    """A box or an upstream in the platform's list."""
 
     name: str
     kind: Literal["box", "upstream"]
@@ -72,6 +78,6 @@
 
 
 class Listing(msgspec.Struct, frozen=True, kw_only=True):
-    """The platform's lagging list."""
+    """The platform's list of boxes and upstreams, which lags behind their actual state."""
 
     entries: list[Listed]
