--- a/tests/doors/test_caller.py
+++ b/tests/doors/test_caller.py
@@ -1,4 +1,4 @@
-"""Bad input at the callers' door: each a typed error, nothing leaked."""
+"""Invalid input at the callers' door is answered with typed errors and leaks no open requests."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
         (b'{"prompt": "' + b"x" * 3000 + b'"}', 413, "body_too_large"),
     ],
 )
-def test_bad_bodies_are_typed_errors(
+def test_invalid_bodies_get_typed_errors(
     cluster: Cluster, body: bytes, status: int, cause: str
 ) -> None:
     reply = post(cluster, body)
@@ -55,7 +55,7 @@
     assert reply.error["run_state"] == "not_run"
 
 
-def test_an_oversized_service_body_is_refused_too(cluster: Cluster) -> None:
+def test_an_oversized_service_body_is_refused(cluster: Cluster) -> None:
     reply = post(cluster, b"x" * 3000, "/services/rosters/join")
     assert (reply.status, reply.error["type"]) == (413, "body_too_large")
 
@@ -68,7 +68,7 @@
     assert cluster.complete(BOX, 1, headers=KNOWN).status == 200
 
 
-def test_an_unknown_page_is_a_typed_error(cluster: Cluster) -> None:
+def test_an_unknown_path_gets_a_typed_error(cluster: Cluster) -> None:
     reply = cluster.get(BOX, "/nowhere")
     assert reply.status == 404
     assert reply.error["type"] == "malformed_request"
--- a/tests/drivers/test_service.py
+++ b/tests/drivers/test_service.py
@@ -1,4 +1,4 @@
-"""The driver of plain services, and connections that the service is about to close."""
+"""The driver of plain services does not reuse a connection that the service will close."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.forwarding.scripted import ScriptedReplica, answer, read_request, reset
 
 
-def answer_and_reset_what_follows(connection: socket.socket) -> None:
+def answer_and_reset_next_request(connection: socket.socket) -> None:
     read_request(connection)
     connection.sendall(answer("r1", b"first"))
     if read_request(connection):
@@ -21,8 +21,8 @@
     connection.sendall(answer("r2", b"second"))
 
 
-def test_a_connection_for_one_call_carries_no_second_one() -> None:
-    with ScriptedReplica(answer_and_reset_what_follows, answer_once) as replica:
+def test_a_single_use_connection_is_not_reused() -> None:
+    with ScriptedReplica(answer_and_reset_next_request, answer_once) as replica:
         section = UpstreamSection(
             name="service-1", availability_zone="zone-1", address=replica.address
         )
--- a/tests/platform/conftest.py
+++ b/tests/platform/conftest.py
@@ -1,4 +1,4 @@
-"""The stand-in of the platform's store in a process of its own."""
+"""Runs the stand-in of the platform's store in a separate process."""
 
 from __future__ import annotations
 
--- a/tests/platform/test_engine.py
+++ b/tests/platform/test_engine.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's engines: what their answers tell of the engines themselves."""
+"""Calls to the platform's engines, and the notices in their answers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("status", ["200 OK", "503 Service Unavailable"])
-def test_the_answer_to_a_report_tells_that_the_engine_leaves(status: str) -> None:
+def test_the_answer_to_a_report_call_announces_that_the_engine_leaves(status: str) -> None:
     reported: list[tuple[str, ReplicaNotice]] = []
 
     def _script(connection: socket.socket) -> None:
--- a/tests/platform/test_records.py
+++ b/tests/platform/test_records.py
@@ -1,4 +1,4 @@
-"""Configurations as the operator writes them, with teams."""
+"""Decoding of the operator's configurations with teams."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     return Row("config", msgspec.json.encode(value), 1)
 
 
-def test_a_team_is_read_and_its_keys_are_not_kept() -> None:
+def test_a_team_is_decoded_without_keeping_its_keys() -> None:
     configuration = configuration_from(row(TENANT))
     assert configuration.teams == (
         Team(
@@ -54,7 +54,7 @@
     assert configuration_from(row()).teams == ()
 
 
-def test_a_team_without_keys_or_limits_is_one_that_nobody_is() -> None:
+def test_a_team_without_keys_or_limits_is_accepted() -> None:
     [team] = configuration_from(row({"name": "idle"})).teams or ()
     assert (team.key_digests, team.limited) == (frozenset(), False)
 
@@ -70,17 +70,17 @@
         [{"apiKeys": ["k"]}],
     ],
 )
-def test_what_is_wrong_with_teams_is_told_without_their_keys(wrong: list[dict[str, Any]]) -> None:
+def test_errors_about_malformed_teams_do_not_contain_keys(wrong: list[dict[str, Any]]) -> None:
     with pytest.raises(MalformedRecord) as error:
         configuration_from(row(*wrong))
     assert not any(key in str(error.value) for key in TENANT["apiKeys"])  # type: ignore[attr-defined]
 
 
-def test_a_configuration_that_cannot_be_read_is_told_as_such_and_changes_nothing() -> None:
-    taken: list[Configuration] = []
+def test_a_malformed_configuration_is_reported_and_not_applied() -> None:
+    applied: list[Configuration] = []
     unreadable: list[bool] = []
     table = OperatorTable(
-        on_configuration=taken.append,
+        on_configuration=applied.append,
         on_unreadable=lambda: unreadable.append(True),
         on_version=lambda key, version: None,
         evacuations=Evacuations(Topology(home="zone-1"), log=Log("test", "box")),
@@ -88,12 +88,12 @@
     )
     table.change(row(TENANT))
     table.change(Row("config", b'{"version": 8, "routes": [', 2))
-    assert [configuration.version for configuration in taken] == [7]
+    assert [configuration.version for configuration in applied] == [7]
     assert unreadable == [True]
 
 
 @pytest.mark.parametrize("tokens, cost", [(None, 200), (1540, 1540), (0, 0)])
-def test_a_request_costs_its_tokens_or_what_a_plain_one_counts(
+def test_a_request_costs_its_tokens_or_the_units_of_a_plain_request(
     tokens: int | None, cost: int
 ) -> None:
     [team] = configuration_from(row(TENANT)).teams or ()
--- a/tests/platform/test_replica_rows.py
+++ b/tests/platform/test_replica_rows.py
@@ -1,4 +1,4 @@
-"""Rows in the replicas' table: what replicas write, and what others may have written."""
+"""Validation of rows in the replicas' table, written by replicas or by other writers."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 from springrock.topology import Topology
 
 ZONES = ("zone-1", "zone-2")
-KNOWS = Topology(home="zone-1", zones=ZONES).knows
+KNOWS_ZONE = Topology(home="zone-1", zones=ZONES).knows
 ID = "i-1"
-SOUND: dict[str, Any] = {
+VALID: dict[str, Any] = {
     "service": "language",
     "address": "127.0.0.1:9000",
     "zone": "zone-1",
@@ -40,17 +40,17 @@
 
 
 def without(*names: str) -> dict[str, Any]:
-    return {name: value for name, value in SOUND.items() if name not in names}
+    return {name: value for name, value in VALID.items() if name not in names}
 
 
 def fault_of(value: Any, key: str = ID) -> RowFault:
     with pytest.raises(ReplicaRowMalformed) as raised:
-        replica_from(row(value, key), knows_zone=KNOWS)
+        replica_from(row(value, key), knows_zone=KNOWS_ZONE)
     return raised.value.fault
 
 
 class Table:
-    """The replicas' table of a box, and what it made known."""
+    """The replicas' table of a box, with the faults, log lines and directory changes it caused."""
 
     def __init__(self) -> None:
         self.directory = Directory(Log("directory", "box"))
@@ -61,7 +61,7 @@
         log = Log("directory", "box")
         log.say = lambda sentence, **fields: self.lines.append(sentence)  # type: ignore[method-assign]
         self.rows = ReplicaTable(
-            self.directory, knows_zone=KNOWS, count_fault=self.faults.append, log=log
+            self.directory, knows_zone=KNOWS_ZONE, count_fault=self.faults.append, log=log
         )
         self.directory.on_change.append(
             lambda record, instance: self.reported.append((instance, record is not None))
@@ -73,8 +73,8 @@
         return {replica.instance: replica.record for replica in found}
 
 
-def test_a_row_is_read_with_its_start() -> None:
-    record = replica_from(row(SOUND), knows_zone=KNOWS)
+def test_a_row_is_parsed_with_its_start_time() -> None:
+    record = replica_from(row(VALID), knows_zone=KNOWS_ZONE)
     assert record == ReplicaRecord(
         instance="i-1@1764000000123",
         service="language",
@@ -90,15 +90,15 @@
     assert record.replica_id == ID
 
 
-def test_a_row_of_a_plain_service_without_a_start_is_known_by_its_id() -> None:
+def test_a_row_without_a_start_time_has_its_id_as_instance() -> None:
     value = without("born", "models", "sequence", "coldRemainingMs", "version", "stage")
-    record = replica_from(row({**value, "state": "draining"}), knows_zone=KNOWS)
+    record = replica_from(row({**value, "state": "draining"}), knows_zone=KNOWS_ZONE)
     assert (record.instance, record.replica_id, record.leaving) == (ID, ID, True)
     assert (record.born_ms, record.sequence, record.cold_s) == (None, 0, 0.0)
 
 
 @pytest.mark.parametrize("name", ["service", "address", "zone", "slots", "state"])
-def test_a_row_without_a_field_that_it_must_have_is_not_understood(name: str) -> None:
+def test_a_row_without_a_required_field_is_rejected(name: str) -> None:
     assert fault_of(without(name)) is RowFault.MISSING_FIELD
 
 
@@ -146,98 +146,98 @@
         ("stage", 3, RowFault.WRONG_TYPE),
     ],
 )
-def test_a_row_with_a_field_of_another_kind_is_not_understood(
-    name: str, value: Any, fault: RowFault
-) -> None:
-    assert fault_of({**SOUND, name: value}) is fault
+def test_a_row_with_an_invalid_field_is_rejected(name: str, value: Any, fault: RowFault) -> None:
+    assert fault_of({**VALID, name: value}) is fault
 
 
 @pytest.mark.parametrize(
     "value", [b"", b"\xff\xfe", b"{", b"null", b"7", b"[]", b'"ready"', b"[" * 100_000]
 )
-def test_bytes_that_are_no_object_are_not_understood(value: bytes) -> None:
+def test_a_value_that_is_not_a_json_object_is_rejected(value: bytes) -> None:
     assert fault_of(value) is RowFault.UNREADABLE
 
 
 @pytest.mark.parametrize("key", ["", "two words", "line\r\nbreak", "ключ"])
-def test_a_key_that_cannot_go_into_a_header_is_no_id(key: str) -> None:
-    assert fault_of(SOUND, key) is RowFault.ID
+def test_a_key_that_does_not_fit_into_a_header_is_rejected(key: str) -> None:
+    assert fault_of(VALID, key) is RowFault.ID
 
 
-def test_an_id_that_reads_like_the_incarnation_of_another_is_none() -> None:
+def test_an_id_that_equals_the_incarnation_of_another_replica_is_rejected() -> None:
     assert fault_of(without("born"), "i-1@1764000000123") is RowFault.ID
 
 
 @pytest.mark.parametrize("address", ["10.0.0.7:1", "engine-1.internal:65535", "::1:9000"])
-def test_addresses_of_names_and_both_kinds_of_hosts_are_read(address: str) -> None:
-    assert replica_from(row({**SOUND, "address": address}), knows_zone=KNOWS).address == address
+def test_addresses_with_host_names_ipv4_and_ipv6_are_accepted(address: str) -> None:
+    assert (
+        replica_from(row({**VALID, "address": address}), knows_zone=KNOWS_ZONE).address == address
+    )
 
 
 @pytest.mark.parametrize(
     "text, version", [("a1", 0), ("a1@x", 0), ("a1@²", 0), (f"a1@{'9' * 5000}", 0), ("a1@07", 7)]
 )
-def test_an_adapter_without_a_number_has_version_0(text: str, version: int) -> None:
+def test_an_adapter_without_a_valid_version_has_version_0(text: str, version: int) -> None:
     models = [{"name": "base", "adapters": [text]}]
-    record = replica_from(row({**SOUND, "models": models}), knows_zone=KNOWS)
+    record = replica_from(row({**VALID, "models": models}), knows_zone=KNOWS_ZONE)
     assert record.adapters == (HeldAdapter("base", "a1", version),)
 
 
-def test_an_adapter_listed_twice_counts_in_its_newest_version() -> None:
+def test_an_adapter_listed_repeatedly_has_its_newest_version() -> None:
     models = [{"name": "base", "adapters": ["a1@2", "a1@3", "a1@1"]}]
-    record = replica_from(row({**SOUND, "models": models}), knows_zone=KNOWS)
+    record = replica_from(row({**VALID, "models": models}), knows_zone=KNOWS_ZONE)
     assert record.adapters == (HeldAdapter("base", "a1", 3),)
 
 
-# The table.
+# Replicas in the directory.
 
 
-def test_a_replica_whose_row_is_overwritten_gets_nothing_until_it_says_something_sound() -> None:
+def test_a_replica_with_an_overwritten_row_is_unused_until_it_writes_a_valid_one() -> None:
     table = Table()
-    table.rows.change(row(SOUND))
+    table.rows.change(row(VALID))
     [instance] = table.known
     before = table.directory.find(instance)
     table.rows.change(row(b"garbage"))
     assert not table.known[instance].understood
     assert table.directory.count == 0
     assert table.directory.find(instance) is before
-    table.rows.change(row({**SOUND, "sequence": 8}))
+    table.rows.change(row({**VALID, "sequence": 8}))
     assert table.known[instance].understood
     assert table.directory.count == 1
 
 
-def test_a_whole_table_with_a_row_that_is_not_understood_keeps_that_replica() -> None:
+def test_a_full_table_with_a_malformed_row_keeps_that_replica() -> None:
     table = Table()
-    table.rows.replace([row(SOUND), row(SOUND, "i-2"), row(SOUND, "i-3")])
-    table.rows.replace([row({**SOUND, "zone": "zone-9"}), row(SOUND, "i-2"), row(b"\xff", "i-4")])
+    table.rows.replace([row(VALID), row(VALID, "i-2"), row(VALID, "i-3")])
+    table.rows.replace([row({**VALID, "zone": "zone-9"}), row(VALID, "i-2"), row(b"\xff", "i-4")])
     assert {record.replica_id: record.understood for record in table.known.values()} == {
         "i-1": False,
         "i-2": True,
     }
 
 
-def test_an_unknown_id_that_is_not_understood_is_counted_and_nothing_else() -> None:
+def test_a_malformed_row_of_an_unknown_id_is_only_counted() -> None:
     table = Table()
-    table.rows.change(row({**SOUND, "state": "resting"}))
+    table.rows.change(row({**VALID, "state": "resting"}))
     assert table.reported == []
     assert table.faults == [RowFault.UNKNOWN_STATE]
 
 
-def test_what_is_wrong_with_a_row_is_said_once_and_counted_each_time() -> None:
+def test_a_fault_of_a_row_is_logged_once_and_counted_each_time() -> None:
     table = Table()
     for _ in range(3):
         table.rows.change(row(b"garbage"))
     assert len(table.lines) == 1
     table.rows.change(row(without("zone")))
     assert len(table.lines) == 2
-    table.rows.change(row(SOUND))
+    table.rows.change(row(VALID))
     table.rows.change(row(without("zone")))
     assert len(table.lines) == 3
     assert len(table.faults) == 5
 
 
-def test_an_id_that_told_its_start_is_not_understood_without_one() -> None:
+def test_a_row_without_a_start_time_is_rejected_if_an_earlier_one_had_it() -> None:
     table = Table()
-    table.rows.change(row(SOUND))
+    table.rows.change(row(VALID))
     table.rows.change(row(without("born")))
     assert table.faults == [RowFault.START_MISSING]
     assert [record.understood for record in table.known.values()] == [False]
@@ -246,20 +246,20 @@
     assert table.known == {}
 
 
-def test_a_replica_that_started_anew_is_gone_first_and_then_another() -> None:
+def test_a_restarted_replica_is_removed_before_its_new_incarnation_is_added() -> None:
     table = Table()
-    table.rows.change(row(SOUND))
-    table.rows.change(row({**SOUND, "born": SOUND["born"] + 1, "sequence": 0, "models": []}))
-    first, second = f"i-1@{SOUND['born']}", f"i-1@{SOUND['born'] + 1}"
+    table.rows.change(row(VALID))
+    table.rows.change(row({**VALID, "born": VALID["born"] + 1, "sequence": 0, "models": []}))
+    first, second = f"i-1@{VALID['born']}", f"i-1@{VALID['born'] + 1}"
     assert table.reported == [(first, True), (first, False), (second, True)]
     assert list(table.known) == [second]
     table.rows.remove(ID)
     assert table.known == {}
 
 
-def test_a_service_that_is_not_named_yet_is_known_for_the_next_configuration() -> None:
+def test_a_replica_of_an_unknown_service_is_kept_for_the_next_configuration() -> None:
     table = Table()
-    table.rows.change(row({**SOUND, "service": "tomorrow"}))
+    table.rows.change(row({**VALID, "service": "tomorrow"}))
     assert len(table.directory.of_service("tomorrow")) == 1
     assert table.known == {}
 
@@ -276,8 +276,8 @@
 _VALUES = (
     st.binary()
     | _JSON
-    | st.builds(lambda name, value: {**SOUND, name: value}, st.sampled_from(list(SOUND)), _JSON)
-    | st.builds(without, st.sampled_from(list(SOUND)))
+    | st.builds(lambda name, value: {**VALID, name: value}, st.sampled_from(list(VALID)), _JSON)
+    | st.builds(without, st.sampled_from(list(VALID)))
 )
 _IDS = st.sampled_from(["i-1", "i-2"])
 
@@ -294,9 +294,9 @@
 
 
 @given(key=st.text(st.characters(exclude_categories=["Cs"]), max_size=8) | _IDS, value=_VALUES)
-def test_any_row_is_either_its_own_replica_or_a_typed_error(key: str, value: Any) -> None:
+def test_any_row_is_either_parsed_with_its_id_or_a_typed_error(key: str, value: Any) -> None:
     try:
-        record = replica_from(_row_of(value, key), knows_zone=KNOWS)
+        record = replica_from(_row_of(value, key), knows_zone=KNOWS_ZONE)
     except ReplicaRowMalformed:
         return
     assert record.replica_id == key
@@ -314,7 +314,7 @@
     port=st.integers(1, 65_535),
     adapters=st.lists(st.from_regex(r"a[0-9]{1,4}(@[0-9]{1,3})?", fullmatch=True)),
 )
-def test_a_sound_row_is_always_understood(
+def test_a_valid_row_is_always_accepted(
     born: int | None, sequence: int, cold_ms: float, port: int, adapters: list[str], **more: Any
 ) -> None:
     value = {
@@ -327,7 +327,7 @@
     }
     if born is not None:
         value["born"] = born
-    record = replica_from(row(value), knows_zone=KNOWS)
+    record = replica_from(row(value), knows_zone=KNOWS_ZONE)
     assert (record.born_ms, record.sequence, record.replica_id) == (born, sequence, ID)
     assert {held.adapter for held in record.adapters} == {
         text.partition("@")[0] for text in adapters
@@ -335,13 +335,13 @@
 
 
 @given(st.lists(st.tuples(_IDS, _VALUES), max_size=6))
-def test_no_rows_harm_the_table_or_another_replica(updates: list[tuple[str, Any]]) -> None:
+def test_no_row_breaks_the_table_or_changes_another_replica(updates: list[tuple[str, Any]]) -> None:
     table = Table()
-    table.rows.replace([row(SOUND, "sound")])
+    table.rows.replace([row(VALID, "sound")])
     for key, value in updates:
         table.rows.change(_row_of(value, key))
-    instance = f"sound@{SOUND['born']}"
-    assert table.known[instance] == replica_from(row(SOUND, "sound"), knows_zone=KNOWS)
+    instance = f"sound@{VALID['born']}"
+    assert table.known[instance] == replica_from(row(VALID, "sound"), knows_zone=KNOWS_ZONE)
     ids = [replica.record.replica_id for replica in table.directory.of_service("language")]
     assert set(ids) <= {"sound", "i-1", "i-2"}
     assert len(ids) == len(set(ids))
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store, against the stand-in in a process of its own."""
+"""The client of the platform's store, against the stand-in in a separate process."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     assert urllib3.request("POST", url, body=json.dumps(body)).status == 200
 
 
-def test_the_store_tells_changes_in_their_order(address: str) -> None:
+def test_changes_arrive_in_the_order_of_their_commits(address: str) -> None:
     store = PlatformStore(address)
     first = store.write(TABLE, "a", b"1", expected=0)
     remove(address, "a", version=number_of(first))
--- a/tests/platform/test_store_return.py
+++ b/tests/platform/test_store_return.py
@@ -1,4 +1,8 @@
-"""Followers of a store that comes back from a copy, against the stand-in in its own process."""
+"""Followers of a store that is restored from a copy, against the stand-in in a separate process.
+
+The restored store assigns version numbers again, so a box that compares only numbers takes later
+rows for known ones and misses changes, or writes under a condition that holds by accident.
+"""
 
 from __future__ import annotations
 
@@ -29,12 +33,12 @@
 from springrock.table_follower import TableFollower
 from tests.platform.conftest import TABLE
 
-LATER_S = 30.0
+LONG_PAUSE_S = 30.0
 COPY_S = 1.0
 
 
 class Listener:
-    """Keeps the rows as it is told of them."""
+    """Holds the rows that a follower passed on."""
 
     def __init__(self) -> None:
         self.rows: dict[str, bytes] = {}
@@ -49,35 +53,35 @@
         self.rows.pop(key, None)
 
 
-class BesideStore:
-    """Asks the store in threads, as the sockets of a test process block its loop."""
+class ThreadedStore:
+    """Calls the store in threads, as sockets in the test process would block its event loop."""
 
     def __init__(self, store: PlatformStore) -> None:
         self._store = store
 
     def read_all(self, table: str) -> Snapshot:
-        snapshot: Snapshot = _beside(lambda: self._store.read_all(table))
+        snapshot: Snapshot = _call_in_thread(lambda: self._store.read_all(table))
         return snapshot
 
     def changes(self, table: str, *, after: int, wait_s: float) -> Changes:
         ask = partial(self._store.changes, table, after=after, wait_s=wait_s)
-        changes: Changes = _beside(ask)
+        changes: Changes = _call_in_thread(ask)
         return changes
 
     def write(self, table: str, key: str, value: bytes, *, expected: int) -> int:
         raise NotImplementedError
 
 
-def _beside(call: Callable[[], Any]) -> Any:
+def _call_in_thread(call: Callable[[], Any]) -> Any:
     return gevent.get_hub().threadpool.apply(call)
 
 
-class ReturningStore:
-    """The stand-in, and what an operator and a drill do to it."""
+class RestorableStore:
+    """Controls the stand-in: changes rows, makes it busy and restores it from a copy."""
 
     def __init__(self, address: str) -> None:
         self._url = f"http://{address}/standin"
-        self.client = BesideStore(PlatformStore(address))
+        self.client = ThreadedStore(PlatformStore(address))
 
     def put(self, key: str, value: str) -> None:
         self._post("transaction", {"put": [{"table": TABLE, "key": key, "value": value}]})
@@ -96,56 +100,56 @@
 
 
 @pytest.fixture
-def store(address: str) -> ReturningStore:
-    return ReturningStore(address)
+def store(address: str) -> RestorableStore:
+    return RestorableStore(address)
 
 
-def follow(store: ReturningStore, *, pause_s: float) -> tuple[TableFollower, Listener]:
-    """Return a follower that waits so long between two reads."""
+def follow(store: RestorableStore, *, pause_s: float) -> tuple[TableFollower, Listener]:
+    """Return a follower with a pause between reads, and its listener."""
     listener = Listener()
     follower = TableFollower(store.client, TABLE, listener, pause_s=pause_s, log=Log("test", "box"))
     return follower, listener
 
 
-def notify(reported: TableFollower) -> Callable[[TableReading, bool], None]:
-    """Return what tells a follower each reading over a link."""
+def publish_to(receiver: TableFollower) -> Callable[[TableReading, bool], None]:
+    """Return a callback that passes each reading to a follower, encoded as on a link."""
 
-    def _notify(reading: TableReading, is_own: bool) -> None:
+    def _publish(reading: TableReading, is_own: bool) -> None:
         updates = decode(encode(table_news_from(reading)))
         assert isinstance(updates, TableNews)
-        reported.apply_reading(reading_from(updates))
+        receiver.apply_reading(reading_from(updates))
 
-    return _notify
+    return _publish
 
 
 def eventually(condition: Callable[[], bool], what: str, within_s: float = 2.0) -> None:
-    """Wait for a condition; the store's bound on how late a change may be known."""
+    """Wait for a condition, by default for the longest time that a change may take to arrive."""
     with gevent.Timeout(within_s, TimeoutError(what)):
         while not condition():
             gevent.sleep(0.02)
 
 
-def test_a_condition_on_a_number_that_was_given_out_again_writes_nothing_or_says_so(
-    store: ReturningStore, address: str
+def test_a_condition_on_a_reassigned_version_number_writes_nothing_or_raises(
+    store: RestorableStore, address: str
 ) -> None:
-    knowing, unknowing = PlatformStore(address), PlatformStore(address)
-    # Of 0 to 2 the copy has none.
+    current_client, outdated_client = PlatformStore(address), PlatformStore(address)
+    # A copy that is 60 s old has none of the version numbers 0 to 2.
     store.return_from_copy(copy_s=60.0)
-    first = knowing.write(TABLE, "lease", b"first", expected=0)
-    unknowing.read_all(TABLE)
+    first = current_client.write(TABLE, "lease", b"first", expected=0)
+    outdated_client.read_all(TABLE)
     store.return_from_copy(copy_s=60.0)
-    second = knowing.write(TABLE, "lease", b"second", expected=0)
+    second = current_client.write(TABLE, "lease", b"second", expected=0)
     assert number_of(first) == number_of(second)
     with pytest.raises(RowConflict) as conflict:
-        knowing.write(TABLE, "lease", b"stale", expected=first)
+        current_client.write(TABLE, "lease", b"stale", expected=first)
     assert conflict.value.row == Row("lease", b"second", second)
     with pytest.raises(WrittenInAnotherEra):
-        unknowing.write(TABLE, "lease", b"late", expected=first)
+        outdated_client.write(TABLE, "lease", b"late", expected=first)
     with pytest.raises(RowConflict):
-        unknowing.remove(TABLE, "lease", expected=first)
+        outdated_client.remove(TABLE, "lease", expected=first)
 
 
-def test_an_answer_of_an_earlier_era_is_not_believed(store: ReturningStore, address: str) -> None:
+def test_an_answer_of_an_earlier_era_is_rejected(store: RestorableStore, address: str) -> None:
     client = PlatformStore(address)
     client.read_all(TABLE)
     store.return_from_copy()
@@ -155,8 +159,8 @@
         client.read_all(TABLE)
 
 
-def test_changes_after_a_version_of_an_earlier_era_must_be_read_whole(
-    store: ReturningStore, address: str
+def test_the_feed_after_a_version_of_an_earlier_era_needs_a_full_read(
+    store: RestorableStore, address: str
 ) -> None:
     client = PlatformStore(address)
     version = client.read_all(TABLE).version
@@ -165,28 +169,28 @@
         client.changes(TABLE, after=version, wait_s=0.0)
 
 
-def test_a_box_that_is_told_by_one_that_read_the_returned_store_misses_no_change(
-    store: ReturningStore,
+def test_a_box_that_gets_readings_of_a_restored_store_misses_no_change(
+    store: RestorableStore,
 ) -> None:
-    source_zone, _ = follow(store, pause_s=0.0)
-    reported, listener = follow(store, pause_s=LATER_S)
+    source, _ = follow(store, pause_s=0.0)
+    receiver, listener = follow(store, pause_s=LONG_PAUSE_S)
     for number in range(5):
         store.put(f"before-{number}", "aaaa")
-    reported.start()
+    receiver.start()
     eventually(lambda: "before-4" in listener.rows, "the table is read")
-    source_zone.publishes = lambda: True
-    source_zone.publisher = notify(reported)
-    source_zone.start()
+    source.publishes = lambda: True
+    source.publisher = publish_to(receiver)
+    source.start()
     gevent.sleep(0.2)
     store.return_from_copy(copy_s=COPY_S + 5.0)
     store.put("after", "bbbb")
-    eventually(lambda: "after" in listener.rows, "a change after the return is known")
-    source_zone.stop()
-    reported.stop()
+    eventually(lambda: "after" in listener.rows, "a change after the restore arrives")
+    source.stop()
+    receiver.stop()
 
 
-def test_a_box_that_asks_only_after_versions_were_given_out_again_misses_no_change(
-    store: ReturningStore,
+def test_a_box_that_reads_after_version_numbers_were_reassigned_misses_no_change(
+    store: RestorableStore,
 ) -> None:
     follower, listener = follow(store, pause_s=1.0)
     for number in range(3):
@@ -196,5 +200,5 @@
     store.return_from_copy(copy_s=COPY_S + 5.0)
     for number in range(5):
         store.put(f"after-{number}", "bbbb")
-    eventually(lambda: "after-0" in listener.rows, "the first change after the return is known")
+    eventually(lambda: "after-0" in listener.rows, "the first change after the restore arrives")
     follower.stop()
--- a/tests/test_language.py
+++ b/tests/test_language.py
@@ -44,13 +44,13 @@
         ("stop box suva-1-a", "stop", {"box": "suva-1-a"}),
     ],
 )
-def test_a_statement_is_understood(text: str, name: str, values: dict[str, str]) -> None:
+def test_a_statement_is_parsed(text: str, name: str, values: dict[str, str]) -> None:
     statement, arguments = parse(text)
     assert statement is statements.get(name)
     assert arguments.values == values
 
 
-def test_lists_are_kept_whole() -> None:
+def test_all_values_of_a_list_are_kept() -> None:
     _, arguments = parse("create adapter base:x version 1,2,3 for workload a,b")
     assert arguments.integers("version") == [1, 2, 3]
     assert arguments.lists["workload"] == ["a", "b"]
@@ -69,7 +69,7 @@
         "drop",
     ],
 )
-def test_what_is_no_statement_is_a_typed_error(text: str) -> None:
+def test_an_invalid_statement_is_a_typed_error(text: str) -> None:
     with pytest.raises(StatementError):
         parse(text)
 
@@ -90,8 +90,8 @@
         max_size=8,
     )
 )
-def test_no_mixture_of_words_breaks_the_parser(arguments: list[str]) -> None:
+def test_no_sequence_of_tokens_breaks_the_parser(tokens: list[str]) -> None:
     try:
-        parse(" ".join(arguments))
+        parse(" ".join(tokens))
     except StatementError:
         return
--- a/tests/wire/test_caller.py
+++ b/tests/wire/test_caller.py
@@ -61,12 +61,12 @@
         {wire.REQUEST_ID_HEADER: "x" * 200},
     ],
 )
-def test_terms_that_make_no_sense_are_refused(headers: dict[str, str]) -> None:
+def test_invalid_terms_are_refused(headers: dict[str, str]) -> None:
     result = terms(headers)
     assert result.error.cause is Cause.MALFORMED_REQUEST  # type: ignore[attr-defined]
 
 
-def test_an_error_says_what_is_known_and_when_to_come_back() -> None:
+def test_an_error_body_has_the_cause_the_run_state_and_the_retry_delay() -> None:
     refusal = Refusal(Cause.CANNOT_FINISH, "too long", RunState.NOT_RUN, 2.2)
     error = json.loads(wire.error_body(refusal, "r-1"))["error"]
     assert error == {
--- a/tests/wire/test_model_name.py
+++ b/tests/wire/test_model_name.py
@@ -14,7 +14,7 @@
         ("org/base-7b:a.b_c@12", ModelName("org/base-7b", "a.b_c", 12)),
     ],
 )
-def test_names_are_parsed_and_written_the_same(text: str, name: ModelName) -> None:
+def test_names_survive_parsing_and_formatting(text: str, name: ModelName) -> None:
     assert ModelName.from_text(text) == name
     assert str(name) == text
 
@@ -22,7 +22,7 @@
 @pytest.mark.parametrize(
     "text", ["", ":", "a:", ":b", "a:b@", "a:b@x", "a b", "a:b:c", "a@1", "-a"]
 )
-def test_what_is_no_name_is_none(text: str) -> None:
+def test_an_invalid_name_is_none(text: str) -> None:
     assert ModelName.from_text(text) is None
 
 
--- a/tests/wire/test_peer.py
+++ b/tests/wire/test_peer.py
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("message", EXAMPLES, ids=lambda item: type(item).__name__)
-def test_a_message_comes_back_as_it_was(message: wire.PeerMessage) -> None:
+def test_a_message_survives_encoding_and_decoding(message: wire.PeerMessage) -> None:
     assert wire.decode(wire.encode(message)) == message
 
 
@@ -79,7 +79,7 @@
         assert tag not in {msgspec.to_builtins(item)[0] for item in EXAMPLES}
 
 
-def test_a_permit_costs_few_bytes() -> None:
-    """The budget is 8 KB a second for control on each node; see docs/CAPACITY.md."""
+def test_the_messages_of_a_permit_are_small() -> None:
+    """The budget for control messages is 8 KB/s on each node; see docs/CAPACITY.md."""
     sizes = [len(wire.encode(item)) for item in EXAMPLES[1:5] if not isinstance(item, wire.Deny)]
     assert sum(sizes) < 200
