--- a/springrock/drivers/engine.py
+++ b/springrock/drivers/engine.py
@@ -98,7 +98,7 @@
                 raise UpstreamGarbage("an event exceeds the size limit")
 
     def abort(self) -> None:
-        """End the stream from another task; its reader gets `UpstreamBroke`."""
+        """End the stream from another task; its reader sees the connection break."""
         with contextlib.suppress(OSError, ValueError, RuntimeError):
             self._response.shutdown()
 
--- a/springrock/platform/dialect.py
+++ b/springrock/platform/dialect.py
@@ -58,12 +58,12 @@
             headers=headers,
             body=body,
             received_at=received_at,
-            deadline_s=None if deadline_ms is None else _number(deadline_ms) / 1000,
+            deadline_s=None if deadline_ms is None else _parse_number(deadline_ms) / 1000,
             model=model,
             adapter=adapter,
-            tokens=_token_count(headers.get(names.TOKEN_COUNT)),
+            tokens=_parse_token_count(headers.get(names.TOKEN_COUNT)),
             key_digest=_key_digest(headers),
-            prompt=_prompt_parts(headers.get(names.PROMPT_PARTS)),
+            prompt=_parse_prompt_parts(headers.get(names.PROMPT_PARTS)),
             last_event_id=headers.get(names.LAST_EVENT_ID) or "",
         )
 
@@ -123,21 +123,21 @@
     return digest_of(key)
 
 
-def _token_count(value: str | None) -> int | None:
+def _parse_token_count(value: str | None) -> int | None:
     if value is None:
         return None
     prompt, _, answer = value.partition(",")
-    return _tokens(prompt) + _tokens(answer or "0")
+    return _parse_tokens(prompt) + _parse_tokens(answer or "0")
 
 
-def _tokens(value: str) -> int:
-    number = _number(value)
+def _parse_tokens(value: str) -> int:
+    number = _parse_number(value)
     if number > _MAX_TOKENS:
         raise BadRequest(f"{value!r} is more tokens than a request can have")
     return int(number)
 
 
-def _prompt_parts(value: str | None) -> tuple[PromptPart, ...]:
+def _parse_prompt_parts(value: str | None) -> tuple[PromptPart, ...]:
     """Parse ID:TOKENS pairs; a malformed header only loses the benefit of cached prompt parts."""
     if not value:
         return ()
@@ -150,7 +150,7 @@
     return tuple(parts)
 
 
-def _number(value: str) -> float:
+def _parse_number(value: str) -> float:
     number = read_non_negative(value)
     if number is None:
         raise BadRequest(f"{value!r} is not a number, or out of range")
--- a/springrock/platform/replica_rows.py
+++ b/springrock/platform/replica_rows.py
@@ -87,7 +87,7 @@
     Raises:
         ReplicaRowMalformed: If the row does not describe a usable replica.
     """
-    fields = _Fields(_decoded(row.value))
+    fields = _Fields(_decode_fields(row.value))
     born_ms = fields.integer_or_none("born", at_most=_MAX_START_MS)
     _check_id(row.key, born_ms)
     models = _models_from(fields.value_or("models", []))
@@ -97,10 +97,10 @@
     return ReplicaRecord(
         instance=incarnation_of(row.key, born_ms),
         service=fields.text("service"),
-        address=_address(fields),
-        zone=_zone(fields, knows_zone),
+        address=_parse_address(fields),
+        zone=_parse_zone(fields, knows_zone),
         running_limit=fields.integer("slots", at_least=1, at_most=_MAX_SLOTS),
-        leaving=_is_leaving(fields),
+        leaving=_parse_leaving(fields),
         models=frozenset(model.name for model in models),
         adapters=held_adapters(models),
         born_ms=born_ms,
@@ -167,7 +167,7 @@
         return self._fields[name]
 
 
-def _decoded(value: bytes) -> dict[str, Any]:
+def _decode_fields(value: bytes) -> dict[str, Any]:
     try:
         decoded = msgspec.json.decode(value)
     except (msgspec.DecodeError, UnicodeError, RecursionError):
@@ -186,7 +186,7 @@
         raise ReplicaRowMalformed(RowFault.ID)
 
 
-def _address(fields: _Fields) -> str:
+def _parse_address(fields: _Fields) -> str:
     address = fields.text("address")
     match = _ADDRESS.fullmatch(address)
     if match is None or not 0 < int(match[1]) < 65_536:
@@ -194,14 +194,14 @@
     return address
 
 
-def _zone(fields: _Fields, knows_zone: Callable[[str], bool]) -> str:
+def _parse_zone(fields: _Fields, knows_zone: Callable[[str], bool]) -> str:
     zone = fields.text("zone")
     if not knows_zone(zone):
         raise ReplicaRowMalformed(RowFault.UNKNOWN_ZONE, "zone")
     return zone
 
 
-def _is_leaving(fields: _Fields) -> bool:
+def _parse_leaving(fields: _Fields) -> bool:
     state = fields.text("state")
     if state not in _IS_LEAVING_BY_STATE:
         raise ReplicaRowMalformed(RowFault.UNKNOWN_STATE, "state")
--- a/springrock/platform/store.py
+++ b/springrock/platform/store.py
@@ -91,7 +91,7 @@
     @property
     def version(self) -> int:
         """The store's newest version."""
-        return _version_in(self.era, self.page.ver)
+        return _valid_version(self.era, self.page.ver)
 
     def rows_in_era(self) -> list[Row]:
         """Return the rows, with versions of the answer's era."""
@@ -102,10 +102,10 @@
         return [self._removed_row(row) if row.gone else self._row(row) for row in self.page.rows]
 
     def _removed_row(self, row: _Row) -> Removed:
-        return Removed(row.key, _version_in(self.era, row.ver) if row.ver else 0)
+        return Removed(row.key, _valid_version(self.era, row.ver) if row.ver else 0)
 
     def _row(self, row: _Row) -> Row:
-        return Row(row.key, row.value, _version_in(self.era, row.ver))
+        return Row(row.key, row.value, _valid_version(self.era, row.ver))
 
 
 class PlatformStore:
@@ -133,11 +133,11 @@
         The snapshot has the version of the first page; rows of later pages may be newer.
         """
         query = f"table={table}&part=&limit={_PAGE_ROWS}"
-        first = page = self._rows(names.ROWS_GET_PATH, query)
+        first = page = self._get_rows(names.ROWS_GET_PATH, query)
         rows = page.rows_in_era()
         while page.page.more and page.page.rows:
             # The smallest key after the last one read.
-            page = self._rows(names.ROWS_GET_PATH, f"{query}&from={page.page.rows[-1].key}%00")
+            page = self._get_rows(names.ROWS_GET_PATH, f"{query}&from={page.page.rows[-1].key}%00")
             if page.era != first.era:
                 raise HistoryGone("the store was restored from a copy between two pages")
             rows += page.rows_in_era()
@@ -146,7 +146,7 @@
     def changes(self, table: str, *, after: int, wait_s: float) -> Changes:
         """Wait for changes of a table after a version."""
         query = f"table={table}&after={number_of(after)}&waitMs={round(wait_s * 1000)}"
-        page = self._rows(names.ROWS_FEED_PATH, query, wait_s=wait_s)
+        page = self._get_rows(names.ROWS_FEED_PATH, query, wait_s=wait_s)
         if page.era > era_of(after):
             raise HistoryGone("the store was restored from a copy")
         if page.era < era_of(after):
@@ -175,10 +175,10 @@
         """
         if UNKNOWN_ERA < era < self._era:
             raise self._read_conflict(expected)
-        response = self._call("POST", names.ROWS_TX_PATH, body=msgspec.json.encode(transaction))
+        response = self._request("POST", names.ROWS_TX_PATH, body=msgspec.json.encode(transaction))
         if response.status == _CONFLICT:
-            raise _conflict_from(self._page(response), expected.key)
-        page = self._page(_checked(response))
+            raise _conflict_from(self._decode_page(response), expected.key)
+        page = self._decode_page(_require_ok(response))
         if era not in (UNKNOWN_ERA, page.era):
             raise WrittenInAnotherEra(page.version)
         return page.version
@@ -186,18 +186,18 @@
     def _read_conflict(self, expected: _RowVersion) -> RowConflict:
         """Read a row and return the conflict with it."""
         query = f"table={expected.table}&part=&from={expected.key}&limit=1"
-        return _conflict_from(self._rows(names.ROWS_GET_PATH, query), expected.key)
+        return _conflict_from(self._get_rows(names.ROWS_GET_PATH, query), expected.key)
 
-    def _rows(self, path: str, query: str, *, wait_s: float = 0.0) -> _Page:
-        response = self._call("GET", f"{path}?{query}", wait_s=wait_s)
+    def _get_rows(self, path: str, query: str, *, wait_s: float = 0.0) -> _Page:
+        response = self._request("GET", f"{path}?{query}", wait_s=wait_s)
         if response.status == _GONE:
             raise HistoryGone("the store no longer has the requested history")
-        return self._page(_checked(response))
+        return self._decode_page(_require_ok(response))
 
-    def _page(self, response: urllib3.BaseHTTPResponse) -> _Page:
-        return _Page(era_from_reported(_reported_era(response)), _decoded(response, _Rows))
+    def _decode_page(self, response: urllib3.BaseHTTPResponse) -> _Page:
+        return _Page(era_from_reported(_reported_era(response)), _decode(response, _Rows))
 
-    def _call(
+    def _request(
         self, method: str, path: str, *, body: bytes | None = None, wait_s: float = 0.0
     ) -> urllib3.BaseHTTPResponse:
         timeout = urllib3.Timeout(connect=_CONNECT_TIMEOUT_S, read=_ANSWER_TIMEOUT_S + wait_s)
@@ -235,13 +235,13 @@
     return int(reported)
 
 
-def _checked(response: urllib3.BaseHTTPResponse) -> urllib3.BaseHTTPResponse:
+def _require_ok(response: urllib3.BaseHTTPResponse) -> urllib3.BaseHTTPResponse:
     if response.status != _OK:
         raise RowStoreUnavailable(f"the store answered with status {response.status}")
     return response
 
 
-def _decoded(response: urllib3.BaseHTTPResponse, kind: type[T]) -> T:
+def _decode(response: urllib3.BaseHTTPResponse, kind: type[T]) -> T:
     try:
         return msgspec.json.decode(response.data, type=kind)
     except msgspec.DecodeError as error:
@@ -255,7 +255,7 @@
     return RowConflict(row, version=page.version)
 
 
-def _version_in(era: int, number: int) -> int:
+def _valid_version(era: int, number: int) -> int:
     try:
         return version_in(era, number)
     except VersionOutOfRange as error:
--- a/springrock/platform/tables.py
+++ b/springrock/platform/tables.py
@@ -105,7 +105,7 @@
         self._knows_zone = knows_zone
         self._count_fault = count_fault
         self._log = log
-        self._fault_by_id: BoundedDict[RowFault] = BoundedDict(at_most=_MAX_REMEMBERED_FAULTS)
+        self._last_fault_by_id: BoundedDict[RowFault] = BoundedDict(at_most=_MAX_REMEMBERED_FAULTS)
 
     def replace(self, rows: Sequence[Row]) -> None:
         """Apply the full table."""
@@ -127,7 +127,7 @@
 
     def remove(self, key: str) -> None:
         """Apply the removal of a replica's row."""
-        self._fault_by_id.pop(key, None)
+        self._last_fault_by_id.pop(key, None)
         self._directory.remove(key)
 
     def _parse(self, row: Row) -> ReplicaRecord | None:
@@ -139,15 +139,15 @@
         except ReplicaRowMalformed as error:
             self._record_fault(row.key, error)
             return None
-        self._fault_by_id.pop(row.key, None)
+        self._last_fault_by_id.pop(row.key, None)
         return record
 
     def _record_fault(self, key: str, error: ReplicaRowMalformed) -> None:
         """Count a malformed row, and log it unless the id's previous row had the same fault."""
         self._count_fault(error.fault)
-        if self._fault_by_id.get(key) is error.fault:
+        if self._last_fault_by_id.get(key) is error.fault:
             return
-        self._fault_by_id.record(key, error.fault)
+        self._last_fault_by_id.record(key, error.fault)
         self._log.say(
             "Passed over a replica's row.", replica=key, fault=error.fault, field=error.field
         )
--- a/springrock/platform_clients/http.py
+++ b/springrock/platform_clients/http.py
@@ -53,7 +53,7 @@
     def get_object(self, name: str) -> bytes | None:
         """Read an object; None if it does not exist."""
         response = self._request("GET", self._object_url(name))
-        return None if response.status == 404 else _checked(response)
+        return None if response.status == 404 else _require_ok(response)
 
     def put_object(self, name: str, data: bytes) -> None:
         """Write an object."""
@@ -72,7 +72,7 @@
         if response.status == 304 and cached:
             self._cache.move_to_end(url)
             return cached.page  # type: ignore[return-value]
-        page = _decode(_checked(response), kind)
+        page = _decode(_require_ok(response), kind)
         self._add_to_cache(url, response.headers.get("ETag", ""), page)
         return page
 
@@ -88,7 +88,7 @@
         return f"http://{self._settings.objects_address}{wire.OBJECTS_PATH}{name}"
 
     def _call(self, method: str, url: str, *, body: bytes) -> bytes:
-        return _checked(self._request(method, url, body=body))
+        return _require_ok(self._request(method, url, body=body))
 
     def _request(
         self,
@@ -105,7 +105,7 @@
             raise PlatformUnavailable(f"{url}: {error}") from None
 
 
-def _checked(response: urllib3.BaseHTTPResponse) -> bytes:
+def _require_ok(response: urllib3.BaseHTTPResponse) -> bytes:
     if response.status != 200:
         raise PlatformUnavailable(f"status {response.status}")
     return response.data
--- a/springrock/statements/_change.py
+++ b/springrock/statements/_change.py
@@ -68,6 +68,7 @@
     build: Callable[[Catalog, Change], Change],
     host: StatementHost,
 ) -> Change:
+    # In a retry of a committed command `build` would fail on what the command itself has changed.
     if host.feed.find_command(change.command_id) is not None:
         return change
     return build(catalog, change)
@@ -76,13 +77,13 @@
 def _wait(host: StatementHost, revision: int, wait_s: float) -> str:
     deadline = Deadline(wait_s)
     while True:
-        behind = [
+        outdated = [
             _box_name(item) for item in box_statuses(host) if not _has_revision(item, revision)
         ]
-        if not behind:
+        if not outdated:
             return ", in force on every box"
         if deadline.passed:
-            return f", not yet in force on: {', '.join(behind)}"
+            return f", not yet in force on: {', '.join(outdated)}"
         gevent.sleep(_CHECK_INTERVAL_S)
 
 
@@ -105,12 +106,12 @@
     return msgspec.structs.replace(change, **{field_name: [*getattr(change, field_name), entity]})
 
 
-def delete(change: Change, catalog: Catalog, key: str, what: str) -> Change:
+def delete(change: Change, catalog: Catalog, key: str, description: str) -> Change:
     """Return the change with the deletion of an existing entity added.
 
     Raises:
         StatementError: If the entity does not exist.
     """
     if not catalog.revision_of(key):
-        raise StatementError(f"there is no {what}")
+        raise StatementError(f"there is no {description}")
     return msgspec.structs.replace(change, deletes=[*change.deletes, key])
--- a/springrock/wire/peer.py
+++ b/springrock/wire/peer.py
@@ -173,7 +173,11 @@
 
 
 class LoadBid(Struct, frozen=True, array_like=True, tag=13):
-    """Ask the box that schedules adapter loads for a turn on the weight store."""
+    """Ask the box that schedules adapter loads for a turn on the weight store.
+
+    Attributes:
+        value: The value of the load; the highest gets the next turn.
+    """
 
     number: int
     replica: str
