--- a/springrock/doors/caller.py
+++ b/springrock/doors/caller.py
@@ -140,7 +140,7 @@
         if body_bytes is None:
             limit = self._settings.body_limit_bytes
             return Error(wire.refuse(Cause.BODY_TOO_LARGE, f"the body is over {limit} bytes"))
-        unavailable = self._refuse_if_unavailable()
+        unavailable = self._unavailable_refusal()
         if unavailable is not None:
             return Error(unavailable)
         body = wire.parse_body(body_bytes, chat=chat)
@@ -151,7 +151,7 @@
             return Error(terms.error)
         return self._host.admission.admit(body.ok, terms.ok, chat=chat)
 
-    def _refuse_if_unavailable(self) -> Refusal | None:
+    def _unavailable_refusal(self) -> Refusal | None:
         """Return the refusal if this box accepts no requests now, else None."""
         host = self._host
         if host.refusing:
@@ -249,7 +249,7 @@
                 return self._refuse(
                     wire.refuse(Cause.BODY_TOO_LARGE, f"the body is over {limit} bytes")
                 )
-            unavailable = self._refuse_if_unavailable()
+            unavailable = self._unavailable_refusal()
             if unavailable is not None:
                 return self._refuse(unavailable)
             terms = self._parse_terms(repeatable=request.method in _REPEATABLE_METHODS)
--- a/springrock/doors/operator.py
+++ b/springrock/doors/operator.py
@@ -75,12 +75,12 @@
             requester = Requester(who, request.command_id, request.wait_s)
             answer: StatementAnswer = statement.run(self._host, arguments, requester)
         except StatementError as error:
-            return self._refused(409, who, error)
+            return self._refusal_response(409, who, error)
         except PlatformUnavailable as error:
-            return self._refused(503, who, error)
+            return self._refusal_response(503, who, error)
         return json_response(msgspec.json.encode(answer))
 
-    def _refused(self, status: int, who: str, error: SpringrockError) -> Any:
+    def _refusal_response(self, status: int, who: str, error: SpringrockError) -> Any:
         self._log.say(f"Refused a statement of {who}.", who=who, error=str(error))
         return _failure(status, type(error).__name__, str(error))
 
--- a/springrock/platform/engine.py
+++ b/springrock/platform/engine.py
@@ -61,8 +61,8 @@
     """Implements `springrock.placement.control.EngineControl`.
 
     Args:
-        notice_taker: Returns the handler for the notice in an engine's answer, by the engine's id;
-            called before each call to the engine.
+        notice_taker: Called with an engine's id before each call to the engine; returns the
+            handler for the notice in the answer.
     """
 
     def __init__(
--- a/springrock/platform/store.py
+++ b/springrock/platform/store.py
@@ -86,20 +86,20 @@
     """One answer with rows, and the era of the store that sent it."""
 
     era: int
-    page: _Rows
+    body: _Rows
 
     @property
     def version(self) -> int:
         """The store's newest version."""
-        return _valid_version(self.era, self.page.ver)
+        return _valid_version(self.era, self.body.ver)
 
     def rows_in_era(self) -> list[Row]:
         """Return the rows, with versions of the answer's era."""
-        return [self._row(row) for row in self.page.rows]
+        return [self._row(row) for row in self.body.rows]
 
     def changes_in_era(self) -> list[Change]:
         """Return the rows as changes, with versions of the answer's era."""
-        return [self._removed_row(row) if row.gone else self._row(row) for row in self.page.rows]
+        return [self._removed_row(row) if row.gone else self._row(row) for row in self.body.rows]
 
     def _removed_row(self, row: _Row) -> Removed:
         return Removed(row.key, _valid_version(self.era, row.ver) if row.ver else 0)
@@ -135,13 +135,13 @@
         query = f"table={table}&part=&limit={_PAGE_ROWS}"
         first = page = self._get_rows(names.ROWS_GET_PATH, query)
         rows = page.rows_in_era()
-        while page.page.more and page.page.rows:
+        while page.body.more and page.body.rows:
             # The smallest key after the last one read.
-            page = self._get_rows(names.ROWS_GET_PATH, f"{query}&from={page.page.rows[-1].key}%00")
+            page = self._get_rows(names.ROWS_GET_PATH, f"{query}&from={page.body.rows[-1].key}%00")
             if page.era != first.era:
                 raise HistoryGone("the store was restored from a copy between two pages")
             rows += page.rows_in_era()
-        return Snapshot(rows, first.version, _seconds(first.page.now_ms))
+        return Snapshot(rows, first.version, _seconds(first.body.now_ms))
 
     def changes(self, table: str, *, after: int, wait_s: float) -> Changes:
         """Wait for changes of a table after a version."""
@@ -153,7 +153,7 @@
             raise RowStoreUnavailable(
                 f"the feed after {format_version(after)} ends at {format_version(page.version)}"
             )
-        return Changes(page.changes_in_era(), page.version, _seconds(page.page.now_ms))
+        return Changes(page.changes_in_era(), page.version, _seconds(page.body.now_ms))
 
     def write(self, table: str, key: str, value: bytes, *, expected: int) -> int:
         """Write a row if it has the expected version; return the store's newest version then."""
--- a/tests/doors/test_caller.py
+++ b/tests/doors/test_caller.py
@@ -12,7 +12,7 @@
 
 BOX = "zone-1-a"
 KEYS = {"workload_keys": [{"workload": "minutes", "key": "minutes-key"}], "body_limit_bytes": 2000}
-KNOWN = {"Authorization": "Bearer minutes-key"}
+AUTHORIZED = {"Authorization": "Bearer minutes-key"}
 
 
 @pytest.fixture(scope="module")
@@ -28,7 +28,7 @@
 
 def post(cluster: Cluster, body: bytes, path: str = "/v1/completions") -> Reply:
     url = f"http://{cluster.addresses.callers[BOX]}{path}"
-    response = cluster.pool.request("POST", url, body=body, headers=KNOWN)
+    response = cluster.pool.request("POST", url, body=body, headers=AUTHORIZED)
     return Reply(response.status, response.headers, response.data)
 
 
@@ -65,7 +65,7 @@
 ) -> None:
     assert cluster.complete(BOX, 1).error["type"] == "bad_credential"
     cluster.ask(BOX, "allow adapter base:style-00001 for workload minutes", wait_s=5.0)
-    assert cluster.complete(BOX, 1, headers=KNOWN).status == 200
+    assert cluster.complete(BOX, 1, headers=AUTHORIZED).status == 200
 
 
 def test_an_unknown_path_gets_a_typed_error(cluster: Cluster) -> None:
