--- a/springrock/asking.py
+++ b/springrock/asking.py
@@ -1,4 +1,4 @@
-"""The operator's side of the operators' door: sends a statement and shows the answer."""
+"""Client of the operators' HTTP interface: sends a statement to a box and prints the answer."""
 
 from __future__ import annotations
 
@@ -13,14 +13,21 @@
 from springrock.wire.operator import STATEMENTS_PATH, StatementAnswer, StatementRequest
 
 _TIMEOUT_S = 30.0
-_TRIES = 3
+_MAX_ATTEMPTS = 3
 
 
 def ask_box(box: str, statement: str, *, key: str, as_json: bool, wait_s: float) -> int:
     """Send a statement, print the answer, and return the exit code.
 
-    The command's id stays the same when the statement is sent again after a lost answer, so
-    that a change is made once.
+    The command id stays the same when the statement is resent after a lost answer, so that a
+    change is applied only once.
+
+    Args:
+        box: The address of the box's operator interface, ``HOST:PORT``.
+        statement: The statement.
+        key: The operator's key; if empty, the environment variable ``SPRINGROCK_KEY`` is used.
+        as_json: Whether to print JSON instead of a table.
+        wait_s: How long the box waits for a change to be in force on every box.
     """
     request = StatementRequest(statement=statement, command_id=new_id(), wait_s=wait_s)
     try:
@@ -36,11 +43,11 @@
     """Send a statement to a box.
 
     Raises:
-        StatementError: If it was refused, or the box cannot be reached.
+        StatementError: If the statement was refused or the box cannot be reached.
     """
     pool = urllib3.PoolManager(retries=False)
     headers = {"Authorization": f"Bearer {key}", "Content-Type": "application/json"}
-    for left in reversed(range(_TRIES)):
+    for attempts_left in reversed(range(_MAX_ATTEMPTS)):
         try:
             response = pool.request(
                 "POST",
@@ -51,7 +58,7 @@
             )
             break
         except urllib3.exceptions.HTTPError as error:
-            if not left:
+            if not attempts_left:
                 raise StatementError(f"{box} cannot be reached: {error}") from None
     if response.status != 200:
         raise StatementError(response.data.decode(errors="replace").strip())
@@ -59,14 +66,14 @@
 
 
 def as_table(answer: StatementAnswer) -> str:
-    """Lay an answer out as text columns."""
+    """Format an answer as text in aligned columns."""
     lines = [answer.text] if answer.text else []
     if answer.columns:
-        lines += _columns([answer.columns, *answer.rows])
+        lines += _align_columns([answer.columns, *answer.rows])
     return "\n".join(lines)
 
 
-def _columns(rows: list[list[str]]) -> list[str]:
+def _align_columns(rows: list[list[str]]) -> list[str]:
     widths = [max(len(row[index]) for row in rows) for index in range(len(rows[0]))]
     lines = []
     for row in rows:
--- a/springrock/backoff.py
+++ b/springrock/backoff.py
@@ -1,4 +1,4 @@
-"""How long an upstream wants nothing, as it said itself with a refusal."""
+"""The back-off period that an upstream requests when it refuses a request."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Backoff:
-    """One rest that an upstream asks for, anew with each refusal."""
+    """The back-off period of one upstream, which each refusal may extend."""
 
     __slots__ = ("_until",)
 
@@ -14,16 +14,17 @@
         self._until = 0.0
 
     def extend(self, seconds: float) -> None:
-        """Let it last for so long from now on; a shorter time changes nothing."""
+        """Extend the period to this many seconds from now; never shortens it."""
         self._until = max(self._until, monotonic() + seconds)
 
     @property
     def active(self) -> bool:
-        """Whether it is not over."""
-        # All candidates of each choice are asked, and hardly one has ever wanted rest.
+        """Whether the period has not ended yet."""
+        # Checked for every candidate of every choice; most have never requested a back-off, and
+        # then the clock need not be read.
         return self._until > 0.0 and monotonic() < self._until
 
     @property
     def left_s(self) -> float:
-        """Seconds until it is over."""
+        """Seconds until the period ends; 0 if it has ended."""
         return max(0.0, self._until - monotonic())
--- a/springrock/bottle_app.py
+++ b/springrock/bottle_app.py
@@ -1,4 +1,4 @@
-"""What every bottle application here shares: its making, JSON responses, bounded bodies."""
+"""Helpers for bottle applications: creation, JSON responses and bounded request bodies."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def new_app() -> Any:
-    """Return a bottle application that lets exceptions of the server through."""
+    """Return a bottle application that turns exceptions of its handlers into responses."""
     app = bottle.Bottle()
     app.catchall = True
     return app
@@ -22,9 +22,10 @@
 
 
 def read_body(limit_bytes: int) -> bytes | None:
-    """Return the current request's body, or None if it is over the limit.
+    """Return the body of the current request, or None if it exceeds the limit.
 
-    The stated length is checked before anything is read, so that bottle never spools it.
+    ``Content-Length`` is checked before anything is read, so that bottle never spools the body to
+    a file.
     """
     request = bottle.request
     if request.content_length > limit_bytes:
--- a/springrock/box.py
+++ b/springrock/box.py
@@ -1,4 +1,4 @@
-"""An entry box: all parts of one process, put together, started and stopped."""
+"""An entry box: creates, starts and stops all components of its process."""
 
 from __future__ import annotations
 
@@ -41,7 +41,12 @@
     """One entry box.
 
     Args:
-        settings: All its settings.
+        settings: The settings of the box.
+
+    Attributes:
+        refusing: Whether new requests are refused because the box is about to exit.
+        stopping: Whether a planned stop has begun.
+        stopped: Set once every component has stopped.
     """
 
     def __init__(self, settings: BoxSettings) -> None:
@@ -61,21 +66,21 @@
         self.doors: dict[str, Part] = {name: make(self) for name, make in doors}
 
     def log(self, part: str) -> Log:
-        """Return the log of one part."""
+        """Return a log whose lines have this prefix."""
         return Log(part, self.name, self.journal)
 
     @property
     def catalog(self) -> Catalog:
-        """The configuration in force here."""
+        """The configuration in force on this box."""
         return self.feed.catalog
 
     @property
     def serving(self) -> bool:
-        """Whether requests are served."""
+        """Whether this box serves requests, as its configuration is up to date."""
         return self.feed.current
 
     def why_not_ready(self) -> str:
-        """Return why the balancer should send nothing here, or an empty text."""
+        """Return why the balancer should send no requests here; empty if the box is ready."""
         if self.stopping:
             return "stopping"
         if not self.feed.loaded:
@@ -84,7 +89,7 @@
             return "a newer configuration is known and not here yet"
         return ""
 
-    # Building.
+    # Construction.
 
     def _build_coordination(self) -> None:
         settings = self.settings
@@ -99,7 +104,7 @@
             self.platform,
             settings.lease,
             zone=self.zone,
-            hurry=self._zone_in_trouble,
+            hurry=self._needs_fast_scan,
             log=self.log("members"),
         )
         self.peers = Peers(
@@ -111,7 +116,7 @@
         )
         self.platform.use_peers(self.peers)
         self.peers.handle(wire.StatusQuery, lambda _, query: self.status(query.number))
-        self.peers.handle(wire.StopBox, self._on_stop)
+        self.peers.handle(wire.StopBox, self._handle_stop)
         self.peers.on_link.append(self._scan_for_unknown)
         self.peers.on_lost.append(lambda _: self.members.check_soon())
         self.session = Session(
@@ -234,8 +239,8 @@
         if self.members.holder(link.incarnation) is None:
             self.members.check_soon(all_zones=True)
 
-    def _zone_in_trouble(self) -> bool:
-        """Whether the zone's rows should be read fast: a box is not linked, or all is new."""
+    def _needs_fast_scan(self) -> bool:
+        """Whether to scan the zone's rows often: a known box is not linked, or ownership is new."""
         linked = {link.box for link in self.peers.links(self.zone)} | {self.name}
         known = {member.box for member in self.members.all() if member.zone == self.zone}
         return not known <= linked or not self.ownership.is_stable
@@ -246,7 +251,11 @@
         )
 
     def status(self, number: int = 0) -> wire.Status:
-        """Return how this box is."""
+        """Return the status of this box.
+
+        Args:
+            number: The number of the status query that is answered.
+        """
         return wire.Status(
             number=number,
             box=self.name,
@@ -258,19 +267,19 @@
             owned=sorted(self.ownership.owned),
         )
 
-    def _on_stop(self, _: Link, question: wire.StopBox) -> wire.Status:
-        self._log.say("An operator stops this box.", who=question.who)
+    def _handle_stop(self, _: Link, request: wire.StopBox) -> wire.Status:
+        self._log.say("An operator stops this box.", who=request.who)
         gevent.spawn(self.stop)
-        return self.status(question.number)
+        return self.status(request.number)
 
     def out_of_service(self, replica: str) -> bool:
-        """Whether a replica must get no new work."""
+        """Whether a replica must be sent no new requests."""
         return replica in self.listing.leaving or self.catalog.drained(replica)
 
-    # Starting and stopping.
+    # Start and stop.
 
     def start(self) -> None:
-        """Start every part and return."""
+        """Start every component and return."""
         self._log.say("Start.", zone=self.zone)
         self.peers.start()
         self.session.start(peer_address=self.peers.address)
@@ -292,7 +301,7 @@
         ]
 
     def stop(self) -> None:
-        """Stop as planned: hand over, finish every open request, then end."""
+        """Perform a planned stop: hand over replicas, finish open requests, then end."""
         if self.stopping:
             return
         self.stopping = True
@@ -302,16 +311,16 @@
         self.ownership.hand_over_all()
         gevent.sleep(self.settings.box.stop_notice_s)
         self.refusing = True
-        whole = self.open_requests.wait_until_idle(deadline)
-        self._log.say("Planned stop ends.", all_finished=whole)
-        self._end()
+        is_idle = self.open_requests.wait_until_idle(deadline)
+        self._log.say("Planned stop ends.", all_finished=is_idle)
+        self._stop_components()
 
     def kill(self) -> None:
-        """End at once, as a crash would; for tests and the demo in one process."""
+        """Stop at once without a handover, as in a crash; for deployments in one process."""
         self.stopping = True
-        self._end()
+        self._stop_components()
 
-    def _end(self) -> None:
+    def _stop_components(self) -> None:
         for door in self.doors.values():
             door.stop()
         for part in reversed(self._parts()):
--- a/springrock/cli.py
+++ b/springrock/cli.py
@@ -13,11 +13,11 @@
 from springrock.log import log_to
 from springrock.settings import BoxSettings, read
 
-_USAGE_EXIT = 2
+_USAGE_ERROR_EXIT_CODE = 2
 
 
 def serve(settings: str) -> int:
-    """Run an entry box until it is told to stop (SIGTERM or SIGINT).
+    """Run an entry box until SIGTERM or SIGINT.
 
     :param settings: The settings file, JSON with comments.
     """
@@ -35,7 +35,8 @@
 def entry(settings: str = "") -> int:
     """Run a box that forwards routed requests on the users' platform, until SIGTERM or SIGINT.
 
-    :param settings: The settings file, JSON with comments; else the one that the platform names.
+    :param settings: The settings file, JSON with comments; if empty, the one that the platform
+        names in the environment.
     """
     from springrock.entry_process import run_entry
 
@@ -43,10 +44,10 @@
 
 
 def check(settings: str, *, kind: Literal["box", "entry"] = "box") -> int:
-    """Check a settings file; print every error with its line and key.
+    """Check a settings file and print every error with its line and key.
 
     :param settings: The settings file, JSON with comments.
-    :param kind: Whose settings: of `springrock serve` or of `springrock entry`.
+    :param kind: `box` for the settings of `springrock serve`, `entry` for `springrock entry`.
     """
     from springrock.entry_settings import EntrySettings
 
@@ -55,10 +56,10 @@
 
 
 def standin(kind: str, settings: str) -> int:
-    """Run a stand-in of an outside system: platform, engine, service or proxy.
+    """Run an emulator of an external system: platform, engine, service or proxy.
 
-    :param kind: Which one.
-    :param settings: Its settings file, JSON with comments.
+    :param kind: Which of these systems to emulate.
+    :param settings: The settings file of the emulator, JSON with comments.
     """
     from springrock.emulator import make_standin
     from springrock.emulator.platform import serve_forever
@@ -75,11 +76,11 @@
 def demo(
     *, seconds: float = 15.0, seed: int = 1, shape: Literal["vanua", "agency"] = "vanua"
 ) -> int:
-    """Serve a scripted load with everything in one process; fail if a promise broke.
+    """Serve a generated load in a single process; fail if a guarantee was violated.
 
-    :param seconds: How long to load.
-    :param seed: The seed of the load.
-    :param shape: Whose deployment: the co-operative's or the archive's.
+    :param seconds: The duration of the load.
+    :param seed: The random seed of the load.
+    :param shape: Whose deployment to emulate: the co-operative's or the archive's.
     """
     from springrock.demo import run_demo
 
@@ -87,7 +88,7 @@
 
 
 def load(settings: str, *, out: str = "") -> int:
-    """Send a seeded load to boxes, check every answer, and print a report.
+    """Send a reproducible load to boxes, check every answer and print a report.
 
     :param settings: The load's settings file, JSON with comments.
     :param out: Write every outcome to this file as JSON.
@@ -98,7 +99,7 @@
 
 
 def report(*outcomes: str) -> int:
-    """Print a table of one or more runs.
+    """Print a table that compares the results of one or more load runs.
 
     :param outcomes: Files that springrock load wrote with --out.
     """
@@ -108,12 +109,12 @@
 
 
 def ask(box: str, statement: str, *, key: str = "", json: bool = False, wait_s: float = 0.0) -> int:
-    """Ask a box a statement of the operators' language.
+    """Send a statement of the operators' language to a box.
 
-    :param box: The address of the box's operator door, HOST:PORT.
-    :param statement: The statement; "help" lists all.
-    :param key: The operator's key; else taken from SPRINGROCK_KEY.
-    :param json: Print JSON in place of a table.
+    :param box: The address of the box's operator interface, HOST:PORT.
+    :param statement: The statement; "help" lists all statements.
+    :param key: The operator's key; if empty, the value of SPRINGROCK_KEY.
+    :param json: Print JSON instead of a table.
     :param wait_s: After a change, wait this long for it to be in force on every box.
     """
     from springrock.asking import ask_box
@@ -127,7 +128,7 @@
         code = _run(sys.argv[1:])
     except SettingsError as error:
         print(error, file=sys.stderr)
-        code = _USAGE_EXIT
+        code = _USAGE_ERROR_EXIT_CODE
     except SpringrockError as error:
         print(f"{type(error).__name__}: {error}", file=sys.stderr)
         code = 1
@@ -135,7 +136,8 @@
 
 
 def _run(arguments: list[str]) -> int:
-    # The parser of options takes a quarter of a box's start, in which its clients wait.
+    # Importing the option parser takes a quarter of a box's start-up time, during which its
+    # clients wait.
     if arguments == ["entry"]:
         return entry()
     import defopt
--- a/springrock/clock.py
+++ b/springrock/clock.py
@@ -1,4 +1,4 @@
-"""Time: durations on one local steady clock only."""
+"""The clock for all durations and deadlines: one local clock that never jumps."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 def steady_clock() -> Callable[[], float]:
-    """Return the system's clock that never goes back and counts all time that passes.
+    """Return the system's monotonic clock that also advances while the machine is suspended.
 
-    It goes on while the process is stopped, and while the machine is suspended: what was granted
-    until then, a lease, a key's trust, a permit, lapses for everybody else meanwhile. The usual
-    monotonic clock of Linux stands still in a suspension; it is taken where there is no other.
+    Leases, permits and the trust in keys expire for all other boxes during a suspension, so they
+    have to expire here as well. ``time.monotonic`` does not advance during a suspension on Linux;
+    it is used only where ``CLOCK_BOOTTIME`` is missing.
     """
     boot_clock = getattr(time, "CLOCK_BOOTTIME", None)
     if boot_clock is None:
@@ -21,14 +21,18 @@
 
 
 monotonic = steady_clock()
-"""Seconds on that clock; the only one that decisions go by.
+"""Returns the seconds of `steady_clock`; every decision that depends on time uses this clock.
 
-Timers of the event loop do not count a suspension. They only wake tasks, which look at this clock
-before they act, so that a task wakes late at most."""
+Timers of the event loop do not count a suspension. They only wake tasks, which check this clock
+before they act, so a suspension can only make a task wake late."""
 
 
 class Deadline:
-    """A point on the local steady clock."""
+    """A point in time on the clock `monotonic`.
+
+    Args:
+        seconds: Seconds from now until the deadline.
+    """
 
     __slots__ = ("at",)
 
@@ -37,10 +41,10 @@
 
     @property
     def left_s(self) -> float:
-        """Seconds left, 0 once passed."""
+        """Seconds until the deadline; 0 once it has passed."""
         return max(0.0, self.at - monotonic())
 
     @property
     def passed(self) -> bool:
-        """Whether the point is behind."""
+        """Whether the deadline has passed."""
         return monotonic() >= self.at
--- a/springrock/demo.py
+++ b/springrock/demo.py
@@ -1,4 +1,4 @@
-"""The demo: both users' work in one process, with a live summary and a verdict on the promises."""
+"""The demo: a mixed load in one process, with a live summary and a check of the guarantees."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from springrock.emulator.load import LoadRun, LoadSettings, Outcome, WorkloadPlan
 from springrock.log import log_to
 
-_SUMMARY_EVERY_S = 1.0
+_SUMMARY_INTERVAL_S = 1.0
 _HEADER = (
     "  time   answered  in flight  refused    stall p50   stall max   loads   batch fill   model"
 )
@@ -22,7 +22,7 @@
 
 
 def workloads_of(service: str) -> list[WorkloadPlan]:
-    """Return the scripted work of both users, with the calls sent to one service pool."""
+    """Return the workloads of the demo; calls to services go to the given pool."""
 
     def _call(name: str, path: str, **more: Any) -> WorkloadPlan:
         return WorkloadPlan(
@@ -38,8 +38,8 @@
     ]
 
 
-class _Summary:
-    """Prints one line a second."""
+class _ProgressSummary:
+    """Formats one line of progress for each second of the load."""
 
     def __init__(self, deployment: EmbeddedDeployment, run: LoadRun) -> None:
         self._deployment = deployment
@@ -47,7 +47,7 @@
         self._second = 0
 
     def line(self) -> str:
-        """Return the line of this moment."""
+        """Return the progress line for the next second."""
         self._second += 1
         outcomes = self._run.outcomes
         answered = [item for item in outcomes if item.run_state == "answered"]
@@ -56,33 +56,33 @@
         fill = max(engine.batch_fill for engine in self._deployment.engines)
         return (
             f"{self._second:5d}s  {len(answered):9d}  {self._run.in_flight:9d}  "
-            f"{len(outcomes) - len(answered):7d}  {_middle(stalls):9.2f}s  "
+            f"{len(outcomes) - len(answered):7d}  {_median(stalls):9.2f}s  "
             f"{max(stalls, default=0.0):9.2f}s  {loads:6d}  {fill:10.0%}   "
             f"{self._deployment.shape.base_model}"
         )
 
 
-def _middle(ordered: list[float]) -> float:
+def _median(ordered: list[float]) -> float:
     return ordered[len(ordered) // 2] if ordered else 0.0
 
 
-def broken_promises(outcomes: list[Outcome], violations: dict[str, int]) -> list[str]:
-    """Return what broke, in words; empty if every promise held."""
-    broken = [f"{name}: {count} times" for name, count in sorted(violations.items())]
+def violated_guarantees(outcomes: list[Outcome], violations: dict[str, int]) -> list[str]:
+    """Return a message for each guarantee that was violated."""
+    violated = [f"{name}: {count} times" for name, count in sorted(violations.items())]
     wrong = sum(item.wrong for item in outcomes)
     if wrong:
-        broken.append(f"answers that were not the caller's own: {wrong}")
+        violated.append(f"answers that belong to another request: {wrong}")
     silent = sum(item.cause in ("silent_cut", "garbage", "transport") for item in outcomes)
     if silent:
-        broken.append(f"answers cut without a word: {silent}")
-    late = sum(item.run_state == "not_run" and item.retry_after_s <= 0 for item in outcomes)
-    if late:
-        broken.append(f"refusals that do not say when to come back: {late}")
-    return broken
+        violated.append(f"answers cut off without an error: {silent}")
+    unretryable = sum(item.run_state == "not_run" and item.retry_after_s <= 0 for item in outcomes)
+    if unretryable:
+        violated.append(f"refusals without a retry time: {unretryable}")
+    return violated
 
 
 def run_demo(*, seconds: float, seed: int, shape: str) -> int:
-    """Run the demo; return 0 only if every promise held."""
+    """Run the demo; return exit code 0 only if no guarantee was violated."""
     with open("springrock-demo.log", "w", encoding="utf-8") as stream:
         log_to(stream)
         return _run(seconds, seed, SHAPES[shape](boxes_per_zone=2, adapters=300))
@@ -107,27 +107,27 @@
         zipf=1.5,
     )
     run = LoadRun(load, model_name=shape.model_name)
-    summary = _Summary(deployment, run)
+    summary = _ProgressSummary(deployment, run)
     print(_HEADER)
     task = gevent.spawn(run.run)
     while not task.ready():
-        task.join(timeout=_SUMMARY_EVERY_S)
+        task.join(timeout=_SUMMARY_INTERVAL_S)
         print(summary.line(), flush=True)
     task.get()
     deployment.stop()
-    return _verdict(run.outcomes, deployment.violations)
+    return _print_result(run.outcomes, deployment.violations)
 
 
-def _verdict(outcomes: list[Outcome], violations: dict[str, int]) -> int:
-    print("\nEndings by workload:")
-    endings = Counter((item.workload, item.run_state, item.cause) for item in outcomes)
-    for (workload, run_state, cause), count in sorted(endings.items()):
+def _print_result(outcomes: list[Outcome], violations: dict[str, int]) -> int:
+    print("\nOutcomes by workload:")
+    outcome_counts = Counter((item.workload, item.run_state, item.cause) for item in outcomes)
+    for (workload, run_state, cause), count in sorted(outcome_counts.items()):
         print(f"  {workload:20s} {run_state:10s} {cause:20s} {count}")
-    broken = broken_promises(outcomes, violations)
+    violated = violated_guarantees(outcomes, violations)
     if not outcomes:
-        broken.append("nothing was served")
-    for line in broken:
-        print(f"BROKEN  {line}", file=sys.stderr)
-    if not broken:
-        print("Every promise held.")
-    return 1 if broken else 0
+        violated.append("no request was served")
+    for line in violated:
+        print(f"VIOLATED  {line}", file=sys.stderr)
+    if not violated:
+        print("No guarantee was violated.")
+    return 1 if violated else 0
--- a/springrock/entry.py
+++ b/springrock/entry.py
@@ -1,4 +1,4 @@
-"""A box that forwards routed requests on the users' platform: its parts put together."""
+"""A box that forwards routed requests on the users' platform: creates and connects its parts."""
 
 from __future__ import annotations
 
@@ -57,32 +57,44 @@
 from springrock.store_clock import StoreClock
 from springrock.table_follower import POLL_WAIT_S, TableFollower
 
-_QUIET_S = 0.3
+_IDLE_PERIOD_S = 0.3
+"""A stopping box ends once no request has been open for this long."""
+
 _END_MARGIN_S = 0.5
-"""How long before it would be killed a stopping box ends by itself."""
+"""A stopping box ends by itself this long before the platform would kill it."""
 
 _CONFIGURATION_PAUSE_S = 0.1
-_CONFIGURATION_POLLS_OF_TRUST = 5
-"""A box that reads for itself knows its keys to be the newest two polls ago at most, and trusts
-them yet if an answer is lost and asked for again."""
+_CONFIGURATION_POLLS_PER_TRUST_PERIOD = 5
+"""How many polls fit into the period for which keys are trusted.
+
+A box that reads the store itself last confirmed its keys at most two polls ago. With this many
+polls it still trusts them after one lost answer and its retry."""
 
 _REPLICAS_PAUSE_S = 0.8
-"""Replicas write when their adapters change, several times a second; what matters of that is
-that a replica leaves, and there is time for it."""
+"""Pause between reads of the replicas' table.
+
+Replicas write several times a second, as their adapters change. Only a leaving replica matters to
+this reader, and there is time to learn of it."""
 
 _PLACERS_PAUSE_S = 0.5
-"""The leases of all zones are renewed several times a second; a box that nobody tells of them
-waits for one of its own zone."""
+"""Pause between reads of the placers' table.
 
-_CEILING_SLACK = 2.9
-"""Loads in a window that are allowed beyond the rate, a little under the rule's three."""
+The leases of all zones are renewed several times a second. A box that receives no readings from
+other boxes only waits for a renewal in its own zone."""
+
+_LOAD_RATE_SLACK = 2.9
+"""Adapter loads allowed in a window beyond the configured rate: a little under the platform's
+limit of three."""
 
 
 class EntryBox:
     """One box that forwards routed requests.
 
     Args:
-        settings: All its settings.
+        settings: The settings of the box.
+
+    Attributes:
+        stopped: Set once every part has stopped.
     """
 
     def __init__(self, settings: EntrySettings) -> None:
@@ -128,17 +140,18 @@
     def ready(self) -> bool:
         """Whether the balancer should send clients here."""
         known = self._routes.configuration.version > 0 and self.directory.count > 0
-        # The table tells which requests crash replicas; who has not read it would send them on.
+        # The placers' table also lists the requests that crash replicas. A box that has not read
+        # it would forward them.
         return known and self._board.known and not self._stopping
 
     def start(self) -> None:
         """Start every part and return."""
-        place = self.settings.box
-        self._log.say("Start.", zone=place.availability_zone)
+        box = self.settings.box
+        self._log.say("Start.", zone=box.availability_zone)
         self._loop_watch.start()
         for follower in self._followers:
             follower.start()
-        self._asking = gevent.spawn(self._state_fetcher.run)
+        self._state_fetch_task = gevent.spawn(self._state_fetcher.run)
         self._placement.start()
         self._quarantine.start()
         self._door.start()
@@ -146,7 +159,7 @@
         self._metrics_page.start()
 
     def stop(self) -> None:
-        """Stop as planned: no new clients, every open request finished, then end."""
+        """Perform a planned stop: refuse new clients, finish open requests, then end."""
         if self._stopping:
             return
         self._stopping = True
@@ -156,29 +169,29 @@
         self._placement.hand_over()
         gevent.sleep(self.settings.stop.notice_s)
         self._door.refusing = True
-        while not deadline.passed and not self._quiet():
+        while not deadline.passed and not self._wait_idle():
             continue
         self._log.say("Planned stop ends.", open_requests=self._door.open_requests)
-        self._end()
+        self._stop_parts()
 
     def reload(self, settings: EntrySettings) -> None:
-        """Take changed settings; addresses stay until the next start."""
+        """Apply changed settings; changed addresses take effect at the next start."""
         self._log.say("Reload.")
         self.settings = settings
 
-    def _quiet(self) -> bool:
-        """Wait a little; return whether no request was open all the while."""
+    def _wait_idle(self) -> bool:
+        """Wait for a short time; return whether no request was open at its begin and its end."""
         if self._door.open_requests:
-            gevent.sleep(_QUIET_S / 3)
+            gevent.sleep(_IDLE_PERIOD_S / 3)
             return False
-        gevent.sleep(_QUIET_S)
+        gevent.sleep(_IDLE_PERIOD_S)
         return not self._door.open_requests
 
-    def _end(self) -> None:
+    def _stop_parts(self) -> None:
         self._door.stop()
         self._readiness.stop()
         self._metrics_page.stop()
-        self._asking.kill()
+        self._state_fetch_task.kill()
         self._loop_watch.stop()
         self._placement.stop()
         self._quarantine.stop()
@@ -244,14 +257,14 @@
             log=self._log_of("directory"),
         )
         self._followers = [self._operator_table, self._replica_table, placers]
-        names_of_tables = ("configuration", "replicas", "placers")
-        for table, follower in zip(names_of_tables, self._followers, strict=True):
-            self._show_age(table, follower)
+        table_labels = ("configuration", "replicas", "placers")
+        for table, follower in zip(table_labels, self._followers, strict=True):
+            self._add_table_metrics(table, follower)
         self.metrics.replicas.set_function(lambda: float(self.directory.count))
         self.metrics.cold_replicas.set_function(lambda: float(self._warmup.cold_count))
         self.metrics.limited_replicas.set_function(lambda: float(self._limits.count))
 
-    def _show_age(self, table: str, follower: TableFollower) -> None:
+    def _add_table_metrics(self, table: str, follower: TableFollower) -> None:
         self.metrics.table_age_seconds.labels(table).set_function(lambda: follower.age_s)
         self.metrics.table_version.labels(table).set_function(
             lambda: float(number_of(follower.version))
@@ -273,7 +286,7 @@
             self.directory,
             limits=self._limits,
             log=self._log_of("directory"),
-            count=lambda word: self.metrics.replica_notices.labels(word).inc(),
+            count=lambda notice: self.metrics.replica_notices.labels(notice).inc(),
         )
         self._placement = Placement(
             PlacementSettings(
@@ -283,7 +296,7 @@
                 lease_s=settings.placement.lease_s,
                 checks_fence=settings.placement.checks_fence,
                 ceiling_ratio=settings.placement.ceiling_ratio,
-                ceiling_burst=_CEILING_SLACK,
+                ceiling_burst=_LOAD_RATE_SLACK,
                 strength=settings.processor.strength,
                 prices=settings.distance.prices,
             ),
@@ -318,7 +331,7 @@
             log=self._log_of("state"),
         )
         self._notices.on_leaving.append(self._placement.announce_leaving)
-        self._share_readings()
+        self._connect_readings()
         self._follow_evacuations()
         self.metrics.boxes.set_function(lambda: float(self._placement.boxes))
         gate = KeyGate(
@@ -386,12 +399,12 @@
         self._metrics_page = MetricsPage(settings.listen.metrics_address, self.metrics)
 
     def _fetch_state(self, seed: str) -> KnownState:
-        place = self.settings.box
-        hello = Hello(place.name, "", "", place.availability_zone, asks_state=True)
+        box = self.settings.box
+        hello = Hello(box.name, "", "", box.availability_zone, asks_state=True)
         return fetch_state(seed, hello)
 
-    def _share_readings(self) -> None:
-        """Let boxes go by what a placer's box reads of the store."""
+    def _connect_readings(self) -> None:
+        """Let boxes apply the table readings that the box of a placer publishes."""
         for follower in self._followers:
             follower.publishes = lambda: self._placement.publishes_readings
             follower.publisher = lambda reading, is_own: self._placement.publish_reading(
@@ -408,20 +421,20 @@
         self._placement.on_reader_lost = lambda: by_table[PLACERS_TABLE].resume_reads()
 
     def _follow_evacuations(self) -> None:
-        """Let placement and operators know of evacuations."""
-        watch = EvacuationWatch(
+        """Connect the evacuations to placement and to the metrics and log."""
+        evacuation_watch = EvacuationWatch(
             self._evacuations,
             directory=self.directory,
             metrics=self.metrics,
             log=self._log_of("evacuations"),
         )
         for zone in self._topology.zones:
-            watch.add_metrics(zone)
+            evacuation_watch.add_metrics(zone)
         self._evacuations.on_change.append(self._placement.handovers.handle_change)
         self._evacuations.on_cut.append(self._placement.handovers.handle_cut)
 
     def _apply_configuration(self, configuration: Configuration) -> None:
-        """Put a configuration in force; an older one than that in force is passed over."""
+        """Put a configuration in force unless it is older than the current one."""
         self._is_unreadable = False
         if configuration.version <= self._routes.configuration.version:
             return
@@ -438,20 +451,22 @@
             self._log.say("Teams have quotas, but the settings do not list the zones.")
 
     def _record_unreadable(self) -> None:
-        """Learn that there is a configuration that this box cannot read; it may take keys away."""
+        """Record that the stored configuration cannot be read; it may revoke keys."""
         self._is_unreadable = True
 
     def _staleness_s(self) -> float:
         return float("inf") if self._is_unreadable else self._operator_table.staleness_s
 
     def _configuration_poll_s(self) -> float:
-        """Return how long the store is to wait for news of the configuration."""
+        """Return how long the store holds a poll of the configuration open for changes."""
         if self._routes.configuration.teams is None:
             return POLL_WAIT_S
-        return min(POLL_WAIT_S, self.settings.keys.terms.trust_s / _CONFIGURATION_POLLS_OF_TRUST)
+        return min(
+            POLL_WAIT_S, self.settings.keys.terms.trust_s / _CONFIGURATION_POLLS_PER_TRUST_PERIOD
+        )
 
     def _routing_state(self) -> RoutingState:
-        """Return what is known beside the replicas of where requests may go."""
+        """Return the state that, together with the replicas, decides where requests may be sent."""
         evacuations = self._evacuations
         return RoutingState(
             self._topology,
@@ -462,7 +477,11 @@
         )
 
     def _quota_zones(self) -> list[str]:
-        """Return the zones that count the teams' quotas, the own one first; none if not told."""
+        """Return the zones that count the teams' quotas, the own zone first.
+
+        Returns:
+            Empty if the settings do not list this box's zone.
+        """
         box = self.settings.box
         if box.availability_zone not in box.zones:
             return []
@@ -481,7 +500,7 @@
         return budget
 
     def _retry_limits(self) -> RetryLimits:
-        """Return what the settings allow, the fixed allowance shared among all boxes."""
+        """Return the retry limits of this box, with its share of the fixed allowance."""
         retries = self.settings.retries
         boxes = max(retries.boxes, self._placement.boxes)
         return RetryLimits(retries.ratio, retries.allowance / boxes, retries.window_s)
--- a/springrock/entry_process.py
+++ b/springrock/entry_process.py
@@ -1,4 +1,4 @@
-"""The process of a forwarding box: settings, signals, log, start and stop."""
+"""The process of a forwarding box: settings, signals, log output, start and stop."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 def run_entry(settings_path: str = "") -> int:
-    """Run a forwarding box until it is told to stop.
+    """Run a forwarding box until SIGTERM or SIGINT; return the exit code.
 
     Args:
-        settings_path: The settings file; if empty, the one that the platform names.
+        settings_path: The settings file; if empty, the platform's environment variable names it.
 
     Raises:
         SettingsError: If the settings cannot be used.
@@ -37,43 +37,43 @@
     log_to(lines)
     box = EntryBox(settings)
     box.metrics.dropped_lines.set_function(lambda: float(lines.dropped))
-    watch = _SettingsWatch(path, box)
+    watcher = _SettingsWatcher(path, box)
     for number in (signal.SIGTERM, signal.SIGINT):
         gevent.signal_handler(number, lambda: gevent.spawn(box.stop))
-    gevent.signal_handler(signal.SIGHUP, lambda: gevent.spawn(watch.reload))
+    gevent.signal_handler(signal.SIGHUP, lambda: gevent.spawn(watcher.reload))
     box.start()
     startup.end()
-    gevent.spawn(watch.run)
+    gevent.spawn(watcher.run)
     box.stopped.wait()
     lines.flush()
     return 0
 
 
-class _SettingsWatch:
-    """Has the settings read again when the file changes or a signal says so."""
+class _SettingsWatcher:
+    """Reloads the settings when the file changes or on a signal."""
 
     def __init__(self, path: str, box: EntryBox) -> None:
         self._path = Path(path)
         self._box = box
         self._log = Log("settings", box.settings.box.name)
-        self._seen = self._modified_at()
+        self._loaded_mtime_ns = self._read_mtime_ns()
 
     def run(self) -> None:
-        """Look at the file again and again."""
+        """Check periodically whether the file has changed; never returns."""
         while True:
             gevent.sleep(_SETTINGS_POLL_INTERVAL_S)
-            if self._modified_at() != self._seen:
+            if self._read_mtime_ns() != self._loaded_mtime_ns:
                 self.reload()
 
     def reload(self) -> None:
-        """Read the file and hand it to the box; a bad one changes nothing."""
-        self._seen = self._modified_at()
+        """Load the file into the box; the old settings stay if the file is invalid."""
+        self._loaded_mtime_ns = self._read_mtime_ns()
         try:
             self._box.reload(read(self._path, EntrySettings))
         except SettingsError as error:
             self._log.say("Kept the old settings.", error=str(error))
 
-    def _modified_at(self) -> int:
+    def _read_mtime_ns(self) -> int:
         try:
             return self._path.stat().st_mtime_ns
         except OSError:
--- a/springrock/entry_settings.py
+++ b/springrock/entry_settings.py
@@ -1,4 +1,4 @@
-"""Typed settings of a box that forwards routed requests; units stand in the key names."""
+"""Typed settings of a box that forwards routed requests; key names include their units."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from springrock.topology import Topology
 
 
-class PlaceSection(Section, frozen=True, kw_only=True):
-    """Who this box is.
+class IdentitySection(Section, frozen=True, kw_only=True):
+    """The identity and location of this box.
 
     Attributes:
         name: The name of the box, unique in the deployment.
-        availability_zone: Where it stands.
-        zones: All availability zones of the deployment. Each counts an equal part of the teams'
-            quotas, so all boxes must have the same list; without it, teams with a quota are not
+        availability_zone: The availability zone that the box runs in.
+        zones: All availability zones of the deployment. Each counts an equal share of the teams'
+            quotas, so all boxes must have the same list. Without it, teams with a quota are not
             served.
-        regions: The region of each availability zone; without it there is but one region.
+        regions: The region of each availability zone. Without it, all zones are in one region.
     """
 
     name: str
@@ -34,17 +34,17 @@
 
     @property
     def topology(self) -> Topology:
-        """The zones and their regions, seen from this box."""
+        """The zones and regions as seen from this box."""
         return Topology(home=self.availability_zone, zones=self.zones, regions=self.regions)
 
 
 class ListenSection(Section, frozen=True, kw_only=True):
-    """Where the box listens.
+    """The addresses that the box listens on.
 
     Attributes:
-        clients_address: For clients.
-        readiness_address: For the balancer's question whether to send clients here.
-        boxes_address: For the other boxes.
+        clients_address: For requests of clients.
+        readiness_address: For the readiness checks of the balancer.
+        boxes_address: For links from other boxes.
         metrics_address: For Prometheus.
     """
 
@@ -55,11 +55,11 @@
 
 
 class ProcessorSection(Section, frozen=True, kw_only=True):
-    """The processor that this box has; stronger boxes are preferred as placers.
+    """The processor capacity of this box; boxes with more capacity are preferred as placers.
 
     Attributes:
-        share: The part of a core that the box gets.
-        speed: How many times as fast as one usual core it runs.
+        share: The share of a core that the box gets.
+        speed: The speed of that core, relative to a reference core.
     """
 
     share: float = 1.0
@@ -67,7 +67,7 @@
 
     @property
     def strength(self) -> float:
-        """What the box has, in usual cores."""
+        """The processor capacity, in reference cores."""
         return self.share * self.speed
 
 
@@ -78,14 +78,14 @@
 
 
 class RetrySection(Section, frozen=True, kw_only=True):
-    """The budget of retries, shared by all boxes.
+    """The retry budget, shared by all boxes.
 
     Attributes:
-        ratio: Retries allowed for each request.
-        allowance: Retries allowed in a window beside that, for all boxes together.
+        ratio: Retries allowed per request.
+        allowance: Additional retries allowed per window, for all boxes together.
         window_s: The length of the window.
-        boxes: How many boxes are reckoned to share the allowance at least; as many as are known
-            to this one if that is more.
+        boxes: The least number of boxes that the allowance is divided by. If this box knows of
+            more boxes, it is divided by their number.
     """
 
     ratio: float = 0.2
@@ -100,7 +100,7 @@
     Attributes:
         lease_s: How long the placer's lease lasts without a renewal.
         checks_fence: Whether engines refuse orders under an older fence.
-        ceiling_ratio: How far they may exceed the rate that the configuration states.
+        ceiling_ratio: The highest rate of adapter loads, as a multiple of the configured rate.
     """
 
     lease_s: float = 3.0
@@ -109,16 +109,16 @@
 
 
 class DistanceSection(Section, frozen=True, kw_only=True):
-    """What ways to other zones and regions cost beside other things, in any one unit.
+    """The cost of traffic between zones and regions, in any common unit.
 
-    Adapters are brought near their callers, and copied there, as far as that costs less than the
-    ways of their requests.
+    Adapters are loaded or copied near their callers where that costs less than the traffic of
+    their requests.
 
     Attributes:
         zone_mb: Price of a megabyte between two zones of a region.
         region_mb: Price of a megabyte between two regions.
-        adapter_load: Price of an adapter brought from the weight store.
-        region_round_trip_s: The way to another region and back, in seconds.
+        adapter_load: Price of loading an adapter from the weight store.
+        region_round_trip_s: The round-trip time to another region.
     """
 
     zone_mb: float = 1.0
@@ -128,12 +128,12 @@
 
     @property
     def prices(self) -> DistancePrices:
-        """The prices."""
+        """The prices of traffic and of adapter loads."""
         return DistancePrices(self.zone_mb, self.region_mb, self.adapter_load)
 
     @property
     def costs(self) -> DistanceCosts:
-        """What ways count where replicas are chosen."""
+        """The costs of distance for the choice of a replica."""
         return DistanceCosts.from_prices(self.prices, region_round_trip_s=self.region_round_trip_s)
 
 
@@ -141,8 +141,9 @@
     """How long the keys of teams are trusted, where the configuration has teams.
 
     Attributes:
-        revoke_s: So long after it was acknowledged that a key is taken away it may be served yet.
-        fail_closed: Whether a box that cannot know whether a key was taken away serves it no more.
+        revoke_s: For how long a revoked key may still be served after its revocation was
+            acknowledged.
+        fail_closed: Whether a box refuses keys while it cannot check whether they were revoked.
     """
 
     revoke_s: float = 5.0
@@ -155,12 +156,12 @@
 
 
 class QuotaSection(Section, frozen=True, kw_only=True):
-    """How strictly the quotas of teams are meant, over all boxes together.
+    """How far teams may exceed their quotas, over all boxes together.
 
     Attributes:
-        window_s: The span over which a team's use is judged.
-        overage: The part by which it may exceed rate and burst.
-        slack: Requests or tokens by which it may exceed them beside that.
+        window_s: The length of the window in which a team's use is measured.
+        overage: The fraction by which a team may exceed its rate and burst.
+        slack: Requests or tokens by which it may exceed them in addition.
     """
 
     window_s: float = 8.0
@@ -169,12 +170,12 @@
 
 
 class SlowStartSection(Section, frozen=True, kw_only=True):
-    """How strictly the bound on requests to cold replicas is meant, over all boxes together.
+    """How strictly requests to cold replicas are limited, over all boxes together.
 
     Attributes:
-        overage: How many times the rate that the configuration states a cold replica may get in
-            a second.
-        slack: Requests that it may get in a second beside that.
+        overage: The highest rate that a cold replica may receive, as a multiple of the configured
+            rate.
+        slack: Requests that it may receive per second in addition.
     """
 
     overage: float = 1.0
@@ -182,7 +183,7 @@
 
     @property
     def terms(self) -> SlowStartTerms:
-        """How strictly the bound is meant."""
+        """The limit and its tolerance."""
         return SlowStartTerms(self.overage, self.slack)
 
 
@@ -190,19 +191,19 @@
     """The evacuation of zones.
 
     Attributes:
-        within_s: So long after it was acknowledged that a zone is evacuated its replicas may get
-            requests yet.
+        within_s: For how long the replicas of a zone may still receive requests after its
+            evacuation was acknowledged.
     """
 
     within_s: float = DEFAULT_WITHIN_S
 
 
 class QuarantineSection(Section, frozen=True, kw_only=True):
-    """Requests that crash the replicas that run them.
+    """The quarantine of requests that crash the replicas that run them.
 
     Attributes:
-        crashes: So many replicas may crash under a request before it is sent to no more.
-        for_s: So long a crash is held against a request.
+        crashes: The number of crashed replicas after which a request is no longer sent to any.
+        for_s: For how long a crash counts against a request.
     """
 
     crashes: Annotated[int, Meta(ge=1)] = QuarantineTerms().crashes
@@ -210,15 +211,16 @@
 
     @property
     def terms(self) -> QuarantineTerms:
-        """What convicts a request."""
+        """The terms on which a request is quarantined."""
         return QuarantineTerms(self.crashes, self.for_s)
 
 
 class StartSection(Section, frozen=True, kw_only=True):
-    """A start while the store answers nobody.
+    """A start while the store does not answer.
 
     Attributes:
-        seeds: Where other boxes listen for boxes; they may be gone, or be something else.
+        seeds: Addresses at which other boxes may listen for boxes, to fetch their state from. They
+            may be out of date.
     """
 
     seeds: tuple[Annotated[str, Meta(pattern=r"^[^:\s]+:[0-9]+$")], ...] = ()
@@ -228,8 +230,9 @@
     """A planned stop.
 
     Attributes:
-        within_s: When the process is killed, from when it is told to stop.
-        notice_s: How long clients are still taken, until the balancer has seen it.
+        within_s: The time after the stop signal at which the platform kills the process.
+        notice_s: For how long clients are still accepted, so that the balancer can see that the
+            box is not ready.
     """
 
     within_s: float = 8.0
@@ -237,9 +240,9 @@
 
 
 class EntrySettings(Section, frozen=True, kw_only=True):
-    """All settings of one box that forwards routed requests."""
+    """The settings of a box that forwards routed requests."""
 
-    box: PlaceSection
+    box: IdentitySection
     listen: ListenSection
     store: StoreSection
     processor: ProcessorSection = field(default_factory=ProcessorSection)
--- a/springrock/errors.py
+++ b/springrock/errors.py
@@ -1,7 +1,7 @@
-"""Typed failures: one small class each, named for what went wrong.
+"""Exception classes, and the value that describes a refused request.
 
-Two families live here. `SpringrockError` subclasses are raised. `Refusal` is a value: the
-ordinary answer "no" of a part that decides, carried in `expression.Result`.
+Subclasses of `SpringrockError` are raised. `Refusal` is returned, in an `expression.Result`, by
+components for which refusing a request is an ordinary outcome.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 
 
 class RunState(StrEnum):
-    """What is known about the execution of a request."""
+    """How far a request is known to have been executed."""
 
     ANSWERED = "answered"
-    """The whole answer was delivered."""
+    """The complete answer was delivered."""
     NOT_RUN = "not_run"
     """No upstream ran any part of the request."""
     UNKNOWN = "unknown"
-    """The request was sent and its outcome is lost."""
+    """The request was sent, but its outcome is not known."""
     CUT = "cut"
-    """The request ran, and the answer ended before it was whole."""
+    """The request ran, but its answer ended before it was complete."""
 
 
 class Cause(StrEnum):
@@ -59,13 +59,13 @@
 
 
 class Refusal(msgspec.Struct, frozen=True, array_like=True):
-    """A request that ends without a whole answer.
+    """The reason why a request ended without a complete answer.
 
     Attributes:
-        cause: Why.
-        detail: One sentence for a person.
-        run_state: What is known about execution.
-        retry_after_s: Seconds after which a new try makes sense; 0 when none does.
+        cause: The reason.
+        detail: An explanation for people, in one sentence.
+        run_state: How far the request is known to have been executed.
+        retry_after_s: Seconds after which a retry can succeed; 0 if a retry is pointless.
     """
 
     cause: Cause
@@ -75,11 +75,11 @@
 
 
 class SpringrockError(Exception):
-    """The base of every failure raised by this package."""
+    """The base class of all exceptions of this package."""
 
 
 class SettingsError(SpringrockError):
-    """A settings file that cannot be used.
+    """A settings file is invalid or cannot be read.
 
     Args:
         problems: Every problem found, in the order of the file.
@@ -91,14 +91,14 @@
 
 
 class UnknownPlugin(SpringrockError):
-    """A plug-in name that nothing registered."""
+    """No plug-in is registered under a name."""
 
     def __init__(self, family: str, name: str, known: tuple[str, ...]) -> None:
         super().__init__(f"no {family} named {name!r}; known: {', '.join(known) or 'none'}")
 
 
 class RequestRefused(SpringrockError):
-    """A request that ended with a `Refusal`, raised where a value cannot be returned."""
+    """Carries a `Refusal` where it cannot be returned as a value."""
 
     def __init__(self, refusal: Refusal) -> None:
         self.refusal = refusal
@@ -110,43 +110,48 @@
 
 
 class PlatformGarbage(PlatformUnavailable):
-    """The platform answered something that its protocol does not allow."""
+    """The platform sent an answer that violates its protocol."""
 
 
 class TransactionConflict(SpringrockError):
-    """A table transaction whose checks failed; nothing was written."""
+    """The checks of a table transaction failed; nothing was written."""
 
     def __init__(self, keys: tuple[str, ...]) -> None:
         self.keys = keys
-        super().__init__(f"changed meanwhile: {', '.join(keys)}")
+        super().__init__(f"changed by another writer: {', '.join(keys)}")
 
 
 class PeerUnreachable(SpringrockError):
-    """A peer box that cannot be reached or did not answer in time."""
+    """A peer box could not be reached or did not answer in time."""
 
 
 class PeerRejected(SpringrockError):
-    """A peer that showed a wrong key or sent a frame that the protocol does not allow."""
+    """A peer box presented a wrong key or sent a frame that violates the protocol."""
 
 
 class UpstreamUnreachable(SpringrockError):
-    """An upstream that refused the connection: it received nothing."""
+    """An upstream could not be connected to, so it received nothing."""
 
 
 class UpstreamBroke(SpringrockError):
-    """An upstream that failed after it may have received the request."""
+    """An upstream failed after it may have received the request."""
 
 
 class UpstreamGarbage(UpstreamBroke):
-    """An upstream whose answer does not follow its protocol."""
+    """An upstream sent an answer that violates its protocol."""
 
 
 class WrongAnswer(UpstreamBroke):
-    """An upstream that answered another request, adapter or version than the one asked."""
+    """An upstream answered for a different request, adapter or version than the one sent."""
 
 
 class UpstreamSaidNo(SpringrockError):
-    """An upstream that refused a request before running it."""
+    """An upstream refused a request before running it.
+
+    Args:
+        reason: The reason that the upstream gave.
+        retry_after_s: Seconds after which it may be retried; 0 if the upstream named none.
+    """
 
     def __init__(self, reason: str, retry_after_s: float = 0.0) -> None:
         self.reason = reason
@@ -155,38 +160,38 @@
 
 
 class StaleFence(SpringrockError):
-    """An order that an upstream refused because it knows a newer fence."""
+    """An upstream refused an order because it has seen a newer fence."""
 
 
 class OrderFailed(SpringrockError):
-    """An order that an upstream took and could not carry out."""
+    """An upstream accepted an order but could not carry it out."""
 
 
 class BadRequest(SpringrockError):
-    """A client's request that breaks the protocol; it was not run."""
+    """A client's request violates the protocol; it was not run."""
 
 
 class AnswerCut(SpringrockError):
-    """An answer that broke off after its head was sent; the connection must show it."""
+    """An answer broke off after its head was sent; the connection must be closed mid-answer."""
 
 
 class CallerGone(SpringrockError):
-    """The caller closed its connection before the answer was whole."""
+    """The caller closed its connection before the answer was complete."""
 
 
 class StatementError(SpringrockError):
-    """An operator's statement that cannot be parsed or carried out."""
+    """An operator's statement cannot be parsed or carried out."""
 
 
 class ConfigurationConflict(StatementError):
-    """A configuration change that lost against another one.
+    """A configuration change conflicts with a change committed before it.
 
     Args:
-        key: What both changed.
-        winner: Who made the change that stands, and in which revision.
+        key: The configuration key that both changes set.
+        winner: Who made the committed change, and in which revision.
     """
 
     def __init__(self, key: str, winner: str) -> None:
         self.key = key
         self.winner = winner
-        super().__init__(f"{key} was changed meanwhile by {winner}")
+        super().__init__(f"{key} was changed concurrently by {winner}")
--- a/springrock/hosts.py
+++ b/springrock/hosts.py
@@ -1,6 +1,6 @@
-"""What plug-ins may use of the box that they belong to: one small protocol for each family.
+"""Protocols of the box as its plug-ins see it, one for each family of plug-ins.
 
-Plug-ins know these and never `springrock.box`, which puts everything together and knows them.
+Plug-ins import these protocols and never `springrock.box`, which imports the plug-ins.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 
 
 class StatementHost(Protocol):
-    """What operators' statements read and change.
+    """The box as the operators' statements use it.
 
     Attributes:
-        name: The name of the box that was asked.
-        journal: The decisions that it remembers.
-        feed: Where changes of the configuration are committed.
-        view: What it knows of replicas.
+        name: The name of the box that runs the statement.
+        journal: The newest log lines of the box.
+        feed: Reads the configuration and commits changes of it.
+        view: The replicas that the box knows, and their state.
     """
 
     name: str
@@ -42,30 +42,30 @@
 
     @property
     def catalog(self) -> Catalog:
-        """The configuration in force here."""
+        """The configuration in force on this box."""
 
     def status(self, number: int = 0) -> wire.Status:
-        """Return how this box is."""
+        """Return the status of this box."""
 
     def out_of_service(self, replica: str) -> bool:
-        """Whether a replica must get no new work."""
+        """Whether a replica must be sent no new requests."""
 
     def stop(self) -> None:
-        """Stop the box as planned."""
+        """Perform a planned stop of the box."""
 
 
 class OperatorDoorHost(StatementHost, Protocol):
-    """What the operators' door needs beside what its statements do."""
+    """The box as the operators' HTTP interface and its statements use it."""
 
     def log(self, part: str) -> Log:
-        """Return the log of one part."""
+        """Return a log whose lines have this prefix."""
 
 
 class CallerDoorHost(Protocol):
-    """What the callers' door needs.
+    """The box as the callers' HTTP interface uses it.
 
     Attributes:
-        refusing: Whether requests are refused, as the box is about to end.
+        refusing: Whether new requests are refused because the box is about to exit.
     """
 
     name: str
@@ -79,18 +79,18 @@
 
     @property
     def catalog(self) -> Catalog:
-        """The configuration in force here."""
+        """The configuration in force on this box."""
 
     @property
     def serving(self) -> bool:
-        """Whether requests are served."""
+        """Whether this box serves requests, as its configuration is up to date."""
 
     def why_not_ready(self) -> str:
-        """Return why the balancer should send nothing here, or an empty text."""
+        """Return why the balancer should send no requests here; empty if the box is ready."""
 
     def log(self, part: str) -> Log:
-        """Return the log of one part."""
+        """Return a log whose lines have this prefix."""
 
 
 class DoorHost(OperatorDoorHost, CallerDoorHost, Protocol):
-    """What any door may need."""
+    """The box as any of its HTTP interfaces may use it."""
--- a/springrock/httpd.py
+++ b/springrock/httpd.py
@@ -1,4 +1,4 @@
-"""A WSGI application behind gevent's HTTP server, started on an address and stopped gently."""
+"""Serves a WSGI application with gevent's HTTP server, with a graceful stop."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from springrock.settings import split_address
 
 SOCKET_KEY = "springrock.socket"
-"""Where the WSGI environment holds the caller's socket."""
+"""The key of the caller's socket in the WSGI environment."""
 
 TARGET_KEY = "springrock.target"
-"""Where the WSGI environment holds the request's target as sent."""
+"""The key of the request target, exactly as sent, in the WSGI environment."""
 
 HEADERS_KEY = "springrock.headers"
-"""Where the WSGI environment holds the request's headers as sent, as pairs."""
+"""The key of the request's headers, as pairs exactly as sent, in the WSGI environment."""
 
 
 class _Server(WSGIServer):
-    """Knows how long a client may take no bytes."""
+    """A WSGI server with a send time-out for its connections."""
 
     def __init__(self, address: tuple[str, int], app: Any, *, send_timeout_s: float) -> None:
-        # Else the name that belongs to the address is looked up, which may take long.
+        # Without SERVER_NAME, gevent does a reverse DNS look-up of the address, which can be slow.
         environ = {"SERVER_NAME": address[0]}
         super().__init__(
             address, app, handler_class=_Handler, log=None, error_log=None, environ=environ
@@ -32,10 +32,10 @@
 
 
 class _Handler(WSGIHandler):
-    """Hands the connection to the application, so that it can notice a caller who left."""
+    """Passes the socket to the application, so that it can detect that the caller disconnected."""
 
     def handle(self) -> None:
-        """Serve the connection; a caller that leaves between two requests is no fault."""
+        """Serve the connection; a caller that disconnects between two requests is no error."""
         try:
             super().handle()
         except CallerGone:
@@ -51,7 +51,7 @@
         return environ
 
     def handle_error(self, kind: Any, value: Any, traceback: Any) -> None:
-        """Close the connection, without a last chunk, where an answer had to break off."""
+        """Handle an error; close the connection without a last chunk if the answer broke off."""
         if isinstance(value, AnswerCut | CallerGone):
             self.close_connection = True
             return
@@ -59,19 +59,19 @@
 
 
 class HttpServer:
-    """Serves one application on one address.
+    """Serves a WSGI application on one address.
 
     Args:
         app: The WSGI application.
-        address: ``HOST:PORT``; port 0 takes a free one.
-        send_timeout_s: A client that takes no bytes for this long is cut.
+        address: ``HOST:PORT``; port 0 selects a free port.
+        send_timeout_s: The connection of a client that accepts no bytes for this long is closed.
     """
 
     def __init__(self, app: Any, address: str, *, send_timeout_s: float = 20.0) -> None:
         self._server = _Server(split_address(address), app, send_timeout_s=send_timeout_s)
 
     def start(self) -> None:
-        """Bind and serve in the background."""
+        """Bind the address and serve in the background."""
         self._server.start()
 
     @property
@@ -80,5 +80,5 @@
         return f"{self._server.server_host}:{self._server.server_port}"
 
     def stop(self, *, finish_within_s: float = 1.0) -> None:
-        """Stop accepting, let open requests finish for a while, then cut the rest."""
+        """Stop accepting, let open requests finish, then close the remaining connections."""
         self._server.stop(timeout=finish_within_s)
--- a/springrock/jsonc.py
+++ b/springrock/jsonc.py
@@ -1,7 +1,8 @@
-"""JSON with comments, parsed so that every value knows the line it stands on.
+"""Parses JSON with comments, with the line number of every value.
 
-A text that is plain JSON but for lines of comments is read by the standard library, as the
-grammar's parser would take a tenth of a box's start; it is loaded for all else, and for lines.
+Text that is plain JSON apart from comment lines is parsed by the standard library. The parser of
+`springrock.jsonc_grammar` would take a tenth of a box's start-up time, so it is imported only for
+other texts and when line numbers are needed.
 """
 
 from __future__ import annotations
@@ -12,13 +13,13 @@
 
 from springrock.errors import SpringrockError
 
-_LINE_OF_COMMENT = re.compile(r"^[ \t]*//[^\n]*", re.MULTILINE)
+_COMMENT_LINE = re.compile(r"^[ \t]*//[^\n]*", re.MULTILINE)
 
 Path = tuple[str | int, ...]
 
 
 class JsoncError(SpringrockError):
-    """Text that is not JSON with comments."""
+    """Text that is not valid JSON with comments."""
 
     def __init__(self, line: int, detail: str) -> None:
         self.line = line
@@ -32,7 +33,7 @@
     Args:
         text: The text.
         data: Plain dicts, lists, strings, numbers, booleans and None.
-        lines: The line of each key or list item, by its path; None if they were not sought yet.
+        lines: The line of each key or list item, by its path; None to find them on first use.
     """
 
     def __init__(self, text: str, data: Any, lines: dict[Path, int] | None = None) -> None:
@@ -41,7 +42,7 @@
         self._lines = lines
 
     def line_of(self, path: Path) -> int:
-        """Return the line of a path, or of its nearest ancestor."""
+        """Return the line of a value, or of its nearest ancestor that has one."""
         if self._lines is None:
             from springrock.jsonc_grammar import parse_with_lines
 
@@ -58,7 +59,7 @@
         JsoncError: If the text does not follow the grammar or repeats a key.
     """
     try:
-        return Document(text, _plain_json(text))
+        return Document(text, _parse_plain_json(text))
     except ValueError:
         from springrock.jsonc_grammar import parse_with_lines
 
@@ -66,21 +67,25 @@
         return Document(text, data, lines)
 
 
-def _plain_json(text: str) -> Any:
-    """Return the data of plain JSON with lines of comments; raise ValueError for all else."""
+def _parse_plain_json(text: str) -> Any:
+    """Parse plain JSON with comment lines.
+
+    Raises:
+        ValueError: If the text is anything else.
+    """
     return json.loads(
-        _LINE_OF_COMMENT.sub("", text),
-        object_pairs_hook=_object_of,
+        _COMMENT_LINE.sub("", text),
+        object_pairs_hook=_unique_keys,
         parse_constant=_refuse_constant,
     )
 
 
-def _object_of(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    found = dict(pairs)
-    if len(found) < len(pairs):
-        raise ValueError("a key stands twice")
-    return found
+def _unique_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    data = dict(pairs)
+    if len(data) < len(pairs):
+        raise ValueError("duplicate key")
+    return data
 
 
 def _refuse_constant(constant: str) -> Any:
-    raise ValueError(f"{constant} is no JSON")
+    raise ValueError(f"{constant} is not valid JSON")
--- a/springrock/jsonc_grammar.py
+++ b/springrock/jsonc_grammar.py
@@ -1,6 +1,6 @@
-"""The grammar of JSON with comments: a parser that knows the line of every value.
+"""The grammar of JSON with comments, and its parser, which records the line of every value.
 
-It is loaded only when lines are needed; `springrock.jsonc` says when.
+Imported only when needed, as loading it is slow; see `springrock.jsonc`.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
     pass
 
 
-class _Build(Transformer[Token, Any]):
+class _TreeBuilder(Transformer[Token, Any]):
     def string(self, tokens: list[Token]) -> Any:
         return json.loads(tokens[0])
 
@@ -75,21 +75,21 @@
     return _parser
 
 
-def _plain(node: Any, path: Path, lines: dict[Path, int]) -> Any:
+def _to_plain(node: Any, path: Path, lines: dict[Path, int]) -> Any:
     if isinstance(node, _Object):
-        return _plain_object(node, path, lines)
+        return _to_plain_object(node, path, lines)
     if isinstance(node, list):
-        return [_plain(item, (*path, index), lines) for index, item in enumerate(node)]
+        return [_to_plain(item, (*path, index), lines) for index, item in enumerate(node)]
     return node
 
 
-def _plain_object(node: _Object, path: Path, lines: dict[Path, int]) -> dict[str, Any]:
+def _to_plain_object(node: _Object, path: Path, lines: dict[Path, int]) -> dict[str, Any]:
     plain: dict[str, Any] = {}
     for pair in node:
         if pair.key in plain:
-            raise JsoncError(pair.line, f"key {pair.key!r} stands twice")
+            raise JsoncError(pair.line, f"duplicate key {pair.key!r}")
         lines[(*path, pair.key)] = pair.line
-        plain[pair.key] = _plain(pair.value, (*path, pair.key), lines)
+        plain[pair.key] = _to_plain(pair.value, (*path, pair.key), lines)
     return plain
 
 
@@ -103,6 +103,6 @@
         tree = _get_parser().parse(text)
     except UnexpectedInput as error:
         line = max(getattr(error, "line", 1), 1)
-        raise JsoncError(line, f"cannot parse here: {error.get_context(text).strip()}") from None
+        raise JsoncError(line, f"syntax error at: {error.get_context(text).strip()}") from None
     lines: dict[Path, int] = {}
-    return _plain(_Build().transform(tree), (), lines), lines
+    return _to_plain(_TreeBuilder().transform(tree), (), lines), lines
--- a/springrock/kernel.py
+++ b/springrock/kernel.py
@@ -1,4 +1,4 @@
-"""The kernel: registries that plug-ins join by themselves, and a box's parts in start order."""
+"""Registries of plug-ins, and the protocol of the components that a box starts and stops."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class Registry(Generic[T]):
-    """A named family of plug-ins.
+    """The plug-ins of one family, by name.
 
     Args:
-        family: What the plug-ins are, in the singular, for messages.
+        family: The name of the family in messages, in the singular.
     """
 
     def __init__(self, family: str) -> None:
@@ -32,7 +32,7 @@
         self._plugins: dict[str, T] = {}
 
     def register(self, name: str) -> Callable[[T], T]:
-        """Return a decorator that registers its target under a name."""
+        """Return a decorator that registers a plug-in under a name."""
 
         def _register(plugin: T) -> T:
             self._plugins[name] = plugin
@@ -41,10 +41,10 @@
         return _register
 
     def get(self, name: str) -> T:
-        """Return a plug-in.
+        """Return the plug-in of a name.
 
         Raises:
-            UnknownPlugin: If nothing registered under that name.
+            UnknownPlugin: If no plug-in is registered under that name.
         """
         try:
             return self._plugins[name]
@@ -61,17 +61,17 @@
 
 
 class Part(Protocol):
-    """Something that a box starts and stops."""
+    """A component that a box starts and stops."""
 
     def start(self) -> None:
-        """Begin work and return at once."""
+        """Start and return without waiting."""
 
     def stop(self) -> None:
-        """End work; called once, in the reverse of the start order."""
+        """Stop; called once, in the reverse of the start order."""
 
 
 def load_plugins() -> None:
-    """Import every module of the plug-in packages, so that they register themselves."""
+    """Import every module of the plug-in packages; each registers its plug-ins on import."""
     for package_name in PLUGIN_PACKAGES:
         package = importlib.import_module(package_name)
         for module in pkgutil.iter_modules(package.__path__, f"{package_name}."):
--- a/springrock/language.py
+++ b/springrock/language.py
@@ -1,4 +1,4 @@
-"""The operators' language: its grammar, put together from the registered statements."""
+"""The operators' language: its grammar is assembled from the registered statements."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
 PATTERN: /"[^"\n]*"/
 %ignore /[ \t\r\n]+/
 """
-_LONGEST_STATEMENT = 10_000
+_MAX_STATEMENT_LENGTH = 10_000
 
 
 def grammar() -> str:
-    """Return the whole grammar in lark's notation."""
+    """Return the grammar of all statements in lark's notation."""
     rules = [f"{name}: {statement.pattern}" for name, statement in statements]
     return f"start: {' | '.join(statements.names)}\n" + "\n".join(rules) + _TERMINALS
 
 
 @cache
 def _parser(names: tuple[str, ...]) -> Lark:
-    # The names only key the cache: a statement registered later makes a new parser.
+    # The names serve only as the cache key, so that a new registration yields a new parser.
     return Lark(grammar(), parser="earley", lexer="dynamic")
 
 
@@ -47,21 +47,21 @@
     """Parse a statement.
 
     Raises:
-        StatementError: If it is not one.
+        StatementError: If the text is too long or is not a statement.
     """
-    if len(text) > _LONGEST_STATEMENT:
-        raise StatementError(f"a statement has at most {_LONGEST_STATEMENT} characters")
+    if len(text) > _MAX_STATEMENT_LENGTH:
+        raise StatementError(f"a statement has at most {_MAX_STATEMENT_LENGTH} characters")
     try:
         tree = _parser(statements.names).parse(text)
     except UnexpectedInput as error:
-        where = error.get_context(text).rstrip() if text.strip() else ""
-        raise StatementError(f"not a statement; try: help\n{where}".rstrip()) from None
+        context = error.get_context(text).rstrip() if text.strip() else ""
+        raise StatementError(f"not a statement; try: help\n{context}".rstrip()) from None
     rule = tree.children[0]
     assert isinstance(rule, Tree)
-    return statements.get(str(rule.data)), _words(text, rule)
+    return statements.get(str(rule.data)), _arguments_of(text, rule)
 
 
-def _words(text: str, rule: Tree[Token]) -> Arguments:
+def _arguments_of(text: str, rule: Tree[Token]) -> Arguments:
     lists: dict[str, list[str]] = {}
     for token in rule.scan_values(lambda value: isinstance(value, Token)):
         lists.setdefault(token.type.lower().split("__")[-1], []).append(str(token).strip('"'))
--- a/springrock/log.py
+++ b/springrock/log.py
@@ -1,4 +1,4 @@
-"""Structured logs: eliot messages whose text is a short sentence after its part's prefix."""
+"""Structured logs: eliot messages, each a short sentence after the prefix of its component."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 import eliot
 
-_JOURNAL_LINES = 4_000
+_MAX_JOURNAL_LINES = 4_000
 
 
 class Line(NamedTuple):
     """One line of the log.
 
     Attributes:
-        at: When, in seconds since the epoch.
+        at: The time, in seconds since the epoch.
         text: The sentence with its prefix.
-        fields: Values for machines.
+        fields: The values that belong to it, by name.
     """
 
     at: float
@@ -28,27 +28,27 @@
 
 
 class Journal:
-    """The newest lines of one box, so that an operator can ask why."""
+    """The newest log lines of a box, from which it explains its decisions to operators."""
 
     def __init__(self) -> None:
-        self._lines: deque[Line] = deque(maxlen=_JOURNAL_LINES)
+        self._lines: deque[Line] = deque(maxlen=_MAX_JOURNAL_LINES)
 
     def add(self, line: Line) -> None:
-        """Keep a line."""
+        """Add a line; drops the oldest one beyond the limit."""
         self._lines.append(line)
 
     def about(self, field: str, value: str) -> list[Line]:
-        """Return the kept lines that have a field of a value, the oldest first."""
+        """Return the lines in which a field has a value, the oldest first."""
         return [line for line in self._lines if line.fields.get(field) == value]
 
 
 class Log:
-    """Writes the lines of one part of one box.
+    """Writes the log lines of one component of a box.
 
     Args:
-        part: The prefix, such as ``router``.
-        box: The name of the process in the log.
-        journal: Keeps the newest lines in memory as well.
+        part: The prefix of the lines, such as ``router``.
+        box: The name of the process in the lines.
+        journal: Also receives every line, if given.
     """
 
     def __init__(self, part: str, box: str, journal: Journal | None = None) -> None:
@@ -58,11 +58,11 @@
         self._message_type = f"springrock:{part}"
 
     def say(self, sentence: str, **fields: object) -> None:
-        """Write one line.
+        """Write a line.
 
         Args:
             sentence: A short sentence without the prefix.
-            **fields: Values for machines; nothing secret and no caller's text.
+            **fields: The values that belong to it; no secrets and no text of callers.
         """
         text = f"{self.part}: {sentence}"
         if self._journal is not None:
@@ -71,12 +71,12 @@
 
 
 class Condition:
-    """Writes a line when something begins and when it ends, not in between.
+    """Logs when a condition begins and when it ends, but not its repetitions in between.
 
     Args:
         log: The log to write to.
-        begins: The sentence for the beginning.
-        ends: The sentence for the end.
+        begins: The sentence that is logged at the beginning.
+        ends: The sentence that is logged at the end.
     """
 
     def __init__(self, log: Log, *, begins: str, ends: str) -> None:
@@ -87,59 +87,63 @@
 
     @property
     def holds(self) -> bool:
-        """Whether it holds now."""
+        """Whether the condition holds now."""
         return self._holds
 
     def begin(self, **fields: object) -> None:
-        """Note that it holds."""
+        """Record that the condition holds; logs it if it did not hold before."""
         if not self._holds:
             self._holds = True
             self._log.say(self._begins, **fields)
 
     def end(self, **fields: object) -> None:
-        """Note that it does not hold."""
+        """Record that the condition does not hold; logs it if it held before."""
         if self._holds:
             self._holds = False
             self._log.say(self._ends, **fields)
 
 
 class BoundedLines:
-    """Writes lines to a file descriptor without ever waiting for its reader.
+    """Writes lines to a file descriptor without ever blocking on its reader.
 
-    What the reader does not take is kept up to a bound; beyond it lines are dropped and counted.
+    Bytes that the reader does not accept yet are buffered. Lines that do not fit into the buffer
+    are dropped and counted.
 
     Args:
         descriptor: An open file descriptor; it is made non-blocking.
-        limit_bytes: How much is kept.
+        limit_bytes: The size of the buffer.
+
+    Attributes:
+        dropped: The number of dropped lines.
     """
 
     def __init__(self, descriptor: int, *, limit_bytes: int = 1_048_576) -> None:
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
         self._limit_bytes = limit_bytes
-        self._pending = bytearray()
+        self._buffer = bytearray()
         self.dropped = 0
 
     def write(self, line: str | bytes) -> int:
-        """Take a whole line; write what the reader takes now."""
+        """Buffer a line, or drop it if the buffer is full; write what the reader accepts now."""
         data = line.encode() if isinstance(line, str) else line
-        if len(self._pending) + len(data) > self._limit_bytes:
+        if len(self._buffer) + len(data) > self._limit_bytes:
             self.dropped += 1
         else:
-            self._pending += data
+            self._buffer += data
         self.flush()
         return len(line)
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
-        while self._pending:
+        """Write as much of the buffer as the reader accepts now."""
+        while self._buffer:
             try:
-                written = os.write(self._descriptor, self._pending)
+                written = os.write(self._descriptor, self._buffer)
             except (BlockingIOError, OSError):
                 return
-            del self._pending[:written]
+            del self._buffer[:written]
 
 
 def log_to(stream: TextIO | BoundedLines = sys.stderr) -> None:
-    """Send every log line to a stream as one JSON object a line."""
+    """Write every log line to a stream, as one JSON object per line."""
     eliot.to_file(stream)
--- a/springrock/metrics.py
+++ b/springrock/metrics.py
@@ -1,4 +1,4 @@
-"""Prometheus metrics of one box: units in the names, labels from closed sets."""
+"""Prometheus metrics of a box: names include units, label values come from closed sets."""
 
 from __future__ import annotations
 
@@ -9,29 +9,30 @@
 
 from springrock.topology import Distance
 
-_SECONDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.94, 2, 5, 10, 30, 60)
+_SECONDS_BUCKETS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.94, 2, 5, 10, 30, 60)
 
-_TEAMS_AT_MOST = 100
-"""Values of a label: beyond it a page of metrics would grow with the customers of a deployment."""
+_MAX_TEAM_LABELS = 100
+"""Limit for the values of the team label, so that the metrics page does not grow with the number
+of customers."""
 
-_OTHER_TEAMS = "(others)"
+_OTHER_TEAMS_LABEL = "(others)"
 
 
 class BytesKind(StrEnum):
-    """What bytes that go to another zone belong to."""
+    """The kinds of traffic to other zones."""
 
     REQUESTS = "requests"
     ANSWERS = "answers"
     LINKS = "links"
-    """What boxes and placers tell each other."""
+    """Messages between boxes and placers."""
 
 
 def count_nothing(number: float) -> None:
-    """Count bytes that stay in the own zone."""
+    """Ignore a number, such as that of bytes that stay in the own zone."""
 
 
 class Metrics:
-    """All metrics of one box, in a registry of its own."""
+    """The metrics of a box that runs `springrock serve`, in a registry of their own."""
 
     def __init__(self) -> None:
         registry = CollectorRegistry()
@@ -51,13 +52,13 @@
         self.stall_seconds = Histogram(
             "springrock_load_stall_seconds",
             "Time that a request waited because its adapter was not loaded.",
-            buckets=_SECONDS,
+            buckets=_SECONDS_BUCKETS,
             registry=registry,
         )
         self.first_token_seconds = Histogram(
             "springrock_first_token_seconds",
             "Time from arrival to the first token.",
-            buckets=_SECONDS,
+            buckets=_SECONDS_BUCKETS,
             registry=registry,
         )
         self.loads = Counter(
@@ -89,18 +90,18 @@
             ["kind", "result"],
             registry=registry,
         )
-        self.count_unknown_message = _counting_unknown_messages(registry)
+        self.count_unknown_message = _unknown_message_counter(registry)
         self.lease_held = Gauge(
             "springrock_lease_held", "1 while this box may act as an owner.", registry=registry
         )
 
     def render(self) -> bytes:
-        """Return the text that Prometheus scrapes."""
+        """Return the metrics in the text format of Prometheus."""
         return generate_latest(self.registry)
 
 
-def _counting_unknown_messages(registry: CollectorRegistry) -> Callable[[int], None]:
-    """Return what counts a message of a kind that this build does not know, by its kind."""
+def _unknown_message_counter(registry: CollectorRegistry) -> Callable[[int], None]:
+    """Return a function that counts messages of kinds unknown to this build, by the kind."""
     counter = Counter(
         "springrock_unknown_messages",
         "Messages of other boxes of a kind that this build does not know, by kind.",
@@ -111,7 +112,7 @@
 
 
 class ForwardingMetrics:
-    """Metrics of a box that forwards routed requests, in a registry of its own."""
+    """The metrics of a box that forwards routed requests, in a registry of their own."""
 
     def __init__(self) -> None:
         registry = CollectorRegistry()
@@ -125,7 +126,7 @@
         self.request_seconds = Histogram(
             "springrock_forwarded_request_seconds",
             "Time from a request's head to the end of its answer.",
-            buckets=_SECONDS,
+            buckets=_SECONDS_BUCKETS,
             registry=registry,
         )
         self.attempts = Counter(
@@ -151,7 +152,7 @@
             ["cause"],
             registry=registry,
         )
-        self.count_unknown_message = _counting_unknown_messages(registry)
+        self.count_unknown_message = _unknown_message_counter(registry)
         self.replica_notices = Counter(
             "springrock_forwarding_replica_notices",
             "What replicas told of themselves in their answers and this box had not known.",
@@ -197,7 +198,7 @@
             "springrock_placement_grant_seconds",
             "Time from a request's ask to its grant, at the zone's placer.",
             ["zone"],
-            buckets=_SECONDS,
+            buckets=_SECONDS_BUCKETS,
             registry=registry,
         )
         self._charges = Counter(
@@ -284,21 +285,24 @@
         }
 
     def bytes_away(self, kind: BytesKind, distance: Distance) -> Callable[[float], None]:
-        """Return what counts bytes of a kind over a distance, to be kept by who counts often."""
+        """Return a function that counts bytes of a kind sent over a distance.
+
+        Frequent callers should keep it.
+        """
         return self._bytes_away.get((kind, distance), count_nothing)
 
     def count_charge(self, team: str, taken: bool) -> None:
-        """Count a charge; teams beyond a number are counted together."""
+        """Count a charge to a team; teams beyond the label limit share one label."""
         if team not in self._teams:
-            if len(self._teams) >= _TEAMS_AT_MOST:
-                team = _OTHER_TEAMS
+            if len(self._teams) >= _MAX_TEAM_LABELS:
+                team = _OTHER_TEAMS_LABEL
             self._teams.add(team)
         self._charges.labels(team, "taken" if taken else "no_room").inc()
 
     def count_permit(self, granted: bool) -> None:
-        """Count the answer to an ask for a permit."""
+        """Count the answer to a request for a permit."""
         self._permits.labels("granted" if granted else "no_room").inc()
 
     def render(self) -> bytes:
-        """Return the text that Prometheus scrapes."""
+        """Return the metrics in the text format of Prometheus."""
         return generate_latest(self.registry)
--- a/springrock/non_negative.py
+++ b/springrock/non_negative.py
@@ -1,4 +1,4 @@
-"""The one reader of the numbers that stand in headers."""
+"""Parses numbers in headers."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def read_non_negative(text: str) -> float | None:
-    """Return a finite number that is not negative; None if the text is none."""
+    """Return the finite, non-negative number that a text holds; None if it holds none."""
     try:
         number = float(text)
     except ValueError:
--- a/springrock/plugins.py
+++ b/springrock/plugins.py
@@ -1,4 +1,4 @@
-"""The families of plug-ins and the protocols that they follow."""
+"""The registries of plug-ins, and the protocols that plug-ins implement."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 
 class Platform(Protocol):
-    """A client of the platform; every method raises PlatformUnavailable."""
+    """A client of the platform; every method may raise PlatformUnavailable."""
 
     def transact(self, transaction: Transaction) -> TransactionAnswer:
-        """Carry out a table transaction."""
+        """Execute a table transaction."""
 
     def rows(self, prefix: str) -> list[Row]:
-        """Read the rows under a prefix."""
+        """Return the rows whose key has a prefix."""
 
     def get_object(self, name: str) -> bytes | None:
-        """Read an object, or None if there is none."""
+        """Return an object; None if it does not exist."""
 
     def put_object(self, name: str, data: bytes) -> None:
-        """Write an object."""
+        """Store an object."""
 
     def listing(self) -> Listing:
-        """Read the lagging list of boxes and upstreams."""
+        """Return the list of boxes and upstreams, which lags behind their state."""
 
 
 doors: Registry[Callable[[DoorHost], Part]] = Registry("door")
--- a/springrock/resolver.py
+++ b/springrock/resolver.py
@@ -1,7 +1,8 @@
-"""Addresses of connections for gevent's loop: numeric ones are read here, names in its threads.
+"""A resolver for gevent that parses numeric addresses directly and looks names up in threads.
 
-gevent hands each address of a new connection to a thread, as a name may take long to look up. A
-numeric address needs no look-up, and the thread takes longer than all else that is done for it.
+By default gevent resolves the address of every new connection in a thread, as looking up a name can
+be slow. A numeric address needs no look-up, and the switch to the thread would take longer than
+all other work for it.
 """
 
 from __future__ import annotations
@@ -16,15 +17,15 @@
 
 
 class Resolver:
-    """Implements what gevent's sockets ask of a resolver.
+    """Implements the resolver interface of gevent's sockets.
 
     Args:
-        hub: gevent's loop.
+        hub: The gevent hub, whose thread pool looks up names.
     """
 
     def __init__(self, hub: Hub) -> None:
         self._hub = hub
-        self._by_name: Any = None
+        self._thread_resolver: Any = None
 
     def getaddrinfo(
         self,
@@ -37,11 +38,11 @@
     ) -> list[Any]:
         """Return the addresses of a host."""
         if isinstance(host, str) and is_numeric(host):
-            # As bytes it is not taken for a name that may have to be encoded.
-            numeric: list[Any] = _getaddrinfo(
+            # A host given as bytes skips the IDNA encoding of names.
+            addresses: list[Any] = _getaddrinfo(
                 host.encode(), port, family, socktype, proto, flags | socket.AI_NUMERICHOST
             )
-            return numeric
+            return addresses
         named: list[Any] = self._threads.getaddrinfo(host, port, family, socktype, proto, flags)
         return named
 
@@ -62,17 +63,17 @@
         return self._threads.getnameinfo(sockaddr, flags)
 
     def close(self) -> None:
-        """End what looks up names."""
-        if self._by_name is not None:
-            self._by_name.close()
+        """Close the resolver for names."""
+        if self._thread_resolver is not None:
+            self._thread_resolver.close()
 
     @property
     def _threads(self) -> Any:
-        if self._by_name is None:
+        if self._thread_resolver is None:
             from gevent.resolver.thread import Resolver as ThreadResolver
 
-            self._by_name = ThreadResolver(self._hub)
-        return self._by_name
+            self._thread_resolver = ThreadResolver(self._hub)
+        return self._thread_resolver
 
 
 def is_numeric(host: str) -> bool:
--- a/springrock/settings.py
+++ b/springrock/settings.py
@@ -1,7 +1,7 @@
 """Typed settings of an entry box, read from JSON with comments.
 
-Every address and the availability zone come from here. Units stand in the key names: ``_s``
-seconds, ``_ms`` milliseconds, ``_bytes`` bytes. Unknown keys are refused.
+They hold every address and the availability zone. Key names end in their unit: ``_s`` for seconds,
+``_ms`` for milliseconds, ``_bytes`` for bytes. Unknown keys are rejected.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 
 
 class Section(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """The base of all settings sections."""
+    """The base class of all settings sections."""
 
 
 class BoxSection(Section, frozen=True, kw_only=True):
-    """Who this box is.
+    """The identity of this box, and its planned stop.
 
     Attributes:
         name: The name of the box, unique in the deployment.
-        availability_zone: Where it stands.
-        stop_notice_s: How long a planned stop goes on taking requests, so that the balancer
-            can see that the box is not ready.
+        availability_zone: The availability zone that the box runs in.
+        stop_notice_s: How long a stopping box still accepts requests, so that the balancer can
+            see that it is not ready.
         stop_within_s: How long a planned stop waits for open requests.
     """
 
@@ -42,14 +42,14 @@
 
 
 class WorkloadKey(Section, frozen=True, kw_only=True):
-    """A caller's credential and the workload that it stands for."""
+    """A caller's key and the workload that its requests belong to."""
 
     workload: str
     key: str
 
 
 class CallerDoorSection(Section, frozen=True, kw_only=True):
-    """The HTTP door for callers."""
+    """The HTTP interface for callers."""
 
     address: str
     body_limit_bytes: int = 1_048_576
@@ -68,7 +68,7 @@
 
 
 class OperatorDoorSection(Section, frozen=True, kw_only=True):
-    """The HTTP door for operators."""
+    """The HTTP interface for operators."""
 
     address: str
     credentials: list[OperatorCredential]
@@ -78,10 +78,10 @@
     """Links to the other boxes.
 
     Attributes:
-        remote_zone_links: How many boxes of each other zone this one dials; with as many as a
-            zone has boxes, everybody hears everybody.
-        reached_at: Where this box reaches some other boxes, by name, if not at the address that
-            they announce (through a tunnel, say).
+        remote_zone_links: How many boxes of each other zone this box connects to. If that is the
+            number of boxes in a zone, all boxes are linked to each other.
+        reached_at: Addresses, by box name, of boxes that this one cannot reach at the address that
+            they announce, but through a tunnel, for example.
     """
 
     address: str
@@ -103,12 +103,13 @@
 
 
 class LeaseSection(Section, frozen=True, kw_only=True):
-    """How long a box holds what it holds without a sign of life in the table.
+    """The leases under which boxes own replicas, and how their rows in the table are scanned.
 
     Attributes:
-        margin_s: What a challenger waits beyond the lapse.
-        scan_every_s: How often the zone's rows are read while something is wrong there.
-        calm_scan_every_s: How often while nothing is.
+        margin_s: How long another box waits after a lease has lapsed before it takes over.
+        scan_every_s: How often the zone's rows are read while a box of the zone is not linked or
+            ownership is changing.
+        calm_scan_every_s: How often the zone's rows are read otherwise.
         all_zones_scan_every_s: How often the rows of all zones are read.
         settle_s: How long after a change of boxes or a move a replica may be moved for balance.
     """
@@ -123,7 +124,7 @@
 
 
 class ConfigurationSection(Section, frozen=True, kw_only=True):
-    """How configuration is followed."""
+    """How often the box polls for a new configuration."""
 
     head_poll_s: float = 1.0
     slow_poll_s: float = 5.0
@@ -139,16 +140,16 @@
 
 
 class PoolSection(Section, frozen=True, kw_only=True):
-    """Replicas that serve the same thing.
+    """A pool of interchangeable replicas.
 
     Attributes:
         name: The pool's name; for plain services also the path segment that selects it.
         driver: The upstream driver: ``engine`` or ``service``.
         base_model: The base model of an engine pool.
-        adapter_slots: How many adapters one replica holds.
-        running_limit: How many requests one replica runs at once.
-        step_ms: An engine step's usual length, for estimates until one is measured.
-        load_s: A load's usual length, for estimates until one is measured.
+        adapter_slots: How many adapters one replica can hold.
+        running_limit: How many requests one replica runs concurrently.
+        step_ms: The usual duration of an engine step, for estimates until one is measured.
+        load_s: The usual duration of an adapter load, for estimates until one is measured.
     """
 
     name: str
@@ -162,7 +163,7 @@
 
 
 class PolicySection(Section, frozen=True, kw_only=True):
-    """The choice and the weights of the decision policies."""
+    """The selection and the parameters of the decision policies."""
 
     eviction: str = "value"
     load_order: str = "worth"
@@ -174,7 +175,7 @@
 
 
 class BoxSettings(Section, frozen=True, kw_only=True):
-    """All settings of one entry box."""
+    """The settings of an entry box that runs `springrock serve`."""
 
     box: BoxSection
     caller_door: CallerDoorSection
@@ -188,7 +189,13 @@
 
 
 class Problem(NamedTuple):
-    """One thing wrong with a settings file."""
+    """One problem in a settings file.
+
+    Attributes:
+        line: The line of the value; 0 if the file cannot be read.
+        key: The path of the key; empty for the file.
+        detail: What is wrong.
+    """
 
     line: int
     key: str
@@ -202,7 +209,7 @@
     """Read a settings file.
 
     Raises:
-        SettingsError: With every problem of the file.
+        SettingsError: With every problem that the file has.
     """
     try:
         text = FilePath(path).read_text(encoding="utf-8")
@@ -215,13 +222,13 @@
     """Build settings from JSON with comments.
 
     Raises:
-        SettingsError: With every problem of the text.
+        SettingsError: With every problem that the text has.
     """
     try:
         document = parse(text)
     except JsoncError as error:
         raise SettingsError((Problem(error.line, "", error.detail),)) from None
-    problems = tuple(_problems_of(document, document.data, kind, ()))
+    problems = tuple(_type_problems(document, document.data, kind, ()))
     if problems:
         raise SettingsError(problems)
     try:
@@ -235,20 +242,20 @@
 
 
 def _problem_of_value(document: Document, error: msgspec.ValidationError) -> Problem:
-    """Return the problem of a value of the right type that a setting does not allow."""
-    detail, _, place = str(error).partition(" - at `$")
-    steps = re.findall(r"\.([^.\[\]`]+)|\[(\d+)\]", place)
+    """Return the problem of a value that has the right type but violates a constraint."""
+    detail, _, location = str(error).partition(" - at `$")
+    steps = re.findall(r"\.([^.\[\]`]+)|\[(\d+)\]", location)
     path = tuple(name or int(number) for name, number in steps)
     return _problem(document, path, detail)
 
 
-def _problems_of(document: Document, data: Any, kind: Any, path: Path) -> list[Problem]:
+def _type_problems(document: Document, data: Any, kind: Any, path: Path) -> list[Problem]:
     if get_origin(kind) is list and isinstance(data, list):
         (item_kind,) = get_args(kind)
         return [
             problem
             for index, item in enumerate(data)
-            for problem in _problems_of(document, item, item_kind, (*path, index))
+            for problem in _type_problems(document, item, item_kind, (*path, index))
         ]
     if isinstance(kind, type) and issubclass(kind, Struct) and isinstance(data, dict):
         return _section_problems(document, data, kind, path)
@@ -262,7 +269,7 @@
     hints = get_type_hints(kind)
     for key, value in data.items():
         if key in hints:
-            problems += _problems_of(document, value, _required_kind(hints[key]), (*path, key))
+            problems += _type_problems(document, value, _required_kind(hints[key]), (*path, key))
         else:
             problems.append(_problem(document, (*path, key), "unknown key"))
     for info in msgspec.structs.fields(kind):
@@ -306,7 +313,9 @@
         for index, replica in enumerate(pool.replicas):
             if replica.name in names:
                 name_path: Path = ("pools", pool_index, "replicas", index, "name")
-                problems.append(_problem(document, name_path, f"{replica.name!r} stands twice"))
+                problems.append(
+                    _problem(document, name_path, f"duplicate replica name {replica.name!r}")
+                )
             names.add(replica.name)
         if pool.driver == "engine" and not pool.base_model:
             pool_path: Path = ("pools", pool_index)
@@ -330,6 +339,6 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Split ``HOST:PORT``."""
+    """Split ``HOST:PORT`` into its host and port."""
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/tests/test_jsonc.py
+++ b/tests/test_jsonc.py
@@ -47,7 +47,7 @@
 
 
 def test_a_key_that_stands_twice_is_refused() -> None:
-    with pytest.raises(JsoncError, match="stands twice"):
+    with pytest.raises(JsoncError, match="duplicate key"):
         parse('{"a": 1,\n "a": 2}')
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -62,7 +62,7 @@
 def test_a_replica_that_stands_twice_is_refused() -> None:
     data = good()
     data["pools"][0]["replicas"].append(data["pools"][0]["replicas"][0])
-    assert any("stands twice" in line for line in problems(data))
+    assert any("duplicate replica name" in line for line in problems(data))
 
 
 def test_an_address_is_split() -> None:
