--- a/tests/clients.py
+++ b/tests/clients.py
@@ -1,4 +1,4 @@
-"""Clients in the background of a test, each a thread that sends until it is told to stop."""
+"""Clients that send requests from background threads until the test stops them."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from functools import partial
 from typing import Any, Self
 
-_ENDS_WITHIN_S = 30.0
-"""No request of a test may take so long."""
+_STOP_TIMEOUT_S = 30.0
+"""Longer than any request of a test may take."""
 
 
 class BackgroundClients:
-    """Runs clients for as long as the block lasts that holds them.
+    """A context manager that runs clients in threads for the duration of its block.
 
     Attributes:
-        stop: Set when they are to send nothing more.
+        stop: Set when the clients must send no more requests.
     """
 
     def __init__(self) -> None:
@@ -23,7 +23,7 @@
         self._threads: list[threading.Thread] = []
 
     def add(self, send: Callable[..., None], *arguments: Any) -> None:
-        """Add a client, which is to return soon after `stop` is set."""
+        """Add a client function; it must return soon after `stop` is set."""
         self._threads.append(threading.Thread(target=partial(send, *arguments), daemon=True))
 
     def __enter__(self) -> Self:
@@ -34,5 +34,5 @@
     def __exit__(self, *_: object) -> None:
         self.stop.set()
         for thread in self._threads:
-            thread.join(timeout=_ENDS_WITHIN_S)
+            thread.join(timeout=_STOP_TIMEOUT_S)
         assert not any(thread.is_alive() for thread in self._threads)
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -1,4 +1,4 @@
-"""A deployment of real processes on loopback, with faults that tests switch."""
+"""A deployment of real processes on loopback, in which tests can inject faults."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
     "scan_every_s": 0.3,
     "settle_s": 0.5,
 }
-START_WITHIN_S = 30.0
+START_TIMEOUT_S = 30.0
 
 
 class Reply:
-    """What a caller got."""
+    """The response that a caller received."""
 
     def __init__(self, status: int, headers: Any, body: bytes) -> None:
         self.status = status
@@ -49,7 +49,7 @@
 
     @property
     def error(self) -> dict[str, Any]:
-        """The typed error, of an answer or of a stream's last event."""
+        """The error object of an answer, or of the last event of a stream."""
         if self.body.startswith(b"{"):
             return self.json["error"]
         event = self.body.rpartition(b"event: error\ndata: ")[2]
@@ -57,12 +57,12 @@
 
     @property
     def text(self) -> str:
-        """The text of a whole answer."""
+        """The text of an answer that was not streamed."""
         return self.json["choices"][0]["text"]
 
     @property
     def streamed(self) -> str:
-        """The text of a stream."""
+        """The concatenated text of a stream's events."""
         pieces = []
         for event in self.body.split(b"\n\n"):
             if event.startswith(b"data: {"):
@@ -71,12 +71,22 @@
 
     @property
     def whole(self) -> bool:
-        """Whether a stream was closed as whole."""
+        """Whether a stream ended with its final event."""
         return self.body.endswith(b"data: [DONE]\n\n")
 
 
 class Cluster(RunsProcesses):
-    """Processes of one deployment: platform, engines, services, boxes and a fault proxy."""
+    """The processes of one deployment: platform, engines, services, boxes and a fault proxy.
+
+    Args:
+        folder: The folder for settings and logs.
+        shape: The numbers and names of boxes, replicas and adapters.
+        policy: Overrides of the boxes' policy settings.
+        lease: Overrides of `FAST_LEASE`.
+        proxied: Whether all connections go through the fault proxy.
+        engine_settings: Overrides of the engines' settings.
+        box_settings: Overrides of the boxes' settings, by section.
+    """
 
     def __init__(
         self,
@@ -105,7 +115,7 @@
         if proxied:
             self._plan_routes()
 
-    # Starting and stopping.
+    # Start and stop.
 
     def start(self) -> None:
         self.start_outside()
@@ -116,7 +126,7 @@
         self.wait_settled()
 
     def wait_settled(self) -> None:
-        """Wait until every replica stands where rendezvous puts it."""
+        """Wait until every replica is owned by the box that rendezvous hashing selects."""
         engines = self.shape.spread(f"{self.shape.name}-engine", self.shape.engines)
         for engine, zone in engines.items():
             home = rendezvous_order(engine, self.boxes_in(zone))[0]
@@ -169,13 +179,13 @@
         platform = self.platform()
         transaction = first_configuration(self.shape.first_change())
 
-        def _installed() -> bool:
+        def _is_installed() -> bool:
             try:
                 return platform.transact(transaction) is not None
             except PlatformUnavailable:
                 return False
 
-        wait_until(_installed, what="the platform takes the first configuration")
+        wait_until(_is_installed, what="the platform accepts the first configuration")
 
     def platform(self) -> HttpPlatform:
         address = self.addresses.platform
@@ -187,7 +197,7 @@
         for name in boxes or self.shape.box_names:
             wait_until(
                 lambda name=name: self.sees_all_replicas(name),
-                within_s=START_WITHIN_S,
+                within_s=START_TIMEOUT_S,
                 what=f"{name} is ready and sees every replica",
             )
 
@@ -215,7 +225,7 @@
     def terminate(self, name: str) -> None:
         self.processes.signal(name, signal.SIGTERM)
 
-    # Calls.
+    # Requests.
 
     def get(self, box: str, path: str) -> Reply:
         return self._call("GET", f"http://{self.addresses.callers[box]}{path}")
@@ -268,14 +278,14 @@
         response = self.pool.request(method, url, body=body, headers=headers, timeout=timeout_s)
         return Reply(response.status, response.headers, response.data)
 
-    # Stand-ins.
+    # Emulators.
 
     def fault(self, name: str, **fault: Any) -> None:
-        """Switch the fault of a stand-in or the platform."""
+        """Set the fault of an emulator; without arguments, clear it."""
         self._post(self.standin_address(name), "/standin/faults", fault)
 
     def cut(self, *routes: str, **fault: Any) -> None:
-        """Switch the fault of proxy routes; without a fault they are healed."""
+        """Set the fault of routes through the proxy; without a fault, clear it."""
         self._post(self._proxy_address, "/standin/faults", {"routes": list(routes), **fault})
 
     def restart_engine(self, name: str) -> None:
@@ -306,7 +316,7 @@
         return found
 
     def owner_of(self, replica: str) -> str:
-        """The owner that the table names."""
+        """Return the owner of a replica according to the table; empty if there is none."""
         rows = self.platform().rows("replica/")
         for row in rows:
             if row.key.endswith(f"/{replica}"):
@@ -321,7 +331,7 @@
         return lines
 
     def metric(self, box: str, name: str) -> float:
-        """The sum of a metric over its labels."""
+        """Return the sum of a metric over its labels."""
         total = 0.0
         for line in self.get(box, "/metrics").body.decode().splitlines():
             if line.startswith((f"{name} ", f"{name}{{")):
@@ -351,14 +361,14 @@
         return [name for name, there in {**engines, **services}.items() if there == zone]
 
     def zone_borders(self, zone: str) -> list[str]:
-        """Every route that crosses the border of a zone, the platform being outside."""
+        """Return every route into or out of a zone; the platform counts as outside."""
         inside = [*self.boxes_in(zone), *self.upstreams_in(zone)]
-        borders = []
+        crossing_routes = []
         for route in self._routes:
             source, _, target = route.partition(">")
             if (source in inside) != (target in inside):
-                borders.append(route)
-        return borders
+                crossing_routes.append(route)
+        return crossing_routes
 
     def _plan_routes(self) -> None:
         names = []
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
 """Known failures: tests that KNOWN-RED.txt lists may fail, and every run prints the list.
 
-A line of the file reads `TEST | CAUSE | ISSUE`. A test named by its whole id may fail; a line that
-names something wider is printed, and nothing is passed over for it.
+A line of the file reads `TEST | CAUSE | ISSUE`. A test that is named by its full id may fail. A
+line that names anything else is only printed, and no test may fail because of it.
 """
 
 from __future__ import annotations
@@ -11,31 +11,38 @@
 
 import pytest
 
-_LIST = Path(__file__).parent.parent / "KNOWN-RED.txt"
+_LIST_PATH = Path(__file__).parent.parent / "KNOWN-RED.txt"
 
 
 class KnownFailure(NamedTuple):
-    """One line of the list."""
+    """One entry of the list.
+
+    Attributes:
+        test: The id of the test, or a description.
+        cause: The known cause and the issue.
+    """
 
     test: str
     cause: str
 
     @classmethod
     def from_line(cls, line: str) -> KnownFailure:
-        """Return the failure that a line tells of."""
+        """Parse a line of the list."""
         test, _, rest = line.partition(" | ")
         return cls(test.strip(), rest.strip())
 
 
 def known_failures() -> list[KnownFailure]:
-    """Return the list; it may be missing."""
-    if not _LIST.exists():
+    """Return the entries of the list; none if the file does not exist."""
+    if not _LIST_PATH.exists():
         return []
-    return [KnownFailure.from_line(line) for line in _LIST.read_text().splitlines() if line.strip()]
+    return [
+        KnownFailure.from_line(line) for line in _LIST_PATH.read_text().splitlines() if line.strip()
+    ]
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Let the listed tests fail."""
+    """Mark the listed tests as expected to fail."""
     causes = {known.test: known.cause for known in known_failures()}
     for item in items:
         if item.nodeid in causes:
@@ -43,6 +50,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print the list."""
+    """Print the list after the results."""
     for known in known_failures():
         terminalreporter.write_line(f"KNOWN-RED: {known.test}: {known.cause}")
--- a/tests/golden/golden.py
+++ b/tests/golden/golden.py
@@ -1,6 +1,6 @@
 """Comparison with golden files.
 
-Set SPRINGROCK_GOLDEN=write to write the files anew; read the difference before you commit it.
+Set SPRINGROCK_GOLDEN=write to rewrite the files; review the difference before committing it.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 
 
 def check(folder: Path, name: str, text: str, *, changing: Iterable[Substitution]) -> None:
-    """Compare a text with the file of that name.
+    """Compare a text with a golden file.
 
     Args:
-        folder: Where the files are.
-        name: The name of the file, without its ending.
-        text: What came out now.
-        changing: What differs from run to run, and what stands for it in the file.
+        folder: The folder of the golden files.
+        name: The name of the file, without its extension.
+        text: The text of this run.
+        changing: Patterns of the parts that differ between runs, and their replacements.
     """
-    for pattern, instead in changing:
-        text = pattern.sub(instead, text)
+    for pattern, replacement in changing:
+        text = pattern.sub(replacement, text)
     path = folder / f"{name}.txt"
     if os.environ.get("SPRINGROCK_GOLDEN") == "write":
         path.parent.mkdir(exist_ok=True)
--- a/tests/golden/test_routed_sessions.py
+++ b/tests/golden/test_routed_sessions.py
@@ -1,4 +1,4 @@
-"""Golden files of routed requests: every byte that a client sees, one request of each kind."""
+"""Golden files of routed requests: all bytes that a client receives, one request of each kind."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         yield deployment
 
 
-def shown(answer: Answer) -> str:
+def format_answer(answer: Answer) -> str:
     lines = [f"{answer.status}"]
     lines += [f"{name}: {value}" for name, value in sorted(answer.headers.items())]
     lines += ["", answer.body.decode()]
@@ -38,7 +38,7 @@
     return "\n".join(lines)
 
 
-def refused(deployment: Deployment) -> Answer:
+def send_refused(deployment: Deployment) -> Answer:
     for name in ("rosters-1", "rosters-2"):
         deployment.fault(name, refuse=True)
     answer = deployment.send(BOX, "/join/calls", request_id="golden-refused")
@@ -47,7 +47,7 @@
     return answer
 
 
-def cut(deployment: Deployment) -> Answer:
+def send_cut(deployment: Deployment) -> Answer:
     for name in ("engine-1", "engine-2"):
         deployment.fault(name, cut_after=2)
     answer = deployment.send(BOX, "/minutes/x", adapter="a2", request_id="golden-cut")
@@ -63,11 +63,11 @@
     "stream": lambda d: d.send(BOX, "/minutes/x", adapter="a2", request_id="golden-4"),
     "no-route": lambda d: d.send(BOX, "/elsewhere", request_id="golden-5"),
     "malformed": lambda d: d.send(BOX, "/join/calls", request_id="golden-6", deadline_ms=-1),
-    "refused-by-all": refused,
-    "stream-cut": cut,
+    "refused-by-all": send_refused,
+    "stream-cut": send_cut,
 }
 
 
 @pytest.mark.parametrize("name", CALLS)
 def test_a_routed_session(deployment: Deployment, name: str) -> None:
-    golden.check(FOLDER, name, shown(CALLS[name](deployment)), changing=CHANGING)
+    golden.check(FOLDER, name, format_answer(CALLS[name](deployment)), changing=CHANGING)
--- a/tests/golden/test_sessions.py
+++ b/tests/golden/test_sessions.py
@@ -1,4 +1,4 @@
-"""Golden files of whole sessions: every byte that callers and operators see, one of each kind."""
+"""Golden files of sessions: all bytes that callers and operators receive, one of each kind."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 FOLDER = Path(__file__).parent / "sessions"
 BOX = "zone-1-a"
-KEPT_HEADERS = (
+COMPARED_HEADERS = (
     "Content-Type",
     "Retry-After",
     "Springrock-Box",
@@ -39,9 +39,11 @@
         assert cluster.violations() == {}
 
 
-def shown(reply: Reply) -> str:
+def format_reply(reply: Reply) -> str:
     lines = [f"{reply.status}"]
-    lines += [f"{name}: {reply.headers[name]}" for name in KEPT_HEADERS if name in reply.headers]
+    lines += [
+        f"{name}: {reply.headers[name]}" for name in COMPARED_HEADERS if name in reply.headers
+    ]
     return "\n".join([*lines, "", reply.body.decode()])
 
 
@@ -62,8 +64,8 @@
     return Reply(response.status, response.headers, response.data)
 
 
-def with_id(request_id: str, **more: str) -> dict[str, str]:
-    return {"Springrock-Request-Id": request_id, **more}
+def with_id(request_id: str, **headers: str) -> dict[str, str]:
+    return {"Springrock-Request-Id": request_id, **headers}
 
 
 CALLS: dict[str, Callable[[Cluster], Reply]] = {
@@ -92,7 +94,7 @@
 
 @pytest.mark.parametrize("name", CALLS)
 def test_a_callers_session(cluster: Cluster, name: str) -> None:
-    check(name, shown(CALLS[name](cluster)))
+    check(name, format_reply(CALLS[name](cluster)))
 
 
 def test_an_operators_session(cluster: Cluster) -> None:
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Real springrock processes of one deployment, each with its settings and log in a folder."""
+"""Runs the processes of a deployment, each with its settings file and log in a folder."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 from pathlib import Path
 from typing import Any, Self
 
-_LAST_LINES = 5
+_LOG_TAIL_LINES = 5
 
 
 def wait_until(condition: Callable[[], Any], *, within_s: float = 20.0, what: str = "") -> Any:
-    """Return the condition's first true value; fail with its name if none comes."""
+    """Return the condition's first true value; fail with `what` if there is none in time."""
     deadline = time.monotonic() + within_s
     while True:
         value = condition()
         if value:
             return value
         if time.monotonic() > deadline:
-            raise AssertionError(f"did not come about within {within_s} s: {what or condition}")
+            raise AssertionError(f"condition not met within {within_s} s: {what or condition}")
         time.sleep(0.05)
 
 
 class Processes:
-    """Starts processes, sends them signals and ends them all.
+    """Starts processes, sends signals to them and stops them.
 
     Args:
-        folder: Where their settings and logs are kept.
-        guard: Held while a process is started, so that none is started and not noted.
+        folder: The folder for their settings and logs.
+        guard: Held while a process is started, so that every started process is also recorded.
     """
 
     def __init__(
@@ -56,14 +56,14 @@
         module: str = "springrock",
         build: Path | None = None,
     ) -> None:
-        """Start `springrock COMMAND FILE` with these settings in the file.
+        """Start `python -m MODULE COMMAND FILE` with these settings in the file.
 
         Args:
             name: The name of the process.
-            command: What it is told beside the file.
-            settings: What the file holds.
-            module: The module that is run.
-            build: The tree of the build that is run; this one if it is left out.
+            command: The arguments before the settings file.
+            settings: The content of the settings file.
+            module: The module to run.
+            build: The source tree of the build to run; None for the current build.
         """
         self._builds[name] = build
         path = self._folder / f"{name}.jsonc"
@@ -72,16 +72,16 @@
         self._start(name)
 
     def restart(self, name: str) -> None:
-        """Start one anew, with the same command and settings; kill it first if it still runs."""
+        """Kill a process if it runs, then start it with the same command and settings."""
         self.kill(name)
         self._start(name)
 
     def use_build(self, name: str, build: Path | None) -> None:
-        """Let one run the build of a tree from its next start on; this build for None."""
+        """Set the build that a process runs from its next start on; None for the current build."""
         self._builds[name] = build
 
     def stop(self) -> None:
-        """Kill all that still run."""
+        """Kill all processes that still run."""
         for process in self._running.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -90,35 +90,35 @@
             process.wait()
 
     def kill(self, name: str) -> None:
-        """Kill one and wait for its end."""
+        """Kill a process and wait for its exit."""
         self._running[name].kill()
         self._running[name].wait()
 
     def signal(self, name: str, number: signal.Signals) -> None:
-        """Send one a signal."""
+        """Send a signal to a process."""
         self._running[name].send_signal(number)
 
     def runs(self, name: str) -> bool:
-        """Whether one still runs."""
+        """Whether a process still runs."""
         return self._running[name].poll() is None
 
     def log(self, name: str) -> str:
-        """Return all that one has written."""
+        """Return the whole log of a process."""
         return self._log_path(name).read_text()
 
     def account(self) -> str:
-        """Return how each process does, with the last lines of its log, for a failed start."""
-        accounts = []
+        """Return the state of each process and the last lines of its log, for error reports."""
+        summaries = []
         for name, process in self._running.items():
             code = process.poll()
-            state = "runs" if code is None else f"ended with {code}"
-            last_lines = "\n  ".join(self.log(name).splitlines()[-_LAST_LINES:])
-            accounts.append(f"{name} {state}:\n  {last_lines}")
-        return "\n".join(accounts)
+            state = "runs" if code is None else f"exited with {code}"
+            last_lines = "\n  ".join(self.log(name).splitlines()[-_LOG_TAIL_LINES:])
+            summaries.append(f"{name} {state}:\n  {last_lines}")
+        return "\n".join(summaries)
 
     def _start(self, name: str) -> None:
         with self._guard(), self._log_path(name).open("ab") as log:
-            # The folder in which a module is run comes first among those that it is looked for in.
+            # Python looks for the module in the current folder first, so `cwd` selects the build.
             self._running[name] = subprocess.Popen(
                 self._commands[name], stdout=log, stderr=log, cwd=self._builds.get(name)
             )
@@ -128,20 +128,22 @@
 
 
 class RunsProcesses:
-    """A deployment that `with` starts and stops; a failed start tells how each process did.
+    """A base class for deployments that are context managers.
+
+    If the start fails, the exception gets a note with the state of each process.
 
     Attributes:
-        processes: Its processes.
+        processes: The processes of the deployment.
     """
 
     processes: Processes
 
     def start(self) -> None:
-        """Start everything and wait until it can be used."""
+        """Start all processes and wait until the deployment is ready."""
         raise NotImplementedError
 
     def stop(self) -> None:
-        """Stop everything at once."""
+        """Kill all processes."""
         self.processes.stop()
 
     def __enter__(self) -> Self:
--- a/tests/test_binary.py
+++ b/tests/test_binary.py
@@ -1,4 +1,4 @@
-"""The shipped file: one file, one process that starts no other, from its first start on."""
+"""The single-file binary runs as one process and starts no child processes."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
     return target
 
 
-def stat_field(pid: int, index: int) -> int:
+def process_stat_field(pid: int, index: int) -> int:
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return int(fields[index - 2])
 
 
-def children(pid: int) -> str:
+def child_pids(pid: int) -> str:
     return "".join(path.read_text() for path in Path(f"/proc/{pid}/task").glob("*/children"))
 
 
-def test_it_serves_as_one_process(binary: Path, tmp_path: Path) -> None:
+def test_it_serves_without_child_processes(binary: Path, tmp_path: Path) -> None:
     shape = Shape.from_small(zones=1, boxes_per_zone=1, engines=1)
     settings = tmp_path / "box.jsonc"
     writer = SettingsWriter(shape, Addresses.for_shape(shape))
@@ -49,19 +49,23 @@
             stderr=stream,
         )
         try:
-            wait_until(lambda: b'"box: Start."' in log.read_bytes(), within_s=60, what="it starts")
-            assert children(process.pid) == ""
-            # The kernel adds what children used when they are waited for: there were none.
-            assert stat_field(process.pid, CHILD_MINOR_FAULTS_FIELD) == 0
-            assert stat_field(process.pid, CHILD_USER_TIME_FIELD) == 0
+            wait_until(
+                lambda: b'"box: Start."' in log.read_bytes(),
+                within_s=60,
+                what="the box logs its start",
+            )
+            assert child_pids(process.pid) == ""
+            # The kernel adds the usage of children once they are reaped; 0 shows there were none.
+            assert process_stat_field(process.pid, CHILD_MINOR_FAULTS_FIELD) == 0
+            assert process_stat_field(process.pid, CHILD_USER_TIME_FIELD) == 0
         finally:
             process.terminate()
             process.wait(timeout=30)
     assert process.returncode == 0
 
 
-def test_it_tells_its_version(binary: Path, tmp_path: Path) -> None:
+def test_it_prints_its_version(binary: Path, tmp_path: Path) -> None:
     environment = {**os.environ, "SHIV_ROOT": str(tmp_path)}
     command = [sys.executable, binary, "--version"]
-    shown = subprocess.run(command, env=environment, capture_output=True, text=True, check=True)
-    assert shown.stdout == "springrock 0.1.0\n"
+    result = subprocess.run(command, env=environment, capture_output=True, text=True, check=True)
+    assert result.stdout == "springrock 0.1.0\n"
--- a/tests/test_calibration.py
+++ b/tests/test_calibration.py
@@ -1,4 +1,4 @@
-"""How well the placers reckoned, as the boxes' lines tell."""
+"""The calibration report compares the placers' estimates with what the logs measured."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 def test_a_first_event_is_compared_with_its_grant() -> None:
     lines = [
-        # The log of one box may stand before that of another.
+        # The input joins the logs of all boxes, so an answer may come before its grant.
         answered("r-1", "i-1 answered at 0.3 s, record of 0.1 s", age_ms=700),
         granted("r-1", "i-1", in_ms=200),
         granted("r-2", "i-1", in_ms=1500),
@@ -52,7 +52,7 @@
     assert [outcome.ratio for outcome in outcomes] == pytest.approx([2.0, 1.0])
 
 
-def test_what_was_not_granted_or_not_answered_is_passed_over() -> None:
+def test_requests_without_a_grant_or_an_answer_are_ignored() -> None:
     lines = [
         "no JSON {",
         granted("r-1", "i-1", in_ms=200),
@@ -75,5 +75,5 @@
     assert outcome.ratio == pytest.approx(2.0)
 
 
-def test_a_moment_too_short_to_tell_is_no_large_ratio() -> None:
+def test_a_difference_too_short_to_measure_gives_no_large_ratio() -> None:
     assert Outcome("first event", 0.0, 0.004).ratio == 1.0
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line, started as a process."""
+"""The command line, run as a process."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 from springrock.platform.names import SETTINGS_VARIABLE
 
-SLOW_TO_IMPORT = ("defopt", "docutils", "lark")
+SLOW_MODULES = ("defopt", "docutils", "lark")
 
 
-def test_a_box_starts_without_the_parsers_that_it_does_not_need() -> None:
+def test_a_box_starts_without_importing_unneeded_parsers() -> None:
     environment = {**os.environ, SETTINGS_VARIABLE: "/missing/settings.jsonc"}
     result = subprocess.run(
         [sys.executable, "-X", "importtime", "-m", "springrock", "entry"],
@@ -24,10 +24,10 @@
     assert "cannot be read" in result.stderr
     imported = {line.rpartition("|")[2].strip() for line in result.stderr.splitlines()}
     assert "springrock.entry" in imported
-    assert not imported.intersection(SLOW_TO_IMPORT)
+    assert not imported.intersection(SLOW_MODULES)
 
 
-def test_other_commands_have_a_help() -> None:
+def test_other_commands_print_help() -> None:
     result = subprocess.run(
         [sys.executable, "-m", "springrock", "check", "--help"],
         capture_output=True,
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,7 +1,7 @@
-"""The one clock of all decisions, and what a suspended machine does to it.
+"""The clock for all decisions also advances while the machine is suspended.
 
-A suspension cannot be brought about here; stopping a process does not show the difference. So the
-system's clocks are stood in for, and moved as a suspension moves them.
+A test cannot suspend the machine, and stopping the process has another effect on the clocks. So the
+system's clocks are replaced by fakes that move as in a suspension.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from springrock.clock import Deadline, steady_clock
 
 ROOT = Path(__file__).parent.parent
-_CLOCKS = {"monotonic", "perf_counter", "clock_gettime"}
+_OTHER_CLOCKS = {"monotonic", "perf_counter", "clock_gettime"}
 
 
-class Machine:
-    """The clocks of a machine."""
+class FakeMachine:
+    """Fakes of the clocks of a machine that can be suspended."""
 
     def __init__(self) -> None:
         self.awake_s = 1000.0
@@ -35,15 +35,15 @@
 
 
 @pytest.fixture
-def machine(monkeypatch: pytest.MonkeyPatch) -> Machine:
-    machine = Machine()
+def machine(monkeypatch: pytest.MonkeyPatch) -> FakeMachine:
+    machine = FakeMachine()
     monkeypatch.setattr(time, "monotonic", machine.monotonic)
     monkeypatch.setattr(time, "clock_gettime", machine.clock_gettime)
     return machine
 
 
-def test_time_in_which_the_machine_was_suspended_has_passed(
-    machine: Machine, monkeypatch: pytest.MonkeyPatch
+def test_time_in_suspension_counts_towards_a_deadline(
+    machine: FakeMachine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(clock_module, "monotonic", steady_clock())
     lease = Deadline(3.0)
@@ -52,21 +52,21 @@
     assert lease.left_s == 0.0
 
 
-def test_without_such_a_clock_the_usual_one_is_taken(
-    machine: Machine, monkeypatch: pytest.MonkeyPatch
+def test_the_usual_monotonic_clock_is_the_fallback(
+    machine: FakeMachine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.delattr(time, "CLOCK_BOOTTIME")
     assert steady_clock()() == machine.awake_s
 
 
-def test_the_clock_in_use_is_that_of_the_system() -> None:
+def test_the_clock_in_use_is_the_boot_time_clock() -> None:
     before = time.clock_gettime(time.CLOCK_BOOTTIME)
     now = clock_module.monotonic()
     assert before <= now <= time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def test_no_module_reads_another_clock() -> None:
-    """A time of one clock says nothing beside one of another after a suspension."""
+    """After a suspension, times of different clocks cannot be compared."""
     found = []
     for path in (ROOT / "springrock").rglob("*.py"):
         if path.name == "clock.py":
@@ -76,7 +76,7 @@
                 isinstance(node, ast.Attribute)
                 and isinstance(node.value, ast.Name)
                 and node.value.id == "time"
-                and node.attr in _CLOCKS
+                and node.attr in _OTHER_CLOCKS
             ):
                 found.append(f"{path}:{node.lineno}")
     assert found == []
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -3,5 +3,5 @@
 from bench import settings_page
 
 
-def test_the_settings_page_is_the_one_that_the_settings_make() -> None:
+def test_the_settings_page_is_up_to_date() -> None:
     assert settings_page.PAGE.read_text() == settings_page.page()
--- a/tests/test_entry_settings.py
+++ b/tests/test_entry_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a box that forwards routed requests: what is wrong is told with its place."""
+"""Settings of a box that forwards routed requests: errors name the key."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 from springrock.settings import from_text
 
 
-def settings(**more: Any) -> str:
+def settings(**sections: Any) -> str:
     listen = ("clients", "readiness", "boxes", "metrics")
     return json.dumps(
         {
             "box": {"name": "box-1", "availability_zone": "zone-1"},
             "listen": {f"{name}_address": "127.0.0.1:1" for name in listen},
             "store": {"address": "127.0.0.1:2"},
-            **more,
+            **sections,
         }
     )
 
 
 def test_seeds_are_addresses() -> None:
     assert from_text(settings(), EntrySettings).start.seeds == ()
-    sample_boxes = from_text(settings(start={"seeds": ["10.0.0.1:80"]}), EntrySettings)
-    assert sample_boxes.start.seeds == ("10.0.0.1:80",)
+    parsed = from_text(settings(start={"seeds": ["10.0.0.1:80"]}), EntrySettings)
+    assert parsed.start.seeds == ("10.0.0.1:80",)
 
 
 @pytest.mark.parametrize("seed", ["", "nowhere", "10.0.0.1:", ":80", "10.0.0.1:many"])
-def test_a_seed_that_is_no_address_is_refused_with_its_place(seed: str) -> None:
+def test_a_seed_that_is_no_address_is_rejected_with_its_key(seed: str) -> None:
     with pytest.raises(SettingsError, match=r"start\.seeds"):
         from_text(settings(start={"seeds": [seed]}), EntrySettings)
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -11,12 +11,12 @@
     return subprocess.run([sys.executable, *arguments], capture_output=True, text=True)
 
 
-def test_the_example_settings_are_good() -> None:
+def test_the_example_settings_are_valid() -> None:
     checked = run("-m", "springrock", "check", str(EXAMPLES / "box.jsonc"))
     assert checked.returncode == 0, checked.stderr
 
 
-def test_bad_settings_are_told_with_line_and_key(tmp_path: Path) -> None:
+def test_invalid_settings_are_reported_with_line_and_key(tmp_path: Path) -> None:
     path = tmp_path / "bad.jsonc"
     text = (EXAMPLES / "box.jsonc").read_text().replace('"shared_key"', '"shared_kex"')
     path.write_text(text)
@@ -27,9 +27,9 @@
 
 
 def test_the_coordination_parts_can_be_embedded() -> None:
-    shown = run(str(EXAMPLES / "embed_claims.py"))
-    assert shown.returncode == 0, shown.stderr
-    assert shown.stdout.splitlines() == [
+    result = run(str(EXAMPLES / "embed_claims.py"))
+    assert result.returncode == 0, result.stderr
+    assert result.stdout.splitlines() == [
         "first worker runs the job",
         "second worker leaves it: the request was taken before, by box first worker; "
         "its outcome is not known here",
--- a/tests/test_first_try.py
+++ b/tests/test_first_try.py
@@ -1,4 +1,4 @@
-"""The reader of what callers got at their first try."""
+"""The report on the outcomes of first tries and retries, as read from the logs."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 def ending(**changes: object) -> Ending:
-    usual = Ending(served=True, age_s=0.4, target_s=1.0, returning=False, reason="")
-    return usual._replace(**changes)  # type: ignore[arg-type]
+    default = Ending(served=True, age_s=0.4, target_s=1.0, returning=False, reason="")
+    return default._replace(**changes)  # type: ignore[arg-type]
 
 
-def test_only_first_tries_earn_and_late_ones_earn_less() -> None:
-    sums = FirstTries.from_endings(
+def test_only_first_tries_count_and_late_ones_count_less() -> None:
+    totals = FirstTries.from_endings(
         [
             ending(),
             ending(age_s=1.5),
@@ -24,15 +24,15 @@
             ending(returning=True, served=False, age_s=2.0),
         ]
     )
-    assert sums.first == 3
-    assert sums.worth == pytest.approx((1.0 + LATE_WORTH) / 3)
-    assert (sums.retries, sums.failed_retries) == (2, 1)
-    assert sums.waited_s == [0.1, 2.0]
-    assert sums.refusals == {"load_not_in_time": [0.1]}
+    assert totals.first == 3
+    assert totals.worth == pytest.approx((1.0 + LATE_WORTH) / 3)
+    assert (totals.retries, totals.failed_retries) == (2, 1)
+    assert totals.waited_s == [0.1, 2.0]
+    assert totals.refusals == {"load_not_in_time": [0.1]}
 
 
 def test_endings_are_found_among_other_lines() -> None:
-    said = {
+    fields = {
         "text": "forwarder: Refused a request.",
         "status": 503,
         "age_ms": 120,
@@ -41,7 +41,7 @@
         "reason": "load_not_in_time",
     }
     lines = [
-        f"  3.1 box-1 {json.dumps(said)}\n",
+        f"  3.1 box-1 {json.dumps(fields)}\n",
         '  3.2 box-1 {"text": "forwarder: Answered a request.", "status": 20',
         '  3.3 box-1 {"text": "door: Something else."}',
     ]
@@ -49,5 +49,5 @@
     assert found == ending(served=False, age_s=0.12, returning=True, reason="load_not_in_time")
 
 
-def test_no_endings_are_no_division_by_zero() -> None:
+def test_an_empty_log_gives_no_division_by_zero() -> None:
     assert next(iter(FirstTries.from_endings([]).lines())) == "first tries 0, worth 0.000"
--- a/tests/test_gevent_websockets.py
+++ b/tests/test_gevent_websockets.py
@@ -1,4 +1,4 @@
-"""A link whose other end talks on and never answers a close must not end the process."""
+"""Closing a link must not crash the process if the peer keeps sending and ignores the close."""
 
 from __future__ import annotations
 
@@ -57,9 +57,9 @@
 
 def run(patch: str) -> int:
     program = PROGRAM.format(patch=patch)
-    done = subprocess.run([sys.executable, "-c", program], capture_output=True, timeout=60)
-    return done.returncode
+    result = subprocess.run([sys.executable, "-c", program], capture_output=True, timeout=60)
+    return result.returncode
 
 
-def test_closing_a_link_that_talks_on_does_not_end_the_process() -> None:
+def test_closing_a_link_whose_peer_keeps_sending_does_not_crash_the_process() -> None:
     assert run("import springrock.gevent_websockets") == 0
--- a/tests/test_httpd.py
+++ b/tests/test_httpd.py
@@ -1,4 +1,4 @@
-"""The HTTP server: its start waits for nobody."""
+"""The HTTP server starts without a DNS look-up, which could be slow."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from springrock.httpd import HttpServer
 
 
-def test_a_start_looks_up_no_name(monkeypatch: pytest.MonkeyPatch) -> None:
-    asked: list[str] = []
-    monkeypatch.setattr(socket, "getfqdn", asked.append)
+def test_a_start_does_no_dns_look_up(monkeypatch: pytest.MonkeyPatch) -> None:
+    looked_up: list[str] = []
+    monkeypatch.setattr(socket, "getfqdn", looked_up.append)
     server = HttpServer(lambda environ, start_response: [], "127.0.0.1:0")
     server.start()
     try:
         assert server.address.startswith("127.0.0.1:")
-        assert asked == []
+        assert looked_up == []
     finally:
         server.stop(finish_within_s=0.0)
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Which module may know which: no circles, and plug-ins know no whole box."""
+"""Rules of imports: no cycles, and plug-ins do not import the box."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-MAY_KNOW_THE_BOX = ("springrock.cli", "springrock.emulator")
+MAY_IMPORT_THE_BOX = ("springrock.cli", "springrock.emulator")
 
 
 def modules() -> dict[str, ast.Module]:
@@ -19,21 +19,21 @@
     return found
 
 
-def statements_of(tree: ast.Module, *, for_types_too: bool) -> Iterator[ast.stmt]:
-    """Yield what runs when a module is imported, and what only the type checker reads."""
+def statements_of(tree: ast.Module, *, include_type_checking: bool) -> Iterator[ast.stmt]:
+    """Yield the statements that run on import, and on request those only for type checkers."""
     for statement in tree.body:
         is_type_check = isinstance(statement, ast.If) and "TYPE_CHECKING" in ast.dump(
             statement.test
         )
         if not is_type_check:
             yield statement
-        elif for_types_too and isinstance(statement, ast.If):
+        elif include_type_checking and isinstance(statement, ast.If):
             yield from statement.body
 
 
-def imports_of(tree: ast.Module, known: set[str], *, for_types_too: bool) -> set[str]:
+def imports_of(tree: ast.Module, known: set[str], *, include_type_checking: bool) -> set[str]:
     found = set()
-    for statement in statements_of(tree, for_types_too=for_types_too):
+    for statement in statements_of(tree, include_type_checking=include_type_checking):
         if isinstance(statement, ast.ImportFrom) and statement.module:
             inner = {f"{statement.module}.{alias.name}" for alias in statement.names}
             found |= (inner & known) or ({statement.module} & known)
@@ -42,21 +42,30 @@
     return found
 
 
-def test_only_the_command_line_and_the_emulator_know_the_box() -> None:
+def test_only_the_command_line_and_the_emulator_import_the_box() -> None:
     trees = modules()
     known = set(trees)
-    knowing = {
+    importers = {
         name
         for name, tree in trees.items()
-        if "springrock.box" in imports_of(tree, known, for_types_too=True)
+        if "springrock.box" in imports_of(tree, known, include_type_checking=True)
     }
-    assert {name for name in knowing if not name.startswith(MAY_KNOW_THE_BOX)} == set()
+    assert {name for name in importers if not name.startswith(MAY_IMPORT_THE_BOX)} == set()
 
 
-def test_no_modules_import_each_other_in_a_circle() -> None:
+def test_no_import_cycles() -> None:
     trees = modules()
-    left = {name: imports_of(tree, set(trees), for_types_too=False) for name, tree in trees.items()}
-    while left:
-        free = {name for name, needs in left.items() if not needs & left.keys()}
-        assert free, f"each of these needs another of them: {sorted(left)}"
-        left = {name: needs for name, needs in left.items() if name not in free}
+    remaining = {
+        name: imports_of(tree, set(trees), include_type_checking=False)
+        for name, tree in trees.items()
+    }
+    while remaining:
+        importable = {
+            name for name, imported in remaining.items() if not imported & remaining.keys()
+        }
+        assert importable, (
+            f"these modules are part of an import cycle or depend on one: {sorted(remaining)}"
+        )
+        remaining = {
+            name: imported for name, imported in remaining.items() if name not in importable
+        }
--- a/tests/test_jsonc.py
+++ b/tests/test_jsonc.py
@@ -21,16 +21,16 @@
 
 
 @given(JSON)
-def test_all_json_is_understood(data: object) -> None:
+def test_all_plain_json_is_parsed(data: object) -> None:
     assert parse(json.dumps(data)).data == data
 
 
-def test_comments_and_trailing_commas_are_passed_over() -> None:
+def test_comments_and_trailing_commas_are_ignored() -> None:
     document = parse('{ // one\n "a": 1, /* two\n lines */ "b": [1, 2,],\n}')
     assert document.data == {"a": 1, "b": [1, 2]}
 
 
-def test_every_key_knows_its_line() -> None:
+def test_the_line_of_every_key_is_found() -> None:
     document = parse('{\n "a": {\n  "b": 1\n }\n}')
     assert document.line_of(("a",)) == 2
     assert document.line_of(("a", "b")) == 3
@@ -40,19 +40,19 @@
 @pytest.mark.parametrize(
     ("text", "line"), [("{", 1), ('{"a": }', 1), ('{\n"a": 1\n"b": 2}', 3), ("", 1), ("[1,,2]", 1)]
 )
-def test_a_mistake_is_told_with_its_line(text: str, line: int) -> None:
+def test_a_syntax_error_names_its_line(text: str, line: int) -> None:
     with pytest.raises(JsoncError) as caught:
         parse(text)
     assert caught.value.line == line
 
 
-def test_a_key_that_stands_twice_is_refused() -> None:
+def test_a_duplicate_key_is_rejected() -> None:
     with pytest.raises(JsoncError, match="duplicate key"):
         parse('{"a": 1,\n "a": 2}')
 
 
 @given(st.text(alphabet='{}[]",:/ *0aN\n'))
-def test_both_ways_to_parse_agree(text: str) -> None:
+def test_both_parsers_agree(text: str) -> None:
     try:
         expected, _ = parse_with_lines(text)
     except JsoncError:
@@ -62,13 +62,13 @@
         assert parse(text).data == expected
 
 
-def test_lines_of_comments_leave_lines_as_they_are() -> None:
+def test_comment_lines_do_not_shift_line_numbers() -> None:
     document = parse('// one\n{\n  // "b": 2,\n "a": "// no comment"\n}')
     assert document.data == {"a": "// no comment"}
     assert document.line_of(("a",)) == 4
 
 
 @pytest.mark.parametrize("text", ["NaN", '{"a": Infinity}', '{"a": 1, "a": 1}'])
-def test_what_only_the_standard_library_takes_is_refused(text: str) -> None:
+def test_extensions_of_the_standard_library_are_rejected(text: str) -> None:
     with pytest.raises(JsoncError):
         parse(text)
--- a/tests/test_kernel.py
+++ b/tests/test_kernel.py
@@ -9,7 +9,7 @@
 from springrock.statements import statements
 
 
-def test_a_plugin_joins_by_its_name() -> None:
+def test_a_plugin_is_registered_by_name() -> None:
     registry: Registry[int] = Registry("number")
     registry.register("one")(1)
     assert registry.get("one") == 1
@@ -17,7 +17,7 @@
         registry.get("two")
 
 
-def test_everything_registers_itself() -> None:
+def test_loading_registers_every_plugin() -> None:
     load_plugins()
     assert doors.names == ("caller", "operator")
     assert drivers.names == ("engine", "service")
--- a/tests/test_plot.py
+++ b/tests/test_plot.py
@@ -1,4 +1,4 @@
-"""The plot of docs/POLICY.md is that of its figures."""
+"""The plot in docs/POLICY.md matches its data."""
 
 from __future__ import annotations
 
@@ -8,6 +8,6 @@
 from springrock.jsonc import parse
 
 
-def test_the_plot_is_drawn_from_the_figures_as_they_stand() -> None:
+def test_the_plot_is_up_to_date_with_its_data() -> None:
     data = parse((FOLDER / "policy.jsonc").read_text()).data
     assert (FOLDER / "policy.svg").read_text() == svg_of(convert(data, Chart))
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -1,4 +1,4 @@
-"""Numeric addresses need no thread; names go to gevent's."""
+"""Numeric addresses are parsed without a thread; names go to gevent's thread resolver."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from springrock.resolver import Resolver, is_numeric
 
 
-class NoThreads:
-    """Stands where gevent's loop expects its pool of threads."""
+class RecordingThreadPool:
+    """Replaces the thread pool of gevent's hub; runs each call directly and records it."""
 
     def __init__(self) -> None:
-        self.asked: list[tuple[Any, ...]] = []
+        self.calls: list[tuple[Any, ...]] = []
 
     def apply(self, function: Any, args: Any = (), kwargs: Any = None) -> Any:
-        self.asked.append(tuple(args))
+        self.calls.append(tuple(args))
         return function(*args, **(kwargs or {}))
 
 
 class HubWithoutThreads:
-    """As much of gevent's loop as a resolver uses."""
+    """Fakes the parts of gevent's hub that a resolver uses."""
 
     def __init__(self) -> None:
-        self.threadpool = NoThreads()
+        self.threadpool = RecordingThreadPool()
         self.NOT_ERROR = get_hub().NOT_ERROR
 
 
@@ -41,31 +41,33 @@
 
 
 @pytest.mark.parametrize("host", ["127.0.0.1", "10.1.2.3", "::1"])
-def test_a_numeric_address_is_read_without_a_thread(
+def test_a_numeric_address_is_parsed_without_a_thread(
     host: str, hub: HubWithoutThreads, resolver: Resolver
 ) -> None:
     found = resolver.getaddrinfo(host, 80, 0, socket.SOCK_STREAM)
     assert found == socket.getaddrinfo(host, 80, 0, socket.SOCK_STREAM)
-    assert hub.threadpool.asked == []
+    assert hub.threadpool.calls == []
 
 
 def test_a_name_is_looked_up_in_a_thread(hub: HubWithoutThreads, resolver: Resolver) -> None:
     found = resolver.getaddrinfo("localhost", 80, 0, socket.SOCK_STREAM)
     assert found
-    assert [asked[0] for asked in hub.threadpool.asked] == ["localhost"]
+    assert [call[0] for call in hub.threadpool.calls] == ["localhost"]
 
 
-def test_a_family_that_an_address_is_not_of_fails_as_ever(resolver: Resolver) -> None:
+def test_an_address_of_another_family_fails(resolver: Resolver) -> None:
     with pytest.raises(socket.gaierror):
         resolver.getaddrinfo("127.0.0.1", 80, socket.AF_INET6)
 
 
-def test_all_else_is_asked_of_gevents_own(hub: HubWithoutThreads, resolver: Resolver) -> None:
+def test_other_look_ups_go_to_the_thread_resolver(
+    hub: HubWithoutThreads, resolver: Resolver
+) -> None:
     assert resolver.gethostbyname("127.0.0.1") == "127.0.0.1"
-    assert hub.threadpool.asked == [("127.0.0.1",)]
+    assert hub.threadpool.calls == [("127.0.0.1",)]
 
 
-def test_an_unused_resolver_closes(resolver: Resolver) -> None:
+def test_an_unused_resolver_can_be_closed(resolver: Resolver) -> None:
     resolver.close()
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,7 +10,7 @@
 from springrock.settings import BoxSettings, from_text, split_address
 
 
-def good() -> dict[str, Any]:
+def valid_settings() -> dict[str, Any]:
     shape = Shape.from_small()
     return SettingsWriter(shape, Addresses.for_shape(shape)).box("zone-1-a")
 
@@ -21,14 +21,14 @@
     return [str(problem) for problem in caught.value.problems]
 
 
-def test_good_settings_are_typed() -> None:
-    settings = from_text(json.dumps(good()), BoxSettings)
+def test_valid_settings_are_converted() -> None:
+    settings = from_text(json.dumps(valid_settings()), BoxSettings)
     assert settings.box.availability_zone == "zone-1"
     assert settings.lease.lapse_after_s == 10.0
 
 
-def test_every_error_is_told_with_its_line_and_key() -> None:
-    data = good()
+def test_every_error_is_reported_with_its_line_and_key() -> None:
+    data = valid_settings()
     data["caller_door"]["adress"] = "x"
     data["caller_door"]["body_limit_bytes"] = "many"
     del data["peers"]["shared_key"]
@@ -51,16 +51,14 @@
         ("caller_door", "address", "localhost:99999", "HOST:PORT"),
     ],
 )
-def test_values_that_make_no_sense_are_refused(
-    section: str, key: str, value: Any, expected: str
-) -> None:
-    data = good()
+def test_invalid_values_are_rejected(section: str, key: str, value: Any, expected: str) -> None:
+    data = valid_settings()
     data[section][key] = value
     assert any(expected in line for line in problems(data))
 
 
-def test_a_replica_that_stands_twice_is_refused() -> None:
-    data = good()
+def test_a_duplicate_replica_is_rejected() -> None:
+    data = valid_settings()
     data["pools"][0]["replicas"].append(data["pools"][0]["replicas"][0])
     assert any("duplicate replica name" in line for line in problems(data))
 
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path with separate processes: two boxes in each of two zones, all stand-ins."""
+"""End-to-end requests with separate processes: two boxes in each of two zones, and emulators."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
         yield cluster
 
 
-def test_every_box_answers_every_adapter_whole(cluster: Cluster) -> None:
+def test_every_box_answers_requests_for_every_adapter(cluster: Cluster) -> None:
     for adapter in range(4):
         for box in cluster.shape.box_names:
             reply = cluster.complete(box, adapter, prompt=f"to {box}")
@@ -29,7 +29,7 @@
     assert cluster.violations() == {}
 
 
-def test_a_stream_arrives_whole_and_closed(cluster: Cluster) -> None:
+def test_a_stream_arrives_complete_and_closed(cluster: Cluster) -> None:
     reply = cluster.complete("zone-1-a", 1, tokens=20, stream=True)
     assert reply.status == 200
     assert reply.streamed == cluster.expected(1, tokens=20)
@@ -59,20 +59,20 @@
     assert cluster.counters("small-service-1")["runs"]["join-1"] == 1
 
 
-def test_the_decision_is_in_the_log_and_the_metric_moves(cluster: Cluster) -> None:
+def test_the_decision_is_logged_and_the_request_counted(cluster: Cluster) -> None:
     before = cluster.metric("zone-1-b", "springrock_requests_total")
     headers = {"Springrock-Request-Id": "logged-1"}
     assert cluster.complete("zone-1-b", 3, headers=headers).status == 200
     assert cluster.metric("zone-1-b", "springrock_requests_total") == before + 1
 
-    def _logged() -> bool:
+    def _is_logged() -> bool:
         lines = [line for line in cluster.log("zone-1-b") if line.get("request") == "logged-1"]
         return any(line["text"].startswith("router: Route logged-1 to ") for line in lines)
 
-    wait_until(_logged, what="the routing decision is in the log")
+    wait_until(_is_logged, what="the routing decision is logged")
 
 
-def test_loads_are_ordered_under_a_fence(cluster: Cluster) -> None:
+def test_an_adapter_is_loaded_once_under_a_fence(cluster: Cluster) -> None:
     assert cluster.complete("zone-1-a", 7).status == 200
     loads = [
         line
@@ -84,6 +84,6 @@
     assert cluster.violations() == {}
 
 
-def test_the_metric_says_that_every_box_holds_its_lease(cluster: Cluster) -> None:
+def test_the_metric_shows_that_every_box_holds_its_lease(cluster: Cluster) -> None:
     for box in cluster.shape.box_names:
         assert cluster.metric(box, "springrock_lease_held") == 1
--- a/tests/traffic.py
+++ b/tests/traffic.py
@@ -1,4 +1,4 @@
-"""A steady stream of requests in the background of a fault, every answer judged."""
+"""Sends requests steadily while a test injects faults, and checks every answer."""
 
 from __future__ import annotations
 
@@ -12,11 +12,13 @@
 from tests.cluster import Cluster, Reply
 
 
-class Judged(NamedTuple):
-    """One request of the traffic and how it ended.
+class Outcome(NamedTuple):
+    """The outcome of one request.
 
     Attributes:
-        state: ``answered``, a refusal's run state, ``transport`` or ``silent``.
+        state: ``answered``, the run state of an error, ``transport`` if the connection failed, or
+            ``silent`` if a stream ended early without an error.
+        wrong: Whether text of the answer differs from the expected text.
     """
 
     box: str
@@ -29,14 +31,15 @@
 
 
 class Traffic:
-    """Threads that send streamed completions until told to stop.
+    """A context manager whose threads send streamed completions for the duration of its block.
 
     Args:
-        cluster: Where to.
-        boxes: The boxes to use in turn.
-        adapters: The adapters to use in turn.
+        cluster: The deployment to send to.
+        boxes: The boxes to use in turn; all by default.
+        adapters: How many adapters to use in turn.
         threads: How many requests are open at once.
         tokens: The length of each answer.
+        deadline_s: The deadline of each request.
     """
 
     def __init__(
@@ -57,7 +60,7 @@
         self._stop = threading.Event()
         self._numbers = itertools.count()
         self._threads = [threading.Thread(target=self._send_loop) for _ in range(threads)]
-        self.ended: list[Judged] = []
+        self.ended: list[Outcome] = []
 
     def __enter__(self) -> Traffic:
         for thread in self._threads:
@@ -74,12 +77,12 @@
         return sum(item.state == "answered" for item in self.ended)
 
     @property
-    def failed(self) -> list[Judged]:
+    def failed(self) -> list[Outcome]:
         return [item for item in self.ended if item.state != "answered"]
 
     @property
-    def dishonest(self) -> list[Judged]:
-        """The endings that no fault excuses."""
+    def dishonest(self) -> list[Outcome]:
+        """The outcomes that are wrong under any fault."""
         return [item for item in self.ended if item.wrong or item.state == "silent"]
 
     def _send_loop(self) -> None:
@@ -88,7 +91,7 @@
             box = self._boxes[number % len(self._boxes)]
             self.ended.append(self._send(box, number))
 
-    def _send(self, box: str, number: int) -> Judged:
+    def _send(self, box: str, number: int) -> Outcome:
         adapter = number % self._adapters
         request_id = f"traffic-{number}"
         prompt = f"prompt {number}"
@@ -108,15 +111,15 @@
         except urllib3.exceptions.HTTPError:
             time.sleep(0.05)
             took_s = time.monotonic() - began
-            return Judged(box, request_id, began, took_s, "transport", "", wrong=False)
+            return Outcome(box, request_id, began, took_s, "transport", "", wrong=False)
         expected = self._cluster.expected(adapter, prompt, self._tokens)
-        state, cause, wrong = _judge(reply, expected)
+        state, cause, wrong = _check_reply(reply, expected)
         if state != "answered":
             time.sleep(0.05)
-        return Judged(box, request_id, began, time.monotonic() - began, state, cause, wrong)
+        return Outcome(box, request_id, began, time.monotonic() - began, state, cause, wrong)
 
 
-def _judge(reply: Reply, expected: str) -> tuple[str, str, bool]:
+def _check_reply(reply: Reply, expected: str) -> tuple[str, str, bool]:
     if reply.status != 200:
         return reply.error["run_state"], reply.error["type"], False
     if reply.whole:
--- a/tests/worlds.py
+++ b/tests/worlds.py
@@ -1,4 +1,4 @@
-"""What is known beside the replicas, for tests: by default nothing that stands in the way."""
+"""Factories for test objects; by default they put no restriction on requests."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def make_warmup(configuration: Callable[[], Configuration] = Configuration) -> WarmupTracker:
-    """Return what a box knows that always reads the newest rows, and of no evacuation."""
+    """Return a warm-up tracker with always up-to-date rows and no evacuations."""
     return WarmupTracker(
         configuration=configuration,
         rows_as_of=monotonic,
@@ -38,27 +38,36 @@
     is_cold: Callable[[ReplicaRecord], bool] = lambda record: False,
     is_limited: Callable[[ReplicaRecord], bool] = lambda record: False,
 ) -> RoutingState:
-    """Return the routing state as seen from a zone."""
+    """Return the routing state as seen from a zone.
+
+    Args:
+        home: The zone.
+        regions: The region of each zone.
+        evacuated: Zones after the cut of their evacuation.
+        announced: Zones whose evacuation is announced.
+        is_cold: Whether a replica is cold.
+        is_limited: Whether a replica names a limit.
+    """
     topology = Topology(home=home, zones=tuple(regions or ()), regions=regions or {})
-    gone = frozenset((*evacuated, *announced))
-    return RoutingState(topology, frozenset(evacuated), is_cold, gone, is_limited)
+    leaving = frozenset((*evacuated, *announced))
+    return RoutingState(topology, frozenset(evacuated), is_cold, leaving, is_limited)
 
 
 def make_limits() -> NamedLimits:
-    """Return the limits that replicas have named: none yet."""
+    """Return an empty record of the limits that replicas name."""
     return NamedLimits(Log("permits", "box-1"))
 
 
 def make_notices(
     directory: Directory | None = None, limits: NamedLimits | None = None
 ) -> ReplicaNotices:
-    """Return what takes the notices in answers, on a directory of its own if none is given."""
+    """Return a handler of notices, on new directory and limits unless given."""
     log = Log("directory", "box-1")
     return ReplicaNotices(directory or Directory(log), limits=limits or make_limits(), log=log)
 
 
 class NoReports:
-    """Implements `springrock.quarantine.crash_detector.Publisher`; keeps what was published."""
+    """Implements `springrock.quarantine.crash_detector.Publisher`; records what is published."""
 
     def __init__(self) -> None:
         self.published: list[CrashReport] = []
@@ -70,7 +79,7 @@
 def make_crash_detector(
     book: CrashBook | None = None, reports: NoReports | None = None
 ) -> CrashDetector:
-    """Return a witness of crashes, on a book of its own if none is given."""
+    """Return a crash detector, with a new crash book and publisher unless given."""
     return CrashDetector(
         box="box-1",
         book=book or CrashBook(terms=QuarantineTerms, log=Log("quarantine", "box-1")),
