--- a/springrock/clock.py
+++ b/springrock/clock.py
@@ -21,7 +21,7 @@
 
 
 monotonic = steady_clock()
-"""Returns the seconds of `steady_clock`; every decision that depends on time uses this clock.
+"""Return the seconds of the steady clock; every decision that depends on time uses this clock.
 
 Timers of the event loop do not count a suspension. They only wake tasks, which check this clock
 before they act, so a suspension can only make a task wake late."""
--- a/springrock/demo.py
+++ b/springrock/demo.py
@@ -24,17 +24,17 @@
 def workloads_of(service: str) -> list[WorkloadPlan]:
     """Return the workloads of the demo; calls to services go to the given pool."""
 
-    def _call(name: str, path: str, **more: Any) -> WorkloadPlan:
+    def _service_call(name: str, path: str, **options: Any) -> WorkloadPlan:
         return WorkloadPlan(
-            name=name, kind="service", pool=service, path=path, deadline_s=5.0, **more
+            name=name, kind="service", pool=service, path=path, deadline_s=5.0, **options
         )
 
     return [
         WorkloadPlan(name="call-summaries", share=4, kind="chat", worth=2.0, tokens=40),
         WorkloadPlan(name="minutes", share=2, kind="completion", worth=3.0, tokens=60),
-        _call("roster-joins", "join", share=2, repeatable=False),
-        _call("catalogue-lookups", "plates/1887", share=2, method="GET"),
-        _call("annotation-writes", "annotations", share=1, repeatable=False),
+        _service_call("roster-joins", "join", share=2, repeatable=False),
+        _service_call("catalogue-lookups", "plates/1887", share=2, method="GET"),
+        _service_call("annotation-writes", "annotations", share=1, repeatable=False),
     ]
 
 
--- a/springrock/entry.py
+++ b/springrock/entry.py
@@ -139,10 +139,10 @@
     @property
     def ready(self) -> bool:
         """Whether the balancer should send clients here."""
-        known = self._routes.configuration.version > 0 and self.directory.count > 0
+        has_tables = self._routes.configuration.version > 0 and self.directory.count > 0
         # The placers' table also lists the requests that crash replicas. A box that has not read
         # it would forward them.
-        return known and self._board.known and not self._stopping
+        return has_tables and self._board.known and not self._stopping
 
     def start(self) -> None:
         """Start every part and return."""
--- a/springrock/metrics.py
+++ b/springrock/metrics.py
@@ -291,13 +291,13 @@
         """
         return self._bytes_away.get((kind, distance), count_nothing)
 
-    def count_charge(self, team: str, taken: bool) -> None:
+    def count_charge(self, team: str, accepted: bool) -> None:
         """Count a charge to a team; teams beyond the label limit share one label."""
         if team not in self._teams:
             if len(self._teams) >= _MAX_TEAM_LABELS:
                 team = _OTHER_TEAMS_LABEL
             self._teams.add(team)
-        self._charges.labels(team, "taken" if taken else "no_room").inc()
+        self._charges.labels(team, "taken" if accepted else "no_room").inc()
 
     def count_permit(self, granted: bool) -> None:
         """Count the answer to a request for a permit."""
--- a/springrock/resolver.py
+++ b/springrock/resolver.py
@@ -43,24 +43,26 @@
                 host.encode(), port, family, socktype, proto, flags | socket.AI_NUMERICHOST
             )
             return addresses
-        named: list[Any] = self._threads.getaddrinfo(host, port, family, socktype, proto, flags)
+        named: list[Any] = self._name_resolver.getaddrinfo(
+            host, port, family, socktype, proto, flags
+        )
         return named
 
     def gethostbyname(self, *args: Any, **options: Any) -> Any:
         """Return the address of a host."""
-        return self._threads.gethostbyname(*args, **options)
+        return self._name_resolver.gethostbyname(*args, **options)
 
     def gethostbyname_ex(self, *args: Any, **options: Any) -> Any:
         """Return the names and addresses of a host."""
-        return self._threads.gethostbyname_ex(*args, **options)
+        return self._name_resolver.gethostbyname_ex(*args, **options)
 
     def gethostbyaddr(self, ip_address: str) -> Any:
         """Return the names of an address."""
-        return self._threads.gethostbyaddr(ip_address)
+        return self._name_resolver.gethostbyaddr(ip_address)
 
     def getnameinfo(self, sockaddr: Any, flags: int) -> Any:
         """Return the names of an address and of its port."""
-        return self._threads.getnameinfo(sockaddr, flags)
+        return self._name_resolver.getnameinfo(sockaddr, flags)
 
     def close(self) -> None:
         """Close the resolver for names."""
@@ -68,7 +70,7 @@
             self._thread_resolver.close()
 
     @property
-    def _threads(self) -> Any:
+    def _name_resolver(self) -> Any:
         if self._thread_resolver is None:
             from gevent.resolver.thread import Resolver as ThreadResolver
 
--- a/springrock/settings.py
+++ b/springrock/settings.py
@@ -246,7 +246,7 @@
     detail, _, location = str(error).partition(" - at `$")
     steps = re.findall(r"\.([^.\[\]`]+)|\[(\d+)\]", location)
     path = tuple(name or int(number) for name, number in steps)
-    return _problem(document, path, detail)
+    return _problem_at(document, path, detail)
 
 
 def _type_problems(document: Document, data: Any, kind: Any, path: Path) -> list[Problem]:
@@ -271,10 +271,10 @@
         if key in hints:
             problems += _type_problems(document, value, _required_kind(hints[key]), (*path, key))
         else:
-            problems.append(_problem(document, (*path, key), "unknown key"))
+            problems.append(_problem_at(document, (*path, key), "unknown key"))
     for info in msgspec.structs.fields(kind):
         if info.required and info.name not in data:
-            problems.append(_problem(document, path, f"key {info.name!r} is missing"))
+            problems.append(_problem_at(document, path, f"key {info.name!r} is missing"))
     return problems
 
 
@@ -288,9 +288,9 @@
     try:
         msgspec.convert(data, kind)
     except msgspec.ValidationError as error:
-        return [_problem(document, path, str(error))]
+        return [_problem_at(document, path, str(error))]
     if isinstance(data, int | float) and not isinstance(data, bool) and data < 0:
-        return [_problem(document, path, "must not be negative")]
+        return [_problem_at(document, path, "must not be negative")]
     last = path[-1] if path else ""
     if last == "address" or str(last).endswith("_address"):
         return _address_problems(document, str(data), path)
@@ -301,7 +301,7 @@
     host, colon, port = address.rpartition(":")
     if colon and host and port.isdigit() and int(port) < 65_536:
         return []
-    return [_problem(document, path, f"{address!r} is not HOST:PORT")]
+    return [_problem_at(document, path, f"{address!r} is not HOST:PORT")]
 
 
 def _semantic_problems(document: Document, settings: Struct) -> list[Problem]:
@@ -314,24 +314,24 @@
             if replica.name in names:
                 name_path: Path = ("pools", pool_index, "replicas", index, "name")
                 problems.append(
-                    _problem(document, name_path, f"duplicate replica name {replica.name!r}")
+                    _problem_at(document, name_path, f"duplicate replica name {replica.name!r}")
                 )
             names.add(replica.name)
         if pool.driver == "engine" and not pool.base_model:
             pool_path: Path = ("pools", pool_index)
-            problems.append(_problem(document, pool_path, "an engine pool needs a base_model"))
+            problems.append(_problem_at(document, pool_path, "an engine pool needs a base_model"))
     lease = settings.lease
     if lease.lapse_after_s <= 2 * lease.renew_every_s:
         path = ("lease", "lapse_after_s")
-        problems.append(_problem(document, path, "must be over twice renew_every_s"))
+        problems.append(_problem_at(document, path, "must be over twice renew_every_s"))
     return problems
 
 
-def _problem(document: Document, path: Path, detail: str) -> Problem:
-    return Problem(document.line_of(path), _dotted(path), detail)
+def _problem_at(document: Document, path: Path, detail: str) -> Problem:
+    return Problem(document.line_of(path), _dotted_key(path), detail)
 
 
-def _dotted(path: Path) -> str:
+def _dotted_key(path: Path) -> str:
     text = ""
     for step in path:
         text += f"[{step}]" if isinstance(step, int) else f".{step}"
