--- a/springrock/box.py
+++ b/springrock/box.py
@@ -86,7 +86,7 @@
         if not self.feed.loaded:
             return "no configuration yet"
         if not self.feed.current:
-            return "a newer configuration is known and not here yet"
+            return "a newer configuration exists but is not loaded yet"
         return ""
 
     # Construction.
--- a/springrock/errors.py
+++ b/springrock/errors.py
@@ -118,7 +118,7 @@
 
     def __init__(self, keys: tuple[str, ...]) -> None:
         self.keys = keys
-        super().__init__(f"changed by another writer: {', '.join(keys)}")
+        super().__init__(f"changed concurrently: {', '.join(keys)}")
 
 
 class PeerUnreachable(SpringrockError):
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -31,24 +31,24 @@
             yield from statement.body
 
 
-def imports_of(tree: ast.Module, known: set[str], *, include_type_checking: bool) -> set[str]:
+def imports_of(tree: ast.Module, own_modules: set[str], *, include_type_checking: bool) -> set[str]:
     found = set()
     for statement in statements_of(tree, include_type_checking=include_type_checking):
         if isinstance(statement, ast.ImportFrom) and statement.module:
             inner = {f"{statement.module}.{alias.name}" for alias in statement.names}
-            found |= (inner & known) or ({statement.module} & known)
+            found |= (inner & own_modules) or ({statement.module} & own_modules)
         elif isinstance(statement, ast.Import):
-            found |= {alias.name for alias in statement.names} & known
+            found |= {alias.name for alias in statement.names} & own_modules
     return found
 
 
 def test_only_the_command_line_and_the_emulator_import_the_box() -> None:
     trees = modules()
-    known = set(trees)
+    own_modules = set(trees)
     importers = {
         name
         for name, tree in trees.items()
-        if "springrock.box" in imports_of(tree, known, include_type_checking=True)
+        if "springrock.box" in imports_of(tree, own_modules, include_type_checking=True)
     }
     assert {name for name in importers if not name.startswith(MAY_IMPORT_THE_BOX)} == set()
 
