--- a/springrock/emulator/__init__.py
+++ b/springrock/emulator/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the outside systems, used by the demo, the tests and the load tool."""
+"""Emulators (stand-ins) of external systems for the demo, the tests and the load tool."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
     """Build a stand-in from its settings file.
 
     Raises:
-        UnknownPlugin: If there is no such kind.
-        SettingsError: If the file cannot be used.
+        UnknownPlugin: If the kind is not one of `_KINDS`.
+        SettingsError: If the settings file cannot be read or is invalid.
     """
     if kind == "platform":
         from springrock.emulator.platform import PlatformStandin
--- a/springrock/emulator/deployment.py
+++ b/springrock/emulator/deployment.py
@@ -1,4 +1,4 @@
-"""A whole deployment on loopback: the shapes of the users, and the settings of each process."""
+"""Loopback deployments: sizes modelled on the users' sites, and settings of each process."""
 
 from __future__ import annotations
 
@@ -17,16 +17,20 @@
 
 @dataclass(frozen=True)
 class Shape:
-    """The shape of a deployment.
+    """The size and topology of a deployment.
 
     Attributes:
-        name: The name of its language pool and service.
+        name: The prefix of the names of its engines and service replicas.
         zones: The availability zones.
         boxes_per_zone: Entry boxes in each zone.
-        engines: Replicas of the language pool, spread over the zones.
-        services: Replicas of the plain service, spread over the zones.
-        adapters: How many adapters there are.
-        loads_per_s: The weight store's rate.
+        engines: Replicas of the language pool, assigned to the zones round robin.
+        services: Replicas of the plain service, assigned to the zones round robin.
+        adapters: Number of adapters.
+        loads_per_s: Adapter loads a second that the weight store delivers.
+        base_model: The model of the language pool.
+        service: The pool name of the plain service.
+        adapter_slots: Adapters that each engine can hold.
+        running_limit: Requests that each engine runs at once.
     """
 
     name: str
@@ -43,7 +47,7 @@
 
     @classmethod
     def from_vanua_voice(cls, *, boxes_per_zone: int = 3, adapters: int = 3_000) -> Shape:
-        """Return the co-operative's shape."""
+        """Return a shape like that of the Vanua Voice co-operative."""
         return cls(
             name="vanua",
             zones=("suva-1", "suva-2", "suva-3"),
@@ -58,7 +62,7 @@
 
     @classmethod
     def from_agency(cls, *, boxes_per_zone: int = 2, adapters: int = 3_000) -> Shape:
-        """Return the archive's shape."""
+        """Return a shape like that of the image archive agency."""
         return cls(
             name="agency",
             zones=("muehl-1", "muehl-2", "muehl-3", "muehl-4"),
@@ -89,21 +93,23 @@
 
     @property
     def box_names(self) -> list[str]:
-        """All boxes."""
-        return [f"{zone}-{letters}" for zone in self.zones for letters in self._letters]
+        """Names of all boxes, ordered by zone."""
+        return [f"{zone}-{suffix}" for zone in self.zones for suffix in self._box_suffixes]
 
     @property
-    def _letters(self) -> list[str]:
-        """One letter for each box of a zone, then two."""
-        pairs = map("".join, itertools.product(ascii_lowercase, repeat=2))
-        return list(itertools.islice(itertools.chain(ascii_lowercase, pairs), self.boxes_per_zone))
+    def _box_suffixes(self) -> list[str]:
+        """Name suffixes of the boxes in a zone: `a` to `z`, then `aa`, `ab` and so on."""
+        two_letters = map("".join, itertools.product(ascii_lowercase, repeat=2))
+        return list(
+            itertools.islice(itertools.chain(ascii_lowercase, two_letters), self.boxes_per_zone)
+        )
 
     def zone_of_box(self, box: str) -> str:
         """Return the zone of a box."""
         return box.rpartition("-")[0]
 
     def spread(self, prefix: str, count: int) -> dict[str, str]:
-        """Return names of upstreams with their zones, round robin."""
+        """Return generated upstream names, each with its zone, assigned round robin."""
         return {
             f"{prefix}-{index + 1}": self.zones[index % len(self.zones)] for index in range(count)
         }
@@ -136,7 +142,7 @@
 
 @dataclass
 class Addresses:
-    """The loopback addresses of one deployment."""
+    """Loopback addresses of a deployment's processes, by name where there are several."""
 
     platform: str
     engines: dict[str, str] = field(default_factory=dict)
@@ -147,27 +153,27 @@
 
     @classmethod
     def for_shape(cls, shape: Shape) -> Addresses:
-        """Choose free addresses for everything."""
+        """Allocate an unused loopback address for every listener of a deployment."""
         engines = list(shape.spread(f"{shape.name}-engine", shape.engines))
         services = list(shape.spread(f"{shape.name}-service", shape.services))
         boxes = shape.box_names
-        free = iter(free_addresses(1 + len(engines) + len(services) + 3 * len(boxes)))
+        unused = iter(free_addresses(1 + len(engines) + len(services) + 3 * len(boxes)))
         return cls(
-            platform=next(free),
-            engines={name: next(free) for name in engines},
-            services={name: next(free) for name in services},
-            callers={name: next(free) for name in boxes},
-            operators={name: next(free) for name in boxes},
-            peers={name: next(free) for name in boxes},
+            platform=next(unused),
+            engines={name: next(unused) for name in engines},
+            services={name: next(unused) for name in services},
+            callers={name: next(unused) for name in boxes},
+            operators={name: next(unused) for name in boxes},
+            peers={name: next(unused) for name in boxes},
         )
 
 
 class SettingsWriter:
-    """Makes the settings of each process of a deployment, as plain data.
+    """Builds the settings of each process of a deployment as plain data.
 
     Args:
         shape: The shape of the deployment.
-        addresses: Where everything listens.
+        addresses: The listening addresses of the processes.
         policy: Overrides of the policy section.
         lease: Overrides of the lease section.
     """
@@ -223,9 +229,9 @@
         """Return a box's settings.
 
         Args:
-            name: The box.
-            platform_address: Where it finds the platform, if not directly.
-            upstream_addresses: Where it finds upstreams, if not directly.
+            name: The name of the box.
+            platform_address: Address to reach the platform at, if not its own (a proxy's, say).
+            upstream_addresses: Addresses to reach upstreams at, by name, if not their own.
         """
         addresses = self.addresses
         platform = platform_address or addresses.platform
@@ -255,7 +261,7 @@
             "policy": {"loads_per_s": self.shape.loads_per_s, **self.policy},
         }
 
-    def _language_pool(self, elsewhere: dict[str, str]) -> dict[str, Any]:
+    def _language_pool(self, address_overrides: dict[str, str]) -> dict[str, Any]:
         shape = self.shape
         zones = shape.spread(f"{shape.name}-engine", shape.engines)
         return {
@@ -265,26 +271,26 @@
             "adapter_slots": shape.adapter_slots,
             "running_limit": shape.running_limit,
             "load_s": 1 / shape.loads_per_s,
-            "replicas": self._replicas(zones, self.addresses.engines, elsewhere),
+            "replicas": self._replicas(zones, self.addresses.engines, address_overrides),
         }
 
-    def _service_pool(self, elsewhere: dict[str, str]) -> dict[str, Any]:
+    def _service_pool(self, address_overrides: dict[str, str]) -> dict[str, Any]:
         shape = self.shape
         zones = shape.spread(f"{shape.name}-service", shape.services)
         return {
             "name": shape.service,
             "driver": "service",
-            "replicas": self._replicas(zones, self.addresses.services, elsewhere),
+            "replicas": self._replicas(zones, self.addresses.services, address_overrides),
         }
 
     def _replicas(
-        self, zones: dict[str, str], addresses: dict[str, str], elsewhere: dict[str, str]
+        self, zones: dict[str, str], addresses: dict[str, str], address_overrides: dict[str, str]
     ) -> list[dict[str, Any]]:
         return [
             {
                 "name": name,
                 "availability_zone": zone,
-                "address": elsewhere.get(name, addresses[name]),
+                "address": address_overrides.get(name, addresses[name]),
             }
             for name, zone in zones.items()
         ]
--- a/springrock/emulator/embedded.py
+++ b/springrock/emulator/embedded.py
@@ -1,4 +1,4 @@
-"""A whole deployment in one process: stand-ins and boxes, for the demo and for quick looks."""
+"""A deployment in one process, stand-ins and boxes, for the demo and manual experiments."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 from springrock.settings import BoxSettings
 from springrock.wire.platform import Put, Transaction
 
-_START_WITHIN_S = 30.0
+_START_TIMEOUT_S = 30.0
 
 
 def first_configuration(change: Change) -> Transaction:
-    """Return the transaction that installs a deployment's first change in an empty table."""
+    """Return the transaction that writes a deployment's first change to an empty table."""
     return Transaction(
         puts=[
             Put(HEAD_KEY, msgspec.json.encode(HeadValue(change.revision, 0))),
@@ -38,7 +38,7 @@
 
 
 class EmbeddedDeployment:
-    """Stand-ins and boxes of a shape, in this process.
+    """Stand-ins and boxes of a shape, run in this process.
 
     Args:
         shape: The shape of the deployment.
@@ -62,10 +62,10 @@
         ]
 
     def start(self) -> None:
-        """Start everything and wait until every replica is owned and taken in.
+        """Start all components and wait until every box is ready and sees all engines accepting.
 
         Raises:
-            SpringrockError: If that does not come about in time.
+            SpringrockError: If that takes more than `_START_TIMEOUT_S`.
         """
         self.platform.start()
         self.platform.table.transact(first_configuration(self.shape.first_change()))
@@ -75,14 +75,14 @@
             service.start()
         for box in self.boxes:
             box.start()
-        deadline = Deadline(_START_WITHIN_S)
-        while not self._ready():
+        deadline = Deadline(_START_TIMEOUT_S)
+        while not self._is_ready():
             if deadline.passed:
-                raise SpringrockError("the deployment did not become ready")
+                raise SpringrockError("the embedded deployment did not become ready in time")
             gevent.sleep(0.05)
 
     def stop(self) -> None:
-        """Stop everything, the boxes as planned."""
+        """Stop the boxes gracefully, then the stand-ins."""
         gevent.joinall([gevent.spawn(box.stop) for box in self.boxes])
         for engine in self.engines:
             engine.stop()
@@ -92,15 +92,15 @@
 
     @property
     def violations(self) -> dict[str, int]:
-        """The broken promises that the stand-ins counted."""
+        """Protocol violations counted by the engine and service stand-ins, by kind."""
         counters = [engine.violations for engine in self.engines]
         counters += [service.violations for service in self.services]
         return dict(sum(counters, Counter()))
 
-    def _ready(self) -> bool:
-        return all(self._box_ready(box) for box in self.boxes)
+    def _is_ready(self) -> bool:
+        return all(self._is_box_ready(box) for box in self.boxes)
 
-    def _box_ready(self, box: Box) -> bool:
+    def _is_box_ready(self, box: Box) -> bool:
         if box.why_not_ready():
             return False
         reports = [box.view.report(name) for name in self.addresses.engines]
