--- a/springrock/emulator/engine.py
+++ b/springrock/emulator/engine.py
@@ -1,7 +1,8 @@
-"""The stand-in for a model engine.
+"""Emulator of a model engine.
 
-It batches continuously in steps, holds a few adapters, loads them through the weight store,
-takes fenced orders, resumes and cancels streams, and counts broken promises by itself.
+It runs continuous batching in steps, holds a limited number of adapters, loads them from the
+weight store, executes fenced orders, and resumes and cancels streams. It counts violations of the
+protocol by the boxes, such as a second run of a request that is not repeatable.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 from springrock.bottle_app import json_response, new_app
 from springrock.clock import monotonic
-from springrock.emulator.generation import Generation, RunRecord, token_of
+from springrock.emulator.generation import Generation, RunRecord, token_at
 from springrock.emulator.prefix_cache import PrefixCache
 from springrock.emulator.settings import EngineStandinSettings
 from springrock.httpd import HttpServer
@@ -29,16 +30,16 @@
 
 
 class EngineFault(msgspec.Struct, frozen=True, kw_only=True):
-    """Faults of an engine; each stays until the next request replaces all of them.
+    """Injected faults of an engine; each posted set replaces the whole previous one.
 
     Attributes:
-        fail_loads: So many loads fail halfway; -1 fails all.
-        cut_streams_at: Streams break off after this many chunks; 0 never.
-        wrong_model: Chunks name another adapter.
-        garbage: Streams carry text that is no chunk.
-        repeat_chunk: The chunk at this position is sent twice; 0 never.
-        refuse: New requests are refused before they run.
-        frozen: Steps stop.
+        fail_loads: Number of adapter loads that fail partway; -1 fails all.
+        cut_streams_at: Streams are cut after this many chunks; 0 disables this.
+        wrong_model: Chunks name an adapter other than the requested one.
+        garbage: Streams carry malformed chunks.
+        repeat_chunk: The chunk at this position is sent twice; 0 disables this.
+        refuse: Requests are refused before they run.
+        frozen: The engine executes no steps.
     """
 
     fail_loads: int = 0
@@ -51,7 +52,7 @@
 
 
 class EngineStandin:
-    """One engine as an HTTP server."""
+    """An emulated engine, served over HTTP."""
 
     def __init__(self, settings: EngineStandinSettings) -> None:
         self.settings = settings
@@ -64,22 +65,22 @@
         self.wasted_loads = 0
         self.server = HttpServer(self._build_app(), settings.address)
         self._pool = urllib3.PoolManager(retries=False)
-        self._stepper: gevent.Greenlet[..., Any] | None = None
+        self._step_task: gevent.Greenlet[..., Any] | None = None
         self.restart()
 
     def start(self) -> None:
-        """Begin serving and stepping."""
+        """Start the HTTP server and the step loop."""
         self.server.start()
-        self._stepper = gevent.spawn(self._step_loop)
+        self._step_task = gevent.spawn(self._step_loop)
 
     def stop(self) -> None:
-        """Stop at once."""
+        """Stop at once, without waiting for open requests."""
         self.server.stop(finish_within_s=0)
-        if self._stepper is not None:
-            self._stepper.kill()
+        if self._step_task is not None:
+            self._step_task.kill()
 
     def restart(self) -> None:
-        """Lose all adapters, streams and prefixes, as a restarted engine does."""
+        """Reset to an empty state under a new boot id, without adapters, streams or prefixes."""
         self.boot_id = new_id()
         self.fence = 0
         self.ready: dict[str, int] = {}
@@ -96,12 +97,12 @@
 
     @property
     def batch_fill(self) -> float:
-        """The mean share of a step's places that did useful work."""
-        places = self.steps * self.settings.batch_limit
-        return self.tokens / places if places else 0.0
+        """The mean share of batch slots in a step that produced a token."""
+        batch_slots = self.steps * self.settings.batch_limit
+        return self.tokens / batch_slots if batch_slots else 0.0
 
     def counters(self) -> dict[str, Any]:
-        """Return everything that was counted."""
+        """Return all counters, as served at `/standin/counters`."""
         return {
             "violations": dict(self.violations),
             "steps": self.steps,
@@ -138,10 +139,10 @@
                 self._work.wait(timeout=0.05)
                 continue
             batch = self.queue[: self.settings.batch_limit]
-            gevent.sleep(self._step_s(batch))
+            gevent.sleep(self._step_duration_s(batch))
             self._finish_step(batch)
 
-    def _step_s(self, batch: list[Generation]) -> float:
+    def _step_duration_s(self, batch: list[Generation]) -> float:
         settings = self.settings
         adapters = len({generation.request.model for generation in batch})
         step_ms = settings.step_ms + settings.step_ms_per_request * len(batch)
@@ -164,36 +165,36 @@
             return json_response(b'{"reason":"busy"}', status=503, headers={"Retry-After": "1"})
         if request.resume_from != wire.NEW:
             return self._resume(request)
-        if not self._holds(request.model):
+        if not self._is_loaded(request.model):
             return json_response(b'{"reason":"adapter not loaded"}', status=404)
-        generation = self._begin(request)
+        generation = self._start_generation(request)
         bottle.response.content_type = "text/event-stream"
         return self._stream(generation, 0)
 
-    def _holds(self, model: str) -> bool:
+    def _is_loaded(self, model: str) -> bool:
         base, colon, adapter = model.partition(":")
         return base == self.settings.base_model and (not colon or adapter in self.ready)
 
-    def _begin(self, request: wire.EngineRequest) -> Generation:
-        self._forget_old()
+    def _start_generation(self, request: wire.EngineRequest) -> Generation:
+        self._drop_expired_generations()
         self._log_run(request)
         adapter = request.model.partition(":")[2]
         if adapter:
             self.ready[adapter] += 1
         generation = Generation(request)
-        self.prefixes.use(request.model, generation.prompt)
+        self.prefixes.record_use(request.model, generation.prompt)
         self.generations[request.request_id] = generation
         self.queue.append(generation)
         self._work.set()
         return generation
 
     def _log_run(self, request: wire.EngineRequest) -> None:
-        ran_before = (
+        already_ran = (
             any(record.request_id == request.request_id for record in self.run_log)
             if not request.repeatable
             else False
         )
-        if ran_before:
+        if already_ran:
             self.violations["second_run"] += 1
         if len(self.run_log) < _RUN_LOG_LIMIT:
             record = RunRecord(request.request_id, request.model, request.repeatable)
@@ -206,14 +207,14 @@
         bottle.response.content_type = "text/event-stream"
         return self._stream(generation, request.resume_from)
 
-    def _forget_old(self) -> None:
+    def _drop_expired_generations(self) -> None:
         horizon = monotonic() - self.settings.retain_s
-        ended = [
+        expired = [
             request_id
             for request_id, generation in self.generations.items()
             if generation.ended_at is not None and generation.ended_at < horizon
         ]
-        for request_id in ended:
+        for request_id in expired:
             del self.generations[request_id]
 
     def _stream(self, generation: Generation, position: int) -> Iterator[bytes]:
@@ -224,21 +225,21 @@
                     return
                 generation.progress.clear()
                 generation.progress.wait()
-            yield self._event(generation, position)
+            yield self._encode_chunk(generation, position)
             sent += 1
             if self.fault.repeat_chunk and position == self.fault.repeat_chunk:
-                yield self._event(generation, position)
+                yield self._encode_chunk(generation, position)
             if self.fault.cut_streams_at and sent >= self.fault.cut_streams_at:
                 return
             position += 1
         yield wire.encode_event(wire.DONE)
 
-    def _event(self, generation: Generation, position: int) -> bytes:
+    def _encode_chunk(self, generation: Generation, position: int) -> bytes:
         if self.fault.garbage:
             return wire.encode_event(b"{not a chunk")
         request = generation.request
         model = f"{request.model}x" if self.fault.wrong_model else request.model
-        text = token_of(request.model, generation.prompt, position)
+        text = token_at(request.model, generation.prompt, position)
         last = position + 1 == request.max_tokens
         finish_reason = "length" if last else None
         if request.messages is not None:
@@ -337,12 +338,12 @@
             running=min(len(self.queue), self.settings.batch_limit),
             queued=max(0, len(self.queue) - self.settings.batch_limit),
             batch_fill=self.batch_fill,
-            step_ms=self._step_s(self.queue[: self.settings.batch_limit]) * 1000,
+            step_ms=self._step_duration_s(self.queue[: self.settings.batch_limit]) * 1000,
             cached_prefixes=len(self.prefixes),
         )
         self._reports.append((now, current))
-        seen_at = now - self.settings.report_lag_s
-        while len(self._reports) > 1 and self._reports[1][0] <= seen_at:
+        visible_until = now - self.settings.report_lag_s
+        while len(self._reports) > 1 and self._reports[1][0] <= visible_until:
             self._reports.pop(0)
         return json_response(msgspec.json.encode(self._reports[0][1]))
 
--- a/springrock/emulator/prefix_cache.py
+++ b/springrock/emulator/prefix_cache.py
@@ -1,4 +1,4 @@
-"""The prefix cache of the engine stand-in, and its events: late, and with gaps."""
+"""Prefix cache of the engine stand-in, whose events are published late and with gaps."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from springrock.clock import monotonic
 from springrock.wire.engine import CacheEvent
 
-_PREFIX_CHARACTERS = 64
-_EVENTS_KEPT = 1_000
+_PREFIX_LENGTH = 64
+_MAX_EVENTS = 1_000
 
 
 class PrefixCache:
-    """Keeps the newest prefixes in limited memory.
+    """An LRU cache of prompt prefixes that publishes an event for each change.
 
     Args:
-        limit: How many prefixes fit.
-        lag_s: How late an event is published.
-        lose_every: Every so many-th event is never published; 0 loses none.
+        limit: Maximum number of cached prefixes.
+        lag_s: Delay before an event becomes visible to readers.
+        lose_every: Every event whose number is a multiple of this is lost; 0 loses none.
     """
 
     def __init__(self, *, limit: int, lag_s: float, lose_every: int) -> None:
@@ -26,12 +26,12 @@
         self._lag_s = lag_s
         self._lose_every = lose_every
         self._prefixes: OrderedDict[str, None] = OrderedDict()
-        self._events: deque[tuple[float, CacheEvent]] = deque(maxlen=_EVENTS_KEPT)
-        self._number = 0
+        self._events: deque[tuple[float, CacheEvent]] = deque(maxlen=_MAX_EVENTS)
+        self._last_event_number = 0
 
-    def use(self, model: str, prompt: str) -> bool:
-        """Note that a request has a prefix; return whether it was cached."""
-        text = f"{model}\0{prompt[:_PREFIX_CHARACTERS]}"
+    def record_use(self, model: str, prompt: str) -> bool:
+        """Record that a request used its prompt prefix; return whether it was cached."""
+        text = f"{model}\0{prompt[:_PREFIX_LENGTH]}"
         prefix = blake2b(text.encode(), digest_size=8).hexdigest()
         if prefix in self._prefixes:
             self._prefixes.move_to_end(prefix)
@@ -44,18 +44,20 @@
         return False
 
     def events(self, after: int) -> list[CacheEvent]:
-        """Return the published events after a number."""
-        seen_at = monotonic() - self._lag_s
-        return [event for at, event in self._events if at <= seen_at and event.number > after]
+        """Return the visible events with numbers above the given one."""
+        visible_until = monotonic() - self._lag_s
+        return [event for at, event in self._events if at <= visible_until and event.number > after]
 
     def __len__(self) -> int:
         return len(self._prefixes)
 
     def _publish(self, kind: str, prefix: str) -> None:
-        self._number += 1
-        if self._lose_every and self._number % self._lose_every == 0:
+        self._last_event_number += 1
+        if self._lose_every and self._last_event_number % self._lose_every == 0:
             return
         event = CacheEvent(
-            number=self._number, kind="stored" if kind == "stored" else "removed", prefix=prefix
+            number=self._last_event_number,
+            kind="stored" if kind == "stored" else "removed",
+            prefix=prefix,
         )
         self._events.append((monotonic(), event))
