--- a/springrock/emulator/experiment.py
+++ b/springrock/emulator/experiment.py
@@ -1,4 +1,4 @@
-"""The load tool's commands: run a load, write its outcomes, print reports."""
+"""Commands of the load tool: run a load, save its outcomes, print reports."""
 
 from __future__ import annotations
 
@@ -11,16 +11,24 @@
 from springrock.emulator.report import Report, as_table
 from springrock.settings import read
 
-_PROGRESS_EVERY_S = 5.0
+_PROGRESS_INTERVAL_S = 5.0
 
 
 def run_load(path: str, *, out: str) -> int:
-    """Run a load; return 1 if any answer was not its caller's own."""
+    """Run a load and print its report.
+
+    Args:
+        path: The file of load settings.
+        out: File to save the outcomes to; empty for none.
+
+    Returns:
+        1 if any answer differed from the expected one for its request, otherwise 0.
+    """
     settings = read(path, LoadSettings)
     run = LoadRun(settings, model_name=lambda index: _model_name(settings.base_model, index))
     task = gevent.spawn(run.run)
     while not task.ready():
-        task.join(timeout=_PROGRESS_EVERY_S)
+        task.join(timeout=_PROGRESS_INTERVAL_S)
         print(f"{len(run.outcomes)} ended, {run.in_flight} in flight", flush=True)
     task.get()
     if out:
@@ -30,7 +38,7 @@
 
 
 def print_reports(paths: list[str]) -> int:
-    """Print a table of outcomes that were written before."""
+    """Print a table of reports for files of saved outcomes."""
     reports = []
     for path in paths:
         outcomes = msgspec.json.decode(Path(path).read_bytes(), type=list[Outcome])
--- a/springrock/emulator/load.py
+++ b/springrock/emulator/load.py
@@ -1,4 +1,4 @@
-"""A seeded, bounded, open-loop load on the callers' doors, each answer checked word for word."""
+"""Seeded open-loop load generator with a limit of requests in flight, which checks every answer."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 from springrock.wire import caller as wire
 from springrock.wire.engine import DONE, decode_chunk
 
-_TIMEOUT_S = 90.0
-_CONNECTIONS = 256
+_REQUEST_TIMEOUT_S = 90.0
+_MAX_CONNECTIONS = 256
 _DATA_PREFIX = b"data: "
 
 
 class WorkloadPlan(Section, frozen=True, kw_only=True):
-    """One workload of a load.
+    """One workload of a load run.
 
     Attributes:
-        share: Its part of all requests, relative to the other workloads.
-        kind: What is sent.
-        worth: The stated worth of each request.
-        deadline_s: The stated deadline.
-        tokens: How many tokens are asked for, on average.
-        path: The path of a service call, without the pool.
-        pool: The pool of a service call.
+        share: Its weight among all requests, relative to the other workloads.
+        kind: The kind of request.
+        worth: The worth that each request states in its header.
+        deadline_s: The deadline that each request states in its header.
+        tokens: The mean number of tokens that a request asks for.
+        path: The path of a service call below its pool.
+        pool: The pool that a service call goes to.
     """
 
     name: str
@@ -51,17 +51,17 @@
 
 
 class LoadSettings(Section, frozen=True, kw_only=True):
-    """A load.
+    """Settings of a load run.
 
     Attributes:
-        boxes: The callers' doors.
-        adapters: How many adapters there are.
-        zipf: The exponent of their popularity.
-        shift_at_s: When the popularity is reshuffled; 0 for never.
-        burst_at_s: When a burst begins; 0 for never.
-        burst_s: How long it lasts.
-        burst_factor: How many times more requests come in it.
-        in_flight_limit: More requests than this at once are counted as not sent.
+        boxes: The callers' addresses of the boxes.
+        adapters: Number of adapters.
+        zipf: The Zipf exponent of their popularity.
+        shift_at_s: When the popularity is reshuffled; 0 disables this.
+        burst_at_s: When a burst begins; 0 disables this.
+        burst_s: Duration of the burst.
+        burst_factor: Factor by which the request rate grows during the burst.
+        in_flight_limit: Maximum of concurrent requests; those above it are counted as not sent.
     """
 
     boxes: list[str]
@@ -81,13 +81,13 @@
 
 
 class Outcome(msgspec.Struct, frozen=True, kw_only=True):
-    """How one request ended.
+    """The outcome of one request.
 
     Attributes:
-        rank: The adapter's place in the order of popularity at that time.
-        in_time: Whether the whole answer came within the deadline.
-        wrong: Whether the answer was not the one to this request.
-        gap_s: The longest time between two tokens.
+        rank: The adapter's rank by popularity when the request was sent; 0 is the most popular.
+        in_time: Whether the complete answer arrived within the deadline.
+        wrong: Whether the answer differed from the expected one for this request.
+        gap_s: The longest time between two consecutive tokens.
     """
 
     at_s: float
@@ -108,8 +108,8 @@
 
 
 @dataclass(frozen=True)
-class Planned:
-    """One request of a plan."""
+class PlannedRequest:
+    """One planned request of a load run."""
 
     number: int
     at_s: float
@@ -121,12 +121,12 @@
 
 
 class Popularity:
-    """Zipf-distributed adapters whose order can be reshuffled.
+    """Draws adapters from a Zipf distribution whose order can be reshuffled.
 
     Args:
-        count: How many adapters there are.
-        exponent: The exponent; higher is more skewed.
-        rng: The source of chance.
+        count: Number of adapters.
+        exponent: The Zipf exponent; higher is more skewed.
+        rng: The random number generator.
     """
 
     def __init__(self, count: int, exponent: float, rng: random.Random) -> None:
@@ -137,18 +137,18 @@
         self.shuffle()
 
     def shuffle(self) -> None:
-        """Give every adapter another popularity."""
+        """Assign the popularity ranks to adapters in a new random order."""
         self._rng.shuffle(self._order)
 
     def draw(self) -> tuple[int, int]:
-        """Return an adapter and its rank."""
+        """Return a random adapter and its rank."""
         point = self._rng.random() * self._cumulative[-1]
         rank = bisect.bisect(self._cumulative, point)
         return self._order[rank], rank
 
 
-def plan(settings: LoadSettings) -> Iterator[Planned]:
-    """Yield the requests of a load, the same for the same settings."""
+def plan(settings: LoadSettings) -> Iterator[PlannedRequest]:
+    """Yield the requests of a load run; the same settings yield the same requests."""
     rng = random.Random(settings.seed)
     popularity = Popularity(settings.adapters, settings.zipf, rng)
     shares = [workload.share for workload in settings.workloads]
@@ -164,7 +164,9 @@
         workload = rng.choices(settings.workloads, shares)[0]
         adapter, rank = popularity.draw()
         tokens = max(1, round(rng.gauss(workload.tokens, workload.tokens / 4)))
-        yield Planned(number, at_s, workload, adapter, rank, tokens, rng.choice(settings.boxes))
+        yield PlannedRequest(
+            number, at_s, workload, adapter, rank, tokens, rng.choice(settings.boxes)
+        )
 
 
 def _rate_at(settings: LoadSettings, at_s: float) -> float:
@@ -175,11 +177,11 @@
 
 
 class LoadRun:
-    """Sends a plan and collects the outcomes.
+    """Sends the planned requests and collects their outcomes.
 
     Args:
-        settings: The load.
-        model_name: Returns the model name of an adapter.
+        settings: The load settings.
+        model_name: Returns the model name of the adapter with a given index.
         on_outcome: Called with each outcome.
     """
 
@@ -196,11 +198,11 @@
         self.not_sent = 0
         self._model_name = model_name
         self._on_outcome = on_outcome
-        self._pool = urllib3.PoolManager(retries=False, maxsize=_CONNECTIONS)
-        self._tag = f"load-{settings.seed}-{random.SystemRandom().randrange(1 << 32):08x}"
+        self._pool = urllib3.PoolManager(retries=False, maxsize=_MAX_CONNECTIONS)
+        self._run_id = f"load-{settings.seed}-{random.SystemRandom().randrange(1 << 32):08x}"
 
     def run(self) -> None:
-        """Send everything and wait for every end."""
+        """Send all requests on schedule and wait until every one has ended."""
         began_at = monotonic()
         tasks = []
         for planned in plan(self.settings):
@@ -211,7 +213,7 @@
             tasks.append(gevent.spawn(self._send, planned))
         gevent.joinall(tasks)
 
-    def _send(self, planned: Planned) -> None:
+    def _send(self, planned: PlannedRequest) -> None:
         self.in_flight += 1
         try:
             service = planned.workload.kind == "service"
@@ -221,18 +223,18 @@
         self.outcomes.append(outcome)
         self._on_outcome(outcome)
 
-    def _headers(self, planned: Planned) -> dict[str, str]:
+    def _headers(self, planned: PlannedRequest) -> dict[str, str]:
         workload = planned.workload
         return {
             wire.WORKLOAD_HEADER: workload.name,
             wire.WORTH_HEADER: str(workload.worth),
             wire.DEADLINE_HEADER: str(round(workload.deadline_s * 1000)),
             wire.REPEATABLE_HEADER: "yes" if workload.repeatable else "no",
-            wire.REQUEST_ID_HEADER: f"{self._tag}-{planned.number}",
+            wire.REQUEST_ID_HEADER: f"{self._run_id}-{planned.number}",
         }
 
-    def _ended(
-        self, planned: Planned, began_at: float, status: int, run_state: str, **more: Any
+    def _make_outcome(
+        self, planned: PlannedRequest, began_at: float, status: int, run_state: str, **details: Any
     ) -> Outcome:
         total_s = monotonic() - began_at
         return Outcome(
@@ -244,12 +246,12 @@
             run_state=run_state,
             in_time=run_state == "answered" and total_s <= planned.workload.deadline_s,
             total_s=total_s,
-            **more,
+            **details,
         )
 
     # Service calls.
 
-    def _call_service(self, planned: Planned) -> Outcome:
+    def _call_service(self, planned: PlannedRequest) -> Outcome:
         workload = planned.workload
         url = f"http://{planned.box}/services/{workload.pool}/{workload.path}"
         body = f"record {planned.number}".encode()
@@ -260,22 +262,22 @@
                 url,
                 body=None if workload.method == "GET" else body,
                 headers=self._headers(planned),
-                timeout=_TIMEOUT_S,
+                timeout=_REQUEST_TIMEOUT_S,
             )
         except urllib3.exceptions.HTTPError:
-            return self._ended(planned, began_at, 0, "unknown", cause="transport")
+            return self._make_outcome(planned, began_at, 0, "unknown", cause="transport")
         if response.status != 200:
-            return self._refused(planned, began_at, response.status, response.data)
+            return self._make_refused_outcome(planned, began_at, response.status, response.data)
         answer = msgspec.json.decode(response.data)
         wrong = answer.get("request_id") != self._headers(planned)[wire.REQUEST_ID_HEADER]
-        return self._ended(planned, began_at, 200, "answered", wrong=wrong)
+        return self._make_outcome(planned, began_at, 200, "answered", wrong=wrong)
 
     # Completions.
 
-    def _complete(self, planned: Planned) -> Outcome:
+    def _complete(self, planned: PlannedRequest) -> Outcome:
         chat = planned.workload.kind == "chat"
         path = "/v1/chat/completions" if chat else "/v1/completions"
-        prompt = f"call {planned.number} of {self._tag}"
+        prompt = f"call {planned.number} of {self._run_id}"
         body: dict[str, Any] = {
             "model": self._model_name(planned.adapter),
             "max_tokens": planned.tokens,
@@ -292,21 +294,25 @@
                 f"http://{planned.box}{path}",
                 body=msgspec.json.encode(body),
                 headers=self._headers(planned),
-                timeout=_TIMEOUT_S,
+                timeout=_REQUEST_TIMEOUT_S,
                 preload_content=False,
             )
             if response.status != 200:
-                return self._refused(planned, began_at, response.status, response.read())
+                return self._make_refused_outcome(
+                    planned, began_at, response.status, response.read()
+                )
             return self._read_stream(planned, began_at, response, body["model"], prompt)
         except urllib3.exceptions.HTTPError:
-            return self._ended(planned, began_at, 0, "unknown", cause="transport")
+            return self._make_outcome(planned, began_at, 0, "unknown", cause="transport")
 
-    def _refused(self, planned: Planned, began_at: float, status: int, data: bytes) -> Outcome:
+    def _make_refused_outcome(
+        self, planned: PlannedRequest, began_at: float, status: int, data: bytes
+    ) -> Outcome:
         try:
             error = msgspec.json.decode(data)["error"]
         except (msgspec.MsgspecError, KeyError, TypeError):
-            return self._ended(planned, began_at, status, "unknown", cause="garbage")
-        return self._ended(
+            return self._make_outcome(planned, began_at, status, "unknown", cause="garbage")
+        return self._make_outcome(
             planned,
             began_at,
             status,
@@ -317,37 +323,37 @@
 
     def _read_stream(
         self,
-        planned: Planned,
+        planned: PlannedRequest,
         began_at: float,
         response: urllib3.BaseHTTPResponse,
         model: str,
         prompt: str,
     ) -> Outcome:
         stall_s = float(response.headers.get(wire.LOAD_STALL_HEADER, 0)) / 1000
-        reading = _Reading(began_at)
+        reader = _StreamReader(began_at)
         for data in response.stream():
-            reading.feed(data)
+            reader.feed(data)
         response.release_conn()
-        if not reading.done:
-            state = reading.error.get("run_state", "cut")
-            cause = reading.error.get("type", "silent_cut")
-            wrong = not expected_text(model, prompt, planned.tokens).startswith(reading.text)
-            return self._ended(planned, began_at, 200, state, cause=cause, wrong=wrong)
-        return self._ended(
+        if not reader.done:
+            state = reader.error.get("run_state", "cut")
+            cause = reader.error.get("type", "silent_cut")
+            wrong = not expected_text(model, prompt, planned.tokens).startswith(reader.text)
+            return self._make_outcome(planned, began_at, 200, state, cause=cause, wrong=wrong)
+        return self._make_outcome(
             planned,
             began_at,
             200,
             "answered",
-            wrong=reading.text != expected_text(model, prompt, planned.tokens),
+            wrong=reader.text != expected_text(model, prompt, planned.tokens),
             stall_s=stall_s,
-            first_token_s=reading.first_token_s,
-            gap_s=reading.gap_s,
-            tokens=reading.tokens,
+            first_token_s=reader.first_token_s,
+            gap_s=reader.gap_s,
+            tokens=reader.tokens,
         )
 
 
-class _Reading:
-    """What a caller reads of one stream."""
+class _StreamReader:
+    """Parses the event stream of one answer and measures its token times."""
 
     def __init__(self, began_at: float) -> None:
         self._began_at = began_at
--- a/springrock/emulator/report.py
+++ b/springrock/emulator/report.py
@@ -1,4 +1,4 @@
-"""What a load run showed: stalls, worth in time, refusals, batch fill, loads."""
+"""Report of a load run: stalls, worth in time, refusals, batch fill, adapter loads."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 from springrock.emulator.load import Outcome
 
-_RAREST = 0.1
+_RARE_FRACTION = 0.1
 
 
 class Report(msgspec.Struct, frozen=True, kw_only=True):
-    """The figures of one run.
+    """The figures of one load run.
 
     Attributes:
-        worth_in_time: The share of all stated worth whose whole answer came in time.
-        stall_mean_s: Mean load stall of answered completions.
-        rare_share: The in-time share of requests for the rarest tenth of what was asked for,
-            relative to that of the rest.
-        batch_fill: The share of places in engine steps that did useful work.
+        worth_in_time: The share of all stated worth whose complete answers arrived in time.
+        stall_mean_s: Mean time that answered completions waited for an adapter load.
+        rare_share: The in-time share of the tenth of requests with the least popular adapters,
+            relative to that of the other requests.
+        batch_fill: The share of batch slots in engine steps that produced a token.
         wasted_loads: The share of unloaded adapters that no request had used.
     """
 
@@ -47,12 +47,12 @@
     def from_outcomes(
         cls, name: str, outcomes: Sequence[Outcome], counters: Sequence[dict[str, Any]]
     ) -> Report:
-        """Reckon the figures.
+        """Calculate the figures.
 
         Args:
-            name: The run's name.
-            outcomes: How its requests ended.
-            counters: What the engines counted in it.
+            name: The name of the run.
+            outcomes: The outcomes of its requests.
+            counters: The counters of each engine stand-in for the run.
         """
         completions = [item for item in outcomes if item.run_state == "answered" and item.tokens]
         stalls = [item.stall_s for item in completions]
@@ -60,12 +60,14 @@
         worth = sum(item.worth for item in outcomes)
         loads = sum(item["loads"] for item in counters)
         tokens = sum(item["tokens"] for item in counters)
-        places = sum(item["tokens"] / item["batch_fill"] for item in counters if item["tokens"])
+        batch_slots = sum(
+            item["tokens"] / item["batch_fill"] for item in counters if item["tokens"]
+        )
         return cls(
             name=name,
             requests=len(outcomes),
             answered=sum(item.run_state == "answered" for item in outcomes),
-            in_time=_share(outcomes),
+            in_time=_in_time_share(outcomes),
             worth_in_time=sum(item.worth for item in outcomes if item.in_time) / max(worth, 1e-9),
             stall_mean_s=sum(stalls) / max(1, len(stalls)),
             stall_p95_s=quantile(stalls, 0.95),
@@ -78,28 +80,28 @@
             wrong=sum(item.wrong for item in outcomes),
             loads=loads,
             wasted_loads=sum(item["wasted_loads"] for item in counters) / max(1, loads),
-            batch_fill=tokens / places if places else 0.0,
+            batch_fill=tokens / batch_slots if batch_slots else 0.0,
         )
 
 
 def quantile(values: Sequence[float], share: float) -> float:
-    """Return the value below which a share of the values lies; 0 without values."""
+    """Return the value below which the given share of the values lies; 0 without values."""
     ordered = sorted(values)
     if not ordered:
         return 0.0
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
 
-def _share(outcomes: Sequence[Outcome]) -> float:
+def _in_time_share(outcomes: Sequence[Outcome]) -> float:
     return sum(item.in_time for item in outcomes) / max(1, len(outcomes))
 
 
 def _rare_share(outcomes: Sequence[Outcome]) -> float:
-    """Return the in-time share of the rarest tenth of requests over that of the rest."""
+    """Return the in-time share of the rarest `_RARE_FRACTION` of requests over that of the rest."""
     ordered = sorted(outcomes, key=lambda item: item.rank)
-    cut = int(len(ordered) * (1 - _RAREST))
-    common, rare = ordered[:cut], ordered[cut:]
-    return _share(rare) / max(_share(common), 1e-9)
+    common_count = int(len(ordered) * (1 - _RARE_FRACTION))
+    common, rare = ordered[:common_count], ordered[common_count:]
+    return _in_time_share(rare) / max(_in_time_share(common), 1e-9)
 
 
 COLUMNS = [
@@ -116,7 +118,7 @@
 
 
 def as_table(reports: Sequence[Report]) -> str:
-    """Lay reports out as a table in Markdown."""
+    """Return reports formatted as a Markdown table."""
     lines = ["| " + " | ".join(COLUMNS) + " |", "|" + "---|" * len(COLUMNS)]
     for report in reports:
         cells = [_cell(getattr(report, column)) for column in COLUMNS]
