--- a/springrock/emulator/platform.py
+++ b/springrock/emulator/platform.py
@@ -1,6 +1,6 @@
-"""The platform's stand-in: transactional table, object store, list of boxes, weight store.
+"""Emulator of the platform: transactional table, object store, list of boxes, weight store.
 
-Faults are switched by ``POST /standin/faults`` for each part by itself.
+Faults are injected by ``POST /standin/faults``, separately for each of these parts.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 from springrock.wire import platform as wire
 
 PartName = Literal["table", "objects", "list", "weights"]
-_SHARING_TICK_S = 0.01
+_DELIVERY_TICK_S = 0.01
 
 
 class Fault(msgspec.Struct, frozen=True, kw_only=True):
-    """A fault of one part.
+    """Injected faults of one part of the platform.
 
     Attributes:
-        down: Every request is refused.
-        delay_s: Every request waits first.
-        lose_answers: So many answers are lost after their effect; -1 loses all.
+        down: Every request is refused with 503.
+        delay_s: Delay before each request is processed.
+        lose_answers: Number of requests that take effect but are answered with 504; -1 for all.
     """
 
     part: PartName
@@ -38,7 +38,7 @@
 
 
 class Table:
-    """Versioned rows; every commit gets the next version of the whole table."""
+    """Versioned rows; each commit increments the version of the whole table."""
 
     def __init__(self) -> None:
         self.rows: dict[str, wire.Row] = {}
@@ -48,11 +48,11 @@
         self.reads = 0
 
     def transact(self, transaction: wire.Transaction) -> wire.TransactionAnswer:
-        """Carry out a transaction whole or not at all."""
+        """Apply a transaction atomically if all its version checks hold."""
         failed = [
-            self._row(check.key)
+            self._row_or_absent(check.key)
             for check in transaction.checks
-            if self._row(check.key).version != check.version
+            if self._row_or_absent(check.key).version != check.version
         ]
         if failed:
             self.conflicts += 1
@@ -66,17 +66,22 @@
         return wire.TransactionAnswer(committed=True, version=self.version)
 
     def read(self, prefix: str) -> wire.Rows:
-        """Return the rows whose key starts with a prefix, sorted by key."""
+        """Return the rows whose keys start with a prefix, sorted by key."""
         self.reads += 1
         keys = sorted(key for key in self.rows if key.startswith(prefix))
         return wire.Rows(rows=[self.rows[key] for key in keys])
 
-    def _row(self, key: str) -> wire.Row:
+    def _row_or_absent(self, key: str) -> wire.Row:
         return self.rows.get(key, wire.Row(key, wire.ABSENT, b""))
 
 
 class WeightStore:
-    """Shares its load rate among the loads that run; several at once share less of it."""
+    """Divides its load rate among concurrent loads.
+
+    Args:
+        loads_per_s: The rate with a single load.
+        crowding: The share of that rate which remains in total with several loads.
+    """
 
     def __init__(self, *, loads_per_s: float, crowding: float) -> None:
         self.loads_per_s = loads_per_s
@@ -85,52 +90,52 @@
         self.loads = 0
 
     def fetch(self) -> None:
-        """Return when one adapter's weights have been delivered."""
+        """Block until one adapter's weights have been delivered."""
         left = 1.0
         self.active += 1
         last = monotonic()
         try:
             while left > 0:
-                gevent.sleep(_SHARING_TICK_S)
+                gevent.sleep(_DELIVERY_TICK_S)
                 now = monotonic()
-                left -= (now - last) * self._rate_each()
+                left -= (now - last) * self._rate_per_load()
                 last = now
             self.loads += 1
         finally:
             self.active -= 1
 
-    def _rate_each(self) -> float:
+    def _rate_per_load(self) -> float:
         if self.active <= 1:
             return self.loads_per_s
         return self.loads_per_s * self.crowding / self.active
 
 
 class LaggingList:
-    """The list of boxes and upstreams; readers see a change only after the lag."""
+    """The list of boxes and upstreams; readers see each change only after a lag."""
 
     def __init__(self, entries: list[wire.Listed], lag_s: float) -> None:
         self._lag_s = lag_s
         self._history = [(0.0, {entry.name: entry for entry in entries})]
 
     def put(self, entry: wire.Listed) -> None:
-        """Add or change an entry."""
+        """Add or replace an entry."""
         newest = self._history[-1][1]
         self._history.append((monotonic(), {**newest, entry.name: entry}))
 
     @property
-    def seen_version(self) -> int:
-        """How many changes readers see."""
-        seen_at = monotonic() - self._lag_s
-        return sum(at <= seen_at for at, _ in self._history) - 1
+    def visible_version(self) -> int:
+        """Number of changes that are visible to readers."""
+        visible_until = monotonic() - self._lag_s
+        return sum(at <= visible_until for at, _ in self._history) - 1
 
     def read(self) -> wire.Listing:
-        """Return the list as it was one lag ago."""
-        _, entries = self._history[self.seen_version]
+        """Return the list as it was before the lag."""
+        _, entries = self._history[self.visible_version]
         return wire.Listing(entries=list(entries.values()))
 
 
 class PlatformStandin:
-    """One HTTP server with all parts of the platform."""
+    """All parts of the emulated platform, served by one HTTP server."""
 
     def __init__(self, settings: PlatformStandinSettings) -> None:
         self.table = Table()
@@ -138,23 +143,23 @@
         self.weights = WeightStore(loads_per_s=settings.loads_per_s, crowding=settings.crowding)
         self.list = LaggingList(settings.listed, settings.list_lag_s)
         self._faults: dict[str, Fault] = {}
-        self._losses_left: dict[str, int] = {}
+        self._answer_losses_left: dict[str, int] = {}
         self.not_modified = 0
         self.body_bytes = 0
         self.server = HttpServer(self._build_app(), settings.address)
 
     def start(self) -> None:
-        """Begin serving."""
+        """Start the HTTP server."""
         self.server.start()
 
     def stop(self) -> None:
-        """Stop serving at once."""
+        """Stop at once, without waiting for open requests."""
         self.server.stop(finish_within_s=0)
 
     def set_fault(self, fault: Fault) -> None:
-        """Switch a part's fault; a fault of defaults heals it."""
+        """Replace the faults of a part; a fault with only defaults clears them."""
         self._faults[fault.part] = fault
-        self._losses_left[fault.part] = fault.lose_answers
+        self._answer_losses_left[fault.part] = fault.lose_answers
 
     def _build_app(self) -> Any:
         app = new_app()
@@ -169,7 +174,7 @@
         app.get("/standin/counters")(self._counters)
         return app
 
-    def _enter(self, part: PartName) -> None:
+    def _inject_delay_or_refusal(self, part: PartName) -> None:
         fault = self._faults.get(part)
         if fault is None:
             return
@@ -178,46 +183,46 @@
         if fault.down:
             raise bottle.HTTPResponse(b"down", status=503)
 
-    def _leave(self, part: PartName) -> None:
-        left = self._losses_left.get(part, 0)
+    def _inject_answer_loss(self, part: PartName) -> None:
+        left = self._answer_losses_left.get(part, 0)
         if left == 0:
             return
         if left > 0:
-            self._losses_left[part] = left - 1
+            self._answer_losses_left[part] = left - 1
         raise bottle.HTTPResponse(b"answer lost", status=504)
 
     def _transact(self) -> Any:
-        self._enter("table")
+        self._inject_delay_or_refusal("table")
         transaction = msgspec.json.decode(bottle.request.body.read(), type=wire.Transaction)
         answer = self.table.transact(transaction)
-        self._leave("table")
+        self._inject_answer_loss("table")
         return msgspec.json.encode(answer)
 
     def _rows(self) -> Any:
-        self._enter("table")
+        self._inject_delay_or_refusal("table")
         rows = self.table.read(bottle.request.query.prefix)
-        self._leave("table")
+        self._inject_answer_loss("table")
         newest = max((row.version for row in rows.rows), default=0)
-        return self._conditional(f'"{newest}-{len(rows.rows)}"', rows)
+        return self._conditional_answer(f'"{newest}-{len(rows.rows)}"', rows)
 
     def _get_object(self, name: str) -> Any:
-        self._enter("objects")
+        self._inject_delay_or_refusal("objects")
         if name not in self.objects:
             raise bottle.HTTPResponse(b"absent", status=404)
         return self.objects[name]
 
     def _put_object(self, name: str) -> Any:
-        self._enter("objects")
+        self._inject_delay_or_refusal("objects")
         self.objects[name] = bottle.request.body.read()
-        self._leave("objects")
+        self._inject_answer_loss("objects")
         return b""
 
     def _list(self) -> Any:
-        self._enter("list")
-        return self._conditional(f'"{self.list.seen_version}"', self.list.read())
+        self._inject_delay_or_refusal("list")
+        return self._conditional_answer(f'"{self.list.visible_version}"', self.list.read())
 
-    def _conditional(self, etag: str, answer: msgspec.Struct) -> Any:
-        """Answer 304 to a reader that has the newest already."""
+    def _conditional_answer(self, etag: str, answer: msgspec.Struct) -> Any:
+        """Return the answer, or raise a 304 response if the reader's ETag is current."""
         if bottle.request.headers.get("If-None-Match") == etag:
             self.not_modified += 1
             raise bottle.HTTPResponse(status=304, headers={"ETag": etag})
@@ -230,7 +235,7 @@
         return b""
 
     def _weights(self, name: str) -> Any:
-        self._enter("weights")
+        self._inject_delay_or_refusal("weights")
         self.weights.fetch()
         return name.encode()
 
@@ -252,7 +257,7 @@
 
 
 def serve_forever(standin: Any) -> None:
-    """Start a stand-in and wait until the process is ended."""
+    """Start a stand-in, print its address and block until the process ends."""
     standin.start()
     print(standin.server.address, flush=True)
     Event().wait()
--- a/springrock/emulator/proxy.py
+++ b/springrock/emulator/proxy.py
@@ -1,4 +1,4 @@
-"""A small TCP proxy that injects faults on named routes, for tests and experiments."""
+"""TCP proxy that injects network faults on named routes, for tests and experiments."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 Direction = Literal["to_target", "to_caller"]
 _BLOCK_BYTES = 65_536
 _CONNECT_TIMEOUT_S = 2.0
-_STUCK_POLL_INTERVAL_S = 0.05
+_BLOCKED_POLL_INTERVAL_S = 0.05
 
 
 class RouteFault(msgspec.Struct, frozen=True, kw_only=True):
-    """The faults of some routes; defaults heal them.
+    """Injected faults of some routes; a fault with only defaults clears them.
 
     Attributes:
-        routes: The routes' names.
+        routes: Names of the affected routes.
         cut: Open connections are closed and new ones refused.
-        black_hole: Nothing passes, either way, and nothing is closed.
-        one_way: Nothing passes in this direction.
-        delay_s: Every block of bytes waits this long, in each direction.
-        half_answer_bytes: After so many bytes to the caller the connection is closed; 0 never.
+        black_hole: No bytes pass in either direction, and connections stay open.
+        one_way: No bytes pass in this direction.
+        delay_s: Delay of each block of bytes, in both directions.
+        half_answer_bytes: The connection is closed after this many bytes to the caller; 0 never.
     """
 
     routes: list[str]
@@ -42,19 +42,19 @@
 
 
 class _Route:
-    """One listening address, its target, and its present fault."""
+    """A listening address with its target and its current fault."""
 
     def __init__(self, settings: RouteSettings) -> None:
         self._target = split_address(settings.target_address)
-        self._open: set[Any] = set()
+        self._open_sockets: set[Any] = set()
         self.fault = RouteFault(routes=[])
         self.server = StreamServer(split_address(settings.address), self._serve)
 
     def set_fault(self, fault: RouteFault) -> None:
         self.fault = fault
         if fault.cut:
-            for connection in list(self._open):
-                connection.close()
+            for open_socket in list(self._open_sockets):
+                open_socket.close()
 
     def _serve(self, caller: Any, _: Any) -> None:
         if self.fault.cut:
@@ -66,12 +66,12 @@
             caller.close()
             return
         if self.fault.cut:
-            # The cut came while the target was being dialed.
+            # The cut was set while the connection to the target was being established.
             caller.close()
             target.close()
             return
         target.settimeout(None)
-        self._open |= {caller, target}
+        self._open_sockets |= {caller, target}
         tasks = [
             gevent.spawn(self._pump, caller, target, "to_target"),
             gevent.spawn(self._pump, target, caller, "to_caller"),
@@ -79,35 +79,35 @@
         gevent.joinall(tasks, count=1)
         caller.close()
         target.close()
-        self._open -= {caller, target}
+        self._open_sockets -= {caller, target}
         gevent.killall(tasks)
 
     def _pump(self, source: Any, sink: Any, direction: Direction) -> None:
-        passed = 0
+        forwarded_bytes = 0
         try:
             while block := source.recv(_BLOCK_BYTES):
                 if self.fault.delay_s:
                     gevent.sleep(self.fault.delay_s)
-                while self._stuck(direction):
-                    gevent.sleep(_STUCK_POLL_INTERVAL_S)
+                while self._is_blocked(direction):
+                    gevent.sleep(_BLOCKED_POLL_INTERVAL_S)
                 limit = self.fault.half_answer_bytes
-                if direction == "to_caller" and limit and passed + len(block) >= limit:
-                    sink.sendall(block[: max(0, limit - passed)])
+                if direction == "to_caller" and limit and forwarded_bytes + len(block) >= limit:
+                    sink.sendall(block[: max(0, limit - forwarded_bytes)])
                     return
                 sink.sendall(block)
-                passed += len(block)
+                forwarded_bytes += len(block)
         except OSError:
             return
 
-    def _stuck(self, direction: Direction) -> bool:
+    def _is_blocked(self, direction: Direction) -> bool:
         return self.fault.black_hole or self.fault.one_way == direction
 
 
 class Proxy:
-    """All routes of one proxy process.
+    """The routes of one proxy process and the HTTP server that controls their faults.
 
     Args:
-        settings: The routes.
+        settings: The routes and the address of the control server.
     """
 
     def __init__(self, settings: ProxySettings) -> None:
@@ -117,19 +117,19 @@
         self.server = HttpServer(app, settings.address)
 
     def start(self) -> None:
-        """Begin passing bytes."""
+        """Start forwarding on all routes, and the control server."""
         for route in self._routes.values():
             route.server.start()
         self.server.start()
 
     def stop(self) -> None:
-        """Stop at once."""
+        """Stop at once, without waiting for open connections."""
         for route in self._routes.values():
             route.server.stop(timeout=0)
         self.server.stop(finish_within_s=0)
 
     def set_fault(self, fault: RouteFault) -> None:
-        """Switch the faults of some routes."""
+        """Replace the faults of the routes that the fault names."""
         for name in fault.routes:
             self._routes[name].set_fault(fault)
 
--- a/tests/emulator/test_ports.py
+++ b/tests/emulator/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports that are given out: no two processes get the same one, however many they take."""
+"""Concurrent processes that allocate many ports never get the same port."""
 
 from __future__ import annotations
 
@@ -6,29 +6,32 @@
 import sys
 
 _PROCESSES = 3
-_PORTS_OF_EACH = 600
-_TAKE = f"""
+_PORTS_PER_PROCESS = 600
+_ALLOCATE_SCRIPT = f"""
 import sys
 from springrock.emulator.ports import free_addresses
-print(" ".join(free_addresses({_PORTS_OF_EACH})), flush=True)
+print(" ".join(free_addresses({_PORTS_PER_PROCESS})), flush=True)
 sys.stdin.read()
 """
 
 
-def test_processes_that_take_ports_at_once_get_different_ones() -> None:
+def test_concurrent_processes_allocate_different_ports() -> None:
     processes = [
         subprocess.Popen(
-            [sys.executable, "-c", _TAKE], stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True
+            [sys.executable, "-c", _ALLOCATE_SCRIPT],
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            text=True,
         )
         for _ in range(_PROCESSES)
     ]
     try:
-        taken: list[str] = []
+        allocated: list[str] = []
         for process in processes:
             assert process.stdout is not None
-            taken += process.stdout.readline().split()
+            allocated += process.stdout.readline().split()
     finally:
         for process in processes:
             process.communicate()
-    assert len(taken) == _PROCESSES * _PORTS_OF_EACH
-    assert len(set(taken)) == len(taken)
+    assert len(allocated) == _PROCESSES * _PORTS_PER_PROCESS
+    assert len(set(allocated)) == len(allocated)
