--- a/springrock/emulator/replica.py
+++ b/springrock/emulator/replica.py
@@ -1,4 +1,4 @@
-"""The stand-in for one of the users' replicas: a plain service, or a model engine with places."""
+"""Emulator of one of the users' replicas: a plain service, or a model engine with adapters."""
 
 from __future__ import annotations
 
@@ -28,33 +28,33 @@
 from springrock.httpd import SOCKET_KEY, HttpServer
 from springrock.platform import names
 
-_SEAL = "Springrock-Response-Seal"
-_RECORD_EVERY_S = 0.3
+_SEAL_HEADER = "Springrock-Response-Seal"
+_RECORD_INTERVAL_S = 0.3
 _REPORT_LAG_S = 0.1
 _UNLOADED_IN_USE = "unloaded_in_use"
-_FIRST_VERSION = 1
-"""What a load brings that names no version."""
+_DEFAULT_VERSION = 1
+"""The adapter version that a load order without a version loads."""
 
 CRASHED = 70
-"""How a process ends that a request has crashed, so that it is told from one that was killed."""
+"""Exit status of a replica that a request crashed, to distinguish it from a killed one."""
 
-_ARRIVALS_KEPT = 10_000
-"""Of so many requests, the last ones, it is told when they arrived."""
+_MAX_ARRIVALS = 10_000
+"""Number of most recent requests whose arrival times the counters report."""
 
 
 class ReplicaFault(Struct, frozen=True, kw_only=True):
-    """Faults of a replica.
+    """Injected faults of a replica; each posted set replaces the whole previous one.
 
     Attributes:
         refuse: Requests are refused before they run.
-        asks_rest_s: For so long refusals ask their callers for rest; 0 for no word of it.
-        fail: Requests run and end with 500.
-        cut_after: Streams break after so many events; negative for none. Once only.
-        leaving: Its record and all its answers say that it leaves.
-        silent: It does not record itself.
-        reborn: It starts anew under its id: at once, and with nothing of before. Once only.
-        cold_s: It turns cold for so long, from now on.
-        limit_per_s: All its answers name this limit; negative for none.
+        asks_rest_s: The `Retry-After` time that refusals name; 0 omits the header.
+        fail: Requests run and are answered with 500.
+        cut_after: The next stream is cut after this many events; negative for none.
+        leaving: The record and all answers announce that the replica is leaving.
+        silent: The replica does not write its record.
+        reborn: The replica restarts once, at once, with the same id and without any earlier state.
+        cold_s: The replica reports itself as cold for this long from now on.
+        limit_per_s: The rate limit that all answers name; negative for none.
     """
 
     refuse: bool = False
@@ -68,32 +68,32 @@
     limit_per_s: float = -1.0
 
 
-class _Run(NamedTuple):
-    """A stream under way."""
+class _StreamRun(NamedTuple):
+    """A stream that is being sent."""
 
     request_id: str
     began_at: float
 
 
 class ReplicaStandin:
-    """One replica as an HTTP server that records itself in the store."""
+    """An emulated replica, served over HTTP, that writes its own record to the store."""
 
     def __init__(self, settings: ReplicaStandinSettings) -> None:
         self._settings = settings
         self._instance = settings.instance or f"i-{secrets.token_hex(4)}"
         self._fault = ReplicaFault()
-        self._born_ms = _now_ms()
+        self._started_ms = _now_ms()
         self._sockets: WeakSet[Any] = WeakSet()
         self._store = urllib3.PoolManager(retries=False)
         self._adapters: dict[str, int] = {}
-        self._coming: dict[str, int] = {}
-        self._running: dict[str, list[_Run]] = defaultdict(list)
+        self._loading: dict[str, int] = {}
+        self._streams: dict[str, list[_StreamRun]] = defaultdict(list)
         self._sequence = 0
         self._fence = 0
         self._reports: list[tuple[float, dict[str, Any]]] = []
         self.runs: Counter[str] = Counter()
         self.teams: dict[str, str] = {}
-        self._arrivals: deque[float] = deque(maxlen=_ARRIVALS_KEPT)
+        self._arrivals: deque[float] = deque(maxlen=_MAX_ARRIVALS)
         self.violations: Counter[str] = Counter()
         self._cold_until = monotonic() + settings.cold_s
         self._events_file = ReplicaEventFile(settings.events_path)
@@ -101,13 +101,13 @@
         self.server = HttpServer(self._build_app(), settings.address)
 
     def start(self) -> None:
-        """Begin serving and recording."""
+        """Start the HTTP server and the loop that writes the record."""
         self._write_event(ReplicaEventKind.STARTED)
         self.server.start()
         gevent.spawn(self._record_loop)
 
     def stop(self) -> None:
-        """Stop at once."""
+        """Stop at once, without waiting for open requests."""
         self.server.stop(finish_within_s=0)
 
     def _build_app(self) -> Any:
@@ -119,18 +119,18 @@
         app.route("/<path:path>", method=["GET", "POST", "PUT"])(self._run)
         return app
 
-    # What it says of itself.
+    # Record and reports.
 
     def _record_loop(self) -> None:
         while True:
             try:
                 if not self._fault.silent:
-                    self._record()
+                    self._write_record()
             except urllib3.exceptions.HTTPError:
                 pass
-            gevent.sleep(_RECORD_EVERY_S)
+            gevent.sleep(_RECORD_INTERVAL_S)
 
-    def _record(self) -> None:
+    def _write_record(self) -> None:
         settings = self._settings
         leaving = self._fault.leaving
         value = {
@@ -156,7 +156,7 @@
             self._write_event(ReplicaEventKind.LEAVING_ACKNOWLEDGED)
 
     def _reported_start(self) -> dict[str, int]:
-        return {"born": self._born_ms} if self._settings.tells_start else {}
+        return {"born": self._started_ms} if self._settings.tells_start else {}
 
     @property
     def _cold_left_s(self) -> float:
@@ -178,10 +178,12 @@
     def _answer(
         self, body: bytes, *, status: int = 200, headers: dict[str, str] | None = None
     ) -> Any:
-        """Return an answer with what each answer tells of the replica."""
-        return json_response(body, status=status, headers={**(headers or {}), **self._said()})
+        """Return an answer with the headers that every answer carries."""
+        return json_response(
+            body, status=status, headers={**(headers or {}), **self._status_headers()}
+        )
 
-    def _said(self) -> dict[str, str]:
+    def _status_headers(self) -> dict[str, str]:
         said = {names.LEAVING: "1"} if self._fault.leaving else {}
         if self._fault.limit_per_s >= 0:
             said[names.LIMIT] = str(self._fault.limit_per_s)
@@ -194,8 +196,8 @@
             "models": self._models(),
             "busy": False,
             "sequence": self._sequence,
-            "coming": [f"{model}/{name}@{version}" for name, version in self._coming.items()],
-            "running": sum(len(begun) for begun in self._running.values()),
+            "coming": [f"{model}/{name}@{version}" for name, version in self._loading.items()],
+            "running": sum(len(streams) for streams in self._streams.values()),
             "queued": 0,
             **self._reported_start(),
         }
@@ -213,32 +215,32 @@
             return self._answer(b"{}", status=409)
         adapter = order["adapter"]
         if order["operation"] == "load":
-            return self._load(adapter, order.get("version", _FIRST_VERSION))
+            return self._load(adapter, order.get("version", _DEFAULT_VERSION))
         return self._unload(adapter)
 
     def _load(self, adapter: str, version: int) -> Any:
         if self._adapters.get(adapter, 0) >= version:
             return self._answer(b"{}", status=200)
-        if self._coming.get(adapter, 0) >= version:
+        if self._loading.get(adapter, 0) >= version:
             return self._answer(b"{}", status=202)
         self._sequence += 1
-        held = self._adapters.keys() | self._coming.keys()
+        held = self._adapters.keys() | self._loading.keys()
         if adapter not in held and len(held) >= self._settings.adapter_slots:
-            self._violate("too_many_adapters")
-        self._coming[adapter] = version
-        gevent.spawn_later(self._settings.load_s, self._arrive, adapter, self._born_ms)
+            self._record_violation("too_many_adapters")
+        self._loading[adapter] = version
+        gevent.spawn_later(self._settings.load_s, self._finish_load, adapter, self._started_ms)
         return self._answer(b"{}", status=202)
 
-    def _arrive(self, adapter: str, born_ms: int) -> None:
-        version = self._coming.pop(adapter, None) if born_ms == self._born_ms else None
+    def _finish_load(self, adapter: str, started_ms: int) -> None:
+        version = self._loading.pop(adapter, None) if started_ms == self._started_ms else None
         if version is not None:
             self._adapters[adapter] = version
 
     def _unload(self, adapter: str) -> Any:
         self._sequence += 1
-        if self._running[adapter]:
+        if self._streams[adapter]:
             self.violations[_UNLOADED_IN_USE] += 1
-        for run in self._running[adapter]:
+        for run in self._streams[adapter]:
             self._write_event(
                 ReplicaEventKind.VIOLATION,
                 detail=_UNLOADED_IN_USE,
@@ -256,14 +258,14 @@
         request_id = request.get_header(names.REQUEST_ID, "")
         headers = {names.REQUEST_ID: request_id, names.INSTANCE_ID: self._instance}
         adapter = request.get_header(names.MODEL, "").partition("/")[2]
-        if not self._is_meant(adapter):
+        if not self._is_addressed_here(adapter):
             self._record_request(ReplicaEventKind.MISDIRECTED, adapter)
             return self._answer(b"", status=421, headers=headers)
         self._arrivals.append(monotonic())
         if self._fault.refuse:
             rest_s = self._fault.asks_rest_s
             self._record_request(ReplicaEventKind.REFUSED, adapter, asked_rest_s=rest_s)
-            return self._answer(b"", status=503, headers={**headers, **self._refusal()})
+            return self._answer(b"", status=503, headers={**headers, **self._refusal_headers()})
         self.runs[request_id] += 1
         self._sockets.add(request.environ[SOCKET_KEY])
         self.teams[request_id] = request.get_header(names.TEAM, "")
@@ -271,31 +273,31 @@
         if self._crashes_on(path, body):
             os._exit(CRASHED)
         if request.get_header(names.API_KEY) is not None:
-            self._violate("key_passed_on")
-        headers[_SEAL] = f"seal-of-{request_id}"
+            self._record_violation("key_passed_on")
+        headers[_SEAL_HEADER] = f"seal-of-{request_id}"
         if self._fault.fail:
             return self._answer(b"failed", status=500, headers=headers)
         if self._settings.base_model:
             headers["Content-Type"] = "text/event-stream"
             first = int(request.get_header(names.LAST_EVENT_ID) or "0") + 1
-            headers |= self._said()
+            headers |= self._status_headers()
             return bottle.HTTPResponse(self._events(adapter, first), headers=headers)
         gevent.sleep(self._settings.work_ms / 1000)
         return self._answer(f"{request.method} /{path} {len(body)}".encode(), headers=headers)
 
-    def _refusal(self) -> dict[str, str]:
+    def _refusal_headers(self) -> dict[str, str]:
         refusal = {names.NOT_EXECUTED: "1"}
         if self._fault.asks_rest_s:
             refusal[retry_after.HEADER] = str(self._fault.asks_rest_s)
         return refusal
 
     def _crashes_on(self, path: str, body: bytes) -> bool:
-        """Whether a request ends the process that begins to run it."""
+        """Whether a request crashes the replica as it begins to run."""
         text = self._settings.crashes_on
         return bool(text) and (text in path or text.encode() in body)
 
-    def _is_meant(self, adapter: str) -> bool:
-        """Whether a request is for this replica, as it stands now."""
+    def _is_addressed_here(self, adapter: str) -> bool:
+        """Whether a request matches this replica's id and the adapter version it holds now."""
         request = bottle.request
         default = None if self._settings.needs_instance else self._instance
         if request.get_header(names.EXPECT_INSTANCE, default) != self._instance:
@@ -310,28 +312,28 @@
             self._fault.cut_after,
             msgspec.structs.replace(self._fault, cut_after=-1),
         )
-        running = self._running
-        run = _Run(bottle.request.get_header(names.REQUEST_ID, ""), monotonic())
+        running = self._streams
+        run = _StreamRun(bottle.request.get_header(names.REQUEST_ID, ""), monotonic())
         running[adapter].append(run)
         try:
             for number in range(first, self._settings.events + 1):
-                if running is not self._running:
-                    raise AnswerCut("a new start")
+                if running is not self._streams:
+                    raise AnswerCut("the replica restarted")
                 if number - first == cut_after:
                     yield b"id: %d\nda" % number
-                    raise AnswerCut("a fault")
+                    raise AnswerCut("injected fault")
                 yield b"id: %d\ndata: token %d\n\n" % (number, number)
                 gevent.sleep(self._settings.event_pause_ms / 1000)
         finally:
             running[adapter].remove(run)
 
-    # What it tells of what it saw.
+    # Events and violations.
 
-    def _violate(self, detail: str) -> None:
+    def _record_violation(self, detail: str) -> None:
         self.violations[detail] += 1
         self._write_event(ReplicaEventKind.VIOLATION, detail=detail)
 
-    def _record_request(self, kind: ReplicaEventKind, adapter: str, **more: Any) -> None:
+    def _record_request(self, kind: ReplicaEventKind, adapter: str, **fields: Any) -> None:
         request = bottle.request
         self._write_event(
             kind,
@@ -342,21 +344,21 @@
             version=self._adapters.get(adapter, 0),
             named_per_s=self._fault.limit_per_s,
             first_event=int(request.get_header(names.LAST_EVENT_ID) or "0") + 1,
-            **more,
+            **fields,
         )
 
-    def _write_event(self, kind: ReplicaEventKind, **more: Any) -> None:
+    def _write_event(self, kind: ReplicaEventKind, **fields: Any) -> None:
         self._events_file.record(
             ReplicaEvent(
                 kind=kind,
                 at=monotonic(),
                 instance=self._instance,
                 service=self._settings.service,
-                **more,
+                **fields,
             )
         )
 
-    # Control of the stand-in.
+    # Control endpoints of the stand-in.
 
     def _post_fault(self) -> Any:
         self._fault = msgspec.json.decode(bottle.request.body.read(), type=ReplicaFault)
@@ -367,11 +369,11 @@
         return b""
 
     def _restart(self) -> None:
-        """Forget all but what tests look at; break off what runs."""
-        self._born_ms = max(_now_ms(), self._born_ms + 1)
+        """Reset all state but the counters for tests, and cut open connections."""
+        self._started_ms = max(_now_ms(), self._started_ms + 1)
         self._adapters = {}
-        self._coming = {}
-        self._running = defaultdict(list)
+        self._loading = {}
+        self._streams = defaultdict(list)
         self._sequence = 0
         self._fence = 0
         self._reports = []
@@ -382,7 +384,7 @@
     def _get_counters(self) -> Any:
         counters = {
             "instance": self._instance,
-            "born": self._born_ms,
+            "born": self._started_ms,
             "adapters": sorted(self._adapters),
             "violations": dict(self.violations),
             "runs": dict(self.runs),
--- a/springrock/emulator/replica_events.py
+++ b/springrock/emulator/replica_events.py
@@ -1,4 +1,4 @@
-"""What a stand-in replica saw, written line by line so that it outlives the process."""
+"""Event file of a replica stand-in, one event a line, which outlives a killed process."""
 
 from __future__ import annotations
 
@@ -11,32 +11,32 @@
 
 
 class ReplicaEventKind(StrEnum):
-    """What happened at a replica."""
+    """Kinds of events at a replica."""
 
     STARTED = "started"
     RAN = "ran"
     REFUSED = "refused"
-    """The replica said that it did not run the request."""
+    """The replica answered that it did not run the request."""
     MISDIRECTED = "misdirected"
     LEAVING_ACKNOWLEDGED = "leaving_acknowledged"
     VIOLATION = "violation"
 
 
 class ReplicaEvent(Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """One thing that happened at one replica.
+    """One event at a replica.
 
     Attributes:
-        at: When, in seconds of the machine's steady clock, which all processes share.
-        request_id: The request; empty where there is none.
+        at: Time in seconds on the machine's monotonic clock, which all processes share.
+        request_id: The id of the request; empty for events without one.
         path: The path of the request.
-        team: The team that the replica was told.
+        team: The team that the request named.
         adapter: The adapter that the request ran on.
         version: The version of that adapter.
         first_event: The number of the first event of a stream; 1 unless it was resumed.
-        detail: The name of a violation.
-        asked_rest_s: For how long the refusal asked its sender for rest.
-        named_per_s: The limit that the answer named; negative for none.
-        age_s: How long the run of the request had gone on that an unload came under.
+        detail: The name of the violation.
+        asked_rest_s: The `Retry-After` time that the refusal named.
+        named_per_s: The rate limit that the answer named; negative for none.
+        age_s: How long the request had been running when its adapter was unloaded.
     """
 
     kind: ReplicaEventKind
@@ -56,10 +56,10 @@
 
 
 class ReplicaEventFile:
-    """Appends events to a file, each with one write, so that a killed process leaves whole lines.
+    """Appends events to a file, each by a single write, so a killed process leaves whole lines.
 
     Args:
-        path: The file; without one nothing is written.
+        path: The file; if empty, no events are written.
     """
 
     def __init__(self, path: str) -> None:
@@ -73,7 +73,7 @@
 
 
 def read_replica_events(path: Path) -> list[ReplicaEvent]:
-    """Return the events of a file; none if it does not exist."""
+    """Return the events of a file; an empty list if it does not exist."""
     if not path.exists():
         return []
     lines = path.read_bytes().splitlines()
--- a/springrock/emulator/rowstore.py
+++ b/springrock/emulator/rowstore.py
@@ -1,4 +1,4 @@
-"""The stand-in for the users' metadata store: rows, transactions, a feed of changes, outages."""
+"""Emulator of the users' metadata store: rows, transactions, a change feed, outages."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 from springrock.httpd import HttpServer
 from springrock.platform import names
 
-_LONGEST_WAIT_S = 30.0
+_MAX_WAIT_S = 30.0
 _FIRST_ERA = 1
 _STORE_TABLES = frozenset({names.OPERATOR_TABLE, names.REPLICA_TABLE})
-"""Tables that the system itself may not write to."""
+"""Tables that boxes may not write to; only the control endpoint may."""
 
 
 class RowStoreFault(Struct, frozen=True, kw_only=True):
-    """Faults of the store.
+    """Injected faults of the store; each posted set replaces the whole previous one.
 
     Attributes:
-        busy: Every call gets 503 and does nothing, those that wait for changes too.
-        slow_s: Every call waits this long before it is looked at.
-        lose_answers: So many writes are done and not answered.
-        forget_history: The next read of changes is told that they are gone.
-        later_versions: Writes are answered with a version above that of their rows, as where
-            another transaction follows before the answer.
+        busy: Every request is refused with 503, including those that wait for changes.
+        slow_s: Delay before each request is processed.
+        lose_answers: Number of writes that are committed but not answered.
+        forget_history: The next read of the change feed gets 410, as if its history were gone.
+        later_versions: Answers to writes carry a version above that of the written rows, as if
+            another transaction had been committed before the answer.
     """
 
     busy: bool = False
@@ -43,18 +43,18 @@
     later_versions: bool = False
 
 
-class Return(Struct, frozen=True, kw_only=True):
-    """The store comes back from a copy; what was written since is gone, its versions with it.
+class RestoreCommand(Struct, frozen=True, kw_only=True):
+    """A command to restore the store from a backup, which drops later writes and versions.
 
     Attributes:
-        copy_s: How old the copy is.
+        copy_s: The age of the backup.
     """
 
     copy_s: float
 
 
 class StoredRow(Struct):
-    """A row as it lies in the store."""
+    """A row as stored, or in the history the removal of a row."""
 
     table: str
     key: str
@@ -64,7 +64,7 @@
     gone: bool = False
 
 
-class _Expected(Struct):
+class _ExpectedVersion(Struct):
     table: str
     key: str
     part: str = ""
@@ -72,31 +72,31 @@
 
 
 class _Transaction(Struct):
-    expected: list[_Expected] = field(default_factory=list)
+    expected: list[_ExpectedVersion] = field(default_factory=list)
     put: list[StoredRow] = field(default_factory=list)
-    remove: list[_Expected] = field(default_factory=list)
+    remove: list[_ExpectedVersion] = field(default_factory=list)
 
 
 class RowStoreStandin:
-    """The store as an HTTP server."""
+    """The emulated store, served over HTTP."""
 
     def __init__(self, settings: RowStoreStandinSettings) -> None:
         self._rows: dict[tuple[str, str, str], StoredRow] = {}
         self._history: list[StoredRow] = []
         self._version = 0
         self._era = _FIRST_ERA
-        self._tells_era = settings.tells_era
-        self._written_at: list[tuple[float, int]] = [(monotonic(), 0)]
+        self._sends_era = settings.tells_era
+        self._version_times: list[tuple[float, int]] = [(monotonic(), 0)]
         self._changed = Event()
         self._fault = RowStoreFault()
         self.server = HttpServer(self._build_app(), settings.address)
 
     def start(self) -> None:
-        """Begin serving."""
+        """Start the HTTP server."""
         self.server.start()
 
     def stop(self) -> None:
-        """Stop at once."""
+        """Stop at once, without waiting for open requests."""
         self.server.stop(finish_within_s=0)
 
     def _build_app(self) -> Any:
@@ -106,7 +106,7 @@
         app.post(names.ROWS_TX_PATH)(lambda: self._post_transaction(operator=False))
         app.post("/standin/transaction")(lambda: self._post_transaction(operator=True))
         app.post("/standin/faults")(self._post_fault)
-        app.post("/standin/return")(self._post_return)
+        app.post("/standin/return")(self._post_restore)
         return app
 
     # Reading.
@@ -116,12 +116,12 @@
         if self._fault.busy:
             return self._refusal(503)
         query = bottle.request.query
-        chosen = [
+        matching = [
             row
             for (table, part, key), row in sorted(self._rows.items())
             if table == query.table and part == query.part and key >= query.get("from", "")
         ]
-        return self._answer(chosen)
+        return self._answer(matching)
 
     def _get_feed(self) -> Any:
         gevent.sleep(self._fault.slow_s)
@@ -132,20 +132,20 @@
             return self._refusal(410)
         query = bottle.request.query
         after = int(query.after)
-        ends_at = monotonic() + min(_LONGEST_WAIT_S, int(query.waitMs) / 1000)
+        deadline = monotonic() + min(_MAX_WAIT_S, int(query.waitMs) / 1000)
         while not self._fault.busy:
             if after > self._version:
                 return self._refusal(410)
             changed = self._changed
-            found = self._changes(query.table, after)
-            left_s = ends_at - monotonic()
-            if found or left_s <= 0:
-                return self._answer(found)
+            changes = self._changes(query.table, after)
+            left_s = deadline - monotonic()
+            if changes or left_s <= 0:
+                return self._answer(changes)
             changed.wait(timeout=left_s)
         return self._refusal(503)
 
     def _changes(self, table: str, after: int) -> list[StoredRow]:
-        """Return what changed in a table since a version, without a look at all that is older."""
+        """Return the changes of a table after a version, without scanning the older history."""
         first = bisect_right(self._history, after, key=lambda row: row.ver)
         return [row for row in self._history[first:] if row.table == table]
 
@@ -158,7 +158,7 @@
         return self._response(b"{}", status=status)
 
     def _response(self, body: bytes, *, status: int = 200) -> Any:
-        headers = {names.ERA_HEADER: str(self._era)} if self._tells_era else {}
+        headers = {names.ERA_HEADER: str(self._era)} if self._sends_era else {}
         return json_response(body, status=status, headers=headers)
 
     # Writing.
@@ -171,7 +171,7 @@
         transaction = msgspec.json.decode(bottle.request.body.read(), type=_Transaction)
         if not operator and any(row.table in _STORE_TABLES for row in transaction.put):
             return self._refusal(403)
-        existing = [self._standing(item) for item in transaction.expected]
+        existing = [self._existing_row(item) for item in transaction.expected]
         if any(
             row.ver != item.ver for row, item in zip(existing, transaction.expected, strict=True)
         ):
@@ -181,21 +181,21 @@
         if self._fault.lose_answers and not operator:
             left = self._fault.lose_answers - 1
             self._fault = msgspec.structs.replace(self._fault, lose_answers=left)
-            raise CallerGone("the answer is lost")
+            raise CallerGone("injected fault: the answer is lost")
         if self._fault.later_versions:
-            self._next_version()
+            self._increment_version()
         return self._answer([])
 
-    def _standing(self, item: _Expected) -> StoredRow:
+    def _existing_row(self, item: _ExpectedVersion) -> StoredRow:
         absent = StoredRow(table=item.table, part=item.part, key=item.key)
         return self._rows.get((item.table, item.part, item.key), absent)
 
-    def _next_version(self) -> None:
+    def _increment_version(self) -> None:
         self._version += 1
-        self._written_at.append((monotonic(), self._version))
+        self._version_times.append((monotonic(), self._version))
 
     def _apply(self, transaction: _Transaction) -> None:
-        self._next_version()
+        self._increment_version()
         for row in transaction.put:
             stored = StoredRow(row.table, row.key, row.part, row.value, self._version)
             self._rows[(row.table, row.part, row.key)] = stored
@@ -208,7 +208,8 @@
         self._wake_readers()
 
     def _wake_readers(self) -> None:
-        # Each change has an event of its own: while one for all is set, each reader looks twice.
+        # Each change sets its own event. With one shared event, readers would find it still set
+        # when they wait again, and search the history twice for each change.
         changed, self._changed = self._changed, Event()
         changed.set()
 
@@ -217,24 +218,24 @@
         self._wake_readers()
         return b""
 
-    def _post_return(self) -> Any:
-        copy = msgspec.json.decode(bottle.request.body.read(), type=Return)
-        self._restore(monotonic() - copy.copy_s)
+    def _post_restore(self) -> Any:
+        backup = msgspec.json.decode(bottle.request.body.read(), type=RestoreCommand)
+        self._restore(monotonic() - backup.copy_s)
         self._wake_readers()
         return b""
 
-    def _restore(self, copied_at: float) -> None:
-        """Become what the store was at a moment, in the next era."""
-        kept = bisect_right(self._written_at, copied_at, key=lambda written: written[0])
-        self._written_at = self._written_at[: max(1, kept)]
-        self._version = self._written_at[-1][1]
-        kept = bisect_right(self._history, self._version, key=lambda row: row.ver)
-        self._history = self._history[:kept]
+    def _restore(self, backup_at: float) -> None:
+        """Reset the store to its state at the given time, and start the next era."""
+        kept_count = bisect_right(self._version_times, backup_at, key=lambda written: written[0])
+        self._version_times = self._version_times[: max(1, kept_count)]
+        self._version = self._version_times[-1][1]
+        kept_count = bisect_right(self._history, self._version, key=lambda row: row.ver)
+        self._history = self._history[:kept_count]
         self._rows = {}
         for row in self._history:
-            place = (row.table, row.part, row.key)
+            row_id = (row.table, row.part, row.key)
             if row.gone:
-                self._rows.pop(place, None)
+                self._rows.pop(row_id, None)
             else:
-                self._rows[place] = row
+                self._rows[row_id] = row
         self._era += 1
--- a/springrock/emulator/service.py
+++ b/springrock/emulator/service.py
@@ -1,4 +1,4 @@
-"""The stand-in for a plain service: answers any path, logs each run, counts second runs."""
+"""Emulator of a plain service: answers any path, counts runs and repeated runs of requests."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class ServiceFault(msgspec.Struct, frozen=True, kw_only=True):
-    """Faults of a service.
+    """Injected faults of a service; each posted set replaces the whole previous one.
 
     Attributes:
         refuse: Requests are refused before they run.
-        lose_answers: So many answers are lost after the run; -1 loses all.
+        lose_answers: Number of requests that run but are not answered; -1 for all.
     """
 
     refuse: bool = False
@@ -29,7 +29,7 @@
 
 
 class ServiceStandin:
-    """One plain service as an HTTP server."""
+    """An emulated plain service, served over HTTP."""
 
     def __init__(self, settings: ServiceStandinSettings) -> None:
         self.settings = settings
@@ -39,11 +39,11 @@
         self.server = HttpServer(self._build_app(), settings.address)
 
     def start(self) -> None:
-        """Begin serving."""
+        """Start the HTTP server."""
         self.server.start()
 
     def stop(self) -> None:
-        """Stop at once."""
+        """Stop at once, without waiting for open requests."""
         self.server.stop(finish_within_s=0)
 
     def _build_app(self) -> Any:
@@ -56,7 +56,7 @@
     def _run(self, path: str) -> Any:
         request = bottle.request
         request_id = request.get_header(REQUEST_ID_HEADER, "")
-        # A server that closes with unread bytes resets the connection and loses its answer.
+        # Closing a connection with unread bytes would reset it, and the answer would be lost.
         body = request.body.read()
         if self.fault.refuse:
             return json_response(b'{"reason":"busy"}', status=503, headers={"Retry-After": "1"})
--- a/springrock/emulator/settings.py
+++ b/springrock/emulator/settings.py
@@ -1,4 +1,4 @@
-"""Typed settings of the stand-ins."""
+"""Settings of the stand-ins."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class PlatformStandinSettings(Section, frozen=True, kw_only=True):
-    """The stand-in for the platform: table, objects, list and weight store.
+    """Settings of the platform stand-in: table, objects, list and weight store.
 
     Attributes:
-        address: Where it listens.
-        loads_per_s: Adapter loads a second when one runs alone.
-        crowding: The share of that rate which is left when several loads run at once.
-        list_lag_s: How late a change of the list is seen by readers.
-        listed: The list at the start.
+        address: The listening address.
+        loads_per_s: Adapter loads a second with a single concurrent load.
+        crowding: The share of that rate which remains in total with several concurrent loads.
+        list_lag_s: Delay before readers see a change of the list.
+        listed: The initial entries of the list.
     """
 
     address: str
@@ -27,15 +27,16 @@
 
 
 class EngineStandinSettings(Section, frozen=True, kw_only=True):
-    """The stand-in for a model engine.
+    """Settings of the model engine stand-in.
 
     Attributes:
-        step_ms: A step's length with nothing in it.
-        step_ms_per_request: What each request in the batch adds.
-        step_ms_per_adapter: What each distinct adapter in the batch adds.
-        report_lag_s: How old the reported load is.
+        step_ms: Duration of a step with an empty batch.
+        step_ms_per_request: Duration that each request in the batch adds to a step.
+        step_ms_per_adapter: Duration that each distinct adapter in the batch adds to a step.
+        report_lag_s: Age of the state that the engine reports.
         retain_s: How long a finished or broken stream can be resumed.
-        lose_every_cache_event: Every so many-th cache event is lost; 0 loses none.
+        lose_every_cache_event: Every cache event whose number is a multiple of this is lost;
+            0 loses none.
     """
 
     name: str
@@ -56,7 +57,7 @@
 
 
 class ServiceStandinSettings(Section, frozen=True, kw_only=True):
-    """The stand-in for a plain service: roster and catalogue calls by path."""
+    """Settings of the plain service stand-in, which serves roster and catalogue calls by path."""
 
     name: str
     address: str
@@ -64,10 +65,10 @@
 
 
 class RowStoreStandinSettings(Section, frozen=True, kw_only=True):
-    """The stand-in for the users' metadata store.
+    """Settings of the stand-in for the users' metadata store.
 
     Attributes:
-        tells_era: Whether its answers name the era.
+        tells_era: Whether answers carry the header of the store's era.
     """
 
     address: str
@@ -75,24 +76,26 @@
 
 
 class ReplicaStandinSettings(Section, frozen=True, kw_only=True):
-    """The stand-in for one of the users' replicas.
+    """Settings of the stand-in for one of the users' replicas.
 
     Attributes:
-        service: The service that it belongs to.
-        store_address: The store that it records itself in.
-        base_model: The model that it holds; empty for a plain service.
-        adapter_slots: How many adapters it holds.
-        load_s: How long an adapter takes to come.
-        events: How many events an answer has.
-        work_ms: How long a plain request takes.
-        tells_start: Whether it says when it started, and may start again under its id.
-        cold_s: How long it is cold after its start.
-        instance: Its id; empty for one of its own.
+        service: The service that the replica belongs to.
+        store_address: Address of the store that the replica writes its record to.
+        base_model: The base model of an engine; empty for a plain service.
+        adapter_slots: Maximum number of loaded adapters.
+        load_s: Duration of an adapter load.
+        events: Number of events in a stream.
+        work_ms: Duration of a plain request.
+        tells_start: Whether reports carry the start time, which makes a restart under the same id
+            visible.
+        cold_s: Time after the start during which the replica reports itself as cold.
+        instance: The id of the replica; empty for a random one.
         event_pause_ms: The pause after each event of a stream.
-        advertised_address: The address that its record names, if it stands behind a proxy.
-        events_path: A file to which it appends all that it sees; empty for none.
-        needs_instance: Whether a request without an expected instance is turned away, too.
-        crashes_on: Its process ends as it begins to run a request with this text in its path or
+        advertised_address: The address in the record, if it differs from `address` because of a
+            proxy.
+        events_path: The file to append events to; empty for none.
+        needs_instance: Whether a request without an expected instance is also answered with 421.
+        crashes_on: The process exits when it begins to run a request with this text in its path or
             body; empty for none.
     """
 
@@ -116,12 +119,12 @@
 
 
 class RouteSettings(Section, frozen=True, kw_only=True):
-    """One route of the fault-injecting proxy.
+    """Settings of one route of the fault-injecting proxy.
 
     Attributes:
-        name: The route, as faults name it.
-        address: Where the proxy listens.
-        target_address: Where it connects to.
+        name: The name by which faults refer to the route.
+        address: The address that the proxy listens on for the route.
+        target_address: The address that connections are forwarded to.
     """
 
     name: str
@@ -130,10 +133,10 @@
 
 
 class ProxySettings(Section, frozen=True, kw_only=True):
-    """The fault-injecting TCP proxy.
+    """Settings of the fault-injecting TCP proxy.
 
     Attributes:
-        address: Where faults are posted.
+        address: The address of the control server, which accepts faults.
     """
 
     address: str
--- a/tests/emulator/test_replica_events.py
+++ b/tests/emulator/test_replica_events.py
@@ -16,13 +16,13 @@
     )
 
 
-def test_events_of_several_incarnations_are_read_in_order(tmp_path: Path) -> None:
+def test_events_of_successive_processes_are_read_in_order(tmp_path: Path) -> None:
     path = tmp_path / "events"
     for request_id in ("r1", "r2"):
         ReplicaEventFile(str(path)).record(event(request_id))
     assert read_replica_events(path) == [event("r1"), event("r2")]
 
 
-def test_without_a_file_there_are_none(tmp_path: Path) -> None:
+def test_no_events_without_a_file(tmp_path: Path) -> None:
     ReplicaEventFile("").record(event("r1"))
     assert read_replica_events(tmp_path / "events") == []
