--- a/springrock/emulator/engine.py
+++ b/springrock/emulator/engine.py
@@ -83,7 +83,7 @@
         """Reset to an empty state under a new boot id, without adapters, streams or prefixes."""
         self.boot_id = new_id()
         self.fence = 0
-        self.ready: dict[str, int] = {}
+        self.adapter_uses: dict[str, int] = {}
         self.loading: set[str] = set()
         self.generations: dict[str, Generation] = {}
         self.queue: list[Generation] = []
@@ -112,7 +112,7 @@
             "wasted_loads": self.wasted_loads,
             "runs": len(self.run_log),
             "open_streams": len(self.queue),
-            "ready": sorted(self.ready),
+            "ready": sorted(self.adapter_uses),
         }
 
     def _build_app(self) -> Any:
@@ -173,14 +173,14 @@
 
     def _is_loaded(self, model: str) -> bool:
         base, colon, adapter = model.partition(":")
-        return base == self.settings.base_model and (not colon or adapter in self.ready)
+        return base == self.settings.base_model and (not colon or adapter in self.adapter_uses)
 
     def _start_generation(self, request: wire.EngineRequest) -> Generation:
         self._drop_expired_generations()
         self._log_run(request)
         adapter = request.model.partition(":")[2]
         if adapter:
-            self.ready[adapter] += 1
+            self.adapter_uses[adapter] += 1
         generation = Generation(request)
         self.prefixes.record_use(request.model, generation.prompt)
         self.generations[request.request_id] = generation
@@ -274,11 +274,11 @@
         return self._order_answer(200, done=True)
 
     def _load(self, adapter: str) -> Any:
-        if adapter in self.ready:
+        if adapter in self.adapter_uses:
             return self._order_answer(200, done=True)
         if adapter in self.loading:
             return self._order_answer(409, done=False, reason="loading already")
-        if len(self.ready) + len(self.loading) >= self.settings.adapter_slots:
+        if len(self.adapter_uses) + len(self.loading) >= self.settings.adapter_slots:
             return self._order_answer(409, done=False, reason="no free slot")
         boot_id = self.boot_id
         self.loading.add(adapter)
@@ -288,7 +288,7 @@
         self.loading.discard(adapter)
         if not loaded:
             return self._order_answer(502, done=False, reason="load failed partway")
-        self.ready[adapter] = 0
+        self.adapter_uses[adapter] = 0
         self.loads += 1
         return self._order_answer(200, done=True)
 
@@ -299,8 +299,8 @@
         except urllib3.exceptions.HTTPError:
             return False
         if self.fault.fail_loads:
-            left = self.fault.fail_loads - 1 if self.fault.fail_loads > 0 else -1
-            self.fault = msgspec.structs.replace(self.fault, fail_loads=left)
+            failures_left = self.fault.fail_loads - 1 if self.fault.fail_loads > 0 else -1
+            self.fault = msgspec.structs.replace(self.fault, fail_loads=failures_left)
             return False
         return response.status == 200
 
@@ -311,7 +311,7 @@
         for generation in users:
             generation.cancelled = True
             generation.progress.set()
-        uses = self.ready.pop(adapter, None)
+        uses = self.adapter_uses.pop(adapter, None)
         if uses == 0:
             self.wasted_loads += 1
         return self._order_answer(200, done=True)
@@ -326,7 +326,7 @@
         answer = wire.LoadedAdapters(
             boot_id=self.boot_id,
             fence=self.fence,
-            adapters=sorted(self.ready),
+            adapters=sorted(self.adapter_uses),
             loading=sorted(self.loading),
         )
         return json_response(msgspec.json.encode(answer))
--- a/springrock/emulator/load.py
+++ b/springrock/emulator/load.py
@@ -217,7 +217,7 @@
         self.in_flight += 1
         try:
             service = planned.workload.kind == "service"
-            outcome = self._call_service(planned) if service else self._complete(planned)
+            outcome = self._call_service(planned) if service else self._call_completion(planned)
         finally:
             self.in_flight -= 1
         self.outcomes.append(outcome)
@@ -274,7 +274,7 @@
 
     # Completions.
 
-    def _complete(self, planned: PlannedRequest) -> Outcome:
+    def _call_completion(self, planned: PlannedRequest) -> Outcome:
         chat = planned.workload.kind == "chat"
         path = "/v1/chat/completions" if chat else "/v1/completions"
         prompt = f"call {planned.number} of {self._run_id}"
--- a/springrock/emulator/platform.py
+++ b/springrock/emulator/platform.py
@@ -22,7 +22,7 @@
 _DELIVERY_TICK_S = 0.01
 
 
-class Fault(msgspec.Struct, frozen=True, kw_only=True):
+class PartFault(msgspec.Struct, frozen=True, kw_only=True):
     """Injected faults of one part of the platform.
 
     Attributes:
@@ -49,14 +49,14 @@
 
     def transact(self, transaction: wire.Transaction) -> wire.TransactionAnswer:
         """Apply a transaction atomically if all its version checks hold."""
-        failed = [
+        conflicting_rows = [
             self._row_or_absent(check.key)
             for check in transaction.checks
             if self._row_or_absent(check.key).version != check.version
         ]
-        if failed:
+        if conflicting_rows:
             self.conflicts += 1
-            return wire.TransactionAnswer(committed=False, failed=failed)
+            return wire.TransactionAnswer(committed=False, failed=conflicting_rows)
         self.commits += 1
         self.version += 1
         for put in transaction.puts:
@@ -91,14 +91,14 @@
 
     def fetch(self) -> None:
         """Block until one adapter's weights have been delivered."""
-        left = 1.0
+        remaining = 1.0
         self.active += 1
         last = monotonic()
         try:
-            while left > 0:
+            while remaining > 0:
                 gevent.sleep(_DELIVERY_TICK_S)
                 now = monotonic()
-                left -= (now - last) * self._rate_per_load()
+                remaining -= (now - last) * self._rate_per_load()
                 last = now
             self.loads += 1
         finally:
@@ -142,7 +142,7 @@
         self.objects: dict[str, bytes] = {}
         self.weights = WeightStore(loads_per_s=settings.loads_per_s, crowding=settings.crowding)
         self.list = LaggingList(settings.listed, settings.list_lag_s)
-        self._faults: dict[str, Fault] = {}
+        self._faults: dict[str, PartFault] = {}
         self._answer_losses_left: dict[str, int] = {}
         self.not_modified = 0
         self.body_bytes = 0
@@ -156,7 +156,7 @@
         """Stop at once, without waiting for open requests."""
         self.server.stop(finish_within_s=0)
 
-    def set_fault(self, fault: Fault) -> None:
+    def set_fault(self, fault: PartFault) -> None:
         """Replace the faults of a part; a fault with only defaults clears them."""
         self._faults[fault.part] = fault
         self._answer_losses_left[fault.part] = fault.lose_answers
@@ -184,11 +184,11 @@
             raise bottle.HTTPResponse(b"down", status=503)
 
     def _inject_answer_loss(self, part: PartName) -> None:
-        left = self._answer_losses_left.get(part, 0)
-        if left == 0:
+        remaining = self._answer_losses_left.get(part, 0)
+        if remaining == 0:
             return
-        if left > 0:
-            self._answer_losses_left[part] = left - 1
+        if remaining > 0:
+            self._answer_losses_left[part] = remaining - 1
         raise bottle.HTTPResponse(b"answer lost", status=504)
 
     def _transact(self) -> Any:
@@ -240,7 +240,7 @@
         return name.encode()
 
     def _post_fault(self) -> Any:
-        self.set_fault(msgspec.json.decode(bottle.request.body.read(), type=Fault))
+        self.set_fault(msgspec.json.decode(bottle.request.body.read(), type=PartFault))
         return b""
 
     def _counters(self) -> Any:
--- a/springrock/emulator/rowstore.py
+++ b/springrock/emulator/rowstore.py
@@ -179,8 +179,8 @@
             return self._response(body, status=412)
         self._apply(transaction)
         if self._fault.lose_answers and not operator:
-            left = self._fault.lose_answers - 1
-            self._fault = msgspec.structs.replace(self._fault, lose_answers=left)
+            losses_left = self._fault.lose_answers - 1
+            self._fault = msgspec.structs.replace(self._fault, lose_answers=losses_left)
             raise CallerGone("injected fault: the answer is lost")
         if self._fault.later_versions:
             self._increment_version()
--- a/springrock/emulator/service.py
+++ b/springrock/emulator/service.py
@@ -65,8 +65,8 @@
         if request.get_header(REPEATABLE_HEADER) == "no" and self.runs[request_id] > 1:
             self.violations["second_run"] += 1
         if self.fault.lose_answers:
-            left = self.fault.lose_answers - 1 if self.fault.lose_answers > 0 else -1
-            self.fault = msgspec.structs.replace(self.fault, lose_answers=left)
+            losses_left = self.fault.lose_answers - 1 if self.fault.lose_answers > 0 else -1
+            self.fault = msgspec.structs.replace(self.fault, lose_answers=losses_left)
             request.environ[SOCKET_KEY].shutdown(socket.SHUT_RDWR)
         answer = {"path": f"/{path}", "method": request.method, "length": len(body)}
         return json_response(msgspec.json.encode({**answer, "request_id": request_id}))
