--- a/tests/routed/callers.py
+++ b/tests/routed/callers.py
@@ -1,4 +1,4 @@
-"""Clients of boxes that send one request after the other, in the background of a test."""
+"""Background clients that send requests to boxes one after the other during a test."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 
 
 class Callers(BackgroundClients):
-    """One client for each box and wish.
+    """One client for each pair of box and request.
 
     Args:
-        deployment: Where they send.
-        boxes: The boxes that they call.
-        wishes: What they ask for: each a path and an adapter, which may be empty.
+        deployment: The deployment that the clients send to.
+        boxes: The boxes that the clients call.
+        requests: A path and an adapter for each request; the adapter may be empty.
 
     Attributes:
-        answers: What they got.
+        answers: All answers so far.
     """
 
     def __init__(
-        self, deployment: Deployment, boxes: Iterable[str], wishes: Iterable[tuple[str, str]]
+        self, deployment: Deployment, boxes: Iterable[str], requests: Iterable[tuple[str, str]]
     ) -> None:
         super().__init__()
         self._deployment = deployment
         self.answers: list[Answer] = []
-        wanted = list(wishes)
+        repeated = list(requests)
         for box in boxes:
-            for adapter_request in wanted:
-                self.add(self._send, box, *adapter_request)
+            for request in repeated:
+                self.add(self._send, box, *request)
 
     def _send(self, box: str, path: str, adapter: str) -> None:
         while not self.stop.wait(timeout=PAUSE_S):
--- a/tests/routed/deployment.py
+++ b/tests/routed/deployment.py
@@ -1,4 +1,4 @@
-"""A deployment of routed boxes on loopback: real processes of store, replicas and entry boxes."""
+"""Loopback deployment of entry boxes, replica stand-ins and the store stand-in as processes."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 ZONES = ("zone-1", "zone-2")
 REPLICAS = 4
 
-SEEDS = 3
-"""The platform tells a machine the addresses of up to so many others."""
+MAX_SEEDS = 3
+"""Maximum number of other boxes whose addresses the platform gives to a starting box."""
 
 
-def route(name: str, kind: str, service: str, **more: Any) -> dict[str, Any]:
-    """Return a route as the operator writes it."""
+def route(name: str, kind: str, service: str, **fields: Any) -> dict[str, Any]:
+    """Return a route in the form that operators write, with defaults for this deployment."""
     return {
         "name": name,
         "host": HOST,
@@ -37,7 +37,7 @@
         "timeoutMs": 5000,
         "targetLatencyMs": 1000,
         "maxAttempts": 2,
-        **more,
+        **fields,
     }
 
 
@@ -65,7 +65,11 @@
 
 @dataclass
 class Answer:
-    """What a client got."""
+    """The answer that a client received.
+
+    Attributes:
+        whole: Whether the body ended properly, rather than by a cut connection.
+    """
 
     status: int
     headers: dict[str, str]
@@ -74,7 +78,7 @@
 
     @property
     def event_ids(self) -> list[int]:
-        """The ids of the events, in order."""
+        """The ids of the streamed events, in order of arrival."""
         return [
             int(line[4:]) for line in self.body.decode().splitlines() if line.startswith("id: ")
         ]
@@ -82,7 +86,7 @@
 
 @dataclass
 class Deployment(RunsProcesses):
-    """All processes and their addresses."""
+    """The processes of a deployment and their addresses, by process name."""
 
     folder: Path
     boxes: int = 2
@@ -94,7 +98,7 @@
     links: dict[str, str] = field(default_factory=dict)
     version: int = 0
     tenants: list[dict[str, Any]] | None = None
-    more_of_replicas: dict[str, Any] = field(default_factory=dict)
+    replica_settings: dict[str, Any] = field(default_factory=dict)
     regions: dict[str, str] = field(default_factory=dict)
     more_settings: dict[str, Any] = field(default_factory=dict)
     slow_start: dict[str, float] = field(default_factory=dict)
@@ -102,7 +106,7 @@
     box_module: str = "springrock"
     box_command: tuple[str, ...] = ("entry", "--settings")
     build_of: dict[str, Path] = field(default_factory=dict)
-    tells_seeds: bool = True
+    configures_seeds: bool = True
 
     def __post_init__(self) -> None:
         self.processes = Processes(self.folder)
@@ -121,24 +125,24 @@
             self.start_box(name)
 
     def assign_links(self, boxes: Sequence[str]) -> None:
-        """Choose where boxes listen for each other, so that the first can be told of the last."""
+        """Allocate link addresses for all boxes, so that the first one can be given the others'."""
         self.links.update(zip(boxes, free_addresses(len(boxes)), strict=True))
 
-    def start_replica(self, name: str, service: str, zone: str, **more: Any) -> None:
-        """Start a replica, at the address that it had if it ran before."""
+    def start_replica(self, name: str, service: str, zone: str, **fields: Any) -> None:
+        """Start a replica, with its previous address if it has run before."""
         address = self.addresses.setdefault(name, free_addresses(1)[0])
         settings = {
             "address": address,
             "service": service,
             "store_address": self.addresses["store"],
             "availability_zone": zone,
-            **self.more_of_replicas,
-            **more,
+            **self.replica_settings,
+            **fields,
         }
         self.processes.spawn(name, ["standin", "replica"], settings)
 
     def start_box(self, name: str) -> None:
-        """Start a box, whose number gives it its zone."""
+        """Start a box, in the zone that its number determines."""
         zone = self.zones[(int(name.rpartition("-")[2]) - 1) % len(self.zones)]
         clients, readiness, boxes, metrics = free_addresses(4)
         if name not in self.clients:
@@ -164,8 +168,8 @@
             "stop": {"within_s": 8.0, "notice_s": 0.2},
             **self.more_settings,
         }
-        if self.tells_seeds and name not in self.build_of:
-            # The last landing knows no such setting.
+        if self.configures_seeds and name not in self.build_of:
+            # The previous release does not know this setting.
             settings["start"] = {"seeds": self.seeds_of(name)}
         self.processes.spawn(
             name,
@@ -176,21 +180,21 @@
         )
 
     def seeds_of(self, box: str) -> list[str]:
-        """Where a box may ask others, as the platform tells it at the start of the box."""
+        """Return the addresses of other boxes that the platform gives to a starting box."""
         others = [address for name, address in self.links.items() if name != box]
-        return others[:SEEDS]
+        return others[:MAX_SEEDS]
 
     def store_address_of(self, box: str) -> str:
-        """Where a box reaches the store."""
+        """Return the address at which a box reaches the store."""
         return self.addresses["store"]
 
-    # The operator.
+    # The operator's rows.
 
     def write_operator_row(self, key: str, value: dict[str, Any]) -> None:
         self.write_row("op", key, json.dumps(value).encode())
 
     def write_row(self, table: str, key: str, value: bytes) -> None:
-        """Write a row of any table, as whoever may."""
+        """Write a row of any table through the control endpoint of the store stand-in."""
         encoded = base64.b64encode(value).decode()
         self._transact({"put": [{"table": table, "key": key, "value": encoded}]})
 
@@ -198,16 +202,16 @@
         self.remove_row("op", key)
 
     def remove_row(self, table: str, key: str) -> None:
-        """Remove a row of any table, as whoever may."""
+        """Remove a row of any table through the control endpoint of the store stand-in."""
         self._transact({"remove": [{"table": table, "key": key}]})
 
     def _transact(self, transaction: dict[str, Any]) -> None:
         body = json.dumps(transaction)
         url = f"http://{self.addresses['store']}/standin/transaction"
-        wait_until(lambda: self._posted(url, body), what=f"the store takes {sorted(transaction)}")
+        wait_until(lambda: self._post(url, body), what=f"the store commits {sorted(transaction)}")
 
     def configure(self, routes: list[dict[str, Any]] | None = None, version: int = 0) -> int:
-        """Write a configuration and return its version."""
+        """Write a configuration as the operator and return its version."""
         self.version = version or self.version + 1
         config: dict[str, Any] = {
             "version": self.version,
@@ -220,19 +224,19 @@
         return self.version
 
     def name_version(self, adapter: str, version: int) -> None:
-        """Name a new version of an adapter."""
+        """Publish a new version of an adapter as the operator."""
         self.write_operator_row(
             f"version/{MODEL}.{adapter}",
             {"model": MODEL, "adapter": adapter, "version": version},
         )
 
     def fault(self, name: str, **fault: Any) -> None:
-        """Switch the faults of a stand-in; no argument heals it."""
+        """Replace the faults of a stand-in; without arguments, clear them."""
         url = f"http://{self.addresses[name]}/standin/faults"
         assert self._pool.request("POST", url, body=json.dumps(fault)).status == 200
 
     def return_from_copy(self, copy_s: float) -> None:
-        """Let the store come back from a copy so old."""
+        """Restore the store from a backup of the given age."""
         url = f"http://{self.addresses['store']}/standin/return"
         assert self._pool.request("POST", url, body=json.dumps({"copy_s": copy_s})).status == 200
 
@@ -242,43 +246,43 @@
         return counters
 
     def answers(self, name: str) -> bool:
-        """Whether a stand-in has started."""
+        """Return whether a stand-in answers requests."""
         try:
             return bool(self.counters(name))
         except urllib3.exceptions.HTTPError:
             return False
 
     def runs(self, request_id: str) -> int:
-        """How often a request ran, at all replicas together."""
+        """Return how many times a request ran, on all replicas together."""
         names = [name for name in self.addresses if name != "store"]
         return sum(self.counters(name)["runs"].get(request_id, 0) for name in names)
 
-    def team_told(self, request_id: str) -> str | None:
-        """The team that the replica was told that ran a request; None if none ran it."""
+    def team_of_run(self, request_id: str) -> str | None:
+        """Return the team that the request named at the replica that ran it; None if none did."""
         names = [name for name in self.addresses if name != "store"]
         reported = (self.counters(name)["teams"].get(request_id) for name in names)
         return next((team for team in reported if team is not None), None)
 
     def evacuate(self, zone: str) -> float:
-        """Evacuate a zone; return a moment just before that was acknowledged.
+        """Evacuate a zone; return the time just before the write.
 
-        It is of the machine's steady clock, which stand-ins tell arrivals by.
+        The time is on the machine's monotonic clock, like the arrivals that stand-ins report.
         """
         written_at = monotonic()
         self.write_operator_row(f"evacuate/{zone}", {})
         return written_at
 
-    def take_back(self, zone: str) -> None:
+    def end_evacuation(self, zone: str) -> None:
         self.remove_operator_row(f"evacuate/{zone}")
 
     def arrivals(self, zone: str) -> list[float]:
-        """When requests arrived at the replicas of a zone, but for those answered 421."""
+        """Return arrival times of requests at the replicas of a zone, except those answered 421."""
         number = self.zones.index(zone) + 1
         names = [f"rosters-{number}", f"engine-{number}"]
         return [at for name in names for at in self.counters(name)["arrivals"]]
 
     def holders(self, adapter: str) -> list[str]:
-        """The engines that hold an adapter."""
+        """Return the names of the engines that have an adapter loaded."""
         names = [name for name in self.addresses if name.startswith("engine")]
         return [name for name in names if adapter in self.counters(name)["adapters"]]
 
@@ -288,7 +292,7 @@
             key: count for name in names for key, count in self.counters(name)["violations"].items()
         }
 
-    def _posted(self, url: str, body: str) -> bool:
+    def _post(self, url: str, body: str) -> bool:
         try:
             return self._pool.request("POST", url, body=body).status == 200
         except urllib3.exceptions.HTTPError:
@@ -304,7 +308,7 @@
         return response.status == 200
 
     def wait_ready(self, *, replicas: int = 1) -> None:
-        """Wait until every box is ready and knows so many replicas that do not leave."""
+        """Wait until every box is ready and knows at least this many replicas, none leaving."""
         for box in self.clients:
             wait_until(lambda box=box: self.is_ready(box), within_s=30, what=f"{box} is ready")
             wait_until(
@@ -321,12 +325,12 @@
         return float(lines[0].split()[1]) if lines else 0.0
 
     def placers(self) -> dict[str, str]:
-        """The running boxes that give orders now, by the zone of the engines."""
+        """Return the boxes that are placers now, by zone, among those that are ready."""
         running = [box for box in self.clients if self.is_ready(box)]
-        return {zone: box for box in running for zone in self.zones if self.placer_of(zone, at=box)}
+        return {zone: box for box in running for zone in self.zones if self.is_placer(zone, at=box)}
 
     def placer_and_other(self, zone: str) -> tuple[str, str]:
-        """Wait until every zone has a placer; return that of one zone, and another box."""
+        """Wait until every zone has a placer; return the placer of a zone and another box."""
         placers = wait_until(
             lambda: found if len(found := self.placers()) == len(self.zones) else None,
             what="every zone has a placer",
@@ -334,8 +338,8 @@
         other = next(box for box in self.clients if box != placers[zone])
         return placers[zone], other
 
-    def placer_of(self, zone: str, *, at: str) -> bool:
-        """Whether a box gives orders to the engines of a zone now."""
+    def is_placer(self, zone: str, *, at: str) -> bool:
+        """Return whether a box is the placer of a zone now."""
         return self.metric(at, f'springrock_placement_placer{{zone="{zone}"}}') == 1.0
 
     def log(self, name: str) -> str:
@@ -357,16 +361,16 @@
         request_id: str = "",
         deadline_ms: int = 5000,
         adapter: str = "",
-        more_headers: dict[str, str] | None = None,
+        extra_headers: dict[str, str] | None = None,
         connection: http.client.HTTPConnection | None = None,
     ) -> Answer:
-        """Send one request and read the answer as far as it goes."""
+        """Send a request and return its answer, which may be cut."""
         connection = connection or self.connect(box)
         headers = {
             "Host": HOST,
             "Springrock-Request-Id": request_id or self.new_id(),
             "Springrock-Deadline-Ms": str(deadline_ms),
-            **(more_headers or {}),
+            **(extra_headers or {}),
         }
         if adapter:
             headers["Springrock-Model"] = f"{MODEL}/{adapter}"
@@ -384,7 +388,7 @@
         return http.client.HTTPConnection(host, port, timeout=20)
 
     def served(self, box: str, path: str, **options: Any) -> Answer:
-        """Send until the answer is a success, as a client does that is told to come back."""
+        """Send a request repeatedly, as a retrying client does, until its answer is a success."""
 
         def _success() -> Answer | None:
             answer = self.send(box, path, **options)
--- a/tests/routed/test_builds.py
+++ b/tests/routed/test_builds.py
@@ -1,4 +1,4 @@
-"""Boxes of the last landing beside boxes of this build: an upgrade box by box, and the way back."""
+"""Boxes of the previous release together with boxes of this build: upgrade and downgrade."""
 
 from __future__ import annotations
 
@@ -16,34 +16,34 @@
 from tests.processes import wait_until
 from tests.routed.deployment import REPLICAS, Answer, Deployment
 
-WAYS = (
+REQUESTS = (
     ("/lookup/x", ""),
     ("/join/x", ""),
     *((f"/{route}/x", f"a{number}") for route in ("items", "minutes") for number in range(4)),
 )
-"""All kinds of routes, with as many adapters as both engines have places."""
+"""All kinds of routes, with as many adapters as both engines have slots."""
 
 LINK_FAULTS = ("malformed frame", "unexpected", "Rejected a link")
-"""What a box writes of a peer that breaks the protocol."""
+"""Texts that a box logs about a peer that violates the protocol."""
 
 PAUSE_S = 0.03
 
-CROSSES_WITHIN_S = 0.1
-"""A younger run may have crossed the order on its way, as in the soak; boxes of the last landing
-alone showed runs of 7 and 12 ms when they were stopped in turn."""
+MAX_CROSSING_S = 0.1
+"""A younger run may have started while the unload order was in flight, as in the soak test. Boxes
+of the previous release alone showed such runs of 7 and 12 ms when they were stopped in turn."""
 
-HEEDED_AFTER_S = 2.0
+LEAVING_EFFECTIVE_S = 2.0
 
 
-class MixedDeployment(Deployment):
-    """Replicas that note what they see, so that a breach tells how old the run was."""
+class MixedBuildsDeployment(Deployment):
+    """Replicas with event files, which hold the age of the run for each violation."""
 
-    def start_replica(self, name: str, service: str, zone: str, **more: Any) -> None:
+    def start_replica(self, name: str, service: str, zone: str, **fields: Any) -> None:
         path = str(self.folder / f"{name}.events")
-        super().start_replica(name, service, zone, events_path=path, **more)
+        super().start_replica(name, service, zone, events_path=path, **fields)
 
-    def breaches(self) -> list[ReplicaEvent]:
-        """What went wrong at replicas, but for unloads that crossed a request on its way."""
+    def violations_beyond_crossings(self) -> list[ReplicaEvent]:
+        """Return violations at replicas, except unloads that crossed a request in flight."""
         events = [
             event for path in self.folder.glob("*.events") for event in read_replica_events(path)
         ]
@@ -51,39 +51,41 @@
             event
             for event in events
             if event.kind is ReplicaEventKind.VIOLATION
-            and not (event.detail == "unloaded_in_use" and event.age_s < CROSSES_WITHIN_S)
+            and not (event.detail == "unloaded_in_use" and event.age_s < MAX_CROSSING_S)
         ]
 
 
 @pytest.fixture(scope="module")
-def earlier(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """The build of the last landing."""
+def previous_build(tmp_path_factory: pytest.TempPathFactory) -> Path:
+    """The build of the previous release."""
     return build_at(LAST_LANDING, tmp_path_factory.mktemp("build"))
 
 
 @pytest.fixture
-def mixed(tmp_path_factory: pytest.TempPathFactory, earlier: Path) -> Iterator[MixedDeployment]:
-    """Three boxes of the last landing in two zones, ready."""
+def mixed(
+    tmp_path_factory: pytest.TempPathFactory, previous_build: Path
+) -> Iterator[MixedBuildsDeployment]:
+    """Three ready boxes of the previous release in two zones."""
     folder = tmp_path_factory.mktemp("mixed")
-    boxes = {f"box-{number}": earlier for number in (1, 2, 3)}
-    with MixedDeployment(folder, boxes=len(boxes), build_of=boxes) as deployment:
+    boxes = {f"box-{number}": previous_build for number in (1, 2, 3)}
+    with MixedBuildsDeployment(folder, boxes=len(boxes), build_of=boxes) as deployment:
         deployment.configure()
         deployment.wait_ready(replicas=REPLICAS)
         yield deployment
-        assert deployment.breaches() == []
+        assert deployment.violations_beyond_crossings() == []
 
 
 class Callers(BackgroundClients):
-    """Clients that call all boxes that are ready until told to stop."""
+    """Clients that call all boxes, except those in `away`, until they are stopped."""
 
     def __init__(self, deployment: Deployment) -> None:
         super().__init__()
         self._deployment = deployment
-        for way in WAYS:
-            self.add(self._call, *way)
+        for request in REQUESTS:
+            self.add(self._call, *request)
         self.away: set[str] = set()
         self.answers: list[Answer] = []
-        self.failed: list[str] = []
+        self.failures: list[str] = []
 
     def _call(self, path: str, adapter: str) -> None:
         while not self.stop.wait(timeout=PAUSE_S):
@@ -95,17 +97,17 @@
             answer = self._deployment.send(box, path, adapter=adapter)
         except OSError as error:
             if box not in self.away:
-                self.failed.append(f"{path} at {box}: {error!r}")
+                self.failures.append(f"{path} at {box}: {error!r}")
             return
         if answer.status == 200 and answer.whole:
             self.answers.append(answer)
         elif answer.status != 503 or not float(answer.headers.get("Retry-After", "nan")) >= 0.0:
-            # Who is told that it did not run, and when to come back, has lost nothing.
-            self.failed.append(f"{path} at {box}: {answer.status} {answer.body[:60]!r}")
+            # A refusal that the request did not run, with a time to retry after, is no failure.
+            self.failures.append(f"{path} at {box}: {answer.status} {answer.body[:60]!r}")
 
 
 def replace(deployment: Deployment, callers: Callers, box: str, build: Path | None) -> None:
-    """Stop a box as planned and start it with a build; this one for none."""
+    """Stop a box gracefully and start it with a build, or with the current one for None."""
     callers.away.add(box)
     deployment.processes.signal(box, signal.SIGTERM)
     wait_until(lambda: not deployment.processes.runs(box), what=f"{box} has stopped")
@@ -127,44 +129,46 @@
     ]
 
 
-def test_an_upgrade_box_by_box_and_the_way_back_serve_on(mixed: Deployment, earlier: Path) -> None:
+def test_a_rolling_upgrade_and_downgrade_keep_serving(
+    mixed: Deployment, previous_build: Path
+) -> None:
     with Callers(mixed) as callers:
-        for build in (None, earlier):
+        for build in (None, previous_build):
             for box in sorted(mixed.clients):
                 before = len(callers.answers)
                 replace(mixed, callers, box, build)
                 wait_until(
-                    lambda before=before: len(callers.answers) > before + 2 * len(WAYS),
+                    lambda before=before: len(callers.answers) > before + 2 * len(REQUESTS),
                     what=f"calls are served after {box} was replaced",
                 )
-    assert callers.failed == []
+    assert callers.failures == []
     assert link_faults(mixed) == []
 
 
-def test_an_engine_that_says_it_leaves_is_left_alone_though_an_earlier_build_places(
+def test_a_leaving_engine_gets_no_requests_although_an_earlier_build_places(
     mixed: Deployment,
 ) -> None:
-    """Placers of the last landing know nothing of it, and would grant the engine on."""
+    """Placers of the previous release do not handle the announcement and still grant the engine."""
     with Callers(mixed) as callers:
         replace(mixed, callers, "box-1", None)
-    for path, adapter in WAYS:
+    for path, adapter in REQUESTS:
         mixed.served("box-1", path, adapter=adapter)
     mixed.fault("engine-1", leaving=True, silent=True)
 
-    def _knows() -> bool:
-        for path, adapter in WAYS:
+    def _is_known() -> bool:
+        for path, adapter in REQUESTS:
             mixed.send("box-1", path, adapter=adapter)
         return "A replica is leaving" in mixed.log("box-1")
 
-    wait_until(_knows, what="box-1 has learnt that an engine leaves")
-    since = monotonic() + HEEDED_AFTER_S
-    wait_until(lambda: monotonic() > since, what="the bound has passed")
-    answers = [mixed.send("box-1", path, adapter=adapter) for path, adapter in WAYS * 3]
-    assert not [at for at in mixed.counters("engine-1")["arrivals"] if at > since]
+    wait_until(_is_known, what="box-1 has logged that an engine is leaving")
+    effective_at = monotonic() + LEAVING_EFFECTIVE_S
+    wait_until(lambda: monotonic() > effective_at, what="the bound has passed")
+    answers = [mixed.send("box-1", path, adapter=adapter) for path, adapter in REQUESTS * 3]
+    assert not [at for at in mixed.counters("engine-1")["arrivals"] if at > effective_at]
     assert sum(answer.status == 200 for answer in answers) > len(answers) / 2
     assert link_faults(mixed) == []
 
 
-def test_a_build_that_the_repository_does_not_hold_is_said_to_be_missing(tmp_path: Path) -> None:
+def test_a_build_missing_from_the_repository_raises(tmp_path: Path) -> None:
     with pytest.raises(HistoryMissing, match="0123456789ab"):
         build_at("0123456789ab", tmp_path)
--- a/tests/routed/test_crashing_requests.py
+++ b/tests/routed/test_crashing_requests.py
@@ -1,17 +1,14 @@
-"""A request that crashes the replicas that run it is soon sent to no more of them, by any box.
+"""Boxes soon stop sending a request that crashes the replicas that run it.
 
-What users saw: engines ended in series, every half second for up to ten seconds, and with each the
-requests that ran or waited beside; whole kinds of requests were not served meanwhile.
+Failure: engines crashed one after the other, every half second for up to ten seconds, along with
+the other requests that ran or waited on them; whole kinds of requests were not served meanwhile.
+The first attempt of a request crashed one engine and the second attempt another. The client then
+sent the failed request again, under a new id and to another box, and engines that had restarted
+after some seconds crashed again: up to 14 under one request.
 
-Order of events: a request crashes the engine that begins to run it, and its second attempt another.
-The client gets a failure and sends it again, under a new id and at another box. The engines come
-back after some seconds and are crashed anew: up to 14 under one request.
-
-Cause: what a box learnt of a request went with the request's try, and what it learnt of the crash
-it held against the replica alone. So each try, at each box, began with a clean sheet.
-
-Evidence: with the request's fingerprint in the logs, the tries that broke at all crashed replicas
-of these tests have one fingerprint under as many ids, and no try exceeds its route's attempts.
+Boxes attributed crashes to replicas alone and forgot a request when it ended, so each new send of
+the request started without any record of the crashes. The logs showed it as requests with as many
+ids but one fingerprint that broke at all crashed replicas, each within its route's attempts.
 """
 
 from __future__ import annotations
@@ -31,26 +28,26 @@
 CRASHING = "crashes-what-runs-it"
 
 ROUTES = ("items", "minutes", "join", "lookup")
-"""A stream that may be resumed, one that may not, a call that may not be repeated, one that may."""
+"""A resumable stream, one that is not, a call that is not repeatable, one that is."""
 
-CRASHES = 3
-"""So many replicas may end under a request before it is sent on no more."""
+MAX_CRASHES = 3
+"""Number of replicas that may crash under a request before boxes stop sending it."""
 
-KNOWN_EVERYWHERE_S = 3.0
-"""So long after the last of them each box may yet send it: the shortest of the users' bounds."""
+QUARANTINE_EFFECTIVE_S = 3.0
+"""Boxes may still send it for this long after the last crash: the users' shortest bound."""
 
 ROUNDS = 3
-"""So often it comes again after that at each box."""
+"""Number of times the request is then sent again at each box."""
 
-_DOWN_S = 0.3
+_RESTART_DELAY_S = 0.3
 
 
 class CrashingDeployment(Deployment):
-    """Replicas that end when they are to run a certain request, each with a file of its events."""
+    """A deployment whose replicas crash on a certain request, each with a file of its events."""
 
-    def start_replica(self, name: str, service: str, zone: str, **more: Any) -> None:
+    def start_replica(self, name: str, service: str, zone: str, **fields: Any) -> None:
         path = str(self.events_path(name))
-        super().start_replica(name, service, zone, crashes_on=CRASHING, events_path=path, **more)
+        super().start_replica(name, service, zone, crashes_on=CRASHING, events_path=path, **fields)
 
     def events_path(self, name: str) -> Path:
         return self.folder / f"{name}.events"
@@ -59,8 +56,8 @@
     def replicas(self) -> list[str]:
         return [name for name in self.addresses if name != "store"]
 
-    def drop_row(self, name: str) -> None:
-        """Drop the row of a replica that has ended, as the store does by itself."""
+    def remove_replica_row(self, name: str) -> None:
+        """Remove the row of a replica that has exited, as the users' store does by itself."""
         started = [
             event
             for event in read_replica_events(self.events_path(name))
@@ -70,12 +67,12 @@
 
 
 class Supervisor:
-    """Starts replicas anew a while after they ended, as the platform does."""
+    """Restarts replicas a short time after they exit, as the platform does."""
 
     def __init__(self, deployment: CrashingDeployment) -> None:
         self._deployment = deployment
         self._stop = threading.Event()
-        self._thread = threading.Thread(target=self._watch, daemon=True)
+        self._thread = threading.Thread(target=self._restart_loop, daemon=True)
 
     def __enter__(self) -> Supervisor:
         self._thread.start()
@@ -85,17 +82,17 @@
         self._stop.set()
         self._thread.join()
 
-    def _watch(self) -> None:
+    def _restart_loop(self) -> None:
         while not self._stop.wait(timeout=0.05):
             for name in self._deployment.replicas:
                 if not self._deployment.processes.runs(name):
-                    time.sleep(_DOWN_S)
-                    self._deployment.drop_row(name)
+                    time.sleep(_RESTART_DELAY_S)
+                    self._deployment.remove_replica_row(name)
                     self._deployment.processes.restart(name)
 
 
 class CrashingRequest:
-    """One request that crashes replicas, sent again and again under new ids."""
+    """A request that crashes replicas, sent repeatedly under new ids."""
 
     def __init__(self, deployment: CrashingDeployment, route: str, name: str = "again") -> None:
         self._deployment = deployment
@@ -109,43 +106,43 @@
         self.ids: list[str] = []
 
     def send(self, box: str) -> Answer:
-        """Send it once more."""
+        """Send the request once more."""
         request_id = self._deployment.new_id()
         self.ids.append(request_id)
         return self._deployment.send(box, self._path, request_id=request_id, **self._options)
 
-    def send_like_it(self, box: str) -> Answer:
-        """Send a request like it, which harms nothing, until it is served."""
+    def serve_similar(self, box: str) -> Answer:
+        """Send a similar but harmless request until it is served."""
         return self._deployment.served(box, f"/{self._route}/like-it", **self._options)
 
     def runs(self, ids: list[str] | None = None) -> list[ReplicaEvent]:
-        """Return its runs, each of which ended a replica; only those of some tries if given."""
-        wanted = set(self.ids if ids is None else ids)
+        """Return its runs, each of which crashed a replica; only those under some ids if given."""
+        wanted_ids = set(self.ids if ids is None else ids)
         paths = [self._deployment.events_path(name) for name in self._deployment.replicas]
         ran = [
             event
             for path in paths
             for event in read_replica_events(path)
-            if event.kind is ReplicaEventKind.RAN and event.request_id in wanted
+            if event.kind is ReplicaEventKind.RAN and event.request_id in wanted_ids
         ]
         return sorted(ran, key=lambda event: event.at)
 
     def crash(self) -> float:
-        """Send it at all boxes in turn until it has crashed enough; return when it had."""
+        """Send the request to boxes in turn; return the time of crash number `MAX_CRASHES`."""
         boxes = list(self._deployment.clients)
         deadline = monotonic() + 60.0
-        while len(self.runs()) < CRASHES and monotonic() < deadline:
+        while len(self.runs()) < MAX_CRASHES and monotonic() < deadline:
             self.send(boxes[len(self.ids) % len(boxes)])
-        assert len(self.runs()) >= CRASHES
-        return self.runs()[CRASHES - 1].at
+        assert len(self.runs()) >= MAX_CRASHES
+        return self.runs()[MAX_CRASHES - 1].at
 
-    def check_sent_to_no_more(self) -> None:
-        """Send it more at each box, each time when a replica is there, and see none run it."""
+    def check_not_sent(self) -> None:
+        """Check that boxes refuse the request and it never runs, while a similar one is served."""
         sent_before = len(self.ids)
         answers = []
         for _ in range(ROUNDS):
             for box in self._deployment.clients:
-                self.send_like_it(box)
+                self.serve_similar(box)
                 answers.append(self.send(box))
         assert self.runs(self.ids[sent_before:]) == []
         assert {answer.status for answer in answers} == {503}
@@ -160,27 +157,27 @@
             yield deployment
 
 
-def test_a_request_that_crashes_replicas_is_soon_sent_to_no_more(
+def test_a_request_that_crashes_replicas_is_soon_sent_to_none(
     deployment: CrashingDeployment,
 ) -> None:
     requests = [CrashingRequest(deployment, route) for route in ROUTES]
     crashed_at = max(crashing.crash() for crashing in requests)
-    while monotonic() < crashed_at + KNOWN_EVERYWHERE_S:
+    while monotonic() < crashed_at + QUARANTINE_EFFECTIVE_S:
         for crashing in requests:
             for box in deployment.clients:
                 crashing.send(box)
     for crashing in requests:
-        crashing.check_sent_to_no_more()
+        crashing.check_not_sent()
     for box in deployment.clients:
         deployment.processes.kill(box)
     for box in deployment.clients:
         deployment.processes.restart(box)
     deployment.wait_ready()
     for crashing in requests:
-        crashing.check_sent_to_no_more()
+        crashing.check_not_sent()
 
 
-def test_what_runs_beside_it_and_what_is_like_it_is_served(deployment: CrashingDeployment) -> None:
+def test_concurrent_and_similar_requests_are_served(deployment: CrashingDeployment) -> None:
     CrashingRequest(deployment, "join", "beside").crash()
     for box in deployment.clients:
         for body in (b"hello", b"other"):
--- a/tests/routed/test_evacuation.py
+++ b/tests/routed/test_evacuation.py
@@ -1,4 +1,4 @@
-"""A zone is evacuated and taken back under load, with separate processes."""
+"""A zone is evacuated under load, and the evacuation ended, with separate processes."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from tests.processes import wait_until
 from tests.routed.deployment import ROUTES, Answer, Deployment
 
-WITHIN_S = 5.0
+EVACUATION_BOUND_S = 5.0
 THREE_ZONES = ("zone-1", "zone-2", "zone-3")
 REPLICAS = 2 * len(THREE_ZONES)
 ADAPTERS = ("e1", "e2")
-"""No more than one engine holds, so that every zone can take all of them."""
+"""No more adapters than one engine can hold, so that every zone can load all of them."""
 
 
 class Load(BackgroundClients):
-    """Clients that send to every box until they are stopped, adapters and plain requests."""
+    """Clients that alternately send plain and adapter requests to boxes until they are stopped."""
 
     def __init__(self, deployment: Deployment, *boxes: str) -> None:
         super().__init__()
@@ -30,7 +30,7 @@
             self.add(self._send, box)
 
     def served_after(self, at: float) -> list[bool]:
-        """Whether each request that was sent after a moment was served."""
+        """Return, for each request that was sent after a time, whether it was served."""
         return [answer.status == 200 for sent_at, answer in list(self.answers) if sent_at > at]
 
     def _send(self, box: str) -> None:
@@ -53,7 +53,7 @@
 
 @pytest.fixture
 def deployment(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Deployment]:
-    settings = {"evacuation": {"within_s": WITHIN_S}}
+    settings = {"evacuation": {"within_s": EVACUATION_BOUND_S}}
     folder = tmp_path_factory.mktemp("evacuation")
     with Deployment(folder, boxes=3, zones=THREE_ZONES, more_settings=settings) as deployment:
         deployment.configure(ROUTES)
@@ -65,12 +65,12 @@
 
 
 def late_arrivals(deployment: Deployment, zone: str, *, after: float) -> list[float]:
-    """When requests arrived in a zone after a moment, in seconds after it."""
+    """Return arrivals of requests in a zone after a time, in seconds since that time."""
     return [round(at - after, 3) for at in deployment.arrivals(zone) if at > after]
 
 
-def ended(deployment: Deployment, box: str) -> Answer | None:
-    """Send a plain request; return its answer, or None if the box does not listen yet."""
+def try_send(deployment: Deployment, box: str) -> Answer | None:
+    """Send a plain request; return its answer, or None if the box does not accept connections."""
     try:
         return deployment.send(box, "/lookup/x", method="GET")
     except ConnectionError:
@@ -87,37 +87,39 @@
 
 
 def adapters_in(deployment: Deployment, *zones: str) -> set[str]:
-    """The adapters that the engines of some zones hold."""
+    """Return the adapters that the engines of some zones hold."""
     names = [f"engine-{deployment.zones.index(zone) + 1}" for zone in zones]
     return {adapter for name in names for adapter in deployment.counters(name)["adapters"]}
 
 
-def test_a_zone_is_evacuated_under_load_and_taken_back(deployment: Deployment) -> None:
+def test_a_zone_is_evacuated_under_load_and_used_again(deployment: Deployment) -> None:
     for box in deployment.clients:
         for adapter in ADAPTERS:
             deployment.served(box, "/items/x", adapter=adapter)
-    # What stands in the zone is what has to be brought elsewhere.
+    # The adapters of the zone have to be loaded in other zones.
     zone = next(zone for zone in THREE_ZONES if adapters_in(deployment, zone))
     others = [other for other in THREE_ZONES if other != zone]
     wanted = adapters_in(deployment, zone)
     with Load(deployment) as load:
         time.sleep(1.0)
         evacuated_at = deployment.evacuate(zone)
-        # Before the cut: two fifths of the bound after a box learnt of it.
+        # This must happen before the cut, at two fifths of the bound after a box read the row.
         wait_until(
             lambda: wanted <= adapters_in(deployment, *others),
-            within_s=WITHIN_S,
-            what="what stood in the zone is brought elsewhere",
+            within_s=EVACUATION_BOUND_S,
+            what="the adapters of the zone are loaded in others",
         )
-        wait_until(lambda: monotonic() > evacuated_at + WITHIN_S + 1.0, what="time passes")
-        assert late_arrivals(deployment, zone, after=evacuated_at + WITHIN_S) == []
+        wait_until(
+            lambda: monotonic() > evacuated_at + EVACUATION_BOUND_S + 1.0, what="time passes"
+        )
+        assert late_arrivals(deployment, zone, after=evacuated_at + EVACUATION_BOUND_S) == []
         served = load.served_after(evacuated_at)
         assert sum(served) >= 0.97 * len(served) > 0
-        deployment.take_back(zone)
+        deployment.end_evacuation(zone)
         wait_evacuated(deployment, zone, evacuated=False)
-        taken_back_at = monotonic()
+        ended_at = monotonic()
         wait_until(
-            lambda: late_arrivals(deployment, zone, after=taken_back_at), what="it is used again"
+            lambda: late_arrivals(deployment, zone, after=ended_at), what="the zone is used again"
         )
     logs = "".join(deployment.log(box) for box in deployment.clients)
     for sentence in (
@@ -130,56 +132,64 @@
         assert sentence in logs
 
 
-def test_a_box_that_starts_during_an_evacuation_sends_nothing_there(
+def test_a_box_started_during_an_evacuation_sends_nothing_to_the_zone(
     deployment: Deployment,
 ) -> None:
     zone = "zone-2"
     evacuated_at = deployment.evacuate(zone)
     wait_evacuated(deployment, zone)
     deployment.processes.kill("box-2")
-    wait_until(lambda: monotonic() > evacuated_at + WITHIN_S, what="the bound is over")
+    wait_until(lambda: monotonic() > evacuated_at + EVACUATION_BOUND_S, what="the bound is over")
     deployment.fault("store", busy=True)
-    deployment.tells_seeds = False
+    deployment.configures_seeds = False
     deployment.start_box("box-2")
-    refused = wait_until(lambda: ended(deployment, "box-2"), what="the box listens")
+    refused = wait_until(lambda: try_send(deployment, "box-2"), what="the box listens")
     assert refused.status == 503, "it has not read the operator's table"
     refusals = 'springrock_forwarded_requests_total{outcome="no_configuration"}'
     assert deployment.metric("box-2", refusals) >= 1
     deployment.fault("store")
     wait_until(lambda: deployment.is_ready("box-2"), what="the box is ready")
     with Load(deployment, "box-2") as load:
-        wait_until(lambda: sum(load.served_after(0.0)) >= 100, what="it serves through others")
-    assert late_arrivals(deployment, zone, after=evacuated_at + WITHIN_S) == []
+        wait_until(
+            lambda: sum(load.served_after(0.0)) >= 100,
+            what="it serves with replicas of other zones",
+        )
+    assert late_arrivals(deployment, zone, after=evacuated_at + EVACUATION_BOUND_S) == []
 
 
-def test_a_box_that_learns_of_an_evacuation_from_others_sends_nothing_there(
+def test_a_box_informed_of_an_evacuation_by_peers_sends_nothing_to_the_zone(
     deployment: Deployment,
 ) -> None:
     zone = "zone-2"
     evacuated_at = deployment.evacuate(zone)
     wait_evacuated(deployment, zone)
     deployment.processes.kill("box-2")
-    wait_until(lambda: monotonic() > evacuated_at + WITHIN_S, what="the bound is over")
+    wait_until(lambda: monotonic() > evacuated_at + EVACUATION_BOUND_S, what="the bound is over")
     deployment.fault("store", busy=True)
     deployment.start_box("box-2")
     wait_until(lambda: deployment.is_ready("box-2"), what="the box is ready")
     with Load(deployment, "box-2") as load:
-        wait_until(lambda: sum(load.served_after(0.0)) >= 100, what="it serves through others")
+        wait_until(
+            lambda: sum(load.served_after(0.0)) >= 100,
+            what="it serves with replicas of other zones",
+        )
     deployment.fault("store")
-    assert late_arrivals(deployment, zone, after=evacuated_at + WITHIN_S) == []
+    assert late_arrivals(deployment, zone, after=evacuated_at + EVACUATION_BOUND_S) == []
 
 
-def test_the_store_falls_silent_right_after_the_row(deployment: Deployment) -> None:
+def test_the_store_becomes_unavailable_right_after_the_row(deployment: Deployment) -> None:
     zone = "zone-3"
     with Load(deployment) as load:
         time.sleep(0.5)
         evacuated_at = deployment.evacuate(zone)
         wait_evacuated(deployment, zone)
         deployment.fault("store", busy=True)
-        wait_until(lambda: monotonic() > evacuated_at + WITHIN_S + 1.0, what="time passes")
-        assert late_arrivals(deployment, zone, after=evacuated_at + WITHIN_S) == []
-        assert any(load.served_after(evacuated_at + WITHIN_S))
-        deployment.take_back(zone)
+        wait_until(
+            lambda: monotonic() > evacuated_at + EVACUATION_BOUND_S + 1.0, what="time passes"
+        )
+        assert late_arrivals(deployment, zone, after=evacuated_at + EVACUATION_BOUND_S) == []
+        assert any(load.served_after(evacuated_at + EVACUATION_BOUND_S))
+        deployment.end_evacuation(zone)
         deployment.fault("store")
         wait_evacuated(deployment, zone, evacuated=False)
 
@@ -196,10 +206,12 @@
         deployment.processes.kill(placer)
         wait_until(
             lambda: wanted <= adapters_in(deployment, *others),
-            what="what stood in the zone is brought elsewhere",
+            what="the adapters of the zone are loaded in others",
+        )
+        wait_until(
+            lambda: monotonic() > evacuated_at + EVACUATION_BOUND_S + 1.0, what="time passes"
         )
-        wait_until(lambda: monotonic() > evacuated_at + WITHIN_S + 1.0, what="time passes")
-    assert late_arrivals(deployment, zone, after=evacuated_at + WITHIN_S) == []
+    assert late_arrivals(deployment, zone, after=evacuated_at + EVACUATION_BOUND_S) == []
 
 
 def test_two_of_three_zones_and_then_all_are_evacuated(deployment: Deployment) -> None:
@@ -207,20 +219,20 @@
         evacuated_at = deployment.evacuate(zone)
     for zone in ("zone-1", "zone-2"):
         wait_evacuated(deployment, zone)
-    wait_until(lambda: monotonic() > evacuated_at + WITHIN_S, what="the bound is over")
+    wait_until(lambda: monotonic() > evacuated_at + EVACUATION_BOUND_S, what="the bound is over")
     for box in deployment.clients:
         assert deployment.served(box, "/lookup/x", method="GET").status == 200
         assert deployment.served(box, "/items/x", adapter="e1").whole
     for zone in ("zone-1", "zone-2"):
-        assert late_arrivals(deployment, zone, after=evacuated_at + WITHIN_S) == []
+        assert late_arrivals(deployment, zone, after=evacuated_at + EVACUATION_BOUND_S) == []
     last_at = deployment.evacuate("zone-3")
-    wait_until(lambda: monotonic() > last_at + WITHIN_S, what="the bound is over")
+    wait_until(lambda: monotonic() > last_at + EVACUATION_BOUND_S, what="the bound is over")
     for path, adapter in (("/lookup/x", ""), ("/items/x", "e1")):
         sent_at = monotonic()
         assert deployment.send("box-1", path, adapter=adapter).status == 503
         assert monotonic() < sent_at + 0.5, "it is refused at once"
     assert deployment.log("box-1").count('"reason":"evacuated"') == 2
     for zone in THREE_ZONES:
-        assert late_arrivals(deployment, zone, after=last_at + WITHIN_S) == []
-        deployment.take_back(zone)
+        assert late_arrivals(deployment, zone, after=last_at + EVACUATION_BOUND_S) == []
+        deployment.end_evacuation(zone)
     assert deployment.served("box-1", "/items/x", adapter="e1").whole
--- a/tests/routed/test_leaving_said.py
+++ b/tests/routed/test_leaving_said.py
@@ -1,15 +1,11 @@
-"""A replica that says in an answer that it leaves gets nothing more from who passed it on.
+"""A box that forwards an answer announcing that its replica is leaving sends it no more requests.
 
-What users saw: for as long as the store was silent, seconds on end, requests went to an engine
-whose answers, passed on by the same box, said that it leaves. It was even given adapters to load.
+Failure: while the store did not answer, boxes kept sending requests to an engine whose answers,
+forwarded by the same boxes, announced that it was leaving. The placer even had it load adapters.
+The announcement was read only from the replica's row in the store, not from its answers.
 
-Order of events: the store falls silent; an engine says that it leaves, which only its answers tell;
-a box passes one on; the zone's placer has adapters brought to the engine and grants it to that box.
-
-Cause: what a replica says of itself counted only as its row in the store. No part read the answers.
-
-Evidence: with what answers say in the logs, a box shows its own attempts at a replica as "says it
-leaves", one after the other, while no box says of it that it is leaving.
+The logs showed it as repeated attempts of one box marked "says it leaves", while no box logged
+that the replica "is leaving".
 """
 
 from __future__ import annotations
@@ -24,15 +20,15 @@
 from tests.routed.deployment import REPLICAS, Answer, Deployment
 
 LEAVING = ("rosters-1", "engine-1")
-"""The replicas of the zone of box-1, which it likes best."""
+"""The replicas in the zone of box-1, which it prefers."""
 
-SOON_S = 2.0
-"""So long after an answer that said so requests may yet arrive: the users' shortest bound."""
+LEAVING_EFFECTIVE_S = 2.0
+"""Requests may still arrive for this long after the announcement: the users' shortest bound."""
 
 ROUNDS = 8
 
 
-class Way(NamedTuple):
+class RequestKind(NamedTuple):
     """One kind of request."""
 
     path: str
@@ -40,97 +36,101 @@
     streams: bool = False
 
 
-WAYS = (
-    Way("/lookup/x", "GET"),
-    Way("/join/x"),
-    Way("/items/x", streams=True),
-    Way("/minutes/x", streams=True),
+REQUEST_KINDS = (
+    RequestKind("/lookup/x", "GET"),
+    RequestKind("/join/x"),
+    RequestKind("/items/x", streams=True),
+    RequestKind("/minutes/x", streams=True),
 )
-"""A call that may be repeated, one that may not, a stream that may be resumed, one that may not."""
+"""A repeatable call, one that is not, a resumable stream, one that is not."""
 
 
 @pytest.fixture
 def deployment(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Deployment]:
-    """Boxes before two replicas that leave, and cannot write so."""
+    """A deployment with two leaving replicas that cannot write this to the store."""
     with Deployment(tmp_path_factory.mktemp("leaving")) as deployment:
         deployment.configure()
         deployment.wait_ready(replicas=REPLICAS)
         for box in deployment.clients:
-            for way in WAYS:
-                deployment.served(box, way.path, method=way.method, adapter=adapter_of(way, 0))
+            for kind in REQUEST_KINDS:
+                deployment.served(box, kind.path, method=kind.method, adapter=adapter_of(kind, 0))
         for name in LEAVING:
             deployment.fault(name, leaving=True, silent=True)
         yield deployment
         assert deployment.violations() == {}
 
 
-def adapter_of(way: Way, number: int) -> str:
-    """Of as many adapters as both engines have places."""
-    return f"a{number % 4}" if way.streams else ""
+def adapter_of(kind: RequestKind, number: int) -> str:
+    """Return one of as many adapters as both engines have slots; empty for plain calls."""
+    return f"a{number % 4}" if kind.streams else ""
 
 
-def send(deployment: Deployment, box: str, way: Way, number: int) -> Answer:
-    adapter = adapter_of(way, number)
-    return deployment.send(box, way.path, method=way.method, adapter=adapter)
+def send(deployment: Deployment, box: str, kind: RequestKind, number: int) -> Answer:
+    adapter = adapter_of(kind, number)
+    return deployment.send(box, kind.path, method=kind.method, adapter=adapter)
 
 
-def learn_that_one_leaves(deployment: Deployment, box: str, way: Way) -> None:
-    """Send until an answer says that its replica leaves, or the box has learnt it sooner.
+def wait_until_leaving_is_known(deployment: Deployment, box: str, kind: RequestKind) -> None:
+    """Send until an answer announces that its replica is leaving, or the box logs it.
 
-    The answers to reports and orders of the zone's placer say so as well.
+    The box may learn it sooner, as answers to reports and orders of the placer announce it too.
     """
-    service = "language" if way.streams else "rosters"
+    service = "language" if kind.streams else "rosters"
 
     def _is_known() -> bool:
         lines = (line for line in deployment.log(box).splitlines() if "is leaving" in line)
         return any(f'"service":"{service}"' in line for line in lines)
 
-    def _says_so() -> bool:
-        answers = (send(deployment, box, way, number) for number in range(4))
+    def _is_announced() -> bool:
+        answers = (send(deployment, box, kind, number) for number in range(4))
         return any(answer.headers.get("Server-Leaving") == "1" for answer in answers)
 
     wait_until(
-        lambda: _is_known() or _says_so(),
-        what=f"{box} passes on that a replica of {way.path} leaves",
+        lambda: _is_known() or _is_announced(),
+        what=f"{box} forwards that a replica of {kind.path} is leaving",
     )
 
 
 def late_arrivals(deployment: Deployment, since: float) -> dict[str, int]:
-    """How many requests came to the replicas that leave since a moment, by replica."""
+    """Return the number of requests that arrived after a time, by leaving replica."""
     return {
         name: sum(at > since for at in deployment.counters(name)["arrivals"]) for name in LEAVING
     }
 
 
-@pytest.mark.parametrize("way", WAYS, ids=lambda way: way.path.split("/")[1])
-def test_who_passed_on_that_a_replica_leaves_sends_it_nothing_more(
-    deployment: Deployment, way: Way
+@pytest.mark.parametrize("kind", REQUEST_KINDS, ids=lambda kind: kind.path.split("/")[1])
+def test_a_box_that_forwarded_the_announcement_sends_nothing_more(
+    deployment: Deployment, kind: RequestKind
 ) -> None:
-    learn_that_one_leaves(deployment, "box-1", way)
-    since = monotonic() + SOON_S
+    wait_until_leaving_is_known(deployment, "box-1", kind)
+    since = monotonic() + LEAVING_EFFECTIVE_S
     wait_until(lambda: monotonic() > since, what="the bound has passed")
-    statuses = [send(deployment, "box-1", way, number).status for number in range(ROUNDS)]
-    left = late_arrivals(deployment, since)
-    assert left["engine-1" if way.streams else "rosters-1"] == 0
+    statuses = [send(deployment, "box-1", kind, number).status for number in range(ROUNDS)]
+    arrived = late_arrivals(deployment, since)
+    assert arrived["engine-1" if kind.streams else "rosters-1"] == 0
     assert 200 in statuses, "the other replica serves"
 
 
-def test_who_passed_it_on_tells_all_boxes_and_nothing_is_brought_there(
+def test_the_announcement_reaches_all_boxes_and_no_adapter_is_loaded_there(
     deployment: Deployment,
 ) -> None:
-    learn_that_one_leaves(deployment, "box-1", WAYS[0])
-    learn_that_one_leaves(deployment, "box-1", WAYS[2])
+    wait_until_leaving_is_known(deployment, "box-1", REQUEST_KINDS[0])
+    wait_until_leaving_is_known(deployment, "box-1", REQUEST_KINDS[2])
 
-    def _is_told() -> bool:
+    def _is_notified() -> bool:
         lines = [line for line in deployment.log("box-2").splitlines() if "is leaving" in line]
         return len(lines) == len(LEAVING) and all('"sign":"box"' in line for line in lines)
 
-    wait_until(_is_told, within_s=SOON_S, what="box-2 is told of both replicas")
+    wait_until(
+        _is_notified,
+        within_s=LEAVING_EFFECTIVE_S,
+        what="box-2 knows that both replicas are leaving",
+    )
     since = monotonic()
     for number in range(ROUNDS):
-        for way in WAYS:
-            send(deployment, "box-2", way, number)
+        for kind in REQUEST_KINDS:
+            send(deployment, "box-2", kind, number)
         deployment.served("box-2", "/items/x", adapter=f"new-{number}")
     assert late_arrivals(deployment, since) == dict.fromkeys(LEAVING, 0)
-    brought = deployment.counters("engine-1")["adapters"]
-    assert not [name for name in brought if name.startswith("new")]
+    loaded = deployment.counters("engine-1")["adapters"]
+    assert not [name for name in loaded if name.startswith("new")]
--- a/tests/routed/test_limit.py
+++ b/tests/routed/test_limit.py
@@ -1,16 +1,12 @@
-"""A replica that names a limit gets no more requests than that from all boxes together.
+"""A replica that names a rate limit gets no more requests than that from all boxes together.
 
-What users saw: two of nine engines said in all their answers that they take about one request a
-second; they went on getting as many as the other engines, from boxes that had passed it on.
+Failure: two of nine engines named a limit of about one request a second in all their answers, but
+got as many requests as the other engines, even from boxes that had forwarded such answers. The
+limit was ignored: limits on the sum over all boxes came only from the configuration (cold starts,
+quotas), and what a replica said itself affected at most the box that received it.
 
-Order of events: an engine that is in need answers a request and names its limit; the boxes that
-passed such answers on, and their zones' placers, go on choosing it by what runs there.
-
-Cause: the limit was read by no part. What binds the sum over all boxes came from the configuration
-alone (a cold start, a quota); what a replica says itself bound at most the box that heard it.
-
-Evidence: with the limit in the logs, each box's attempts show "takes 1.50 requests a second" at one
-replica many times a second, and the placers' lines go on granting it.
+The logs showed it as attempts marked "takes 1.50 requests a second" at one replica many times a
+second, while placers still granted it.
 """
 
 from __future__ import annotations
@@ -30,17 +26,17 @@
 
 LIMIT_PER_S = 1.5
 WINDOW_S = 4.0
-BOUND = LIMIT_PER_S * WINDOW_S * 1.5 + 5
-"""So many requests may reach it in any window, whoever sends them."""
+MAX_PER_WINDOW = LIMIT_PER_S * WINDOW_S * 1.5 + 5
+"""Maximum number of requests that may reach the replica in any window, from all boxes."""
 
-KNOWN_AFTER_S = 1.0
-"""By then all boxes have passed on an answer that names the limit, or been told of it."""
+LIMIT_EFFECTIVE_S = 1.0
+"""By then all boxes have forwarded an answer that names the limit, or were notified of it."""
 
-WATCHED_S = 7.0
+OBSERVATION_S = 7.0
 
 PLAIN = (("/lookup/x", ""), ("/join/x", ""))
 STREAMS = tuple((f"/{route}/x", f"a{n}") for route in ("items", "minutes") for n in range(2))
-WISHES = (*PLAIN, *STREAMS)
+REQUESTS = (*PLAIN, *STREAMS)
 
 
 @pytest.fixture
@@ -48,7 +44,7 @@
     with Deployment(tmp_path_factory.mktemp("limit"), boxes=4) as deployment:
         deployment.configure()
         deployment.wait_ready(replicas=REPLICAS)
-        for path, adapter in WISHES:
+        for path, adapter in REQUESTS:
             deployment.served("box-1", path, adapter=adapter)
         yield deployment
         assert deployment.violations() == {}
@@ -56,107 +52,115 @@
 
 @contextmanager
 def limited(deployment: Deployment, *replicas: str) -> Iterator[float]:
-    """Let replicas name the limit; yield the time from which on it holds."""
+    """Let replicas name the limit; yield the time from which it must be respected."""
     for name in replicas:
         deployment.fault(name, limit_per_s=LIMIT_PER_S)
-    yield monotonic() + KNOWN_AFTER_S
+    yield monotonic() + LIMIT_EFFECTIVE_S
     for name in replicas:
         deployment.fault(name)
 
 
-def most_in_a_window(arrivals: list[float]) -> int:
-    """The most requests that came within one window."""
+def max_in_window(arrivals: list[float]) -> int:
+    """Return the largest number of requests that arrived within one window."""
     return max(
         (bisect_left(arrivals, at + WINDOW_S) - i for i, at in enumerate(arrivals)), default=0
     )
 
 
 def arrivals_since(deployment: Deployment, name: str, since: float) -> list[float]:
-    """When a replica got requests, from a time on."""
+    """Return the arrival times of requests at a replica after a time."""
     return [at for at in deployment.counters(name)["arrivals"] if at > since]
 
 
 @pytest.mark.parametrize("name", ["rosters-1", "engine-1"])
-def test_a_replica_that_names_a_limit_gets_no_more_and_is_not_forsaken(
+def test_a_replica_that_names_a_limit_gets_no_more_but_is_still_used(
     deployment: Deployment, name: str
 ) -> None:
     with (
         limited(deployment, name) as since,
-        Callers(deployment, deployment.clients, WISHES) as callers,
+        Callers(deployment, deployment.clients, REQUESTS) as callers,
     ):
-        time.sleep(KNOWN_AFTER_S + WATCHED_S)
+        time.sleep(LIMIT_EFFECTIVE_S + OBSERVATION_S)
         arrivals = arrivals_since(deployment, name, since)
-    assert most_in_a_window(arrivals) <= BOUND
-    assert len(arrivals) >= LIMIT_PER_S * WATCHED_S / 2, "it bears some, and gets them"
+    assert max_in_window(arrivals) <= MAX_PER_WINDOW
+    assert len(arrivals) >= LIMIT_PER_S * OBSERVATION_S / 2, (
+        "it gets the requests that its limit allows"
+    )
     served = sum(answer.status == 200 for answer in callers.answers)
     assert served > 0.9 * len(callers.answers), "the other replicas serve"
 
 
-def test_where_all_name_a_limit_callers_are_told_at_once_when_to_come_back(
+def test_callers_get_a_retry_time_at_once_when_all_replicas_name_a_limit(
     deployment: Deployment,
 ) -> None:
     names = ("rosters-1", "rosters-2")
     with (
         limited(deployment, *names) as since,
-        Callers(deployment, deployment.clients, WISHES) as callers,
+        Callers(deployment, deployment.clients, REQUESTS) as callers,
     ):
-        time.sleep(KNOWN_AFTER_S + WATCHED_S)
+        time.sleep(LIMIT_EFFECTIVE_S + OBSERVATION_S)
         arrivals = {name: arrivals_since(deployment, name, since) for name in names}
     for name in names:
-        assert most_in_a_window(arrivals[name]) <= BOUND
-        assert len(arrivals[name]) >= LIMIT_PER_S * WATCHED_S / 2
+        assert max_in_window(arrivals[name]) <= MAX_PER_WINDOW
+        assert len(arrivals[name]) >= LIMIT_PER_S * OBSERVATION_S / 2
     refused = [answer for answer in callers.answers if answer.status != 200]
     assert refused and {answer.status for answer in refused} == {503}
     assert all(float(answer.headers["Retry-After"]) > 0 for answer in refused)
     assert any(b"limited" in answer.body for answer in refused)
 
 
-def test_a_replica_that_names_its_limit_no_more_gets_all_it_can(deployment: Deployment) -> None:
-    with limited(deployment, "rosters-1"), Callers(deployment, deployment.clients, WISHES):
-        time.sleep(KNOWN_AFTER_S)
-    with Callers(deployment, deployment.clients, WISHES):
-        began_at = monotonic()
+def test_a_replica_that_no_longer_names_a_limit_is_used_fully(deployment: Deployment) -> None:
+    with limited(deployment, "rosters-1"), Callers(deployment, deployment.clients, REQUESTS):
+        time.sleep(LIMIT_EFFECTIVE_S)
+    with Callers(deployment, deployment.clients, REQUESTS):
+        started_at = monotonic()
         wait_until(
-            lambda: most_in_a_window(arrivals_since(deployment, "rosters-1", began_at)) > 2 * BOUND,
+            lambda: (
+                max_in_window(arrivals_since(deployment, "rosters-1", started_at))
+                > 2 * MAX_PER_WINDOW
+            ),
             what="rosters-1 is used fully",
         )
 
 
-def test_a_placer_that_is_killed_is_followed_by_one_that_counts_on(deployment: Deployment) -> None:
+def test_the_limit_is_respected_after_the_placer_is_killed(deployment: Deployment) -> None:
     placer, _ = deployment.placer_and_other("zone-1")
     names = ("rosters-1", "engine-1")
     others = [box for box in deployment.clients if box != placer]
-    with limited(deployment, *names) as since, Callers(deployment, others, WISHES) as callers:
-        time.sleep(KNOWN_AFTER_S + 2.0)
+    with limited(deployment, *names) as since, Callers(deployment, others, REQUESTS) as callers:
+        time.sleep(LIMIT_EFFECTIVE_S + 2.0)
         deployment.processes.kill(placer)
         killed_at = monotonic()
-        time.sleep(WATCHED_S)
+        time.sleep(OBSERVATION_S)
         arrivals = {name: arrivals_since(deployment, name, since) for name in names}
     for name in names:
-        assert most_in_a_window(arrivals[name]) <= BOUND
-        assert sum(at > killed_at for at in arrivals[name]) >= LIMIT_PER_S * WATCHED_S / 3
+        assert max_in_window(arrivals[name]) <= MAX_PER_WINDOW
+        assert sum(at > killed_at for at in arrivals[name]) >= LIMIT_PER_S * OBSERVATION_S / 3
     served = sum(answer.status == 200 for answer in callers.answers)
     assert served > 0.9 * len(callers.answers)
 
 
-def test_beside_placers_that_know_no_limits_a_box_keeps_to_its_share(
+def test_a_box_keeps_to_its_share_under_placers_of_a_build_without_limits(
     tmp_path_factory: pytest.TempPathFactory,
 ) -> None:
-    earlier = build_at(BEFORE_LIMITS, tmp_path_factory.mktemp("build"))
-    builds = {"box-1": earlier, "box-2": earlier}
+    build_before_limits = build_at(BEFORE_LIMITS, tmp_path_factory.mktemp("build"))
+    builds = {"box-1": build_before_limits, "box-2": build_before_limits}
     folder = tmp_path_factory.mktemp("mixed")
     names = ("rosters-1", "engine-1")
-    with Deployment(folder, boxes=2, build_of=builds) as mixed:
-        mixed.configure()
-        mixed.wait_ready(replicas=REPLICAS)
+    with Deployment(folder, boxes=2, build_of=builds) as deployment:
+        deployment.configure()
+        deployment.wait_ready(replicas=REPLICAS)
         for zone in ZONES:
-            mixed.placer_and_other(zone)
-        mixed.start_box("box-3")
-        wait_until(lambda: mixed.is_ready("box-3"), what="box-3 is ready")
-        with limited(mixed, *names) as since, Callers(mixed, ["box-3"], WISHES) as callers:
-            time.sleep(KNOWN_AFTER_S + WATCHED_S)
-            arrivals = {name: arrivals_since(mixed, name, since) for name in names}
-        assert all(most_in_a_window(arrivals[name]) <= BOUND for name in names)
+            deployment.placer_and_other(zone)
+        deployment.start_box("box-3")
+        wait_until(lambda: deployment.is_ready("box-3"), what="box-3 is ready")
+        with (
+            limited(deployment, *names) as since,
+            Callers(deployment, ["box-3"], REQUESTS) as callers,
+        ):
+            time.sleep(LIMIT_EFFECTIVE_S + OBSERVATION_S)
+            arrivals = {name: arrivals_since(deployment, name, since) for name in names}
+        assert all(max_in_window(arrivals[name]) <= MAX_PER_WINDOW for name in names)
         served = sum(answer.status == 200 for answer in callers.answers)
         assert served > 0.9 * len(callers.answers)
-        assert mixed.violations() == {}
+        assert deployment.violations() == {}
--- a/tests/routed/test_path.py
+++ b/tests/routed/test_path.py
@@ -1,4 +1,4 @@
-"""The whole routed path with separate processes, and the faults of replicas and the store."""
+"""The routed path from client to replica in separate processes, with replica and store faults."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 @pytest.fixture(autouse=True)
-def _healed(deployment: Deployment) -> Iterator[None]:
+def _clear_faults(deployment: Deployment) -> Iterator[None]:
     yield
     for name in deployment.addresses:
         deployment.fault(name)
@@ -36,7 +36,7 @@
     assert answer.headers["Springrock-Response-Seal"].startswith("seal-of-")
 
 
-def test_connections_to_clients_are_kept(deployment: Deployment) -> None:
+def test_client_connections_are_kept_open(deployment: Deployment) -> None:
     connection = deployment.connect("box-1")
     for _ in range(3):
         answer = deployment.send("box-1", "/lookup/x", method="GET", connection=connection)
@@ -44,13 +44,13 @@
         assert connection.sock is not None
 
 
-def test_no_route_is_told_and_nothing_runs(deployment: Deployment) -> None:
+def test_a_request_without_a_route_gets_404_and_does_not_run(deployment: Deployment) -> None:
     request_id = deployment.new_id()
     assert deployment.send("box-1", "/nowhere/x", request_id=request_id).status == 404
     assert deployment.runs(request_id) == 0
 
 
-def test_an_adapter_is_brought_for_a_stream(deployment: Deployment) -> None:
+def test_an_adapter_is_loaded_for_a_stream(deployment: Deployment) -> None:
     for box in deployment.clients:
         answer = deployment.served(box, "/items/x", adapter="a1")
         assert answer.whole
@@ -64,7 +64,7 @@
     assert deployment.violations() == {}
 
 
-def test_a_resumable_stream_goes_on_at_the_exact_event(deployment: Deployment) -> None:
+def test_a_resumable_stream_continues_at_the_next_event(deployment: Deployment) -> None:
     deployment.served("box-1", "/items/x", adapter="a1")
     request_id = deployment.new_id()
     for engine in deployment.holders("a1"):
@@ -76,7 +76,7 @@
     assert deployment.runs(request_id) == 2
 
 
-def test_a_stream_that_may_not_run_twice_is_seen_to_break(deployment: Deployment) -> None:
+def test_a_cut_of_an_unrepeatable_stream_reaches_the_client(deployment: Deployment) -> None:
     deployment.served("box-1", "/minutes/x", adapter="a1")
     request_id = deployment.new_id()
     for engine in deployment.holders("a1"):
@@ -87,7 +87,7 @@
     assert deployment.runs(request_id) == 1
 
 
-def test_a_failure_is_tried_elsewhere_only_if_the_request_may_run_again(
+def test_a_failed_request_is_retried_only_if_it_is_repeatable(
     deployment: Deployment,
 ) -> None:
     deployment.fault("rosters-1", fail=True)
@@ -101,7 +101,7 @@
     assert deployment.runs(unsafe) == 1
 
 
-def test_a_refusal_by_all_promises_that_nothing_ran(deployment: Deployment) -> None:
+def test_a_request_that_all_replicas_refuse_does_not_run(deployment: Deployment) -> None:
     for name in ("rosters-1", "rosters-2"):
         deployment.fault(name, refuse=True)
     request_id = deployment.new_id()
@@ -111,7 +111,7 @@
     assert deployment.runs(request_id) == 0
 
 
-def test_a_new_configuration_comes_into_force_and_an_older_one_never_again(
+def test_a_newer_configuration_is_applied_and_an_older_one_is_not(
     deployment: Deployment,
 ) -> None:
     added = [*ROUTES, route("added", "safe", "rosters")]
@@ -128,14 +128,14 @@
         assert in_force == newer
 
 
-def test_requests_go_on_while_the_store_is_down(deployment: Deployment) -> None:
+def test_requests_are_served_while_the_store_is_down(deployment: Deployment) -> None:
     deployment.fault("store", busy=True)
     wait_until(lambda: "Lost the table" in deployment.log("box-1"), what="box-1 sees the outage")
     assert deployment.send("box-1", "/lookup/x", method="GET").status == 200
     assert deployment.is_ready("box-1")
 
 
-def test_a_forgotten_history_is_read_anew(deployment: Deployment) -> None:
+def test_the_table_is_read_again_after_the_change_history_is_lost(deployment: Deployment) -> None:
     deployment.fault("store", forget_history=True)
     version = deployment.configure([*ROUTES, route("after", "safe", "rosters")])
     deployment.served("box-1", "/after/x", method="GET")
@@ -160,18 +160,20 @@
         return any("is leaving" in line and instance in line for line in lines)
 
     for box in deployment.clients:
-        wait_until(lambda box=box: _reported(box), what=f"{box} knows that the replica leaves")
+        wait_until(lambda box=box: _reported(box), what=f"{box} knows that the replica is leaving")
     before = sum(deployment.counters("rosters-1")["runs"].values())
     for _ in range(10):
         assert deployment.send("box-1", "/lookup/x", method="GET").status == 200
     assert sum(deployment.counters("rosters-1")["runs"].values()) == before
 
 
-def test_the_placer_is_followed_by_another_box(deployment: Deployment) -> None:
+def test_another_box_takes_over_from_a_killed_placer(deployment: Deployment) -> None:
     placer, other = deployment.placer_and_other("zone-1")
     deployment.processes.kill(placer)
-    both = {"zone-1": other, "zone-2": other}
-    wait_until(lambda: deployment.placers() == both, what="the other box places both zones")
+    expected_placers = {"zone-1": other, "zone-2": other}
+    wait_until(
+        lambda: deployment.placers() == expected_placers, what="the other box places both zones"
+    )
     for number in range(70, 78):
         answer = deployment.served(other, "/items/x", adapter=f"a{number}")
         assert answer.event_ids == [1, 2, 3, 4, 5]
@@ -179,7 +181,7 @@
     deployment.wait_ready()
 
 
-def test_a_placer_is_followed_although_the_store_named_later_versions(
+def test_another_box_takes_over_although_the_store_answered_later_versions(
     deployment: Deployment,
 ) -> None:
     placer, other = deployment.placer_and_other("zone-1")
@@ -187,13 +189,15 @@
     written = 'springrock_store_calls_total{answer="done",call="write",table="springrock"}'
     before = deployment.metric(placer, written)
     wait_until(
-        # It tells of each renewal at once; two, as it may place both zones.
+        # The placer announces each renewal at once. Two renewals, as it may place both zones.
         lambda: deployment.metric(placer, written) > before + 2,
-        what="the placer has renewed, and told the version that it was answered",
+        what="the placer has renewed and announced the version it was answered",
     )
     deployment.processes.kill(placer)
-    both = {"zone-1": other, "zone-2": other}
-    wait_until(lambda: deployment.placers() == both, what="the other box places both zones")
+    expected_placers = {"zone-1": other, "zone-2": other}
+    wait_until(
+        lambda: deployment.placers() == expected_placers, what="the other box places both zones"
+    )
     deployment.fault("store")
     deployment.start_box(placer)
     deployment.wait_ready()
@@ -201,15 +205,17 @@
 
 def test_a_zone_gets_its_own_placer_back(deployment: Deployment) -> None:
     deployment.processes.kill("box-2")
-    only = {"zone-1": "box-1", "zone-2": "box-1"}
-    wait_until(lambda: deployment.placers() == only, what="box-1 places both zones")
+    only_box_1 = {"zone-1": "box-1", "zone-2": "box-1"}
+    wait_until(lambda: deployment.placers() == only_box_1, what="box-1 places both zones")
     deployment.start_box("box-2")
-    each = {"zone-1": "box-1", "zone-2": "box-2"}
-    wait_until(lambda: deployment.placers() == each, what="each zone has a placer of its own")
+    one_per_zone = {"zone-1": "box-1", "zone-2": "box-2"}
+    wait_until(
+        lambda: deployment.placers() == one_per_zone, what="each zone has a placer of its own"
+    )
     assert deployment.served("box-1", "/items/x", adapter="a79").event_ids == [1, 2, 3, 4, 5]
 
 
-def test_a_planned_stop_cuts_no_stream(deployment: Deployment) -> None:
+def test_a_graceful_stop_cuts_no_stream(deployment: Deployment) -> None:
     deployment.served("box-2", "/items/x", adapter="a1")
     answers = []
     sent = threading.Thread(
@@ -227,9 +233,9 @@
     deployment.wait_ready()
 
 
-def test_a_reload_gives_no_fresh_retries(deployment: Deployment) -> None:
+def test_a_reload_does_not_reset_the_retry_budget(deployment: Deployment) -> None:
     def _send_all(count: int) -> int:
-        """Return how often so many requests ran, each of which fails wherever it runs."""
+        """Send requests that fail on every replica; return their total number of runs."""
         ids = [deployment.new_id() for _ in range(count)]
         for request_id in ids:
             deployment.send("box-1", "/lookup/x", method="GET", request_id=request_id)
@@ -242,36 +248,39 @@
         reloads = deployment.log("box-1").count('"box: Reload."')
         deployment.processes.signal("box-1", signal.SIGHUP)
         wait_until(
-            lambda: deployment.log("box-1").count('"box: Reload."') > reloads, what="it reloads"
+            lambda: deployment.log("box-1").count('"box: Reload."') > reloads, what="box-1 reloads"
         )
-        # Two: one request earns a fifth of a retry, and so do those that finish the wait.
+        # Two retries: each request earns a fifth of one, and so do those sent during the wait.
         assert _send_all(5) <= 5 + 2
     finally:
         for name in ("rosters-1", "rosters-2"):
             deployment.fault(name)
 
 
-def test_bad_settings_change_nothing(deployment: Deployment) -> None:
+def test_invalid_settings_are_rejected_on_reload(deployment: Deployment) -> None:
     path: Path = deployment.folder / "box-1.jsonc"
     path.write_text('{"box": 3}')
     deployment.processes["box-1"].send_signal(signal.SIGHUP)
-    wait_until(lambda: "Kept the old settings" in deployment.log("box-1"), what="it is refused")
+    wait_until(
+        lambda: "Kept the old settings" in deployment.log("box-1"),
+        what="box-1 rejects the settings",
+    )
     assert deployment.send("box-1", "/lookup/x", method="GET").status == 200
 
 
-def test_every_box_knows_how_many_share_the_allowance(deployment: Deployment) -> None:
+def test_every_box_counts_the_boxes_that_share_the_allowance(deployment: Deployment) -> None:
     for box in ("box-1", "box-2"):
         wait_until(
             lambda box=box: deployment.metric(box, "springrock_placement_boxes") == 2.0,
-            what=f"{box} knows both",
+            what=f"{box} counts both boxes",
         )
 
 
-def test_a_placer_that_stood_still_wakes_and_goes_on(deployment: Deployment) -> None:
+def test_a_suspended_placer_resumes_serving(deployment: Deployment) -> None:
     placer, other = deployment.placer_and_other("zone-1")
     process = deployment.processes[placer]
     process.send_signal(signal.SIGSTOP)
-    wait_until(lambda: deployment.placer_of("zone-1", at=other), what="the other box places")
+    wait_until(lambda: deployment.is_placer("zone-1", at=other), what="the other box places")
     process.send_signal(signal.SIGCONT)
     for number in range(80, 86):
         answer = deployment.served(placer, "/items/x", adapter=f"a{number}")
--- a/tests/routed/test_reborn.py
+++ b/tests/routed/test_reborn.py
@@ -1,4 +1,4 @@
-"""Replicas that start again under their id, and rows in their table that others wrote."""
+"""Replicas that restart under the same id, and rows of other writers in the replica table."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from tests.routed.deployment import REPLICAS, Answer, Deployment
 
 ADAPTERS = ("a0", "a1", "a2", "a3")
-"""As many as both engines have places, so that an engine that starts anew is needed again."""
+"""As many adapters as both engines have slots, so that a restarted engine is needed again."""
 
-PASSED_OVER = "springrock_forwarding_replica_rows_passed_over_total"
+IGNORED_ROWS_METRIC = "springrock_forwarding_replica_rows_passed_over_total"
 
 
 @pytest.fixture(scope="module")
 def deployment(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Deployment]:
     folder = tmp_path_factory.mktemp("reborn")
-    more = {"tells_start": True, "events": 30, "work_ms": 50.0}
-    with Deployment(folder, more_of_replicas=more) as deployment:
+    settings = {"tells_start": True, "events": 30, "work_ms": 50.0}
+    with Deployment(folder, replica_settings=settings) as deployment:
         deployment.configure()
         deployment.wait_ready(replicas=REPLICAS)
         yield deployment
@@ -31,7 +31,7 @@
 
 
 @pytest.fixture(autouse=True)
-def _healed(deployment: Deployment) -> Iterator[None]:
+def _clear_faults(deployment: Deployment) -> Iterator[None]:
     yield
     for name in deployment.addresses:
         deployment.fault(name)
@@ -39,9 +39,9 @@
 
 
 class Load(BackgroundClients):
-    """Clients that send until they are told to stop, each request with an id of its own.
+    """Clients that send until they are stopped, each request with a unique id.
 
-    The adapters that are asked for all the time need the places of both engines.
+    The adapters that they request occupy the slots of both engines.
     """
 
     def __init__(self, deployment: Deployment) -> None:
@@ -55,7 +55,7 @@
 
     @property
     def served(self) -> int:
-        """How many requests were answered whole with a success."""
+        """Number of requests that got a complete and successful answer."""
         with self._lock:
             answers = list(self.answers.values())
         return sum(answer.status == 200 and answer.whole for answer in answers)
@@ -77,8 +77,8 @@
     return f"{counters['instance']}@{counters['born']}"
 
 
-def sound_row(deployment: Deployment, name: str, **other: Any) -> dict[str, Any]:
-    """Return what a replica writes of itself, with some fields of another kind."""
+def make_row(deployment: Deployment, name: str, **changes: Any) -> dict[str, Any]:
+    """Return a valid row of a replica, with some fields replaced, or removed by None."""
     counters = deployment.counters(name)
     row = {
         "service": "rosters",
@@ -88,7 +88,7 @@
         "state": "ready",
         "sequence": 0,
         "born": counters["born"],
-        **other,
+        **changes,
     }
     return {key: value for key, value in row.items() if value is not None}
 
@@ -108,7 +108,7 @@
             for box in deployment.clients:
                 wait_until(
                     lambda box=box, after=after: after in deployment.log(box),
-                    what=f"{box} knows the new start of {name}",
+                    what=f"{box} has logged the restart of {name}",
                 )
         wait_until(
             lambda: all(deployment.counters(name)["adapters"] for name in ("engine-1", "engine-2")),
@@ -122,9 +122,9 @@
     assert deployment.violations() == {}
 
 
-def test_rows_of_other_writers_name_no_replica_and_harm_none(deployment: Deployment) -> None:
+def test_invalid_rows_are_ignored_and_affect_no_replica(deployment: Deployment) -> None:
     foreign: dict[str, bytes] = {"i-foreign-bytes": b"\xff\x00garbage"}
-    for name, other in {
+    for name, changes in {
         "state": {"state": "resting"},
         "zone": {"zone": "zone-9"},
         "slots": {"slots": 10**30},
@@ -132,22 +132,22 @@
         "address": {"address": 7},
         "missing": {"service": None},
     }.items():
-        row = sound_row(deployment, "rosters-1", **other)
+        row = make_row(deployment, "rosters-1", **changes)
         foreign[f"i-foreign-{name}"] = json.dumps(row).encode()
-    before = {box: _passed_over(deployment, box) for box in deployment.clients}
+    before = {box: _ignored_rows(deployment, box) for box in deployment.clients}
     for key, value in foreign.items():
         deployment.write_row("servers", key, value)
     for box in deployment.clients:
         wait_until(
-            lambda box=box: _passed_over(deployment, box) >= before[box] + len(foreign),
-            what=f"{box} has passed over the rows",
+            lambda box=box: _ignored_rows(deployment, box) >= before[box] + len(foreign),
+            what=f"{box} has counted the invalid rows",
         )
         assert deployment.metric(box, "springrock_forwarding_replicas") == REPLICAS
         assert deployment.served(box, "/lookup/x", method="GET").status == 200
         assert deployment.served(box, "/items/x", adapter="a1").whole
 
 
-def test_a_living_replica_whose_row_is_overwritten_gets_nothing_until_its_next_beat(
+def test_a_replica_whose_row_is_overwritten_gets_no_requests_until_it_writes_again(
     deployment: Deployment,
 ) -> None:
     counters = deployment.counters("rosters-1")
@@ -158,7 +158,7 @@
             lambda box=box: (
                 deployment.metric(box, "springrock_forwarding_replicas") == REPLICAS - 1
             ),
-            what=f"{box} does not understand the replica",
+            what=f"{box} no longer lists the replica",
         )
     before = sum(deployment.counters("rosters-1")["runs"].values())
     for box in deployment.clients:
@@ -176,6 +176,8 @@
     )
 
 
-def _passed_over(deployment: Deployment, box: str) -> float:
+def _ignored_rows(deployment: Deployment, box: str) -> float:
     lines = deployment.metrics_page(box).splitlines()
-    return sum(float(line.split()[1]) for line in lines if line.startswith(f"{PASSED_OVER}{{"))
+    return sum(
+        float(line.split()[1]) for line in lines if line.startswith(f"{IGNORED_ROWS_METRIC}{{")
+    )
--- a/tests/routed/test_regions.py
+++ b/tests/routed/test_regions.py
@@ -1,4 +1,4 @@
-"""Two regions of one zone each, with separate processes: what is bound to one stays there."""
+"""Two regions with one zone each: requests that are restricted to a region stay in it."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from tests.processes import wait_until
 from tests.routed.deployment import REPLICAS, ROUTES, Deployment, route
 
-BOUND = [
+RESTRICTED_ROUTES = [
     route("south", "safe", "rosters", allowedRegions=["south"]),
     route("south-items", "streaming", "language", resumable=True, allowedRegions=["south"]),
     route("east", "safe", "rosters", allowedRegions=["east"]),
     route("east-items", "streaming", "language", allowedRegions=["east"]),
 ]
-AWAY = 'springrock_bytes_away_total{distance="other_region",kind="%s"}'
+BYTES_METRIC = 'springrock_bytes_away_total{distance="other_region",kind="%s"}'
 
 
 @pytest.fixture(scope="module")
 def deployment(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Deployment]:
     regions = {"zone-1": "north", "zone-2": "south"}
     with Deployment(tmp_path_factory.mktemp("regions"), regions=regions) as deployment:
-        deployment.configure([*ROUTES, *BOUND])
+        deployment.configure([*ROUTES, *RESTRICTED_ROUTES])
         deployment.wait_ready(replicas=REPLICAS)
         yield deployment
         assert deployment.violations() == {}
@@ -37,7 +37,9 @@
     return [name for name in names if deployment.counters(name)["runs"].get(request_id)]
 
 
-def test_a_bound_request_runs_in_its_region_whichever_box_takes_it(deployment: Deployment) -> None:
+def test_a_restricted_request_runs_in_its_region_whichever_box_receives_it(
+    deployment: Deployment,
+) -> None:
     for box in deployment.clients:
         for _ in range(5):
             request_id = deployment.new_id()
@@ -45,7 +47,7 @@
             assert ran_at(deployment, request_id) == ["rosters-2"]
 
 
-def test_an_adapter_of_a_bound_request_is_brought_in_its_region(deployment: Deployment) -> None:
+def test_an_adapter_of_a_restricted_request_is_loaded_in_its_region(deployment: Deployment) -> None:
     answer = deployment.served("box-1", "/south-items/x", adapter="a1")
     assert answer.whole
     assert deployment.holders("a1") == ["engine-2"]
@@ -60,15 +62,18 @@
         assert deployment.holders(adapter) == [engine]
 
 
-def test_what_a_region_asks_another_one_for_often_is_copied_there(deployment: Deployment) -> None:
+def test_an_adapter_in_demand_from_another_region_is_copied_there(deployment: Deployment) -> None:
     long_prompt = {"Springrock-Prompt-Prefix": "p1:10000"}
-    deployment.served("box-1", "/items/x", adapter="a5", more_headers=long_prompt)
+    deployment.served("box-1", "/items/x", adapter="a5", extra_headers=long_prompt)
     assert deployment.holders("a5") == ["engine-1"]
-    reported_at = monotonic() + 1.5 * FAR_PUBLISH_INTERVAL_S
-    wait_until(lambda: monotonic() > reported_at, what="boxes of the other region were told")
+    published_at = monotonic() + 1.5 * FAR_PUBLISH_INTERVAL_S
+    wait_until(
+        lambda: monotonic() > published_at,
+        what="boxes of the other region have received the residents",
+    )
 
     def _copied() -> bool:
-        deployment.served("box-2", "/items/x", adapter="a5", more_headers=long_prompt)
+        deployment.served("box-2", "/items/x", adapter="a5", extra_headers=long_prompt)
         return deployment.holders("a5") == ["engine-1", "engine-2"]
 
     wait_until(_copied, what="the adapter is copied")
@@ -81,7 +86,9 @@
     assert any(json.loads(line)["saves"] > 0 for line in assigned)
 
 
-def test_what_may_be_served_nowhere_is_refused_and_runs_nowhere(deployment: Deployment) -> None:
+def test_a_request_without_a_replica_in_its_regions_is_refused_and_does_not_run(
+    deployment: Deployment,
+) -> None:
     for path, adapter in (("/east/x", ""), ("/east-items/x", "a4")):
         request_id = deployment.new_id()
         answer = deployment.send("box-1", path, request_id=request_id, adapter=adapter)
@@ -99,11 +106,11 @@
 
 
 def test_bytes_to_the_other_region_are_counted_by_kind(deployment: Deployment) -> None:
-    before = deployment.metric("box-1", AWAY % "requests")
+    before = deployment.metric("box-1", BYTES_METRIC % "requests")
     assert deployment.send("box-1", "/south/x", body=b"x" * 2000).status == 200
     wait_until(
-        lambda: deployment.metric("box-1", AWAY % "requests") - before > 2000,
+        lambda: deployment.metric("box-1", BYTES_METRIC % "requests") - before > 2000,
         what="the request is counted",
     )
     for kind in ("answers", "links"):
-        assert deployment.metric("box-1", AWAY % kind) > 0
+        assert deployment.metric("box-1", BYTES_METRIC % kind) > 0
--- a/tests/routed/test_rest.py
+++ b/tests/routed/test_rest.py
@@ -1,17 +1,12 @@
-"""A replica that asks for rest with its refusal gets it from that box, whoever chooses replicas.
+"""A box sends nothing to a replica for the rest time that the replica's refusal named.
 
-What users saw: three of nine engines turned requests away and asked for 3 s of rest each time; each
-box went on sending to them every few tenths of a second. Requests were turned away two and three
-times in a row and ended refused, while six engines served.
+Failure: three of nine engines refused requests and asked for 3 s of rest each time, but each box
+sent to them every few tenths of a second, from 0.5 s after a refusal on. Requests were refused two
+or three times in a row and then failed, while six engines served.
 
-Order of events: an engine turns a box's request away and names the time; the box's next requests
-are granted the same engine, 0.5 s later and again and again, and are turned away as well.
-
-Cause: a refusal was taken for a moment's lack of room, believed for a few hundredths of a second
-and never binding. The time that the replica named was read by no part.
-
-Evidence: with what answers say in the logs, a box's attempts show "asks for 3.00 s of rest" at one
-replica again and again within those seconds, while its rest there stands at 0.
+Boxes treated a refusal as a brief lack of room, for a few hundredths of a second and without ever
+excluding the replica, and ignored the time that it named. The logs showed it as repeated attempts
+marked "asks for 3.00 s of rest" at one replica within those seconds, with a rest of 0 there.
 """
 
 from __future__ import annotations
@@ -28,21 +23,21 @@
 
 REST_S = 3.0
 
-UNDER_WAY_S = 0.5
-"""So long after a refusal what was under way may yet arrive."""
+IN_FLIGHT_S = 0.5
+"""Requests already in flight may still arrive for this long after a refusal."""
 
-STRAY = 2
-"""So many may reach a replica within its rest all the same."""
+MAX_DURING_REST = 2
+"""Maximum number of requests that may reach a replica during its rest."""
 
-SPREAD_S = 0.5
-"""Over so long after a rest those come back whom it turned away."""
+RETRY_SPREAD_S = 0.5
+"""Refused clients are spread over this long after the rest."""
 
-WATCHED_S = 3.5
+OBSERVATION_S = 3.5
 
 PLAIN = (("/lookup/x", ""), ("/join/x", ""))
 STREAMS = tuple((f"/{route}/x", f"a{n}") for route in ("items", "minutes") for n in range(4))
-"""As many adapters as both engines have places: who cannot go to one engine needs a load."""
-WISHES = (*PLAIN, *STREAMS)
+"""As many adapters as both engines have slots: a request barred from one engine needs a load."""
+REQUESTS = (*PLAIN, *STREAMS)
 
 
 @pytest.fixture
@@ -50,17 +45,17 @@
     with Deployment(tmp_path_factory.mktemp("rest")) as deployment:
         deployment.configure()
         deployment.wait_ready(replicas=REPLICAS)
-        for path, adapter in WISHES:
+        for path, adapter in REQUESTS:
             deployment.served("box-1", path, adapter=adapter)
         yield deployment
         assert deployment.violations() == {}
 
 
-def most_within_a_rest(arrivals: list[float]) -> int:
-    """The most requests that came within one rest; each of them was turned away and began one."""
+def max_within_a_rest(arrivals: list[float]) -> int:
+    """Return the largest number of arrivals within one rest; every arrival starts a rest."""
     return max(
         (
-            sum(asked_at + UNDER_WAY_S < at < asked_at + REST_S for at in arrivals)
+            sum(asked_at + IN_FLIGHT_S < at < asked_at + REST_S for at in arrivals)
             for asked_at in arrivals
         ),
         default=0,
@@ -68,14 +63,14 @@
 
 
 @pytest.mark.parametrize("name", ["rosters-1", "engine-1"])
-def test_a_replica_that_asked_for_rest_gets_it(deployment: Deployment, name: str) -> None:
-    began_at = monotonic()
+def test_a_replica_gets_the_rest_that_it_asked_for(deployment: Deployment, name: str) -> None:
+    started_at = monotonic()
     deployment.fault(name, refuse=True, asks_rest_s=REST_S)
-    with Callers(deployment, ["box-1"], WISHES) as callers:
-        time.sleep(WATCHED_S)
-    arrivals = [at for at in deployment.counters(name)["arrivals"] if at > began_at]
-    assert arrivals, "it was tried at all"
-    assert most_within_a_rest(arrivals) <= STRAY
+    with Callers(deployment, ["box-1"], REQUESTS) as callers:
+        time.sleep(OBSERVATION_S)
+    arrivals = [at for at in deployment.counters(name)["arrivals"] if at > started_at]
+    assert arrivals, "the replica got at least one request"
+    assert max_within_a_rest(arrivals) <= MAX_DURING_REST
     assert "asks for 3.00 s of rest" in deployment.log("box-1")
     served = sum(answer.status == 200 for answer in callers.answers)
     assert served > len(callers.answers) / 2, "the other replicas serve"
@@ -87,11 +82,11 @@
     def _refusals() -> int:
         return deployment.log("box-1").count("asks for 0.50 s of rest")
 
-    def _turned_away() -> bool:
+    def _is_refused() -> bool:
         deployment.send("box-1", "/lookup/x")
         return _refusals() > 0
 
-    wait_until(_turned_away, what="rosters-1 turns a request away")
+    wait_until(_is_refused, what="rosters-1 refuses a request")
     deployment.fault("rosters-1")
     served_before = len(deployment.counters("rosters-1")["runs"])
 
@@ -102,19 +97,21 @@
     wait_until(_serves, what="rosters-1 serves again")
 
 
-def test_who_can_go_nowhere_for_a_rest_is_told_at_once_and_when_to_come_back(
+def test_callers_get_a_retry_time_at_once_while_all_replicas_rest(
     deployment: Deployment,
 ) -> None:
-    began_at = monotonic()
+    started_at = monotonic()
     for name in ("rosters-1", "rosters-2"):
         deployment.fault(name, refuse=True, asks_rest_s=REST_S)
 
-    def _all_rest() -> Answer | None:
+    def _refusal_by_all() -> Answer | None:
         answer = deployment.send("box-1", "/lookup/x")
         return answer if b"backing_off" in answer.body else None
 
-    refused = wait_until(_all_rest, what="both replicas rest")
+    refused = wait_until(_refusal_by_all, what="both replicas rest")
     assert refused.status == 503
-    back_in_s = float(refused.headers["Retry-After"])
-    assert back_in_s >= began_at + REST_S - monotonic(), "sooner it would be turned away again"
-    assert back_in_s <= REST_S + SPREAD_S
+    retry_after_s = float(refused.headers["Retry-After"])
+    assert retry_after_s >= started_at + REST_S - monotonic(), (
+        "an earlier retry would be refused again"
+    )
+    assert retry_after_s <= REST_S + RETRY_SPREAD_S
