--- a/springrock/emulator/platform.py
+++ b/springrock/emulator/platform.py
@@ -28,7 +28,8 @@
     Attributes:
         down: Every request is refused with 503.
         delay_s: Delay before each request is processed.
-        lose_answers: Number of requests that take effect but are answered with 504; -1 for all.
+        lose_answers: Number of table requests or object writes that take effect but are answered
+            with 504; -1 for all.
     """
 
     part: PartName
--- a/springrock/emulator/replica.py
+++ b/springrock/emulator/replica.py
@@ -279,9 +279,9 @@
             return self._answer(b"failed", status=500, headers=headers)
         if self._settings.base_model:
             headers["Content-Type"] = "text/event-stream"
-            first = int(request.get_header(names.LAST_EVENT_ID) or "0") + 1
+            first_number = int(request.get_header(names.LAST_EVENT_ID) or "0") + 1
             headers |= self._status_headers()
-            return bottle.HTTPResponse(self._events(adapter, first), headers=headers)
+            return bottle.HTTPResponse(self._stream_events(adapter, first_number), headers=headers)
         gevent.sleep(self._settings.work_ms / 1000)
         return self._answer(f"{request.method} /{path} {len(body)}".encode(), headers=headers)
 
@@ -307,25 +307,25 @@
         held = self._adapters.get(adapter, 0)
         return held > 0 and request.get_header(names.EXPECT_VERSION, str(held)) == str(held)
 
-    def _events(self, adapter: str, first: int) -> Iterator[bytes]:
+    def _stream_events(self, adapter: str, first_number: int) -> Iterator[bytes]:
         cut_after, self._fault = (
             self._fault.cut_after,
             msgspec.structs.replace(self._fault, cut_after=-1),
         )
-        running = self._streams
+        streams = self._streams
         run = _StreamRun(bottle.request.get_header(names.REQUEST_ID, ""), monotonic())
-        running[adapter].append(run)
+        streams[adapter].append(run)
         try:
-            for number in range(first, self._settings.events + 1):
-                if running is not self._streams:
+            for number in range(first_number, self._settings.events + 1):
+                if streams is not self._streams:
                     raise AnswerCut("the replica restarted")
-                if number - first == cut_after:
+                if number - first_number == cut_after:
                     yield b"id: %d\nda" % number
                     raise AnswerCut("injected fault")
                 yield b"id: %d\ndata: token %d\n\n" % (number, number)
                 gevent.sleep(self._settings.event_pause_ms / 1000)
         finally:
-            running[adapter].remove(run)
+            streams[adapter].remove(run)
 
     # Events and violations.
 
--- a/springrock/emulator/rowstore.py
+++ b/springrock/emulator/rowstore.py
@@ -219,8 +219,8 @@
         return b""
 
     def _post_restore(self) -> Any:
-        backup = msgspec.json.decode(bottle.request.body.read(), type=RestoreCommand)
-        self._restore(monotonic() - backup.copy_s)
+        command = msgspec.json.decode(bottle.request.body.read(), type=RestoreCommand)
+        self._restore(monotonic() - command.copy_s)
         self._wake_readers()
         return b""
 
--- a/tests/routed/test_store_return.py
+++ b/tests/routed/test_store_return.py
@@ -35,7 +35,7 @@
         assert deployment.violations() == {}
 
 
-def restore_from_backup(deployment: Deployment, *, backup_age_s: float = BACKUP_AGE_S) -> None:
+def restore_store(deployment: Deployment, *, backup_age_s: float = BACKUP_AGE_S) -> None:
     """Restore the store from a backup during a short outage, then write a configuration."""
     deployment.fault("store", busy=True)
     time.sleep(OUTAGE_S)
@@ -62,7 +62,7 @@
 ) -> None:
     time.sleep(BACKUP_AGE_S)
     for _ in range(RESTORES):
-        restore_from_backup(deployment)
+        restore_store(deployment)
         for _ in range(4):
             lag_s = configuration_delays_s(deployment, deployment.clients)
             assert max(lag_s.values()) <= EFFECTIVE_WITHIN_S, lag_s
@@ -84,7 +84,7 @@
         deployment.wait_ready(replicas=REPLICAS)
         time.sleep(BACKUP_AGE_S)
         for _ in range(RESTORES):
-            restore_from_backup(deployment)
+            restore_store(deployment)
             for _ in range(4):
                 lag_s = configuration_delays_s(deployment, CURRENT_BOXES)
                 assert max(lag_s.values()) <= EFFECTIVE_WITHIN_S, lag_s
@@ -95,7 +95,7 @@
     deployment: Deployment,
 ) -> None:
     time.sleep(BACKUP_AGE_S)
-    restore_from_backup(deployment)
+    restore_store(deployment)
     deployment.fault("rosters-1", leaving=True)
     wait_until(
         lambda: deployment.counters("rosters-1")["leaving_acknowledged"],
@@ -120,7 +120,7 @@
     zone = deployment.zones[0]
     evacuated_at = deployment.evacuate(zone)
     time.sleep(EVACUATION_BOUND_S)
-    restore_from_backup(deployment)
+    restore_store(deployment)
     restored_at = monotonic()
     while monotonic() - restored_at < 3.0:
         for box in deployment.clients:
