--- a/springrock/box.py
+++ b/springrock/box.py
@@ -77,7 +77,7 @@
     @property
     def serving(self) -> bool:
         """Whether this box serves requests, as its configuration is up to date."""
-        return self.feed.current
+        return self.feed.is_current
 
     def why_not_ready(self) -> str:
         """Return why the balancer should send no requests here; empty if the box is ready."""
@@ -85,7 +85,7 @@
             return "stopping"
         if not self.feed.loaded:
             return "no configuration yet"
-        if not self.feed.current:
+        if not self.feed.is_current:
             return "a newer configuration exists but is not loaded yet"
         return ""
 
@@ -104,7 +104,7 @@
             self.platform,
             settings.lease,
             zone=self.zone,
-            hurry=self._needs_fast_scan,
+            is_scan_urgent=self._needs_fast_scan,
             log=self.log("members"),
         )
         self.peers = Peers(
@@ -125,7 +125,7 @@
             box=self.name,
             zone=self.zone,
             log=self.log("session"),
-            on_lost=lambda: self.ownership.session_lost(),
+            on_lost=lambda: self.ownership.stop_owning_all(),
         )
         self.held = HeldBook()
         self.standalone = Standalone(
@@ -236,7 +236,7 @@
         ]
 
     def _scan_for_unknown(self, link: Link) -> None:
-        if self.members.holder(link.incarnation) is None:
+        if self.members.find_incarnation(link.incarnation) is None:
             self.members.check_soon(all_zones=True)
 
     def _needs_fast_scan(self) -> bool:
--- a/springrock/coordination/feed.py
+++ b/springrock/coordination/feed.py
@@ -119,7 +119,7 @@
             self._task.kill()
 
     @property
-    def current(self) -> bool:
+    def is_current(self) -> bool:
         """Whether the catalog is recent enough to serve requests.
 
         False before the first load, and once a newer revision has been known for
--- a/springrock/coordination/link.py
+++ b/springrock/coordination/link.py
@@ -54,10 +54,10 @@
         Raises:
             PeerUnreachable: If the link is broken, or no answer of this type came in time.
         """
-        number, result = self.begin(question)
-        return self.finish(number, result, kind, timeout_s=timeout_s)
+        number, result = self.send_question(question)
+        return self.wait_for_answer(number, result, kind, timeout_s=timeout_s)
 
-    def begin(self, question: wire.Question) -> tuple[int, AsyncResult[Any]]:
+    def send_question(self, question: wire.Question) -> tuple[int, AsyncResult[Any]]:
         """Send a question; return its number and the result that will hold the answer."""
         self._last_number += 1
         number = self._last_number
@@ -70,10 +70,10 @@
             raise
         return number, result
 
-    def finish(
+    def wait_for_answer(
         self, number: int, result: AsyncResult[Any], kind: type[A], *, timeout_s: float
     ) -> A:
-        """Wait for the answer to a question that `begin` has sent.
+        """Wait for the answer to a question that `send_question` has sent.
 
         Raises:
             PeerUnreachable: If the link is broken, or no answer of this type came in time.
--- a/springrock/coordination/members.py
+++ b/springrock/coordination/members.py
@@ -54,7 +54,7 @@
         platform: The platform client.
         lease: How often to scan, and when a session that is not renewed lapses.
         zone: This box's availability zone, whose rows are scanned more often.
-        hurry: Returns whether something is wrong in the zone, so that its rows are to be
+        is_scan_urgent: Returns whether something is wrong in the zone, so that its rows are to be
             scanned at the short interval.
         log: The log to write to.
         on_change: Called when the set of live boxes, or an incarnation of one, has changed.
@@ -66,14 +66,14 @@
         lease: LeaseSection,
         *,
         zone: str,
-        hurry: Callable[[], bool] = lambda: True,
+        is_scan_urgent: Callable[[], bool] = lambda: True,
         log: Log,
         on_change: Callable[[], None] = lambda: None,
     ) -> None:
         self._platform = platform
         self._lease = lease
         self._zone = zone
-        self._is_scan_urgent = hurry
+        self._is_scan_urgent = is_scan_urgent
         self._outage = False
         self._created_at = monotonic()
         self._all_zones_scanned_at = 0.0
@@ -116,7 +116,7 @@
         members = [member for member in self.live() if member.box == box]
         return max(members, key=lambda member: member.first_seen, default=None)
 
-    def holder(self, incarnation: str) -> Member | None:
+    def find_incarnation(self, incarnation: str) -> Member | None:
         """Return the member with this incarnation, lapsed or not, or None if there is none."""
         return self._members.get(incarnation)
 
--- a/springrock/coordination/ownership.py
+++ b/springrock/coordination/ownership.py
@@ -49,13 +49,13 @@
 class OwnershipListener(Protocol):
     """Receives the changes of this box's ownership."""
 
-    def gained(self, upstream: Upstream, fence: int, *, previous: str) -> None:
+    def start_owning(self, upstream: Upstream, fence: int, *, previous: str) -> None:
         """Called when this box owns a replica; `previous` is the former owner, or empty."""
 
-    def lost(self, replica: str) -> None:
+    def stop_owning(self, replica: str) -> None:
         """Called when this box no longer owns a replica."""
 
-    def closed(self, replica: str) -> None:
+    def stop_granting(self, replica: str) -> None:
         """Called before a hand-over: this box must grant no more permits for the replica."""
 
 
@@ -137,7 +137,7 @@
         if self._task is not None:
             self._task.kill()
 
-    def session_lost(self) -> None:
+    def stop_owning_all(self) -> None:
         """Give up all replicas, because this box's session was deleted."""
         for replica in list(self._owned):
             self._stop_owning(replica)
@@ -283,7 +283,7 @@
 
     def _challenge(self, upstream: Upstream, row: Row, value: ReplicaValue) -> None:
         """Take over a replica if its owner's session is gone, or has lapsed and a probe fails."""
-        holder = self._members.holder(value.incarnation)
+        holder = self._members.find_incarnation(value.incarnation)
         if holder is not None and not self._members.lapsed(holder):
             return
         if holder is not None and self._answers_probe(holder):
@@ -342,7 +342,7 @@
             or self._owned.get(value.replica) != value.fence
         ):
             return
-        self._listener.closed(value.replica)
+        self._listener.stop_granting(value.replica)
         new_value = ReplicaValue(
             value.replica, handover_target, member.value.incarnation, value.fence + 1
         )
@@ -370,16 +370,16 @@
     def _start_owning(self, upstream: Upstream, fence: int, *, previous: str) -> None:
         name = upstream.settings.name
         if name in self._owned:
-            self._listener.lost(name)
+            self._listener.stop_owning(name)
         self._owned[name] = fence
         self._last_move_at = monotonic()
         self._log.say(f"Now owns {name} under fence {fence}.", replica=name, fence=fence)
-        self._listener.gained(upstream, fence, previous=previous)
+        self._listener.start_owning(upstream, fence, previous=previous)
 
     def _stop_owning(self, replica: str) -> None:
         if self._owned.pop(replica, None) is not None:
             self._log.say(f"No longer owns {replica}.", replica=replica)
-            self._listener.lost(replica)
+            self._listener.stop_owning(replica)
 
 
 def _key(zone: str, replica: str) -> str:
--- a/springrock/coordination/permits.py
+++ b/springrock/coordination/permits.py
@@ -14,7 +14,7 @@
 from springrock.wire import peer as wire
 
 
-class Outstanding(NamedTuple):
+class OutstandingPermit(NamedTuple):
     """A permit in the owner's book.
 
     Attributes:
@@ -41,28 +41,28 @@
 
     def __init__(self) -> None:
         self._last_number = 0
-        self._outstanding: dict[int, Outstanding] = {}
+        self._outstanding: dict[int, OutstandingPermit] = {}
         self._by_adapter: Counter[str] = Counter()
         self._reported_overdue: set[int] = set()
 
-    def grant(self, ask: wire.Ask, *, holder: str, life_s: float) -> Outstanding:
-        """Grant a permit that expires after `life_s`, and add it to the book."""
+    def grant(self, ask: wire.Ask, *, holder: str, lifetime_s: float) -> OutstandingPermit:
+        """Grant a permit that expires after `lifetime_s`, and add it to the book."""
         self._last_number += 1
         now = monotonic()
-        permit = Outstanding(
+        permit = OutstandingPermit(
             number=self._last_number,
             request_id=ask.request_id,
             adapter=ask.adapter,
             workload=ask.workload,
             holder=holder,
             granted_at=now,
-            ends_at=now + life_s,
+            ends_at=now + lifetime_s,
         )
         self._outstanding[permit.number] = permit
         self._by_adapter[ask.adapter] += 1
         return permit
 
-    def end(self, number: int) -> Outstanding | None:
+    def end(self, number: int) -> OutstandingPermit | None:
         """Remove a permit; return it, or None if it was not outstanding."""
         permit = self._outstanding.pop(number, None)
         self._reported_overdue.discard(number)
@@ -72,7 +72,7 @@
                 del self._by_adapter[permit.adapter]
         return permit
 
-    def overdue(self) -> list[Outstanding]:
+    def overdue(self) -> list[OutstandingPermit]:
         """Return the expired permits that no earlier call returned; they stay in the book."""
         now = monotonic()
         expired = [
@@ -155,7 +155,7 @@
         """Remove a permit."""
         self._held.pop((held.replica, held.fence, held.number), None)
 
-    def notice_fence(self, replica: str, fence: int, owner: str) -> list[wire.HeldPermit]:
+    def apply_fence_notice(self, replica: str, fence: int, owner: str) -> list[wire.HeldPermit]:
         """Record the fence of a new owner; return the permits held on the replica.
 
         Grants under lower fences are refused from now on.
@@ -170,7 +170,7 @@
             if held.replica == replica
         ]
 
-    def owners_of(self, held: Held, granted_by: str) -> set[str]:
+    def owners_to_notify(self, held: Held, granted_by: str) -> set[str]:
         """Return the boxes to notify of a permit's end: its granter, and any newer owner."""
         newer_owner = self._owners.get(held.replica)
         return {granted_by, newer_owner} if newer_owner else {granted_by}
--- a/springrock/serving/owned_replica.py
+++ b/springrock/serving/owned_replica.py
@@ -15,7 +15,7 @@
 from gevent.event import Event
 
 from springrock.clock import monotonic
-from springrock.coordination.permits import InheritedBook, Outstanding, PermitBook
+from springrock.coordination.permits import InheritedBook, OutstandingPermit, PermitBook
 from springrock.errors import (
     Cause,
     OrderFailed,
@@ -219,7 +219,7 @@
         """Number of requests that may be running, including those under earlier owners' permits."""
         return len(self.permits) + len(self.inherited)
 
-    def _after_end(self, permit: Outstanding) -> None:
+    def _after_end(self, permit: OutstandingPermit) -> None:
         if permit.adapter:
             self.residency.record_use(permit.adapter)
         self.metrics.permits_outstanding.dec()
@@ -262,7 +262,9 @@
         self.waiting.remove(waiter)
         ask = waiter.ask
         valid_s = min(waiter.deadline.left_s, self.policy.longest_permit_s - _PERMIT_MARGIN_S)
-        permit = self.permits.grant(ask, holder=waiter.holder, life_s=valid_s + _PERMIT_MARGIN_S)
+        permit = self.permits.grant(
+            ask, holder=waiter.holder, lifetime_s=valid_s + _PERMIT_MARGIN_S
+        )
         if ask.adapter:
             self.residency.record_use(ask.adapter)
         waited_s = monotonic() - waiter.arrived_at
@@ -411,7 +413,7 @@
             gevent.spawn(self._cancel_until_confirmed, permit)
         self.grant_ready()
 
-    def _cancel_until_confirmed(self, permit: Outstanding) -> None:
+    def _cancel_until_confirmed(self, permit: OutstandingPermit) -> None:
         """Cancel a request with an expired permit; its adapter counts as used until confirmed."""
         while not self._closing and not self.driver.cancel(permit.request_id):
             gevent.sleep(_CANCEL_INTERVAL_S)
--- a/springrock/serving/owner.py
+++ b/springrock/serving/owner.py
@@ -99,7 +99,7 @@
         for task in self._tasks:
             task.kill()
         for name in list(self._replicas):
-            self.lost(name)
+            self.stop_owning(name)
 
     @property
     def replicas(self) -> list[OwnedReplica]:
@@ -108,7 +108,7 @@
 
     # Ownership.
 
-    def gained(self, upstream: Upstream, fence: int, *, previous: str) -> None:
+    def start_owning(self, upstream: Upstream, fence: int, *, previous: str) -> None:
         """Start to act as the owner of a replica."""
         settings = upstream.settings
         replica = OwnedReplica(
@@ -134,11 +134,11 @@
         replica.start()
         self._loaders[settings.name].start()
 
-    def closed(self, replica: str) -> None:
+    def stop_granting(self, replica: str) -> None:
         """Stop granting permits for a replica that is about to change its owner."""
         self._replicas[replica].close()
 
-    def lost(self, replica: str) -> None:
+    def stop_owning(self, replica: str) -> None:
         """Stop acting as the owner of a replica."""
         owned = self._replicas.pop(replica, None)
         if owned is None:
@@ -149,7 +149,7 @@
         self._metrics.permits_outstanding.dec(len(owned.permits))
 
     def _schedule_loss(self, replica: OwnedReplica) -> None:
-        gevent.spawn(self.lost, replica.name)
+        gevent.spawn(self.stop_owning, replica.name)
 
     def record_leaving(self, leaving: set[str]) -> None:
         """Replace the set of upstreams that the platform lists as leaving."""
@@ -170,7 +170,7 @@
         If a box does not answer, unloads stay forbidden until the longest permit has expired.
         """
         began_at = monotonic()
-        for permit in self._held.notice_fence(replica.name, replica.fence, self._box):
+        for permit in self._held.apply_fence_notice(replica.name, replica.fence, self._box):
             replica.inherited.add(permit, ends_at=began_at + permit.seconds_left)
         others = [member for member in self._members.all() if member.box != self._box]
         tasks = [gevent.spawn(self._fetch_held_permits, replica, member.box) for member in others]
@@ -248,7 +248,7 @@
             replica.withdraw(waiter)
 
     def _on_fence_notice(self, link: Link, notice: wire.FenceNotice) -> wire.HeldPermits:
-        held = self._held.notice_fence(notice.replica, notice.fence, link.box)
+        held = self._held.apply_fence_notice(notice.replica, notice.fence, link.box)
         return wire.HeldPermits(notice.number, held)
 
     # Reports.
--- a/springrock/serving/router.py
+++ b/springrock/serving/router.py
@@ -123,7 +123,7 @@
         held = permitted.held
         self._held.release(held)
         notice = wire.Return(held.replica, held.number, held.fence, tokens)
-        for owner in self._held.owners_of(held, permitted.owner):
+        for owner in self._held.owners_to_notify(held, permitted.owner):
             self._notify_end(owner, notice)
 
     def _notify_end(self, owner: str, notice: wire.Return) -> None:
@@ -178,7 +178,7 @@
     def _ask_peer(self, ask: wire.Ask, owner: str) -> Result[wire.Grant, Refusal]:
         try:
             link = self._peers.link_to(owner)
-            number, result = link.begin(ask)
+            number, result = link.send_question(ask)
         except PeerUnreachable as error:
             return self._owner_unreachable(ask, str(error))
         try:
--- a/tests/coordination/test_members.py
+++ b/tests/coordination/test_members.py
@@ -56,7 +56,7 @@
         table,  # type: ignore[arg-type]
         LEASE,
         zone="zone-2",
-        hurry=lambda: False,
+        is_scan_urgent=lambda: False,
         log=Log("members", "zone-2-b"),
     )
 
--- a/tests/coordination/test_permits.py
+++ b/tests/coordination/test_permits.py
@@ -13,8 +13,8 @@
 
 def test_an_adapter_is_in_use_until_its_last_permit_is_returned() -> None:
     book = PermitBook()
-    first = book.grant(ASK, holder="a", life_s=60)
-    second = book.grant(ASK, holder="b", life_s=60)
+    first = book.grant(ASK, holder="a", lifetime_s=60)
+    second = book.grant(ASK, holder="b", lifetime_s=60)
     assert book.using("harvest@3") == 2
     book.end(first.number)
     assert book.end(first.number) is None
@@ -26,7 +26,7 @@
 
 def test_an_overdue_permit_is_reported_once_and_stays_in_use() -> None:
     book = PermitBook()
-    permit = book.grant(ASK, holder="a", life_s=-1)
+    permit = book.grant(ASK, holder="a", lifetime_s=-1)
     assert book.overdue() == [permit]
     assert book.overdue() == []
     assert book.using("harvest@3") == 1
@@ -36,17 +36,17 @@
     held = HeldBook()
     old = held.enter(grant(1, fence=2), ends_at=monotonic() + 10)
     assert old is not None
-    reported = held.notice_fence("engine-1", 3, "new-owner")
+    reported = held.apply_fence_notice("engine-1", 3, "new-owner")
     assert [(item.fence, item.permit) for item in reported] == [(2, 1)]
     assert held.enter(grant(9, fence=2), ends_at=monotonic() + 10) is None
     assert held.enter(grant(1, fence=3), ends_at=monotonic() + 10) is not None
-    assert held.owners_of(old, "old-owner") == {"old-owner", "new-owner"}
+    assert held.owners_to_notify(old, "old-owner") == {"old-owner", "new-owner"}
 
 
 def test_a_late_notice_of_an_older_owner_changes_nothing() -> None:
     held = HeldBook()
-    held.notice_fence("engine-1", 5, "newer")
-    held.notice_fence("engine-1", 4, "older")
+    held.apply_fence_notice("engine-1", 5, "newer")
+    held.apply_fence_notice("engine-1", 4, "older")
     assert held.highest_fence("engine-1") == 5
 
 
