--- a/springrock/box.py
+++ b/springrock/box.py
@@ -27,7 +27,7 @@
 from springrock.plugins import doors, platforms
 from springrock.policies import routings
 from springrock.serving.admission import Admission
-from springrock.serving.limits import Limits
+from springrock.serving.limits import WorkloadLimits
 from springrock.serving.owner import Owner
 from springrock.serving.relay import Relay
 from springrock.serving.router import Router
@@ -147,7 +147,7 @@
             peers=self.peers,
             log=self.log("configuration"),
             metrics=self.metrics,
-            on_change=lambda: self.owner.review_service(),
+            on_change=lambda: self.owner.update_drains(),
         )
         self.listing = LeavingList(
             self.platform,
@@ -168,7 +168,7 @@
     def _build_serving(self) -> None:
         settings = self.settings
         self.view = RoutingView(box=self.name, zone=self.zone, pools=settings.pools)
-        self.view.leaving = self.out_of_service
+        self.view.is_out_of_service = self.out_of_service
         self.owner = Owner(
             box=self.name,
             policy=settings.policy,
@@ -214,7 +214,7 @@
             log=self.log("relay"),
             metrics=self.metrics,
         )
-        self.limits = Limits(
+        self.limits = WorkloadLimits(
             box=self.name, catalog=lambda: self.catalog, members=self.members, peers=self.peers
         )
         self.admission = Admission(catalog=lambda: self.catalog, view=self.view, limits=self.limits)
--- a/springrock/doors/caller.py
+++ b/springrock/doors/caller.py
@@ -255,7 +255,7 @@
             terms = self._parse_terms(repeatable=request.method in _REPEATABLE_METHODS)
             if terms.is_error():
                 return self._refuse(terms.error)
-            over_limit = self._host.admission.limit(terms.ok.workload)
+            over_limit = self._host.admission.check_limit(terms.ok.workload)
             if over_limit is not None:
                 return self._refuse(over_limit, terms.ok.request_id)
             watch.start()
--- a/springrock/serving/admission.py
+++ b/springrock/serving/admission.py
@@ -10,7 +10,7 @@
 from springrock.coordination.catalog import Adapter, Catalog
 from springrock.errors import Cause, Refusal, RunState
 from springrock.ids import new_id
-from springrock.serving.limits import Limits
+from springrock.serving.limits import WorkloadLimits
 from springrock.serving.request import ServingRequest
 from springrock.serving.view import RoutingView
 from springrock.wire.caller import CompletionBody, Terms, refuse
@@ -27,7 +27,7 @@
     """
 
     def __init__(
-        self, *, catalog: Callable[[], Catalog], view: RoutingView, limits: Limits
+        self, *, catalog: Callable[[], Catalog], view: RoutingView, limits: WorkloadLimits
     ) -> None:
         self._catalog = catalog
         self._view = view
@@ -47,7 +47,7 @@
         pinned = self._pin(name, terms.workload)
         if pinned.is_error():
             return Error(pinned.error)
-        limited = self.limit(terms.workload)
+        limited = self.check_limit(terms.workload)
         if limited is not None:
             return Error(limited)
         workload = self._catalog().workload(terms.workload)
@@ -65,7 +65,7 @@
             )
         )
 
-    def limit(self, workload: str) -> Refusal | None:
+    def check_limit(self, workload: str) -> Refusal | None:
         """Count a request against its workload's limit; return a refusal if it is over."""
         retry_after_s = self._limits.admit(workload)
         if not retry_after_s:
--- a/springrock/serving/limits.py
+++ b/springrock/serving/limits.py
@@ -26,7 +26,7 @@
 _MIN_SHARE = 0.02
 
 
-class Limits:
+class WorkloadLimits:
     """The request limits that one box applies.
 
     Args:
--- a/springrock/serving/owner.py
+++ b/springrock/serving/owner.py
@@ -154,9 +154,9 @@
     def record_leaving(self, leaving: set[str]) -> None:
         """Replace the set of upstreams that the platform lists as leaving."""
         self._leaving = leaving
-        self.review_service()
+        self.update_drains()
 
-    def review_service(self) -> None:
+    def update_drains(self) -> None:
         """Start or end drains by the platform's list of leaving upstreams and the catalog."""
         for replica in self.replicas:
             replica.set_drained(self._out_of_service(replica.name))
--- a/springrock/serving/view.py
+++ b/springrock/serving/view.py
@@ -21,7 +21,7 @@
     """The last reported state of every replica of the deployment.
 
     Attributes:
-        leaving: Returns whether a replica is leaving or drained.
+        is_out_of_service: Returns whether a replica is leaving or drained.
 
     Args:
         box: The name of this box.
@@ -40,7 +40,7 @@
         self._upstreams: dict[str, tuple[UpstreamSection, PoolSection]] = {
             replica.name: (replica, pool) for pool in pools for replica in pool.replicas
         }
-        self.leaving: Callable[[str], bool] = lambda _: False
+        self.is_out_of_service: Callable[[str], bool] = lambda _: False
 
     def apply(self, report: wire.ReplicaReport) -> None:
         """Store a report, unless a report of a newer owner is stored."""
@@ -80,7 +80,7 @@
         found: list[Candidate] = []
         for upstream in pool.replicas:
             report = self._reports.get(upstream.name)
-            if report is None or not report.accepting or self.leaving(upstream.name):
+            if report is None or not report.accepting or self.is_out_of_service(upstream.name):
                 continue
             if self._avoid_until.get(upstream.name, 0.0) > now:
                 continue
