--- a/springrock/doors/caller.py
+++ b/springrock/doors/caller.py
@@ -139,7 +139,7 @@
         body_bytes = read_body(self._settings.body_limit_bytes)
         if body_bytes is None:
             limit = self._settings.body_limit_bytes
-            return Error(wire.refuse(Cause.BODY_TOO_LARGE, f"the body is over {limit} bytes"))
+            return Error(wire.make_refusal(Cause.BODY_TOO_LARGE, f"the body is over {limit} bytes"))
         unavailable = self._unavailable_refusal()
         if unavailable is not None:
             return Error(unavailable)
@@ -170,7 +170,7 @@
         if self._workload_by_key:
             workload = self._workload_by_key.get(headers.get("Authorization", ""), "")
             if not workload:
-                return Error(wire.refuse(Cause.BAD_CREDENTIAL, "unknown credential"))
+                return Error(wire.make_refusal(Cause.BAD_CREDENTIAL, "unknown credential"))
         return wire.parse_terms(
             headers,
             workload=workload,
@@ -247,7 +247,7 @@
             if body_bytes is None:
                 limit = self._settings.body_limit_bytes
                 return self._refuse(
-                    wire.refuse(Cause.BODY_TOO_LARGE, f"the body is over {limit} bytes")
+                    wire.make_refusal(Cause.BODY_TOO_LARGE, f"the body is over {limit} bytes")
                 )
             unavailable = self._unavailable_refusal()
             if unavailable is not None:
--- a/springrock/drivers/engine.py
+++ b/springrock/drivers/engine.py
@@ -40,7 +40,7 @@
 _SINGLE_USE_HEADERS = {**_JSON_HEADERS, "Connection": "close"}
 
 
-class Event(NamedTuple):
+class StreamEvent(NamedTuple):
     """One verified event of an answer.
 
     Attributes:
@@ -57,7 +57,7 @@
 
     Attributes:
         position: The position of the next token.
-        whole: Whether the last token arrived and the closing event was yielded.
+        is_complete: Whether the last token arrived and the closing event was yielded.
     """
 
     def __init__(
@@ -67,23 +67,23 @@
         self._request = request
         self._has_last_token = False
         self.position = position
-        self.whole = False
+        self.is_complete = False
 
-    def __iter__(self) -> Iterator[Event]:
+    def __iter__(self) -> Iterator[StreamEvent]:
         try:
             yield from self._read_events()
         except (HTTPError, OSError) as error:
             if not self._has_last_token:
                 raise UpstreamBroke(f"the stream broke: {error}") from None
-        if self.whole:
+        if self.is_complete:
             return
         if not self._has_last_token:
             raise UpstreamBroke("the stream ended before its last token")
         # The last token is marked as such, so the answer is complete without the closing event.
-        self.whole = True
-        yield Event(wire.encode_event(wire.DONE), None)
+        self.is_complete = True
+        yield StreamEvent(wire.encode_event(wire.DONE), None)
 
-    def _read_events(self) -> Iterator[Event]:
+    def _read_events(self) -> Iterator[StreamEvent]:
         buffer = b""
         for data in self._response.stream():
             buffer += data
@@ -92,7 +92,7 @@
                 event = self._check_event(raw)
                 if event is not None:
                     yield event
-            if self.whole:
+            if self.is_complete:
                 return
             if len(buffer) > _MAX_EVENT_BYTES:
                 raise UpstreamGarbage("an event exceeds the size limit")
@@ -104,28 +104,28 @@
 
     def close(self) -> None:
         """Return the connection to the pool, or close it if the answer is incomplete."""
-        if self.whole:
+        if self.is_complete:
             self._response.drain_conn()
             self._response.release_conn()
         else:
             self._response.close()
 
-    def _check_event(self, raw: bytes) -> Event | None:
+    def _check_event(self, raw: bytes) -> StreamEvent | None:
         if not raw.startswith(_DATA_PREFIX):
             raise UpstreamGarbage("an event has no data field")
         data = raw[len(_DATA_PREFIX) :]
         if data == wire.DONE:
             if not self._has_last_token:
                 raise UpstreamBroke("the closing event came before the last token")
-            self.whole = True
-            return Event(raw + _EVENT_END, None)
+            self.is_complete = True
+            return StreamEvent(raw + _EVENT_END, None)
         try:
             chunk = wire.decode_chunk(data)
         except msgspec.MsgspecError as error:
             raise UpstreamGarbage(f"malformed chunk: {error}") from None
         return self._check_chunk(chunk, raw)
 
-    def _check_chunk(self, chunk: wire.Chunk, raw: bytes) -> Event | None:
+    def _check_chunk(self, chunk: wire.Chunk, raw: bytes) -> StreamEvent | None:
         request = self._request
         if chunk.id != request.request_id or chunk.model != request.model:
             raise WrongAnswer(f"expected an answer of {request.model}, got one of {chunk.model}")
@@ -135,7 +135,7 @@
             raise UpstreamGarbage(f"the chunk at position {self.position} is missing or empty")
         self.position += 1
         self._has_last_token = chunk.choices[0].finish_reason is not None
-        return Event(raw + _EVENT_END, chunk)
+        return StreamEvent(raw + _EVENT_END, chunk)
 
 
 @drivers.register("engine")
--- a/springrock/emulator/engine.py
+++ b/springrock/emulator/engine.py
@@ -163,7 +163,7 @@
         request = msgspec.json.decode(bottle.request.body.read(), type=wire.EngineRequest)
         if self.fault.refuse:
             return json_response(b'{"reason":"busy"}', status=503, headers={"Retry-After": "1"})
-        if request.resume_from != wire.NEW:
+        if request.resume_from != wire.NOT_RESUMED:
             return self._resume(request)
         if not self._is_loaded(request.model):
             return json_response(b'{"reason":"adapter not loaded"}', status=404)
--- a/springrock/platform/engine.py
+++ b/springrock/platform/engine.py
@@ -61,16 +61,16 @@
     """Implements `springrock.placement.control.EngineControl`.
 
     Args:
-        notice_taker: Called with an engine's id before each call to the engine; returns the
+        notice_handler_for: Called with an engine's id before each call to the engine; returns the
             handler for the notice in the answer.
     """
 
     def __init__(
         self,
         *,
-        notice_taker: Callable[[str], NoticeHandler] = lambda replica_id: ignore_notice,
+        notice_handler_for: Callable[[str], NoticeHandler] = lambda replica_id: ignore_notice,
     ) -> None:
-        self._notice_handler_for = notice_taker
+        self._notice_handler_for = notice_handler_for
         self._pool = urllib3.PoolManager(retries=False, num_pools=64, maxsize=2)
 
     def report(self, address: str, *, instance: str) -> EngineState:
--- a/springrock/serving/admission.py
+++ b/springrock/serving/admission.py
@@ -13,7 +13,7 @@
 from springrock.serving.limits import WorkloadLimits
 from springrock.serving.request import ServingRequest
 from springrock.serving.view import RoutingView
-from springrock.wire.caller import CompletionBody, Terms, refuse
+from springrock.wire.caller import CompletionBody, Terms, make_refusal
 from springrock.wire.model_name import ModelName
 
 
@@ -40,10 +40,10 @@
         arrived_at = monotonic()
         name = ModelName.from_text(body.model)
         if name is None:
-            return Error(refuse(Cause.UNKNOWN_MODEL, f"{body.model!r} is not a model name"))
+            return Error(make_refusal(Cause.UNKNOWN_MODEL, f"{body.model!r} is not a model name"))
         pool = self._view.pool_for_model(name.base)
         if pool is None:
-            return Error(refuse(Cause.UNKNOWN_MODEL, f"there is no base model {name.base!r}"))
+            return Error(make_refusal(Cause.UNKNOWN_MODEL, f"there is no base model {name.base!r}"))
         pinned = self._pin(name, terms.workload)
         if pinned.is_error():
             return Error(pinned.error)
@@ -78,10 +78,12 @@
             return Ok(name)
         adapter = self._catalog().adapter(f"{name.base}:{name.adapter}")
         if adapter is None:
-            return Error(refuse(Cause.UNKNOWN_ADAPTER, f"there is no adapter {name.adapter!r}"))
+            return Error(
+                make_refusal(Cause.UNKNOWN_ADAPTER, f"there is no adapter {name.adapter!r}")
+            )
         if adapter.workloads and workload not in adapter.workloads:
             detail = f"workload {workload!r} may not use adapter {name.adapter!r}"
-            return Error(refuse(Cause.ADAPTER_NOT_ALLOWED, detail))
+            return Error(make_refusal(Cause.ADAPTER_NOT_ALLOWED, detail))
         return _pin_version(name, adapter)
 
 
@@ -89,5 +91,5 @@
     version = name.version or adapter.current
     if version not in adapter.versions:
         detail = f"adapter {name.adapter!r} has no version {version}"
-        return Error(refuse(Cause.UNKNOWN_VERSION, detail))
+        return Error(make_refusal(Cause.UNKNOWN_VERSION, detail))
     return Ok(name._replace(version=version))
--- a/springrock/serving/answer.py
+++ b/springrock/serving/answer.py
@@ -7,7 +7,7 @@
 import gevent
 
 from springrock.clock import monotonic
-from springrock.drivers.engine import EngineDriver, EngineStream, Event
+from springrock.drivers.engine import EngineDriver, EngineStream, StreamEvent
 from springrock.errors import (
     Cause,
     Refusal,
@@ -65,7 +65,7 @@
         self._closed = False
         self._resumes_left = RESUMES_WITHOUT_PROGRESS
         self._events = iter(stream)
-        self._first: Event | None = None
+        self._first: StreamEvent | None = None
         self._ends_at = permitted.held.ends_at
         self._last_position = -1
         self._last_progress_at = monotonic()
@@ -85,7 +85,7 @@
         """
         self._first = self._next()
 
-    def __iter__(self) -> Iterator[Event]:
+    def __iter__(self) -> Iterator[StreamEvent]:
         """Yield the events.
 
         Raises:
@@ -94,7 +94,7 @@
         if self._first is not None:
             event, self._first = self._first, None
             yield event
-        while not self._stream.whole:
+        while not self._stream.is_complete:
             try:
                 event = self._next()
             except UpstreamBroke as error:
@@ -108,7 +108,7 @@
         self._closed = True
         self._metrics.chunks.inc(self._stream.position)
         self._watch_task.kill(block=False)
-        is_complete = self._stream.whole
+        is_complete = self._stream.is_complete
         self._stream.close()
         if is_complete:
             self._refund(self._stream.position)
@@ -138,7 +138,7 @@
                 self._stream.abort()
             gevent.sleep(self._next_check_s)
 
-    def _next(self) -> Event:
+    def _next(self) -> StreamEvent:
         while True:
             try:
                 event = next(self._events)
--- a/springrock/wire/caller.py
+++ b/springrock/wire/caller.py
@@ -89,7 +89,7 @@
     repeatable: bool
 
 
-def refuse(cause: Cause, detail: str, retry_after_s: float = 0.0) -> Refusal:
+def make_refusal(cause: Cause, detail: str, retry_after_s: float = 0.0) -> Refusal:
     """Return a refusal of a request that was not run."""
     return Refusal(cause, detail, RunState.NOT_RUN, retry_after_s)
 
@@ -99,14 +99,14 @@
     try:
         body = msgspec.json.decode(raw, type=CompletionBody)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        return Error(refuse(Cause.MALFORMED_REQUEST, f"the body is not a request: {error}"))
+        return Error(make_refusal(Cause.MALFORMED_REQUEST, f"the body is not a request: {error}"))
     if chat and not body.messages:
-        return Error(refuse(Cause.MALFORMED_REQUEST, "a chat completion needs messages"))
+        return Error(make_refusal(Cause.MALFORMED_REQUEST, "a chat completion needs messages"))
     if not chat and body.prompt is None:
-        return Error(refuse(Cause.MALFORMED_REQUEST, "a completion needs a prompt"))
+        return Error(make_refusal(Cause.MALFORMED_REQUEST, "a completion needs a prompt"))
     if not 1 <= body.max_tokens <= MAX_TOKENS_LIMIT:
         detail = f"max_tokens must be 1 to {MAX_TOKENS_LIMIT}"
-        return Error(refuse(Cause.MALFORMED_REQUEST, detail))
+        return Error(make_refusal(Cause.MALFORMED_REQUEST, detail))
     return Ok(body)
 
 
@@ -130,24 +130,30 @@
     request_id = headers.get(REQUEST_ID_HEADER, "")
     if len(request_id) > _MAX_REQUEST_ID_CHARS or not request_id.isprintable():
         return Error(
-            refuse(Cause.MALFORMED_REQUEST, f"{REQUEST_ID_HEADER} is too long or not printable")
+            make_refusal(
+                Cause.MALFORMED_REQUEST, f"{REQUEST_ID_HEADER} is too long or not printable"
+            )
         )
     try:
         deadline_s = float(headers.get(DEADLINE_HEADER, default_deadline_s * 1000)) / 1000
         worth = float(headers.get(WORTH_HEADER, 1.0))
         priority = int(headers.get(PRIORITY_HEADER, 0))
     except ValueError as error:
-        return Error(refuse(Cause.MALFORMED_REQUEST, f"a header is not a number: {error}"))
+        return Error(make_refusal(Cause.MALFORMED_REQUEST, f"a header is not a number: {error}"))
     if not (math.isfinite(deadline_s) and deadline_s > 0):
-        return Error(refuse(Cause.MALFORMED_REQUEST, f"{DEADLINE_HEADER} must be over 0"))
+        return Error(make_refusal(Cause.MALFORMED_REQUEST, f"{DEADLINE_HEADER} must be over 0"))
     if not 0 < worth <= _MAX_WORTH:
         detail = f"{WORTH_HEADER} must be over 0 and at most {_MAX_WORTH:.0f}"
-        return Error(refuse(Cause.MALFORMED_REQUEST, detail))
+        return Error(make_refusal(Cause.MALFORMED_REQUEST, detail))
     if not -100 <= priority <= 100:
-        return Error(refuse(Cause.MALFORMED_REQUEST, f"{PRIORITY_HEADER} must be -100 to 100"))
+        return Error(
+            make_refusal(Cause.MALFORMED_REQUEST, f"{PRIORITY_HEADER} must be -100 to 100")
+        )
     stated = headers.get(REPEATABLE_HEADER, "yes" if repeatable else "no").lower()
     if stated not in ("yes", "no"):
-        return Error(refuse(Cause.MALFORMED_REQUEST, f"{REPEATABLE_HEADER} must be yes or no"))
+        return Error(
+            make_refusal(Cause.MALFORMED_REQUEST, f"{REPEATABLE_HEADER} must be yes or no")
+        )
     return Ok(
         Terms(
             request_id=request_id,
--- a/springrock/wire/engine.py
+++ b/springrock/wire/engine.py
@@ -14,7 +14,7 @@
 CANCEL_PATH = "/v1/cancel"
 CACHE_EVENTS_PATH = "/v1/cache_events"
 DONE = b"[DONE]"
-NEW = -1
+NOT_RESUMED = -1
 """The value of `EngineRequest.resume_from` for a request that is to be run."""
 
 OrderKind = Literal["load_adapter", "unload_adapter", "set_role"]
@@ -81,7 +81,7 @@
 
     Attributes:
         resume_from: The token position at which to resume the stream that the engine has retained
-            for this request; ``NEW`` to run the request.
+            for this request; `NOT_RESUMED` to run the request.
     """
 
     model: str
@@ -91,7 +91,7 @@
     messages: list[dict[str, str]] | None = None
     stream: bool = True
     priority: int = 0
-    resume_from: int = NEW
+    resume_from: int = NOT_RESUMED
     repeatable: bool = True
     temperature: float | None = None
     seed: int | None = None
--- a/tests/platform/test_engine.py
+++ b/tests/platform/test_engine.py
@@ -23,7 +23,7 @@
         connection.sendall(answer("", REPORT, "Server-Leaving: 1", status=status))
 
     engines = PlatformEngines(
-        notice_taker=lambda replica_id: lambda notice: reported.append((replica_id, notice))
+        notice_handler_for=lambda replica_id: lambda notice: reported.append((replica_id, notice))
     )
     with ScriptedReplica(_script) as replica:
         if status.startswith("200"):
