--- a/bench/calibration.py
+++ b/bench/calibration.py
@@ -86,7 +86,11 @@
         if estimated_s is None:
             return None
         target_s = record["target_ms"] / 1000
-        kind = "first event, reckoned in time" if estimated_s <= target_s else "first event, late"
+        kind = (
+            "first event, expected in time"
+            if estimated_s <= target_s
+            else "first event, expected late"
+        )
         return Outcome(kind, estimated_s, record["age_ms"] / 1000 - float(answered["began_s"]))
 
 
--- a/bench/first_try.py
+++ b/bench/first_try.py
@@ -32,14 +32,14 @@
         served: Whether it succeeded; for a stream, whether its first event was sent.
         age_s: Seconds from the arrival of the request to this ending.
         target_s: The latency target in seconds.
-        returning: Whether the attempt is a retry by the client.
+        is_retry: Whether the attempt is a retry by the client.
         reason: Why the box itself refused the request; empty if it forwarded a replica's answer.
     """
 
     served: bool
     age_s: float
     target_s: float
-    returning: bool
+    is_retry: bool
     reason: str
 
 
@@ -70,7 +70,7 @@
         waited_s: list[float] = []
         refusals: dict[str, list[float]] = defaultdict(list)
         for ending in endings:
-            if ending.returning:
+            if ending.is_retry:
                 retries += 1
                 failed_retries += not ending.served
             else:
@@ -104,7 +104,7 @@
             served=record["status"] in _OK,
             age_s=record["age_ms"] / 1000,
             target_s=record["target_ms"] / 1000,
-            returning=record["returning"],
+            is_retry=record["returning"],
             reason=record["reason"] or "",
         )
 
--- a/bench/loads.py
+++ b/bench/loads.py
@@ -30,11 +30,11 @@
 
     FIRST = "not loaded before"
     COPY = "one more copy"
-    STANDS_IN_ZONE = "already loaded in the zone"
-    STANDS_ELSEWHERE = "already loaded in another zone"
-    AT_HAND_IN_ZONE = "cached by an engine of the zone"
-    AT_HAND_ELSEWHERE = "cached by an engine of another zone"
-    GONE = "no longer cached by any engine"
+    LOADED_IN_ZONE = "already loaded in the zone"
+    LOADED_ELSEWHERE = "already loaded in another zone"
+    CACHED_IN_ZONE = "cached by an engine of the zone"
+    CACHED_ELSEWHERE = "cached by an engine of another zone"
+    NOT_CACHED = "no longer cached by any engine"
 
 
 class Load(NamedTuple):
@@ -89,11 +89,11 @@
         zone = self._zones.get(instance)
         holding = self._zones_of(self._loaded_on[adapter])
         if holding:
-            return Cause.STANDS_IN_ZONE if zone in holding else Cause.STANDS_ELSEWHERE
+            return Cause.LOADED_IN_ZONE if zone in holding else Cause.LOADED_ELSEWHERE
         caching = self._zones_of(self._cache_holders(adapter))
         if caching:
-            return Cause.AT_HAND_IN_ZONE if zone in caching else Cause.AT_HAND_ELSEWHERE
-        return Cause.GONE
+            return Cause.CACHED_IN_ZONE if zone in caching else Cause.CACHED_ELSEWHERE
+        return Cause.NOT_CACHED
 
     def _cache_holders(self, adapter: str) -> Iterator[str]:
         for instance, number in self._arrival_numbers[adapter].items():
--- a/bench/plot.py
+++ b/bench/plot.py
@@ -46,7 +46,7 @@
     bars: tuple[Bar, ...]
 
 
-def svg_of(chart: Chart) -> str:
+def render_svg(chart: Chart) -> str:
     """Return the chart as an SVG image."""
     group_height = len(chart.series) * _BAR_HEIGHT + _GROUP_GAP
     height = _TOP + len(chart.bars) * group_height
@@ -89,7 +89,7 @@
 def main() -> int:
     """Read the data and write the image."""
     data = parse((FOLDER / "policy.jsonc").read_text()).data
-    (FOLDER / "policy.svg").write_text(svg_of(convert(data, Chart)))
+    (FOLDER / "policy.svg").write_text(render_svg(convert(data, Chart)))
     return 0
 
 
--- a/bench/start.py
+++ b/bench/start.py
@@ -23,7 +23,7 @@
 _FIRST_LINE = b'"box: Start."'
 
 
-def settings_of_a_box() -> dict[str, object]:
+def make_box_settings() -> dict[str, object]:
     """Return settings of an entry box whose store does not answer."""
     clients, readiness, boxes, metrics, store = free_addresses(5)
     return {
@@ -73,7 +73,7 @@
     """
     with tempfile.TemporaryDirectory() as folder:
         settings = Path(folder) / "box.jsonc"
-        settings.write_text(json.dumps(settings_of_a_box()))
+        settings.write_text(json.dumps(make_box_settings()))
         used_s = sorted(cpu_s_of_start(settings, python=python) for _ in range(times))
     print(
         f"{times} starts, processor seconds to the first line: "
--- a/tests/test_calibration.py
+++ b/tests/test_calibration.py
@@ -46,8 +46,8 @@
     ]
     outcomes = list(outcomes_in(lines))
     assert [outcome.kind for outcome in outcomes] == [
-        "first event, reckoned in time",
-        "first event, late",
+        "first event, expected in time",
+        "first event, expected late",
     ]
     assert [outcome.ratio for outcome in outcomes] == pytest.approx([2.0, 1.0])
 
--- a/tests/test_first_try.py
+++ b/tests/test_first_try.py
@@ -10,7 +10,7 @@
 
 
 def ending(**changes: object) -> Ending:
-    default = Ending(served=True, age_s=0.4, target_s=1.0, returning=False, reason="")
+    default = Ending(served=True, age_s=0.4, target_s=1.0, is_retry=False, reason="")
     return default._replace(**changes)  # type: ignore[arg-type]
 
 
@@ -20,8 +20,8 @@
             ending(),
             ending(age_s=1.5),
             ending(served=False, reason="load_not_in_time", age_s=0.1),
-            ending(returning=True),
-            ending(returning=True, served=False, age_s=2.0),
+            ending(is_retry=True),
+            ending(is_retry=True, served=False, age_s=2.0),
         ]
     )
     assert totals.first == 3
@@ -46,7 +46,7 @@
         '  3.3 box-1 {"text": "door: Something else."}',
     ]
     [found] = endings_in(lines)
-    assert found == ending(served=False, age_s=0.12, returning=True, reason="load_not_in_time")
+    assert found == ending(served=False, age_s=0.12, is_retry=True, reason="load_not_in_time")
 
 
 def test_an_empty_log_gives_no_division_by_zero() -> None:
--- a/tests/test_loads.py
+++ b/tests/test_loads.py
@@ -48,7 +48,7 @@
     log.load("a", "i-2")
     log.load("b", "i-1")
     log.load("b", "i-3")
-    assert log.causes()[1::2] == [Cause.STANDS_IN_ZONE, Cause.STANDS_ELSEWHERE]
+    assert log.causes()[1::2] == [Cause.LOADED_IN_ZONE, Cause.LOADED_ELSEWHERE]
 
 
 def test_an_unloaded_adapter_stays_cached_for_a_number_of_loads() -> None:
@@ -65,8 +65,8 @@
             log.load(f"{engine}-{number}", engine)
     log.load("a", "i-1")
     causes = log.causes()
-    assert causes[1:3] == [Cause.AT_HAND_ELSEWHERE, Cause.AT_HAND_IN_ZONE]
-    assert causes[-1] is Cause.GONE
+    assert causes[1:3] == [Cause.CACHED_ELSEWHERE, Cause.CACHED_IN_ZONE]
+    assert causes[-1] is Cause.NOT_CACHED
 
 
 def test_a_load_from_the_cache_is_not_counted() -> None:
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -11,7 +11,7 @@
 from importlib.util import cache_from_source
 from pathlib import Path
 
-from bench.start import settings_of_a_box
+from bench.start import make_box_settings
 
 ROOT = Path(__file__).parent.parent
 NOT_FOR_A_START = {
@@ -56,7 +56,7 @@
 
 
 def settings_with_comments() -> str:
-    return "// As the platform lays it.\n" + json.dumps(settings_of_a_box(), indent=1)
+    return "// As the platform lays it.\n" + json.dumps(make_box_settings(), indent=1)
 
 
 def modules_of_a_start(folder: Path) -> set[str]:
