--- a/bench/soak/deployment.py
+++ b/bench/soak/deployment.py
@@ -35,7 +35,7 @@
 )
 from springrock.clock import monotonic
 from springrock.emulator.ports import free_addresses
-from springrock.emulator.replica import CRASHED
+from springrock.emulator.replica import CRASH_EXIT_STATUS
 from springrock.emulator.replica_events import ReplicaEvent, read_replica_events
 from springrock.platform import names
 from tests.builds import LAST_LANDING, build_at
@@ -68,7 +68,7 @@
         self.processes = Processes(self.folder, guard=self.guard)
         self.boxes = len(self.shape.boxes)
         self.services = SERVICES
-        self.more_settings = {
+        self.box_settings = {
             "keys": {"revoke_s": REVOKE_S},
             "quotas": {"window_s": QUOTA_WINDOW_S},
             "retries": {
@@ -210,7 +210,7 @@
         """Set the faults of a stand-in; retry while it is still starting."""
         url = f"http://{self.addresses[name]}/standin/faults"
         wait_until(
-            lambda: self._posted(url, json.dumps(fault)),
+            lambda: self._try_post(url, json.dumps(fault)),
             within_s=_FAULT_TIMEOUT_S,
             what=f"{name} sets its faults",
         )
@@ -219,7 +219,7 @@
         """Set the faults of some links; without faults the links work normally again."""
         body = json.dumps({"routes": list(links), **fault})
         wait_until(
-            lambda: self._posted(f"http://{self._proxy}/standin/faults", body),
+            lambda: self._try_post(f"http://{self._proxy}/standin/faults", body),
             within_s=_FAULT_TIMEOUT_S,
             what="the proxy sets its faults",
         )
@@ -244,7 +244,7 @@
         """Replace the replicas that a request has crashed, as the platform does."""
         with self._restart_lock:
             for name in self._plans.keys() - self._reassigned:
-                if self.processes[name].poll() == CRASHED:
+                if self.processes[name].poll() == CRASH_EXIT_STATUS:
                     self.replace_replica(name)
 
     def replace_replica(self, name: str) -> None:
--- a/springrock/emulator/deployment.py
+++ b/springrock/emulator/deployment.py
@@ -108,7 +108,7 @@
         """Return the zone of a box."""
         return box.rpartition("-")[0]
 
-    def spread(self, prefix: str, count: int) -> dict[str, str]:
+    def assign_zones(self, prefix: str, count: int) -> dict[str, str]:
         """Return generated upstream names, each with its zone, assigned round robin."""
         return {
             f"{prefix}-{index + 1}": self.zones[index % len(self.zones)] for index in range(count)
@@ -154,8 +154,8 @@
     @classmethod
     def for_shape(cls, shape: Shape) -> Addresses:
         """Allocate an unused loopback address for every listener of a deployment."""
-        engines = list(shape.spread(f"{shape.name}-engine", shape.engines))
-        services = list(shape.spread(f"{shape.name}-service", shape.services))
+        engines = list(shape.assign_zones(f"{shape.name}-engine", shape.engines))
+        services = list(shape.assign_zones(f"{shape.name}-service", shape.services))
         boxes = shape.box_names
         unused = iter(free_addresses(1 + len(engines) + len(services) + 3 * len(boxes)))
         return cls(
@@ -263,7 +263,7 @@
 
     def _language_pool(self, address_overrides: dict[str, str]) -> dict[str, Any]:
         shape = self.shape
-        zones = shape.spread(f"{shape.name}-engine", shape.engines)
+        zones = shape.assign_zones(f"{shape.name}-engine", shape.engines)
         return {
             "name": "language",
             "driver": "engine",
@@ -276,7 +276,7 @@
 
     def _service_pool(self, address_overrides: dict[str, str]) -> dict[str, Any]:
         shape = self.shape
-        zones = shape.spread(f"{shape.name}-service", shape.services)
+        zones = shape.assign_zones(f"{shape.name}-service", shape.services)
         return {
             "name": shape.service,
             "driver": "service",
--- a/springrock/emulator/replica.py
+++ b/springrock/emulator/replica.py
@@ -35,7 +35,7 @@
 _DEFAULT_VERSION = 1
 """The adapter version that a load order without a version loads."""
 
-CRASHED = 70
+CRASH_EXIT_STATUS = 70
 """Exit status of a replica that a request crashed, to distinguish it from a killed one."""
 
 _MAX_ARRIVALS = 10_000
@@ -271,7 +271,7 @@
         self.teams[request_id] = request.get_header(names.TEAM, "")
         self._record_request(ReplicaEventKind.RAN, adapter)
         if self._crashes_on(path, body):
-            os._exit(CRASHED)
+            os._exit(CRASH_EXIT_STATUS)
         if request.get_header(names.API_KEY) is not None:
             self._record_violation("key_passed_on")
         headers[_SEAL_HEADER] = f"seal-of-{request_id}"
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -127,7 +127,7 @@
 
     def wait_settled(self) -> None:
         """Wait until every replica is owned by the box that rendezvous hashing selects."""
-        engines = self.shape.spread(f"{self.shape.name}-engine", self.shape.engines)
+        engines = self.shape.assign_zones(f"{self.shape.name}-engine", self.shape.engines)
         for engine, zone in engines.items():
             home = rendezvous_order(engine, self.boxes_in(zone))[0]
             wait_until(
@@ -356,8 +356,8 @@
         return [name for name in self.shape.box_names if self.shape.zone_of_box(name) == zone]
 
     def upstreams_in(self, zone: str) -> list[str]:
-        engines = self.shape.spread(f"{self.shape.name}-engine", self.shape.engines)
-        services = self.shape.spread(f"{self.shape.name}-service", self.shape.services)
+        engines = self.shape.assign_zones(f"{self.shape.name}-engine", self.shape.engines)
+        services = self.shape.assign_zones(f"{self.shape.name}-service", self.shape.services)
         return [name for name, there in {**engines, **services}.items() if there == zone]
 
     def zone_borders(self, zone: str) -> list[str]:
--- a/tests/golden/test_routed_sessions.py
+++ b/tests/golden/test_routed_sessions.py
@@ -26,7 +26,7 @@
         deployment.configure()
         deployment.wait_ready(replicas=4)
         for adapter in ("a1", "a2"):
-            deployment.served(BOX, "/items/x", adapter=adapter)
+            deployment.send_until_served(BOX, "/items/x", adapter=adapter)
         yield deployment
 
 
@@ -34,7 +34,7 @@
     lines = [f"{answer.status}"]
     lines += [f"{name}: {value}" for name, value in sorted(answer.headers.items())]
     lines += ["", answer.body.decode()]
-    lines += ["the answer is whole" if answer.whole else "the answer breaks off here"]
+    lines += ["the answer is whole" if answer.is_complete else "the answer breaks off here"]
     return "\n".join(lines)
 
 
--- a/tests/routed/deployment.py
+++ b/tests/routed/deployment.py
@@ -68,13 +68,13 @@
     """The answer that a client received.
 
     Attributes:
-        whole: Whether the body ended properly, rather than by a cut connection.
+        is_complete: Whether the body ended properly, rather than by a cut connection.
     """
 
     status: int
     headers: dict[str, str]
     body: bytes
-    whole: bool = True
+    is_complete: bool = True
 
     @property
     def event_ids(self) -> list[int]:
@@ -100,7 +100,7 @@
     tenants: list[dict[str, Any]] | None = None
     replica_settings: dict[str, Any] = field(default_factory=dict)
     regions: dict[str, str] = field(default_factory=dict)
-    more_settings: dict[str, Any] = field(default_factory=dict)
+    box_settings: dict[str, Any] = field(default_factory=dict)
     slow_start: dict[str, float] = field(default_factory=dict)
     services: list[dict[str, Any]] = field(default_factory=lambda: SERVICES)
     box_module: str = "springrock"
@@ -166,7 +166,7 @@
             "placement": {"lease_s": 1.0},
             "retries": {"window_s": 60.0},
             "stop": {"within_s": 8.0, "notice_s": 0.2},
-            **self.more_settings,
+            **self.box_settings,
         }
         if self.configures_seeds and name not in self.build_of:
             # The previous release does not know this setting.
@@ -235,7 +235,7 @@
         url = f"http://{self.addresses[name]}/standin/faults"
         assert self._pool.request("POST", url, body=json.dumps(fault)).status == 200
 
-    def return_from_copy(self, copy_s: float) -> None:
+    def restore_from_backup(self, copy_s: float) -> None:
         """Restore the store from a backup of the given age."""
         url = f"http://{self.addresses['store']}/standin/return"
         assert self._pool.request("POST", url, body=json.dumps({"copy_s": copy_s})).status == 200
@@ -376,18 +376,18 @@
             headers["Springrock-Model"] = f"{MODEL}/{adapter}"
         connection.request(method, path, body=body if method != "GET" else None, headers=headers)
         response = connection.getresponse()
-        whole = True
+        is_complete = True
         try:
             data = response.read()
         except http.client.IncompleteRead as error:
-            data, whole = error.partial, False
-        return Answer(response.status, dict(response.getheaders()), data, whole)
+            data, is_complete = error.partial, False
+        return Answer(response.status, dict(response.getheaders()), data, is_complete)
 
     def connect(self, box: str) -> http.client.HTTPConnection:
         host, port = split_address(self.clients[box])
         return http.client.HTTPConnection(host, port, timeout=20)
 
-    def served(self, box: str, path: str, **options: Any) -> Answer:
+    def send_until_served(self, box: str, path: str, **options: Any) -> Answer:
         """Send a request repeatedly, as a retrying client does, until its answer is a success."""
 
         def _success() -> Answer | None:
--- a/tests/routed/test_builds.py
+++ b/tests/routed/test_builds.py
@@ -99,7 +99,7 @@
             if box not in self.away:
                 self.failures.append(f"{path} at {box}: {error!r}")
             return
-        if answer.status == 200 and answer.whole:
+        if answer.status == 200 and answer.is_complete:
             self.answers.append(answer)
         elif answer.status != 503 or not float(answer.headers.get("Retry-After", "nan")) >= 0.0:
             # A refusal that the request did not run, with a time to retry after, is no failure.
@@ -152,7 +152,7 @@
     with Callers(mixed) as callers:
         replace(mixed, callers, "box-1", None)
     for path, adapter in REQUESTS:
-        mixed.served("box-1", path, adapter=adapter)
+        mixed.send_until_served("box-1", path, adapter=adapter)
     mixed.fault("engine-1", leaving=True, silent=True)
 
     def _is_known() -> bool:
--- a/tests/routed/test_crashing_requests.py
+++ b/tests/routed/test_crashing_requests.py
@@ -113,7 +113,7 @@
 
     def serve_similar(self, box: str) -> Answer:
         """Send a similar but harmless request until it is served."""
-        return self._deployment.served(box, f"/{self._route}/like-it", **self._options)
+        return self._deployment.send_until_served(box, f"/{self._route}/like-it", **self._options)
 
     def runs(self, ids: list[str] | None = None) -> list[ReplicaEvent]:
         """Return its runs, each of which crashed a replica; only those under some ids if given."""
@@ -181,6 +181,6 @@
     CrashingRequest(deployment, "join", "beside").crash()
     for box in deployment.clients:
         for body in (b"hello", b"other"):
-            deployment.served(box, "/join/like-it", body=body)
-            deployment.served(box, "/items/like-it", body=body, adapter="a1")
-        deployment.served(box, "/lookup/like-it", method="GET")
+            deployment.send_until_served(box, "/join/like-it", body=body)
+            deployment.send_until_served(box, "/items/like-it", body=body, adapter="a1")
+        deployment.send_until_served(box, "/lookup/like-it", method="GET")
--- a/tests/routed/test_evacuation.py
+++ b/tests/routed/test_evacuation.py
@@ -55,7 +55,7 @@
 def deployment(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Deployment]:
     settings = {"evacuation": {"within_s": EVACUATION_BOUND_S}}
     folder = tmp_path_factory.mktemp("evacuation")
-    with Deployment(folder, boxes=3, zones=THREE_ZONES, more_settings=settings) as deployment:
+    with Deployment(folder, boxes=3, zones=THREE_ZONES, box_settings=settings) as deployment:
         deployment.configure(ROUTES)
         deployment.wait_ready(replicas=REPLICAS)
         for zone in THREE_ZONES:
@@ -95,7 +95,7 @@
 def test_a_zone_is_evacuated_under_load_and_used_again(deployment: Deployment) -> None:
     for box in deployment.clients:
         for adapter in ADAPTERS:
-            deployment.served(box, "/items/x", adapter=adapter)
+            deployment.send_until_served(box, "/items/x", adapter=adapter)
     # The adapters of the zone have to be loaded in other zones.
     zone = next(zone for zone in THREE_ZONES if adapters_in(deployment, zone))
     others = [other for other in THREE_ZONES if other != zone]
@@ -196,7 +196,7 @@
 
 def test_the_placer_of_the_zone_is_killed_right_after_the_row(deployment: Deployment) -> None:
     for adapter in ADAPTERS:
-        deployment.served("box-1", "/items/x", adapter=adapter)
+        deployment.send_until_served("box-1", "/items/x", adapter=adapter)
     zone = next(zone for zone in THREE_ZONES if adapters_in(deployment, zone))
     others = [other for other in THREE_ZONES if other != zone]
     wanted = adapters_in(deployment, zone)
@@ -221,8 +221,8 @@
         wait_evacuated(deployment, zone)
     wait_until(lambda: monotonic() > evacuated_at + EVACUATION_BOUND_S, what="the bound is over")
     for box in deployment.clients:
-        assert deployment.served(box, "/lookup/x", method="GET").status == 200
-        assert deployment.served(box, "/items/x", adapter="e1").whole
+        assert deployment.send_until_served(box, "/lookup/x", method="GET").status == 200
+        assert deployment.send_until_served(box, "/items/x", adapter="e1").is_complete
     for zone in ("zone-1", "zone-2"):
         assert late_arrivals(deployment, zone, after=evacuated_at + EVACUATION_BOUND_S) == []
     last_at = deployment.evacuate("zone-3")
@@ -235,4 +235,4 @@
     for zone in THREE_ZONES:
         assert late_arrivals(deployment, zone, after=last_at + EVACUATION_BOUND_S) == []
         deployment.end_evacuation(zone)
-    assert deployment.served("box-1", "/items/x", adapter="e1").whole
+    assert deployment.send_until_served("box-1", "/items/x", adapter="e1").is_complete
--- a/tests/routed/test_leaving_said.py
+++ b/tests/routed/test_leaving_said.py
@@ -53,7 +53,9 @@
         deployment.wait_ready(replicas=REPLICAS)
         for box in deployment.clients:
             for kind in REQUEST_KINDS:
-                deployment.served(box, kind.path, method=kind.method, adapter=adapter_of(kind, 0))
+                deployment.send_until_served(
+                    box, kind.path, method=kind.method, adapter=adapter_of(kind, 0)
+                )
         for name in LEAVING:
             deployment.fault(name, leaving=True, silent=True)
         yield deployment
@@ -130,7 +132,7 @@
     for number in range(ROUNDS):
         for kind in REQUEST_KINDS:
             send(deployment, "box-2", kind, number)
-        deployment.served("box-2", "/items/x", adapter=f"new-{number}")
+        deployment.send_until_served("box-2", "/items/x", adapter=f"new-{number}")
     assert late_arrivals(deployment, since) == dict.fromkeys(LEAVING, 0)
     loaded = deployment.counters("engine-1")["adapters"]
     assert not [name for name in loaded if name.startswith("new")]
--- a/tests/routed/test_path.py
+++ b/tests/routed/test_path.py
@@ -52,37 +52,37 @@
 
 def test_an_adapter_is_loaded_for_a_stream(deployment: Deployment) -> None:
     for box in deployment.clients:
-        answer = deployment.served(box, "/items/x", adapter="a1")
-        assert answer.whole
+        answer = deployment.send_until_served(box, "/items/x", adapter="a1")
+        assert answer.is_complete
         assert answer.event_ids == [1, 2, 3, 4, 5]
 
 
 def test_more_adapters_than_places_are_served_in_turn(deployment: Deployment) -> None:
     for number in range(2, 10):
-        answer = deployment.served("box-2", "/minutes/x", adapter=f"a{number}")
+        answer = deployment.send_until_served("box-2", "/minutes/x", adapter=f"a{number}")
         assert answer.event_ids == [1, 2, 3, 4, 5]
     assert deployment.violations() == {}
 
 
 def test_a_resumable_stream_continues_at_the_next_event(deployment: Deployment) -> None:
-    deployment.served("box-1", "/items/x", adapter="a1")
+    deployment.send_until_served("box-1", "/items/x", adapter="a1")
     request_id = deployment.new_id()
     for engine in deployment.holders("a1"):
         deployment.fault(engine, cut_after=2)
     answer = deployment.send("box-1", "/items/x", adapter="a1", request_id=request_id)
     assert answer.status == 200
-    assert answer.whole
+    assert answer.is_complete
     assert answer.event_ids == [1, 2, 3, 4, 5]
     assert deployment.runs(request_id) == 2
 
 
 def test_a_cut_of_an_unrepeatable_stream_reaches_the_client(deployment: Deployment) -> None:
-    deployment.served("box-1", "/minutes/x", adapter="a1")
+    deployment.send_until_served("box-1", "/minutes/x", adapter="a1")
     request_id = deployment.new_id()
     for engine in deployment.holders("a1"):
         deployment.fault(engine, cut_after=2)
     answer = deployment.send("box-1", "/minutes/x", adapter="a1", request_id=request_id)
-    assert not answer.whole
+    assert not answer.is_complete
     assert answer.event_ids == [1, 2]
     assert deployment.runs(request_id) == 1
 
@@ -117,12 +117,12 @@
     added = [*ROUTES, route("added", "safe", "rosters")]
     version = deployment.configure(added)
     for box in deployment.clients:
-        deployment.served(box, "/added/x", method="GET")
+        deployment.send_until_served(box, "/added/x", method="GET")
     deployment.configure(ROUTES, version=version - 1)
     deployment.version = version
     newer = deployment.configure([*added, route("newest", "safe", "rosters")])
     for box in deployment.clients:
-        deployment.served(box, "/newest/x", method="GET")
+        deployment.send_until_served(box, "/newest/x", method="GET")
         assert deployment.send(box, "/added/x", method="GET").status == 200
         in_force = deployment.metric(box, "springrock_forwarding_configuration_version")
         assert in_force == newer
@@ -138,8 +138,8 @@
 def test_the_table_is_read_again_after_the_change_history_is_lost(deployment: Deployment) -> None:
     deployment.fault("store", forget_history=True)
     version = deployment.configure([*ROUTES, route("after", "safe", "rosters")])
-    deployment.served("box-1", "/after/x", method="GET")
-    deployment.served("box-2", "/after/x", method="GET")
+    deployment.send_until_served("box-1", "/after/x", method="GET")
+    deployment.send_until_served("box-2", "/after/x", method="GET")
     assert version == deployment.version
 
 
@@ -175,7 +175,7 @@
         lambda: deployment.placers() == expected_placers, what="the other box places both zones"
     )
     for number in range(70, 78):
-        answer = deployment.served(other, "/items/x", adapter=f"a{number}")
+        answer = deployment.send_until_served(other, "/items/x", adapter=f"a{number}")
         assert answer.event_ids == [1, 2, 3, 4, 5]
     deployment.start_box(placer)
     deployment.wait_ready()
@@ -212,21 +212,29 @@
     wait_until(
         lambda: deployment.placers() == one_per_zone, what="each zone has a placer of its own"
     )
-    assert deployment.served("box-1", "/items/x", adapter="a79").event_ids == [1, 2, 3, 4, 5]
+    assert deployment.send_until_served("box-1", "/items/x", adapter="a79").event_ids == [
+        1,
+        2,
+        3,
+        4,
+        5,
+    ]
 
 
 def test_a_graceful_stop_cuts_no_stream(deployment: Deployment) -> None:
-    deployment.served("box-2", "/items/x", adapter="a1")
+    deployment.send_until_served("box-2", "/items/x", adapter="a1")
     answers = []
     sent = threading.Thread(
-        target=lambda: answers.append(deployment.served("box-2", "/items/x", adapter="a1"))
+        target=lambda: answers.append(
+            deployment.send_until_served("box-2", "/items/x", adapter="a1")
+        )
     )
     sent.start()
     process = deployment.processes["box-2"]
     process.send_signal(signal.SIGTERM)
     wait_until(lambda: not deployment.is_ready("box-2"), what="box-2 is not ready")
     sent.join()
-    assert answers[0].whole
+    assert answers[0].is_complete
     assert answers[0].event_ids == [1, 2, 3, 4, 5]
     assert process.wait(timeout=20) == 0
     deployment.start_box("box-2")
@@ -283,7 +291,7 @@
     wait_until(lambda: deployment.is_placer("zone-1", at=other), what="the other box places")
     process.send_signal(signal.SIGCONT)
     for number in range(80, 86):
-        answer = deployment.served(placer, "/items/x", adapter=f"a{number}")
+        answer = deployment.send_until_served(placer, "/items/x", adapter=f"a{number}")
         assert answer.event_ids == [1, 2, 3, 4, 5]
     assert process.poll() is None
     assert deployment.violations() == {}
--- a/tests/routed/test_reborn.py
+++ b/tests/routed/test_reborn.py
@@ -58,7 +58,7 @@
         """Number of requests that got a complete and successful answer."""
         with self._lock:
             answers = list(self.answers.values())
-        return sum(answer.status == 200 and answer.whole for answer in answers)
+        return sum(answer.status == 200 and answer.is_complete for answer in answers)
 
     def _send(self, box: str, path: str, adapter: str) -> None:
         number = 0
@@ -143,8 +143,8 @@
             what=f"{box} has counted the invalid rows",
         )
         assert deployment.metric(box, "springrock_forwarding_replicas") == REPLICAS
-        assert deployment.served(box, "/lookup/x", method="GET").status == 200
-        assert deployment.served(box, "/items/x", adapter="a1").whole
+        assert deployment.send_until_served(box, "/lookup/x", method="GET").status == 200
+        assert deployment.send_until_served(box, "/items/x", adapter="a1").is_complete
 
 
 def test_a_replica_whose_row_is_overwritten_gets_no_requests_until_it_writes_again(
--- a/tests/routed/test_regions.py
+++ b/tests/routed/test_regions.py
@@ -48,8 +48,8 @@
 
 
 def test_an_adapter_of_a_restricted_request_is_loaded_in_its_region(deployment: Deployment) -> None:
-    answer = deployment.served("box-1", "/south-items/x", adapter="a1")
-    assert answer.whole
+    answer = deployment.send_until_served("box-1", "/south-items/x", adapter="a1")
+    assert answer.is_complete
     assert deployment.holders("a1") == ["engine-2"]
 
 
@@ -58,13 +58,13 @@
 ) -> None:
     deployment.placer_and_other("zone-1")
     for box, adapter, engine in (("box-1", "a2", "engine-1"), ("box-2", "a3", "engine-2")):
-        assert deployment.served(box, "/items/x", adapter=adapter).whole
+        assert deployment.send_until_served(box, "/items/x", adapter=adapter).is_complete
         assert deployment.holders(adapter) == [engine]
 
 
 def test_an_adapter_in_demand_from_another_region_is_copied_there(deployment: Deployment) -> None:
     long_prompt = {"Springrock-Prompt-Prefix": "p1:10000"}
-    deployment.served("box-1", "/items/x", adapter="a5", extra_headers=long_prompt)
+    deployment.send_until_served("box-1", "/items/x", adapter="a5", extra_headers=long_prompt)
     assert deployment.holders("a5") == ["engine-1"]
     published_at = monotonic() + 1.5 * FAR_PUBLISH_INTERVAL_S
     wait_until(
@@ -73,7 +73,7 @@
     )
 
     def _copied() -> bool:
-        deployment.served("box-2", "/items/x", adapter="a5", extra_headers=long_prompt)
+        deployment.send_until_served("box-2", "/items/x", adapter="a5", extra_headers=long_prompt)
         return deployment.holders("a5") == ["engine-1", "engine-2"]
 
     wait_until(_copied, what="the adapter is copied")
--- a/tests/routed/test_rest.py
+++ b/tests/routed/test_rest.py
@@ -46,7 +46,7 @@
         deployment.configure()
         deployment.wait_ready(replicas=REPLICAS)
         for path, adapter in REQUESTS:
-            deployment.served("box-1", path, adapter=adapter)
+            deployment.send_until_served("box-1", path, adapter=adapter)
         yield deployment
         assert deployment.violations() == {}
 
--- a/tests/routed/test_restarts.py
+++ b/tests/routed/test_restarts.py
@@ -43,8 +43,8 @@
         for zone in ZONES:
             deployment.placer_and_other(zone)
         for box in deployment.clients:
-            deployment.served(box, PLAIN)
-            deployment.served(box, STREAM, adapter="a1")
+            deployment.send_until_served(box, PLAIN)
+            deployment.send_until_served(box, STREAM, adapter="a1")
         yield deployment
         assert deployment.violations() == {}
 
--- a/tests/routed/test_slow_start.py
+++ b/tests/routed/test_slow_start.py
@@ -28,11 +28,11 @@
 @pytest.fixture
 def deployment(tmp_path: Path) -> Iterator[Deployment]:
     slow_start = {"coldStartS": COLD_S, "coldPerS": COLD_PER_S}
-    with Deployment(tmp_path, boxes=3, more_settings=SETTINGS, slow_start=slow_start) as deployment:
+    with Deployment(tmp_path, boxes=3, box_settings=SETTINGS, slow_start=slow_start) as deployment:
         deployment.configure()
         deployment.wait_ready(replicas=REPLICAS)
         for box in deployment.clients:
-            deployment.served(box, "/lookup/x")
+            deployment.send_until_served(box, "/lookup/x")
         deployment.placer_and_other("zone-1")
         yield deployment
         assert deployment.violations() == {}
--- a/tests/routed/test_store_return.py
+++ b/tests/routed/test_store_return.py
@@ -39,7 +39,7 @@
     """Restore the store from a backup during a short outage, then write a configuration."""
     deployment.fault("store", busy=True)
     time.sleep(OUTAGE_S)
-    deployment.return_from_copy(backup_age_s)
+    deployment.restore_from_backup(backup_age_s)
     deployment.fault("store")
     deployment.configure()
 
--- a/tests/routed/test_teams.py
+++ b/tests/routed/test_teams.py
@@ -61,7 +61,7 @@
 @pytest.fixture(scope="module")
 def deployment(tmp_path_factory: pytest.TempPathFactory) -> Iterator[TeamsDeployment]:
     settings = {"keys": {"revoke_s": KEY_REVOCATION_S}}
-    with TeamsDeployment(tmp_path_factory.mktemp("teams"), more_settings=settings) as deployment:
+    with TeamsDeployment(tmp_path_factory.mktemp("teams"), box_settings=settings) as deployment:
         deployment.configure_teams(with_removable=True)
         deployment.wait_ready(replicas=REPLICAS)
         yield deployment
@@ -89,7 +89,7 @@
 
 def test_a_stream_that_is_resumed_stays_with_its_team(deployment: TeamsDeployment) -> None:
     headers = {"Api-Key": TWO}
-    deployment.served("box-1", "/items/x", adapter="a1", extra_headers=headers)
+    deployment.send_until_served("box-1", "/items/x", adapter="a1", extra_headers=headers)
     for engine in deployment.holders("a1"):
         deployment.fault(engine, cut_after=2)
     request_id = deployment.new_id()
