--- a/bench/soak/deployment.py
+++ b/bench/soak/deployment.py
@@ -38,7 +38,7 @@
 from springrock.emulator.replica import CRASH_EXIT_STATUS
 from springrock.emulator.replica_events import ReplicaEvent, read_replica_events
 from springrock.platform import names
-from tests.builds import LAST_LANDING, build_at
+from tests.builds import LAST_RELEASE, build_at
 from tests.processes import Processes, wait_until
 from tests.routed.deployment import MODEL, Deployment
 
@@ -119,7 +119,7 @@
             self.processes.restart(box)
             return
         if self._earlier_build is None:
-            self._earlier_build = build_at(LAST_LANDING, self.folder)
+            self._earlier_build = build_at(LAST_RELEASE, self.folder)
         self.processes.use_build(box, self._earlier_build)
         self._restart_with_seeds(box, [])
 
--- a/springrock/box.py
+++ b/springrock/box.py
@@ -79,7 +79,7 @@
         """Whether this box serves requests, as its configuration is up to date."""
         return self.feed.is_current
 
-    def why_not_ready(self) -> str:
+    def not_ready_reason(self) -> str:
         """Return why the balancer should send no requests here; empty if the box is ready."""
         if self.stopping:
             return "stopping"
@@ -261,14 +261,14 @@
             box=self.name,
             zone=self.zone,
             revision=self.catalog.revision,
-            ready=not self.why_not_ready(),
+            ready=not self.not_ready_reason(),
             open_requests=self.open_requests.count,
             lease_held=self.session.held,
             owned=sorted(self.ownership.owned),
         )
 
     def _handle_stop(self, _: Link, request: wire.StopBox) -> wire.Status:
-        self._log.say("An operator stops this box.", who=request.who)
+        self._log.info("An operator stops this box.", who=request.who)
         gevent.spawn(self.stop)
         return self.status(request.number)
 
@@ -280,7 +280,7 @@
 
     def start(self) -> None:
         """Start every component and return."""
-        self._log.say("Start.", zone=self.zone)
+        self._log.info("Start.", zone=self.zone)
         self.peers.start()
         self.session.start(peer_address=self.peers.address)
         for part in self._parts():
@@ -306,13 +306,13 @@
             return
         self.stopping = True
         deadline = Deadline(self.settings.box.stop_within_s)
-        self._log.say("Planned stop begins.", open_requests=self.open_requests.count)
+        self._log.info("Planned stop begins.", open_requests=self.open_requests.count)
         self.session.announce_stopping()
         self.ownership.hand_over_all()
         gevent.sleep(self.settings.box.stop_notice_s)
         self.refusing = True
         is_idle = self.open_requests.wait_until_idle(deadline)
-        self._log.say("Planned stop ends.", all_finished=is_idle)
+        self._log.info("Planned stop ends.", all_finished=is_idle)
         self._stop_components()
 
     def kill(self) -> None:
--- a/springrock/cli.py
+++ b/springrock/cli.py
@@ -11,7 +11,7 @@
 from springrock import __version__, startup
 from springrock.errors import SettingsError, SpringrockError
 from springrock.log import log_to
-from springrock.settings import BoxSettings, read
+from springrock.settings import BoxSettings, read_settings
 
 _USAGE_ERROR_EXIT_CODE = 2
 
@@ -23,7 +23,7 @@
     """
     from springrock.box import Box
 
-    box = Box(read(settings, BoxSettings))
+    box = Box(read_settings(settings, BoxSettings))
     log_to(sys.stderr)
     for number in (signal.SIGTERM, signal.SIGINT):
         gevent.signal_handler(number, lambda: gevent.spawn(box.stop))
@@ -51,7 +51,7 @@
     """
     from springrock.entry_settings import EntrySettings
 
-    read(settings, BoxSettings if kind == "box" else EntrySettings)
+    read_settings(settings, BoxSettings if kind == "box" else EntrySettings)
     return 0
 
 
@@ -117,9 +117,9 @@
     :param json: Print JSON instead of a table.
     :param wait_s: After a change, wait this long for it to be in force on every box.
     """
-    from springrock.asking import ask_box
+    from springrock.operator_client import run_statement
 
-    return ask_box(box, statement, key=key, as_json=json, wait_s=wait_s)
+    return run_statement(box, statement, key=key, as_json=json, wait_s=wait_s)
 
 
 def main() -> None:
--- a/springrock/coordination/feed.py
+++ b/springrock/coordination/feed.py
@@ -264,7 +264,7 @@
             return
         self.recent.append(change)
         self._metrics.revision.set(change.revision)
-        self._log.say(
+        self._log.info(
             "Applied a change.",
             revision=change.revision,
             who=change.who,
--- a/springrock/coordination/listing.py
+++ b/springrock/coordination/listing.py
@@ -62,7 +62,7 @@
         leaving = {entry.name for entry in entries if entry.state == "leaving"}
         if leaving != self.leaving:
             self.leaving = leaving
-            self._log.say("The platform's list changed.", leaving=sorted(leaving))
+            self._log.info("The platform's list changed.", leaving=sorted(leaving))
             self._on_change(leaving)
 
     def _poll_loop(self) -> None:
--- a/springrock/coordination/members.py
+++ b/springrock/coordination/members.py
@@ -160,7 +160,7 @@
         self._outage = False
         after = {(member.box, member.value.incarnation) for member in self.live()}
         if after != before:
-            self._log.say("The set of live boxes changed.", live=sorted(box for box, _ in after))
+            self._log.info("The set of live boxes changed.", live=sorted(box for box, _ in after))
             self._on_change()
 
     def _member_of(self, row: Row, now: float) -> Member:
--- a/springrock/coordination/ownership.py
+++ b/springrock/coordination/ownership.py
@@ -156,7 +156,7 @@
             self._members.scan()
             rows = self._read_rows()
         except PlatformUnavailable:
-            self._log.say(
+            self._log.info(
                 "Cannot reach the table to hand replicas over; they move when the session lapses."
             )
             return
@@ -223,7 +223,7 @@
             self._session.commit(Transaction(checks=[Check(key, member.version)], deletes=[key]))
         except TransactionConflict:
             return
-        self._log.say(f"Deleted the lapsed session of {member.box}.", member=member.box)
+        self._log.info(f"Deleted the lapsed session of {member.box}.", member=member.box)
 
     def _read_rows(self) -> dict[str, Row]:
         rows = self._platform.rows(f"{REPLICA_PREFIX}{self.zone}/")
@@ -287,7 +287,7 @@
         if holder is not None and not self._members.lapsed(holder):
             return
         if holder is not None and self._answers_probe(holder):
-            self._log.say(
+            self._log.info(
                 "An owner whose session has lapsed still answers.",
                 replica=value.replica,
                 owner=holder.box,
@@ -324,7 +324,7 @@
         try:
             self._session.commit(Transaction(checks=checks, puts=puts, deletes=deletes))
         except TransactionConflict as conflict:
-            self._log.say(
+            self._log.info(
                 "Could not take a replica over: its row or a session has changed.",
                 replica=upstream.settings.name,
                 why=str(conflict),
@@ -351,9 +351,9 @@
         try:
             self._session.commit(Transaction(checks=checks, puts=puts))
         except (TransactionConflict, PlatformUnavailable) as error:
-            self._log.say("A hand-over failed.", replica=value.replica, error=str(error))
+            self._log.info("A hand-over failed.", replica=value.replica, error=str(error))
             return
-        self._log.say(
+        self._log.info(
             f"Handed {value.replica} to {handover_target}.",
             replica=value.replica,
             handover_target=handover_target,
@@ -373,12 +373,12 @@
             self._listener.stop_owning(name)
         self._owned[name] = fence
         self._last_move_at = monotonic()
-        self._log.say(f"Now owns {name} under fence {fence}.", replica=name, fence=fence)
+        self._log.info(f"Now owns {name} under fence {fence}.", replica=name, fence=fence)
         self._listener.start_owning(upstream, fence, previous=previous)
 
     def _stop_owning(self, replica: str) -> None:
         if self._owned.pop(replica, None) is not None:
-            self._log.say(f"No longer owns {replica}.", replica=replica)
+            self._log.info(f"No longer owns {replica}.", replica=replica)
             self._listener.stop_owning(replica)
 
 
--- a/springrock/coordination/peers.py
+++ b/springrock/coordination/peers.py
@@ -176,7 +176,7 @@
         try:
             self._dial(member)
         except PeerUnreachable as error:
-            self._log.say("Could not dial a peer.", peer=member.box, error=str(error))
+            self._log.info("Could not dial a peer.", peer=member.box, error=str(error))
 
     def _dial(self, member: Member) -> Link:
         self._dialing.add(member.box)
@@ -225,7 +225,7 @@
         expected = f"Bearer {self._settings.shared_key}"
         if hmac.compare_digest(presented.encode(), expected.encode()):
             return None
-        self._log.say("Rejected a connection without the shared key.")
+        self._log.info("Rejected a connection without the shared key.")
         return connection.respond(401, "wrong key\n")
 
     # Links.
@@ -234,7 +234,7 @@
         try:
             link = self._handshake(connection)
         except (*SOCKET_FAILURES, PeerRejected, UnknownKind) as error:
-            self._log.say("Rejected a link.", error=str(error))
+            self._log.info("Rejected a link.", error=str(error))
             connection.close()
             return
         self._read_link(link)
@@ -251,14 +251,14 @@
     def _add_link(self, link: Link) -> None:
         self._links[link.box] = link
         self._metrics.peer_links.set(len(self._links))
-        self._log.say("Linked with a peer.", peer=link.box)
+        self._log.info("Linked with a peer.", peer=link.box)
         for hook in self.on_link:
             gevent.spawn(hook, link)
 
     def _remove_link(self, link: Link) -> None:
         if self._links.get(link.box) is link:
             del self._links[link.box]
-            self._log.say("Lost the link to a peer.", peer=link.box)
+            self._log.info("Lost the link to a peer.", peer=link.box)
             for hook in self.on_lost:
                 hook(link)
         self._metrics.peer_links.set(len(self._links))
@@ -274,7 +274,7 @@
         except SOCKET_FAILURES:
             pass
         except PeerRejected as error:
-            self._log.say(
+            self._log.info(
                 "Closed the link to a peer that violated the protocol.",
                 peer=link.box,
                 error=str(error),
@@ -301,4 +301,4 @@
         try:
             link.notify(answer)
         except PeerUnreachable as error:
-            self._log.say("Could not answer a peer.", peer=link.box, error=str(error))
+            self._log.info("Could not answer a peer.", peer=link.box, error=str(error))
--- a/springrock/coordination/session.py
+++ b/springrock/coordination/session.py
@@ -118,7 +118,7 @@
                     Transaction(checks=[Check(self.key, self._version)], deletes=[self.key])
                 )
             except PlatformUnavailable:
-                self._log.say("Could not delete the session row; the session will lapse.")
+                self._log.info("Could not delete the session row; the session will lapse.")
 
     def announce_stopping(self) -> None:
         """Mark the session row as stopping, for the other boxes to read."""
@@ -188,7 +188,7 @@
         self._version = ABSENT
         self._held_until = 0.0
         self.value = msgspec.structs.replace(self.value, incarnation=new_id(), renewal=0)
-        self._log.say("The session row was deleted; started a new session.")
+        self._log.info("The session row was deleted; started a new session.")
         self._on_lost()
 
     def _renew_loop(self) -> None:
--- a/springrock/coordination/standalone.py
+++ b/springrock/coordination/standalone.py
@@ -101,7 +101,7 @@
         gevent.joinall(tasks)
         if all(task.value for task in tasks):
             if not self.has_agreement:
-                self._log.say(
+                self._log.info(
                     "All reachable peers of the zone agree that the table cannot be reached.",
                     peers=len(tasks),
                 )
--- a/springrock/coordination/steward.py
+++ b/springrock/coordination/steward.py
@@ -183,7 +183,7 @@
         now = monotonic()
         starts_at = max(now, self._next_share_at)
         self._next_share_at = starts_at + zones * boxes / self._loads_per_s / 2
-        self._log.say("Cannot reach the loads steward; loading at this box's share of the rate.")
+        self._log.info("Cannot reach the loads steward; loading at this box's share of the rate.")
         gevent.sleep(starts_at - now)
 
     def _on_load_bid(self, _: Link, question: wire.LoadBid) -> wire.LoadTurn:
--- a/springrock/doors/caller.py
+++ b/springrock/doors/caller.py
@@ -82,7 +82,7 @@
         return json_response(wire.model_list(names))
 
     def _readyz(self) -> Any:
-        why_not = self._host.why_not_ready()
+        why_not = self._host.not_ready_reason()
         if why_not:
             return bottle.HTTPResponse(f"{why_not}\n".encode(), status=503)
         return b"ready\n"
@@ -93,7 +93,7 @@
 
     def _error_page(self, error: Any) -> Any:
         if error.status_code == 500:
-            self._log.say("A request failed with an internal error.", error=repr(error.exception))
+            self._log.info("A request failed with an internal error.", error=repr(error.exception))
         cause = Cause.INTERNAL_FAULT if error.status_code == 500 else Cause.MALFORMED_REQUEST
         refusal = Refusal(
             cause,
@@ -157,7 +157,7 @@
         if host.refusing:
             return Refusal(Cause.BOX_STOPPING, "this box is stopping", retry_after_s=1.0)
         if not host.serving:
-            return Refusal(Cause.BOX_STARTING, host.why_not_ready(), retry_after_s=1.0)
+            return Refusal(Cause.BOX_STARTING, host.not_ready_reason(), retry_after_s=1.0)
         if host.open_requests.count > self._settings.open_requests_limit:
             return Refusal(
                 Cause.QUEUE_FULL, "this box has too many open requests", retry_after_s=1.0
@@ -200,7 +200,7 @@
             self._handle_cut(request, error.refusal)
             yield wire.error_event(error.refusal, request.request_id)
         except (CallerGone, GeneratorExit):
-            self._log.say(
+            self._log.info(
                 f"The caller of {request.request_id} disconnected.", request=request.request_id
             )
             self._count(RunState.CUT, Cause.CALLER_GONE)
@@ -298,7 +298,7 @@
     def _refuse(self, refusal: Refusal, request_id: str = "", *, counted: bool = False) -> Any:
         if not counted:
             self._count(refusal.run_state, refusal.cause)
-            self._log.say(
+            self._log.info(
                 f"Refused {request_id or 'a request'}: {refusal.cause}.",
                 request=request_id,
                 cause=refusal.cause,
@@ -312,7 +312,7 @@
         return json_response(body, status=wire.status_of(refusal), headers=headers)
 
     def _handle_cut(self, request: ServingRequest, refusal: Refusal) -> None:
-        self._log.say(
+        self._log.info(
             f"Cut {request.request_id}: {refusal.cause}.",
             request=request.request_id,
             cause=refusal.cause,
--- a/springrock/doors/operator.py
+++ b/springrock/doors/operator.py
@@ -57,14 +57,14 @@
     def _statement(self) -> Any:
         who = self._operator_of(bottle.request.headers.get("Authorization", ""))
         if who is None:
-            self._log.say("Rejected an unknown credential.")
+            self._log.info("Rejected an unknown credential.")
             return _failure(401, "BadCredential", "unknown key")
         body_bytes = read_body(_BODY_LIMIT_BYTES)
         try:
             request = msgspec.json.decode(body_bytes or b"", type=StatementRequest)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
             return _failure(400, "MalformedRequest", str(error))
-        self._log.say(
+        self._log.info(
             f"{who} sent a statement: {request.statement}", who=who, command=request.command_id
         )
         return self._run(who, request)
@@ -81,7 +81,7 @@
         return json_response(msgspec.json.encode(answer))
 
     def _refusal_response(self, status: int, who: str, error: SpringrockError) -> Any:
-        self._log.say(f"Refused a statement of {who}.", who=who, error=str(error))
+        self._log.info(f"Refused a statement of {who}.", who=who, error=str(error))
         return _failure(status, type(error).__name__, str(error))
 
     def _operator_of(self, authorization: str) -> str | None:
--- a/springrock/emulator/__init__.py
+++ b/springrock/emulator/__init__.py
@@ -13,7 +13,7 @@
     ServiceStandinSettings,
 )
 from springrock.errors import UnknownPlugin
-from springrock.settings import read
+from springrock.settings import read_settings
 
 _KINDS = ("engine", "platform", "proxy", "replica", "rowstore", "service")
 
@@ -28,25 +28,25 @@
     if kind == "platform":
         from springrock.emulator.platform import PlatformStandin
 
-        return PlatformStandin(read(settings, PlatformStandinSettings))
+        return PlatformStandin(read_settings(settings, PlatformStandinSettings))
     if kind == "engine":
         from springrock.emulator.engine import EngineStandin
 
-        return EngineStandin(read(settings, EngineStandinSettings))
+        return EngineStandin(read_settings(settings, EngineStandinSettings))
     if kind == "service":
         from springrock.emulator.service import ServiceStandin
 
-        return ServiceStandin(read(settings, ServiceStandinSettings))
+        return ServiceStandin(read_settings(settings, ServiceStandinSettings))
     if kind == "proxy":
         from springrock.emulator.proxy import Proxy
 
-        return Proxy(read(settings, ProxySettings))
+        return Proxy(read_settings(settings, ProxySettings))
     if kind == "rowstore":
         from springrock.emulator.rowstore import RowStoreStandin
 
-        return RowStoreStandin(read(settings, RowStoreStandinSettings))
+        return RowStoreStandin(read_settings(settings, RowStoreStandinSettings))
     if kind == "replica":
         from springrock.emulator.replica import ReplicaStandin
 
-        return ReplicaStandin(read(settings, ReplicaStandinSettings))
+        return ReplicaStandin(read_settings(settings, ReplicaStandinSettings))
     raise UnknownPlugin("stand-in", kind, _KINDS)
--- a/springrock/emulator/embedded.py
+++ b/springrock/emulator/embedded.py
@@ -101,7 +101,7 @@
         return all(self._is_box_ready(box) for box in self.boxes)
 
     def _is_box_ready(self, box: Box) -> bool:
-        if box.why_not_ready():
+        if box.not_ready_reason():
             return False
         reports = [box.view.report(name) for name in self.addresses.engines]
         return all(report is not None and report.accepting for report in reports)
--- a/springrock/emulator/experiment.py
+++ b/springrock/emulator/experiment.py
@@ -9,7 +9,7 @@
 
 from springrock.emulator.load import LoadRun, LoadSettings, Outcome
 from springrock.emulator.report import Report, as_table
-from springrock.settings import read
+from springrock.settings import read_settings
 
 _PROGRESS_INTERVAL_S = 5.0
 
@@ -24,7 +24,7 @@
     Returns:
         1 if any answer differed from the expected one for its request, otherwise 0.
     """
-    settings = read(path, LoadSettings)
+    settings = read_settings(path, LoadSettings)
     run = LoadRun(settings, model_name=lambda index: _model_name(settings.base_model, index))
     task = gevent.spawn(run.run)
     while not task.ready():
--- a/springrock/entry.py
+++ b/springrock/entry.py
@@ -147,7 +147,7 @@
     def start(self) -> None:
         """Start every part and return."""
         box = self.settings.box
-        self._log.say("Start.", zone=box.availability_zone)
+        self._log.info("Start.", zone=box.availability_zone)
         self._loop_watch.start()
         for follower in self._followers:
             follower.start()
@@ -165,18 +165,18 @@
         self._stopping = True
         self._door.closing = True
         deadline = Deadline(self.settings.stop.within_s - _END_MARGIN_S)
-        self._log.say("Planned stop begins.", open_requests=self._door.open_requests)
+        self._log.info("Planned stop begins.", open_requests=self._door.open_requests)
         self._placement.hand_over()
         gevent.sleep(self.settings.stop.notice_s)
         self._door.refusing = True
         while not deadline.passed and not self._wait_idle():
             continue
-        self._log.say("Planned stop ends.", open_requests=self._door.open_requests)
+        self._log.info("Planned stop ends.", open_requests=self._door.open_requests)
         self._stop_parts()
 
     def reload(self, settings: EntrySettings) -> None:
         """Apply changed settings; changed addresses take effect at the next start."""
-        self._log.say("Reload.")
+        self._log.info("Reload.")
         self.settings = settings
 
     def _wait_idle(self) -> bool:
@@ -273,7 +273,7 @@
     def _record_era(self, reported: int | None) -> None:
         if reported is None or reported == self._store_era:
             return
-        self._log_of("store").say(
+        self._log_of("store").info(
             "The store is in another era.", era=reported, before=self._store_era
         )
         self._store_era = reported
@@ -440,7 +440,7 @@
             return
         self._routes = RouteTable(configuration)
         self.metrics.configuration.set(configuration.version)
-        self._log.say(
+        self._log.info(
             "A configuration is in force.",
             version=configuration.version,
             routes=len(configuration.routes),
@@ -448,7 +448,7 @@
             **self._operator_table.origin,
         )
         if any(team.limited for team in configuration.teams or ()) and not self._quota_zones():
-            self._log.say("Teams have quotas, but the settings do not list the zones.")
+            self._log.info("Teams have quotas, but the settings do not list the zones.")
 
     def _record_unreadable(self) -> None:
         """Record that the stored configuration cannot be read; it may revoke keys."""
--- a/springrock/entry_process.py
+++ b/springrock/entry_process.py
@@ -16,7 +16,7 @@
 from springrock.errors import SettingsError
 from springrock.log import BoundedLines, Log, log_to
 from springrock.platform.names import SETTINGS_VARIABLE
-from springrock.settings import read
+from springrock.settings import read_settings
 
 _SETTINGS_POLL_INTERVAL_S = 1.0
 
@@ -32,7 +32,7 @@
     """
     faulthandler.enable()
     path = settings_path or os.environ.get(SETTINGS_VARIABLE, "")
-    settings = read(path, EntrySettings)
+    settings = read_settings(path, EntrySettings)
     lines = BoundedLines(sys.stdout.fileno())
     log_to(lines)
     box = EntryBox(settings)
@@ -69,9 +69,9 @@
         """Load the file into the box; the old settings stay if the file is invalid."""
         self._loaded_mtime_ns = self._read_mtime_ns()
         try:
-            self._box.reload(read(self._path, EntrySettings))
+            self._box.reload(read_settings(self._path, EntrySettings))
         except SettingsError as error:
-            self._log.say("Kept the old settings.", error=str(error))
+            self._log.info("Kept the old settings.", error=str(error))
 
     def _read_mtime_ns(self) -> int:
         try:
--- a/springrock/forwarding/cross_zone_bytes.py
+++ b/springrock/forwarding/cross_zone_bytes.py
@@ -25,8 +25,8 @@
 
 
 def _counter(metrics: ForwardingMetrics, distance: Distance) -> OnClose:
-    count_request = metrics.bytes_away(BytesKind.REQUESTS, distance)
-    count_answer = metrics.bytes_away(BytesKind.ANSWERS, distance)
+    count_request = metrics.cross_zone_byte_counter(BytesKind.REQUESTS, distance)
+    count_answer = metrics.cross_zone_byte_counter(BytesKind.ANSWERS, distance)
 
     def _count(sent: int, received: int) -> None:
         count_request(sent)
--- a/springrock/forwarding/directory.py
+++ b/springrock/forwarding/directory.py
@@ -347,7 +347,7 @@
 
     def _log_leaving(self, replica: Replica, source: LeavingSource, recorded_at: float) -> None:
         record = replica.record
-        self._log.say(
+        self._log.info(
             "A replica is leaving.",
             instance=record.instance,
             service=record.service,
@@ -363,7 +363,7 @@
             listener(record, instance)
 
     def _log_record(self, record: ReplicaRecord, sentence: str) -> None:
-        self._log.say(
+        self._log.info(
             sentence,
             instance=record.instance,
             service=record.service,
--- a/springrock/forwarding/door.py
+++ b/springrock/forwarding/door.py
@@ -107,7 +107,7 @@
                 received_at=received_at,
             )
         except BadRequest as error:
-            self._log.say("Refused a malformed request.", error=str(error))
+            self._log.info("Refused a malformed request.", error=str(error))
             return own_reply(400, "malformed_request")
         return self._forwarder.forward(request)
 
@@ -129,7 +129,7 @@
             request_end.run(outcome)
 
     def _record_disconnect(self, environ: dict[str, Any]) -> None:
-        self._log.say("A client left.", target=environ[TARGET_KEY])
+        self._log.info("A client left.", target=environ[TARGET_KEY])
 
     def record_finished(self, outcome: str, seconds: float) -> None:
         """Record the end of a request."""
--- a/springrock/forwarding/evacuation_watch.py
+++ b/springrock/forwarding/evacuation_watch.py
@@ -58,10 +58,10 @@
         while self._evacuations.learned_at(zone) == learned_at:
             running = self._count_running(zone)
             if running != last_count:
-                self._log.say("Requests still run in an evacuated zone.", zone=zone, count=running)
+                self._log.info("Requests still run in an evacuated zone.", zone=zone, count=running)
             last_count = running
             if not running:
-                self._log.say("An evacuation is done.", zone=zone, after_s=self._age_s(zone))
+                self._log.info("An evacuation is done.", zone=zone, after_s=self._age_s(zone))
                 return
             gevent.sleep(_COUNT_INTERVAL_S)
 
--- a/springrock/forwarding/evacuations.py
+++ b/springrock/forwarding/evacuations.py
@@ -131,7 +131,7 @@
             return
         now = monotonic()
         self._ended_at[zone] = now
-        self._log.say(
+        self._log.info(
             "A zone is no longer evacuated.",
             zone=zone,
             after_s=round(now - evacuation.learned_at, 3),
@@ -148,12 +148,12 @@
         if zone in self._evacuations:
             return
         if not self._topology.knows(zone):
-            self._log.say("Ignored the evacuation of an unknown zone.", zone=zone)
+            self._log.info("Ignored the evacuation of an unknown zone.", zone=zone)
             return
         now = monotonic()
         announced_s = max(0.0, self._announced_s(age_s))
         evacuation = self._evacuations[zone] = _Evacuation(now, now + announced_s)
-        self._log.say(
+        self._log.info(
             "A zone is evacuated.",
             zone=zone,
             acknowledged_ms_ago_at_most=None if age_s == float("inf") else round(age_s * 1000),
@@ -179,7 +179,7 @@
         self._cut(zone)
 
     def _cut(self, zone: str) -> None:
-        self._log.say("Nothing more is sent to a zone.", zone=zone)
+        self._log.info("Nothing more is sent to a zone.", zone=zone)
         for listener in self.on_cut:
             listener(zone)
 
--- a/springrock/forwarding/forwarder.py
+++ b/springrock/forwarding/forwarder.py
@@ -169,7 +169,7 @@
     def _log_not_admitted(
         self, request: ClientRequest, route: Route, rejection: Rejection, version: int
     ) -> None:
-        self._log.say(
+        self._log.info(
             "Did not admit a request.",
             request=request.request_id,
             route=route.name,
@@ -182,7 +182,7 @@
         )
 
     def _log_reply(self, progress: RequestProgress, reply: Reply, version: int) -> None:
-        self._log.say(
+        self._log.info(
             "Refused a request." if reply.reason else "Answered a request.",
             request=progress.request.request_id,
             fingerprint=progress.fingerprint.short,
--- a/springrock/forwarding/notices.py
+++ b/springrock/forwarding/notices.py
@@ -81,7 +81,7 @@
             return
         if notice.unreadable:
             self._count("unreadable")
-            self._log.say(
+            self._log.info(
                 "A replica sent a notice that cannot be read.",
                 instance=replica.instance,
                 notice=notice.unreadable,
@@ -89,7 +89,7 @@
         if notice.backoff_s:
             self._count("backoff")
             self._directory.record_backoff(replica.record.replica_id, notice.backoff_s)
-            self._log.say(
+            self._log.info(
                 "A replica asked for a back-off.",
                 instance=replica.instance,
                 service=replica.record.service,
@@ -116,7 +116,7 @@
             return
         self._unknown.record(key, None)
         self._count("unknown")
-        self._log.say(
+        self._log.info(
             "A replica sent a notice that this build does not know.",
             instance=replica.instance,
             service=replica.record.service,
--- a/springrock/forwarding/sending.py
+++ b/springrock/forwarding/sending.py
@@ -190,7 +190,7 @@
         )
         self._record_fault_evidence(progress, replica, error)
         self._report_to_crash_detector(progress, replica, attempt, error)
-        self._log.say(
+        self._log.info(
             "An attempt failed.",
             request=progress.request.request_id,
             fingerprint=progress.fingerprint.short,
--- a/springrock/forwarding/streaming.py
+++ b/springrock/forwarding/streaming.py
@@ -184,7 +184,7 @@
     def _log_stream(
         self, sentence: str, progress: RequestProgress, break_error: OutcomeUnknown
     ) -> None:
-        self._log.say(
+        self._log.info(
             sentence,
             request=progress.request.request_id,
             after_event=progress.last_event_id,
--- a/springrock/hosts.py
+++ b/springrock/hosts.py
@@ -85,7 +85,7 @@
     def serving(self) -> bool:
         """Whether this box serves requests, as its configuration is up to date."""
 
-    def why_not_ready(self) -> str:
+    def not_ready_reason(self) -> str:
         """Return why the balancer should send no requests here; empty if the box is ready."""
 
     def log(self, part: str) -> Log:
--- a/springrock/log.py
+++ b/springrock/log.py
@@ -37,7 +37,7 @@
         """Add a line; drops the oldest one beyond the limit."""
         self._lines.append(line)
 
-    def about(self, field: str, value: str) -> list[Line]:
+    def lines_with(self, field: str, value: str) -> list[Line]:
         """Return the lines in which a field has a value, the oldest first."""
         return [line for line in self._lines if line.fields.get(field) == value]
 
@@ -57,7 +57,7 @@
         self._journal = journal
         self._message_type = f"springrock:{part}"
 
-    def say(self, sentence: str, **fields: object) -> None:
+    def info(self, sentence: str, **fields: object) -> None:
         """Write a line.
 
         Args:
@@ -94,13 +94,13 @@
         """Record that the condition holds; logs it if it did not hold before."""
         if not self._holds:
             self._holds = True
-            self._log.say(self._begins, **fields)
+            self._log.info(self._begins, **fields)
 
     def end(self, **fields: object) -> None:
         """Record that the condition does not hold; logs it if it held before."""
         if self._holds:
             self._holds = False
-            self._log.say(self._ends, **fields)
+            self._log.info(self._ends, **fields)
 
 
 class BoundedLines:
--- a/springrock/loop_watch.py
+++ b/springrock/loop_watch.py
@@ -13,7 +13,7 @@
 
 from springrock.clock import monotonic
 from springrock.log import Log
-from springrock.metrics import count_nothing
+from springrock.metrics import ignore_count
 
 _CHECK_INTERVAL_S = 0.5
 """Short enough that every stall of a second is detected."""
@@ -32,7 +32,7 @@
         observe: Called with the delay of each check, in seconds.
     """
 
-    def __init__(self, log: Log, *, observe: Callable[[float], None] = count_nothing) -> None:
+    def __init__(self, log: Log, *, observe: Callable[[float], None] = ignore_count) -> None:
         self._log = log
         self._observe = observe
         self._logged_at = float("-inf")
@@ -62,7 +62,7 @@
         if now - self._logged_at < _LOG_INTERVAL_S:
             self._suppressed += 1
             return
-        self._log.say(
+        self._log.info(
             "The loop was late.", late_ms=round(1000 * late_s), suppressed=self._suppressed
         )
         self._logged_at, self._suppressed = now, 0
--- a/springrock/metrics.py
+++ b/springrock/metrics.py
@@ -27,7 +27,7 @@
     """Messages between boxes and placers."""
 
 
-def count_nothing(number: float) -> None:
+def ignore_count(number: float) -> None:
     """Ignore a number, such as that of bytes that stay in the own zone."""
 
 
@@ -263,7 +263,7 @@
             ["zone"],
             registry=registry,
         )
-        self.ahead_adapters = Gauge(
+        self.adapters_to_prefetch = Gauge(
             "springrock_evacuation_adapters_to_come",
             "Adapters of evacuated zones that this box, as a zone's placer, is yet to bring.",
             ["zone"],
@@ -284,12 +284,14 @@
             for distance in (Distance.OWN_REGION, Distance.OTHER_REGION)
         }
 
-    def bytes_away(self, kind: BytesKind, distance: Distance) -> Callable[[float], None]:
+    def cross_zone_byte_counter(
+        self, kind: BytesKind, distance: Distance
+    ) -> Callable[[float], None]:
         """Return a function that counts bytes of a kind sent over a distance.
 
         Frequent callers should keep it.
         """
-        return self._bytes_away.get((kind, distance), count_nothing)
+        return self._bytes_away.get((kind, distance), ignore_count)
 
     def count_charge(self, team: str, accepted: bool) -> None:
         """Count a charge to a team; teams beyond the label limit share one label."""
--- a/springrock/asking.py
+++ b/springrock/operator_client.py
@@ -16,7 +16,7 @@
 _MAX_ATTEMPTS = 3
 
 
-def ask_box(box: str, statement: str, *, key: str, as_json: bool, wait_s: float) -> int:
+def run_statement(box: str, statement: str, *, key: str, as_json: bool, wait_s: float) -> int:
     """Send a statement, print the answer, and return the exit code.
 
     The command id stays the same when the statement is resent after a lost answer, so that a
--- a/springrock/permits/counter.py
+++ b/springrock/permits/counter.py
@@ -309,7 +309,7 @@
         if account is None:
             return
         bucket = account.bucket
-        self._log.say(
+        self._log.info(
             "Permitted a request to a metered replica."
             if verdict.granted
             else "A metered replica has no room.",
--- a/springrock/permits/named_limits.py
+++ b/springrock/permits/named_limits.py
@@ -218,7 +218,7 @@
     def _say(
         self, sentence: str, instance: str, *, per_s: float | None, before: float | None
     ) -> None:
-        self._log.say(sentence, instance=instance, per_s=per_s, before=before)
+        self._log.info(sentence, instance=instance, per_s=per_s, before=before)
 
 
 def _is_stricter(known: _StoredLimit, per_s: float) -> bool:
--- a/springrock/permits/warmup.py
+++ b/springrock/permits/warmup.py
@@ -244,6 +244,6 @@
             del self._reported[zone]
 
     def _say(self, sentence: str, record: ReplicaRecord, **more: object) -> None:
-        self._log.say(
+        self._log.info(
             sentence, instance=record.instance, service=record.service, zone=record.zone, **more
         )
--- a/springrock/placement/engine_reconciler.py
+++ b/springrock/placement/engine_reconciler.py
@@ -215,7 +215,7 @@
             ):
                 del book.assigned[key]
         for load in book.completed_loads:
-            self._log.say(
+            self._log.info(
                 "Loaded an adapter.",
                 instance=book.instance,
                 adapter=str(load.key),
@@ -384,7 +384,7 @@
     def _log_order(self, order: Order, answer: str, **fields: object) -> None:
         book = self.book
         self._metrics.orders.labels(order.kind.value, answer).inc()
-        self._log.say(
+        self._log.info(
             f"Ordered: {order.kind.value}.",
             instance=book.instance,
             adapter=str(order.key),
--- a/springrock/placement/handover.py
+++ b/springrock/placement/handover.py
@@ -84,7 +84,7 @@
         self._zone = zone
         self._popularity = popularity
         self._log = log
-        self._missing_gauge = metrics.ahead_adapters.labels(zone)
+        self._missing_gauge = metrics.adapters_to_prefetch.labels(zone)
         self._by_zone: dict[str, _ZonePrefetch] = {}
         self._ends_at: dict[str, float] = {}
 
@@ -113,7 +113,7 @@
             return
         self._by_zone[from_zone] = prefetch
         self._ends_at.setdefault(from_zone, monotonic() + _PREFETCH_DURATION_S)
-        self._log.say(
+        self._log.info(
             "Prefetching adapters of an evacuated zone.",
             zone=self._zone,
             from_zone=from_zone,
@@ -147,7 +147,7 @@
         prefetch = self._by_zone.get(from_zone)
         if prefetch is None:
             return
-        self._log.say(
+        self._log.info(
             "Adapters of an evacuated zone at its cut.",
             zone=self._zone,
             from_zone=from_zone,
@@ -165,7 +165,7 @@
         if prefetch is None:
             return
         self._missing_gauge.set(sum(len(other.missing) for other in self._by_zone.values()))
-        self._log.say(
+        self._log.info(
             "Stopped prefetching adapters of an evacuated zone.",
             zone=self._zone,
             from_zone=from_zone,
@@ -278,7 +278,7 @@
         if age_s < 2 * _HANDOVER_TIMEOUT_S or zone not in self._routing_state().announced:
             return
         keys = self._residency.adapters_in_zone(zone)
-        self._log.say(
+        self._log.info(
             "No handover from the placer of an evacuated zone.", zone=zone, held=len(keys)
         )
         held = [AskedFor(*key, 0.0) for key in keys[:_MAX_HANDED_OVER]]
--- a/springrock/placement/lease.py
+++ b/springrock/placement/lease.py
@@ -222,7 +222,7 @@
             reason: The reason to log.
         """
         if self._own is not None:
-            self._log.say(
+            self._log.info(
                 "Lost the placer's lease.", row=self._key, fence=self._own.fence, reason=reason
             )
         self._own = None
@@ -256,7 +256,7 @@
             if self._release_row(own, successor=successor):
                 return None
         if handover is not None:
-            self._log.say(
+            self._log.info(
                 "Handed the placer's lease over.",
                 row=self._key,
                 to=handover.box,
@@ -278,7 +278,7 @@
         self._own = Tenure.from_handover(handover)
         self._held_until = 0.0
         self._unanswered_at = float("-inf")
-        self._log.say(
+        self._log.info(
             "Continues under a lease that was handed over.", row=self._key, fence=handover.fence
         )
         return True
@@ -326,7 +326,7 @@
         try:
             version = self._write(own, expected=self._read_version, writer=self._store)
         except (RowStoreUnavailable, RowConflict) as error:
-            self._log.say(
+            self._log.info(
                 "Could not acquire the placer's lease.",
                 row=self._key,
                 fence=fence,
@@ -337,7 +337,7 @@
             return False
         self._own = Tenure.from_row(own, version)
         self._held_until = sent_at + self._lease_s
-        self._log.say("Acquired the placer's lease.", row=self._key, fence=fence)
+        self._log.info("Acquired the placer's lease.", row=self._key, fence=fence)
         return True
 
     def free_in_s(self, existing: PlacerRow | None) -> float:
@@ -393,7 +393,7 @@
         if own is None or resolved is None:
             self.record_lost(reason="another box holds it")
             return False
-        self._log.say(
+        self._log.info(
             "Found the lease at another version.",
             row=self._key,
             fence=resolved.fence,
@@ -442,7 +442,7 @@
             return None
         handover = own.handover(handover_target)
         if handover is None:
-            self._log.say(
+            self._log.info(
                 "Cannot hand the placer's lease over: no reserved fence is left.",
                 row=self._key,
                 fence=own.fence,
@@ -527,7 +527,7 @@
             self._unanswered_at = min(now, sent_at + _LONGEST_ATTEMPT_S)
 
     def _log_not_renewed(self, error: RowStoreUnavailable) -> None:
-        self._log.say(
+        self._log.info(
             "Did not renew the placer's lease.",
             row=self._key,
             fence=self.fence,
--- a/springrock/placement/link_client.py
+++ b/springrock/placement/link_client.py
@@ -9,7 +9,7 @@
 from websockets.sync.client import ClientConnection
 
 from springrock.log import Log
-from springrock.metrics import count_nothing
+from springrock.metrics import ignore_count
 from springrock.placement.demand import DemandBook
 from springrock.placement.dialing import DIAL_TIMEOUT_S, dial
 from springrock.placement.link_server import LINK_FAILURES
@@ -57,8 +57,8 @@
         on_message: Callable[[Message], None],
         on_lost: Callable[[], None],
         log: Log,
-        count_sent: Callable[[float], None] = count_nothing,
-        count_unknown: Callable[[int], None] = count_nothing,
+        count_sent: Callable[[float], None] = ignore_count,
+        count_unknown: Callable[[int], None] = ignore_count,
     ) -> None:
         self._count_unknown = count_unknown
         self._box = box
@@ -90,7 +90,7 @@
         try:
             connection = dial(address)
         except LINK_FAILURES as error:
-            self._log.say(
+            self._log.info(
                 "Could not link to the placer.", zone=self._zone, address=address, error=str(error)
             )
             return False
@@ -98,7 +98,7 @@
             connection.send(encode(self._hello(incarnation)))
             first = decode(connection.recv(timeout=DIAL_TIMEOUT_S))
         except (*LINK_FAILURES, UnknownKind) as error:
-            self._log.say(
+            self._log.info(
                 "The placer did not accept this box.",
                 zone=self._zone,
                 address=address,
@@ -135,12 +135,12 @@
         def _receive() -> Message:
             return decode(connection.recv(timeout=_SILENCE_TIMEOUT_S))
 
-        self._log.say("Linked to the placer.", zone=self._zone, address=address)
+        self._log.info("Linked to the placer.", zone=self._zone, address=address)
         try:
             while True:
                 self._on_message(unknown.next_known(_receive))
         except LINK_FAILURES as error:
-            self._log.say("Lost the placer.", zone=self._zone, address=address, error=str(error))
+            self._log.info("Lost the placer.", zone=self._zone, address=address, error=str(error))
         finally:
             self._connection = None
             writer.kill()
--- a/springrock/placement/link_server.py
+++ b/springrock/placement/link_server.py
@@ -16,7 +16,7 @@
 from springrock.clock import monotonic
 from springrock.errors import PeerRejected
 from springrock.log import Log
-from springrock.metrics import count_nothing
+from springrock.metrics import ignore_count
 from springrock.placement.messages import (
     Demand,
     Forecast,
@@ -103,7 +103,7 @@
         self,
         connection: ServerConnection,
         hello: Hello,
-        count_sent: Callable[[float], None] = count_nothing,
+        count_sent: Callable[[float], None] = ignore_count,
     ) -> None:
         self.connection = connection
         self.count_sent = count_sent
@@ -146,9 +146,9 @@
         host: LinkHost,
         *,
         log: Log,
-        count_sent_to: Callable[[str], Callable[[float], None]] = lambda zone: count_nothing,
+        count_sent_to: Callable[[str], Callable[[float], None]] = lambda zone: ignore_count,
         is_far: Callable[[str], bool] = lambda zone: False,
-        count_unknown: Callable[[int], None] = count_nothing,
+        count_unknown: Callable[[int], None] = ignore_count,
     ) -> None:
         self._count_unknown = count_unknown
         self._host = host
@@ -262,11 +262,11 @@
             link.outbox.put(message, encode(message))
         self._links[box] = link
         writer = gevent.spawn(_write_loop, link)
-        self._log.say("A box linked.", peer=box)
+        self._log.info("A box linked.", peer=box)
         try:
             self._read(box, link)
         except LINK_FAILURES as error:
-            self._log.say("A box's link broke.", peer=box, error=str(error))
+            self._log.info("A box's link broke.", peer=box, error=str(error))
         finally:
             writer.kill()
             if self._links.get(box) is link:
@@ -347,7 +347,7 @@
         try:
             hello = decode(connection.recv(timeout=_HELLO_TIMEOUT_S))
         except (*LINK_FAILURES, UnknownKind) as error:
-            self._log.say("Rejected a link.", error=str(error))
+            self._log.info("Rejected a link.", error=str(error))
             return
         if not isinstance(hello, Hello):
             return
@@ -364,7 +364,7 @@
         try:
             connection.send(encode(self._state_for(hello)))
         except LINK_FAILURES as error:
-            self._log.say("Could not send this box's state.", peer=hello.box, error=str(error))
+            self._log.info("Could not send this box's state.", peer=hello.box, error=str(error))
 
 
 def _write_loop(link: _Link) -> None:
--- a/springrock/placement/placer.py
+++ b/springrock/placement/placer.py
@@ -427,7 +427,7 @@
 
     def _log_assigned(self, assignment: Assignment, now: float) -> None:
         want = assignment.want
-        self._log.say(
+        self._log.info(
             "Assigned an adapter.",
             zone=self._zone,
             adapter=str(assignment.key),
--- a/springrock/placement/requests.py
+++ b/springrock/placement/requests.py
@@ -180,7 +180,7 @@
         grant = Grant(ask.number, choice.instance, permitted, round(100 * saves))
         self._send(waiting.box, grant)
         self._on_granted(now - waiting.asked_at)
-        self._log.say(
+        self._log.info(
             "Granted an engine.",
             request=ask.request,
             peer=waiting.box,
--- a/springrock/placement/state_fetcher.py
+++ b/springrock/placement/state_fetcher.py
@@ -132,7 +132,7 @@
             return
         self._apply(state, asked_at)
         self._unanswered.end(seed=seed)
-        self._log.say(
+        self._log.info(
             "Copied the tables of another box.",
             seed=seed,
             ages_ms={table.full_table.table: table.age_ms for table in state.tables},
--- a/springrock/placement/state_provider.py
+++ b/springrock/placement/state_provider.py
@@ -60,7 +60,7 @@
             successors=self._board.successors(),
             leaving=list(self._directory.leaving()),
         )
-        self._log.say("Provided tables to a box.", peer=hello.box, tables=len(state.tables))
+        self._log.info("Provided tables to a box.", peer=hello.box, tables=len(state.tables))
         return state
 
     def _tables(self) -> list[KnownTable]:
--- a/springrock/placement/zone.py
+++ b/springrock/placement/zone.py
@@ -286,7 +286,7 @@
 
     def _byte_counter_for(self, zone: str) -> Callable[[float], None]:
         distance = self._topology.distance(zone) if zone else Distance.OWN_ZONE
-        return self._metrics.bytes_away(BytesKind.LINKS, distance)
+        return self._metrics.cross_zone_byte_counter(BytesKind.LINKS, distance)
 
     def _home_zone_of(self, box: str) -> str | None:
         own = self._settings
--- a/springrock/platform/tables.py
+++ b/springrock/platform/tables.py
@@ -73,7 +73,7 @@
             elif zone := evacuated_zone(row.key):
                 self._evacuations.begin(zone)
         except MalformedRecord as error:
-            self._log.say("Passed over a malformed row.", error=str(error))
+            self._log.info("Passed over a malformed row.", error=str(error))
             if row.key == names.CONFIGURATION_KEY:
                 self._on_unreadable()
 
@@ -148,6 +148,6 @@
         if self._last_fault_by_id.get(key) is error.fault:
             return
         self._last_fault_by_id.record(key, error.fault)
-        self._log.say(
+        self._log.info(
             "Passed over a replica's row.", replica=key, fault=error.fault, field=error.field
         )
--- a/springrock/quarantine/book.py
+++ b/springrock/quarantine/book.py
@@ -144,7 +144,7 @@
             return
         report = report_from(row)
         if report is None:
-            self._log.say("Ignored a malformed crash report.", key=row.key)
+            self._log.info("Ignored a malformed crash report.", key=row.key)
             return
         self._hold(row.key, report, version=row.version)
 
@@ -207,7 +207,7 @@
         if fingerprint in self._quarantined or len(crashes) < self._terms().crashes:
             return
         self._quarantined.add(fingerprint)
-        self._log.say(
+        self._log.info(
             "A request is quarantined.",
             fingerprint=fingerprint.short,
             instances=sorted(crashes),
@@ -217,4 +217,4 @@
     def _release(self, fingerprint: Fingerprint) -> None:
         if fingerprint in self._quarantined:
             self._quarantined.discard(fingerprint)
-            self._log.say("A request is no longer quarantined.", fingerprint=fingerprint.short)
+            self._log.info("A request is no longer quarantined.", fingerprint=fingerprint.short)
--- a/springrock/quarantine/crash_detector.py
+++ b/springrock/quarantine/crash_detector.py
@@ -113,7 +113,7 @@
         self._say("A replica crashed under requests.", crash)
 
     def _say(self, sentence: str, crash: _SuspectedCrash, **more: object) -> None:
-        self._log.say(
+        self._log.info(
             sentence,
             instance=crash.record.instance,
             service=crash.record.service,
--- a/springrock/quarantine/reporter.py
+++ b/springrock/quarantine/reporter.py
@@ -92,7 +92,7 @@
         self._waiting[key] = report
         if len(self._waiting) > _MAX_WAITING:
             dropped, _ = self._waiting.popitem(last=False)
-            self._log.say("Dropped a crash report, as too many wait for the store.", key=dropped)
+            self._log.info("Dropped a crash report, as too many wait for the store.", key=dropped)
         self._has_waiting.set()
 
     def write_again(self, rows: Sequence[Row]) -> None:
@@ -129,7 +129,7 @@
             except RowConflict:
                 pass  # Another box removed it first.
             except RowStoreUnavailable as error:
-                self._log.say("Did not remove old crash reports.", error=str(error))
+                self._log.info("Did not remove old crash reports.", error=str(error))
                 return
 
     def _sweep_loop(self) -> None:
--- a/springrock/quotas/quota_counter.py
+++ b/springrock/quotas/quota_counter.py
@@ -73,7 +73,7 @@
         self._on_counted(charge.team, verdict.charged)
         if verdict.charged:
             return
-        self._log.say(
+        self._log.info(
             "A team's share of its quota is used up.",
             request=charge.request,
             team=charge.team,
--- a/springrock/serving/answer.py
+++ b/springrock/serving/answer.py
@@ -163,7 +163,7 @@
             stream = self._driver.resume(self._request, position)
         except (UpstreamUnreachable, UpstreamSaidNo) as error:
             raise UpstreamBroke(f"{break_error}; {error}") from None
-        self._log.say(
+        self._log.info(
             f"Resumed {self._request.request_id} at {position}.",
             request=self._request.request_id,
             position=position,
--- a/springrock/serving/engine_watch.py
+++ b/springrock/serving/engine_watch.py
@@ -84,7 +84,7 @@
         if self._failures != _MAX_FAILED_CHECKS or not self._boot_id:
             return
         replica = self._replica
-        replica.log.say(
+        replica.log.info(
             "Removed an upstream after failed checks.", replica=replica.name, why=detail
         )
         self._boot_id = ""
@@ -99,7 +99,7 @@
             return
         if loaded.boot_id != self._boot_id:
             # A restarted engine has no fence: the next check sets it before any other order.
-            replica.log.say("An engine restarted.", replica=replica.name)
+            replica.log.info("An engine restarted.", replica=replica.name)
             self._boot_id = ""
             replica.residency.replace([])
             self._check_again.set()
@@ -114,7 +114,7 @@
         replica = self._replica
         self._boot_id = loaded.boot_id
         self.admitted = max(1, replica.pool.running_limit // 4)
-        replica.log.say(
+        replica.log.info(
             "Added an upstream.",
             replica=replica.name,
             boot=loaded.boot_id,
--- a/springrock/serving/loader.py
+++ b/springrock/serving/loader.py
@@ -127,7 +127,7 @@
     def _unload(self, victim: Resident, want: Want) -> bool:
         replica = self._replica
         replica.residency.unloading = victim.adapter
-        replica.log.say(
+        replica.log.info(
             f"Unload {victim.adapter} from {replica.name} for {want.adapter}.",
             replica=replica.name,
             adapter=victim.adapter,
@@ -139,7 +139,7 @@
             replica.order("unload_adapter", victim.adapter)
         except _FAILURES as error:
             replica.residency.unloading = ""
-            replica.log.say("An unload failed.", replica=replica.name, error=str(error))
+            replica.log.info("An unload failed.", replica=replica.name, error=str(error))
             self._resync()
             return False
         replica.residency.record_unloaded(victim.adapter)
@@ -151,7 +151,7 @@
     def _load(self, want: Want, began_at: float) -> None:
         replica = self._replica
         replica.residency.loading = want.adapter
-        replica.log.say(
+        replica.log.info(
             f"Load {want.adapter} on {replica.name} for {want.waiting} waiting.",
             replica=replica.name,
             adapter=want.adapter,
@@ -173,7 +173,7 @@
         replica = self._replica
         replica.residency.loading = ""
         replica.metrics.loads.labels("failed").inc()
-        replica.log.say("A load failed.", replica=replica.name, adapter=want.adapter, error=detail)
+        replica.log.info("A load failed.", replica=replica.name, adapter=want.adapter, error=detail)
         self._failed_attempts[want.adapter] += 1
         if self._failed_attempts[want.adapter] >= _MAX_LOAD_ATTEMPTS:
             del self._failed_attempts[want.adapter]
--- a/springrock/serving/owned_replica.py
+++ b/springrock/serving/owned_replica.py
@@ -148,7 +148,7 @@
         if drained == self._drained:
             return
         self._drained = drained
-        self.log.say("Drain started." if drained else "Drain ended.", replica=self.name)
+        self.log.info("Drain started." if drained else "Drain ended.", replica=self.name)
         if drained:
             for waiter in self.waiting:
                 self._refuse(waiter, refusals.not_accepting(self.name))
@@ -199,7 +199,7 @@
         if tokens > 0:
             self.estimate.record_service_time(monotonic() - permit.granted_at, tokens)
         if tokens == wire.NOT_LOADED:
-            self.log.say(
+            self.log.info(
                 "The engine no longer has an adapter that was recorded as loaded.",
                 replica=self.name,
                 adapter=permit.adapter,
@@ -334,7 +334,7 @@
         try:
             self.driver.order(order)
         except StaleFence:
-            self.log.say(
+            self.log.info(
                 "The engine rejected an order: it has seen a newer owner.",
                 replica=self.name,
                 fence=self.fence,
@@ -405,7 +405,7 @@
                 retry_after_s = self.forecast.queue_wait_s(waiter)
                 self._refuse(waiter, refusals.cannot_finish_any_more(retry_after_s=retry_after_s))
         for permit in self.permits.overdue():
-            self.log.say(
+            self.log.info(
                 "A permit expired; cancelling its request.",
                 replica=self.name,
                 request=permit.request_id,
--- a/springrock/serving/owner.py
+++ b/springrock/serving/owner.py
@@ -177,9 +177,9 @@
         gevent.joinall(tasks)
         if all(task.value for task in tasks):
             replica.unload_after = began_at
-            self._log.say("Received the held permits of all boxes.", replica=replica.name)
+            self._log.info("Received the held permits of all boxes.", replica=replica.name)
         else:
-            self._log.say("Some boxes did not report their held permits.", replica=replica.name)
+            self._log.info("Some boxes did not report their held permits.", replica=replica.name)
         self._handle_change(replica)
 
     def _fetch_held_permits(self, replica: OwnedReplica, box: str) -> bool:
--- a/springrock/serving/relay.py
+++ b/springrock/serving/relay.py
@@ -98,7 +98,7 @@
                         claim.release()
                     return Error(may_have_run or refusal)
                 avoid |= {permitted.upstream.name}
-                self._log.say(
+                self._log.info(
                     f"Retry {request.request_id}: {refusal.cause}.",
                     request=request.request_id,
                     cause=refusal.cause,
--- a/springrock/serving/router.py
+++ b/springrock/serving/router.py
@@ -107,7 +107,7 @@
             if answer.is_ok():
                 return answer
             refusal = answer.error
-            self._log.say(
+            self._log.info(
                 f"{replica} refused {request.request_id}: {refusal.cause}.",
                 request=request.request_id,
                 replica=replica,
@@ -142,7 +142,7 @@
             return None
         ranked = self._routing.rank(remaining)
         best = ranked[0]
-        self._log.say(
+        self._log.info(
             f"Route {request.request_id} to {best.candidate.replica}: {best.reason}.",
             request=request.request_id,
             model=str(request.model),
--- a/springrock/serving/services.py
+++ b/springrock/serving/services.py
@@ -119,7 +119,7 @@
             if upstream is None:
                 refusal = self._backoff_refusal(pool) or refusal
                 break
-            self._log.say(
+            self._log.info(
                 f"Route {headers[REQUEST_ID_HEADER]} to {upstream.name}.",
                 request=headers[REQUEST_ID_HEADER],
                 replica=upstream.name,
@@ -184,7 +184,7 @@
         if backoff_s <= backoff.left_s:
             return
         backoff.extend(backoff_s)
-        self._log.say("A service requested a backoff.", replica=name, for_s=round(backoff_s, 3))
+        self._log.info("A service requested a backoff.", replica=name, for_s=round(backoff_s, 3))
 
     def _backoff_refusal(self, pool: PoolSection) -> Refusal | None:
         """Return a refusal with the time until the first backoff in a pool ends.
@@ -209,7 +209,9 @@
         # After each ejection the next failure ejects again at once; a success resets the count.
         self._failures[name] = _FAILURES_TO_EJECT - 1
         self._ejected_until[name] = monotonic() + _EJECTION_S
-        self._log.say("Ejected a service after repeated failures.", replica=name, for_s=_EJECTION_S)
+        self._log.info(
+            "Ejected a service after repeated failures.", replica=name, for_s=_EJECTION_S
+        )
 
 
 def _no_upstream(pool: str) -> Refusal:
--- a/springrock/settings.py
+++ b/springrock/settings.py
@@ -205,7 +205,7 @@
         return f"line {self.line}: {self.key or 'file'}: {self.detail}"
 
 
-def read(path: str | FilePath, kind: type[S]) -> S:
+def read_settings(path: str | FilePath, kind: type[S]) -> S:
     """Read a settings file.
 
     Raises:
@@ -215,10 +215,10 @@
         text = FilePath(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
         raise SettingsError((Problem(0, "", f"cannot be read: {error}"),)) from None
-    return from_text(text, kind)
+    return parse_settings(text, kind)
 
 
-def from_text(text: str, kind: type[S]) -> S:
+def parse_settings(text: str, kind: type[S]) -> S:
     """Build settings from JSON with comments.
 
     Raises:
--- a/springrock/statements/why.py
+++ b/springrock/statements/why.py
@@ -30,7 +30,7 @@
 
 def _why_request(host: StatementHost, arguments: Arguments, _: Requester) -> StatementAnswer:
     request = arguments.get("request")
-    return _answer(host, host.journal.about("request", request), f"request {request}")
+    return _answer(host, host.journal.lines_with("request", request), f"request {request}")
 
 
 def _why_adapter(host: StatementHost, arguments: Arguments, _: Requester) -> StatementAnswer:
@@ -41,7 +41,7 @@
             report = host.view.report(upstream.name)
             if report is not None and adapter in report.ready:
                 holders.append(f"{upstream.name} (owner {report.owner})")
-    answer = _answer(host, host.journal.about("adapter", adapter), f"adapter {adapter}")
+    answer = _answer(host, host.journal.lines_with("adapter", adapter), f"adapter {adapter}")
     where = ", ".join(holders) or "nowhere"
     text = f"{adapter} is loaded on: {where}. {answer.text}".strip()
     return StatementAnswer(text=text, columns=answer.columns, rows=answer.rows)
@@ -49,7 +49,7 @@
 
 def _why_replica(host: StatementHost, arguments: Arguments, _: Requester) -> StatementAnswer:
     replica = arguments.get("replica")
-    return _answer(host, host.journal.about("replica", replica), f"replica {replica}")
+    return _answer(host, host.journal.lines_with("replica", replica), f"replica {replica}")
 
 
 statements.register("why_request")(
--- a/springrock/table_follower.py
+++ b/springrock/table_follower.py
@@ -308,7 +308,7 @@
             )
             if now - self._store_behind_since < _COPY_RETENTION_S:
                 return False
-            self._log.say(
+            self._log.info(
                 "The store has an older version than the copy from another box.",
                 table=self.table,
                 version=format_version(reading.version),
@@ -397,7 +397,7 @@
         lost = [row for key, row in self._rows.items() if key not in present]
         for row in self._unconfirmed.apply_restored_table(rows, lost=lost):
             self._apply_change(row)
-        self._log.say(
+        self._log.info(
             "The store came back from a copy.",
             table=self.table,
             version=format_version(version),
--- a/springrock/unknown_messages.py
+++ b/springrock/unknown_messages.py
@@ -80,6 +80,6 @@
         self._count(unknown.kind)
         if unknown.kind not in self._logged_kinds:
             self._logged_kinds.add(unknown.kind)
-            self._log.say(
+            self._log.info(
                 "Ignored a message of an unknown kind.", peer=self._peer, kind=unknown.kind
             )
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -13,17 +13,17 @@
 import msgspec
 import urllib3
 
-from springrock.asking import send_statement
 from springrock.emulator.deployment import OPERATOR_KEY, Addresses, SettingsWriter, Shape
 from springrock.emulator.embedded import first_configuration
 from springrock.emulator.generation import RunRecord, expected_text
 from springrock.emulator.ports import free_addresses
 from springrock.errors import PlatformUnavailable
 from springrock.ids import rendezvous_order
+from springrock.operator_client import send_statement
 from springrock.platform_clients.http import HttpPlatform
 from springrock.settings import PlatformSection
 from springrock.wire.operator import StatementAnswer, StatementRequest
-from tests.processes import Processes, RunsProcesses, wait_until
+from tests.processes import ProcessDeployment, Processes, wait_until
 
 FAST_LEASE = {
     "renew_every_s": 0.5,
@@ -75,7 +75,7 @@
         return self.body.endswith(b"data: [DONE]\n\n")
 
 
-class Cluster(RunsProcesses):
+class Cluster(ProcessDeployment):
     """The processes of one deployment: platform, engines, services, boxes and a fault proxy.
 
     Args:
@@ -219,7 +219,7 @@
     def pause(self, name: str) -> None:
         self.processes.signal(name, signal.SIGSTOP)
 
-    def wake(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         self.processes.signal(name, signal.SIGCONT)
 
     def terminate(self, name: str) -> None:
@@ -256,7 +256,9 @@
     def expected(self, adapter: int, prompt: str = "hello", tokens: int = 5) -> str:
         return expected_text(self.shape.model_name(adapter), prompt, tokens)
 
-    def later(self, function: Callable[..., Any], *args: Any, **kwargs: Any) -> Future[Any]:
+    def run_in_background(
+        self, function: Callable[..., Any], *args: Any, **kwargs: Any
+    ) -> Future[Any]:
         return self.threads.submit(function, *args, **kwargs)
 
     def ask(
@@ -360,7 +362,7 @@
         services = self.shape.assign_zones(f"{self.shape.name}-service", self.shape.services)
         return [name for name, there in {**engines, **services}.items() if there == zone]
 
-    def zone_borders(self, zone: str) -> list[str]:
+    def routes_across_border(self, zone: str) -> list[str]:
         """Return every route into or out of a zone; the platform counts as outside."""
         inside = [*self.boxes_in(zone), *self.upstreams_in(zone)]
         crossing_routes = []
--- a/tests/worlds.py
+++ b/tests/factories.py
@@ -66,7 +66,7 @@
     return ReplicaNotices(directory or Directory(log), limits=limits or make_limits(), log=log)
 
 
-class NoReports:
+class RecordingPublisher:
     """Implements `springrock.quarantine.crash_detector.Publisher`; records what is published."""
 
     def __init__(self) -> None:
@@ -77,12 +77,12 @@
 
 
 def make_crash_detector(
-    book: CrashBook | None = None, reports: NoReports | None = None
+    book: CrashBook | None = None, reports: RecordingPublisher | None = None
 ) -> CrashDetector:
     """Return a crash detector, with a new crash book and publisher unless given."""
     return CrashDetector(
         box="box-1",
         book=book or CrashBook(terms=QuarantineTerms, log=Log("quarantine", "box-1")),
-        reports=reports or NoReports(),
+        reports=reports or RecordingPublisher(),
         log=Log("quarantine", "box-1"),
     )
--- a/tests/faults/test_answers.py
+++ b/tests/faults/test_answers.py
@@ -55,7 +55,7 @@
 
 def test_a_stream_lost_with_its_engine_ends_with_an_error(cluster: Cluster) -> None:
     cluster.fault(ENGINE, cut_streams_at=5)
-    running = cluster.later(cluster.complete, BOX, 0, tokens=400, stream=True)
+    running = cluster.run_in_background(cluster.complete, BOX, 0, tokens=400, stream=True)
     wait_until(lambda: cluster.counters(ENGINE)["open_streams"] == 1, what="it runs")
     cluster.restart_engine(ENGINE)
     reply = running.result()
@@ -66,7 +66,7 @@
 
 
 def test_an_engine_that_dies_is_a_typed_error_for_who_wants_the_whole(cluster: Cluster) -> None:
-    running = cluster.later(cluster.complete, BOX, 0, tokens=400)
+    running = cluster.run_in_background(cluster.complete, BOX, 0, tokens=400)
     wait_until(lambda: cluster.counters(ENGINE)["open_streams"] == 1, what="it runs")
     cluster.restart_engine(ENGINE)
     reply = running.result()
--- a/tests/faults/test_at_most_once.py
+++ b/tests/faults/test_at_most_once.py
@@ -30,7 +30,7 @@
     for number in range(10):
         request_id = f"race-{number}"
         calls = [
-            cluster.later(cluster.service, box, "annotate", headers=once(request_id))
+            cluster.run_in_background(cluster.service, box, "annotate", headers=once(request_id))
             for box in BOXES
             for _ in range(2)
         ]
@@ -42,7 +42,8 @@
 
 def test_completions_that_are_not_repeatable_run_once_too(cluster: Cluster) -> None:
     calls = [
-        cluster.later(cluster.complete, box, 1, headers=once("summary-1")) for box in BOXES * 2
+        cluster.run_in_background(cluster.complete, box, 1, headers=once("summary-1"))
+        for box in BOXES * 2
     ]
     replies = [call.result() for call in calls]
     assert sum(reply.status == 200 for reply in replies) == 1
@@ -50,7 +51,9 @@
 
 
 def test_a_repeat_after_the_first_box_died_does_not_run_again(cluster: Cluster) -> None:
-    call = cluster.later(cluster.complete, BOXES[0], 1, tokens=300, headers=once("dying-1"))
+    call = cluster.run_in_background(
+        cluster.complete, BOXES[0], 1, tokens=300, headers=once("dying-1")
+    )
     wait_until(lambda: cluster.runs_of("dying-1") == 1, what="it runs")
     cluster.kill(BOXES[0])
     assert call.exception() is not None
@@ -141,7 +144,7 @@
 def test_many_claims_go_in_few_transactions(cluster: Cluster) -> None:
     before = cluster.counters("platform")["commits"]
     calls = [
-        cluster.later(cluster.service, BOXES[0], "join", headers=once(f"many-{number}"))
+        cluster.run_in_background(cluster.service, BOXES[0], "join", headers=once(f"many-{number}"))
         for number in range(300)
     ]
     assert all(call.result().status == 200 for call in calls)
--- a/tests/faults/test_configuration.py
+++ b/tests/faults/test_configuration.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from springrock.asking import send_statement
 from springrock.emulator.deployment import OPERATOR_KEY, Shape
 from springrock.errors import StatementError
+from springrock.operator_client import send_statement
 from springrock.wire.operator import StatementRequest
 from tests.cluster import Cluster
 from tests.processes import wait_until
@@ -57,7 +57,7 @@
     cluster.ask(BOXES[0], "create adapter base:raced version 1,2,3", wait_s=5.0)
     seen = cluster.ask(BOXES[0], "show changes last 1").rows[0][0]
     calls = [
-        cluster.later(
+        cluster.run_in_background(
             cluster.ask, box, f"use version {1 + number} of adapter base:raced if revision {seen}"
         )
         for number, box in enumerate(BOXES[:2])
@@ -70,7 +70,7 @@
 
 def test_many_racing_changes_all_land_in_one_order(cluster: Cluster) -> None:
     calls = [
-        cluster.later(
+        cluster.run_in_background(
             cluster.ask, BOXES[number % 4], f"create adapter base:many-{number} version 1"
         )
         for number in range(12)
--- a/tests/faults/test_leaving.py
+++ b/tests/faults/test_leaving.py
@@ -53,7 +53,7 @@
         post_listed(cluster, ENGINE, "live")
         runs = runs_on(cluster, ENGINE)
         wait_until(lambda: runs_on(cluster, ENGINE) > runs + 5, what="it is used again")
-    assert traffic.dishonest == []
+    assert traffic.wrong_outcomes == []
     assert traffic.failed == []
 
 
@@ -66,13 +66,13 @@
         cluster.ask(BOXES[0], f"undrain {ENGINE}", wait_s=5.0)
         runs = runs_on(cluster, ENGINE)
         wait_until(lambda: runs_on(cluster, ENGINE) > runs + 5, what="it is used again")
-    assert traffic.dishonest == []
+    assert traffic.wrong_outcomes == []
     assert traffic.failed == []
 
 
 def test_a_drain_lets_running_requests_end(cluster: Cluster) -> None:
     cluster.ask(BOXES[0], "drain small-engine-2", wait_s=5.0)
-    call = cluster.later(cluster.complete, BOXES[2], 1, tokens=200, stream=True)
+    call = cluster.run_in_background(cluster.complete, BOXES[2], 1, tokens=200, stream=True)
     wait_until(lambda: cluster.counters(ENGINE)["open_streams"] == 1, what="it runs")
     cluster.ask(BOXES[0], "undrain small-engine-2", wait_s=5.0)
     cluster.ask(BOXES[0], f"drain {ENGINE}", wait_s=5.0)
@@ -97,7 +97,7 @@
             what="the engine is back",
         )
         wait_until(lambda: runs_on(cluster, ENGINE) > 5, what="it is used again")
-    assert traffic.dishonest == []
+    assert traffic.wrong_outcomes == []
 
 
 def reachable(cluster: Cluster, engine: str) -> bool:
--- a/tests/faults/test_overload.py
+++ b/tests/faults/test_overload.py
@@ -40,7 +40,7 @@
 def test_goodput_stays_and_refusals_are_honest(tmp_path: Path) -> None:
     with Cluster(tmp_path, SHAPE) as cluster:
         stop = threading.Event()
-        call = cluster.later(flood, cluster, 100, stop)
+        call = cluster.run_in_background(flood, cluster, 100, stop)
         wait_until(
             lambda: cluster.metric(BOXES[0], "springrock_requests_total") > 400,
             within_s=60,
--- a/tests/faults/test_ownership.py
+++ b/tests/faults/test_ownership.py
@@ -34,7 +34,7 @@
         wait_until(lambda: cluster.owner_of(ENGINE) != owner, what="a takeover")
         before = traffic.answered
         wait_until(lambda: traffic.answered > before + 50, what="traffic flows again")
-    assert traffic.dishonest == []
+    assert traffic.wrong_outcomes == []
     assert cluster.violations() == {}
 
 
@@ -47,10 +47,10 @@
         wait_until(lambda: cluster.owner_of(ENGINE) != owner, what="a takeover")
         before = traffic.answered
         wait_until(lambda: traffic.answered > before + 30, what="traffic flows again")
-        cluster.wake(owner)
+        cluster.resume(owner)
         before = traffic.answered
         wait_until(lambda: traffic.answered > before + 100, what="traffic flows on")
-    assert traffic.dishonest == []
+    assert traffic.wrong_outcomes == []
     assert cluster.violations() == {}
     woken = cluster.complete(owner, 1)
     assert woken.status == 200, woken.body
@@ -69,7 +69,7 @@
         cluster.fault("platform", part="table")
         before = traffic.answered
         wait_until(lambda: traffic.answered > before + 50, what="traffic flows after it")
-    assert traffic.dishonest == []
+    assert traffic.wrong_outcomes == []
     refused_in_outage = [item for item in traffic.failed if item.at > began]
     assert refused_in_outage == []
     assert {name: cluster.owner_of(name) for name in owners} == owners
@@ -84,14 +84,14 @@
             before = traffic.answered
             wait_until(lambda b=before: traffic.answered > b + 10, what="traffic flows")
         cluster.fault("platform", part="table")
-    assert traffic.dishonest == []
+    assert traffic.wrong_outcomes == []
     assert cluster.violations() == {}
     cluster.wait_ready()
 
 
 def test_a_zone_cut_off_from_everything_serves_what_it_can(cluster: Cluster) -> None:
     zone = "zone-2"
-    borders = cluster.zone_borders(zone)
+    borders = cluster.routes_across_border(zone)
     inside = cluster.boxes_in(zone)
     for adapter in range(2):
         assert cluster.complete(inside[0], adapter).status == 200
@@ -129,7 +129,7 @@
             cluster.restart_engine(ENGINE)
             before = traffic.answered
             wait_until(lambda b=before: traffic.answered > b + 40, what="traffic flows again")
-    assert traffic.dishonest == []
+    assert traffic.wrong_outcomes == []
     assert cluster.violations() == {}
 
 
@@ -164,5 +164,5 @@
         wait_until(lambda: cluster.owner_of(ENGINE) != owner, what="a takeover after the outage")
         before = traffic.answered
         wait_until(lambda: traffic.answered > before + 30, what="traffic flows again")
-    assert traffic.dishonest == []
+    assert traffic.wrong_outcomes == []
     assert cluster.violations() == {}
--- a/tests/faults/test_stop.py
+++ b/tests/faults/test_stop.py
@@ -19,7 +19,9 @@
             with Traffic(cluster, boxes=others) as elsewhere:
                 # These are open in the box when it is told to stop.
                 calls = [
-                    cluster.later(cluster.complete, box, number, tokens=100, stream=True)
+                    cluster.run_in_background(
+                        cluster.complete, box, number, tokens=100, stream=True
+                    )
                     for number in range(4)
                 ]
                 wait_until(
@@ -62,7 +64,7 @@
 
 def test_a_stop_statement_stops_as_planned(tmp_path: Path) -> None:
     with Cluster(tmp_path, Shape.from_small()) as cluster:
-        call = cluster.later(cluster.complete, "zone-1-a", 1, tokens=100, stream=True)
+        call = cluster.run_in_background(cluster.complete, "zone-1-a", 1, tokens=100, stream=True)
         wait_until(
             lambda: cluster.metric("zone-1-a", "springrock_first_token_seconds_count") >= 1,
             what="it runs",
--- a/tests/forwarding/test_cross_zone_bytes.py
+++ b/tests/forwarding/test_cross_zone_bytes.py
@@ -37,6 +37,6 @@
 
 def test_bytes_of_links_are_counted_separately() -> None:
     metrics = ForwardingMetrics()
-    metrics.bytes_away(BytesKind.LINKS, Distance.OTHER_REGION)(40)
-    metrics.bytes_away(BytesKind.LINKS, Distance.OWN_ZONE)(40)
+    metrics.cross_zone_byte_counter(BytesKind.LINKS, Distance.OTHER_REGION)(40)
+    metrics.cross_zone_byte_counter(BytesKind.LINKS, Distance.OWN_ZONE)(40)
     assert counted_bytes(metrics) == {("links", "other_region"): 40.0}
--- a/tests/forwarding/test_distance.py
+++ b/tests/forwarding/test_distance.py
@@ -18,7 +18,7 @@
 from springrock.forwarding.directory import Replica, ReplicaRecord
 from springrock.forwarding.distance_cost import DistanceCosts, DistancePrices, RequestSize
 from springrock.topology import Distance
-from tests.worlds import make_routing_state
+from tests.factories import make_routing_state
 
 BOXES = 63
 RUNNING_LIMIT = 6
--- a/tests/forwarding/test_eligibility.py
+++ b/tests/forwarding/test_eligibility.py
@@ -13,7 +13,7 @@
     obstacle_of,
     zone_obstacle_of,
 )
-from tests.worlds import make_routing_state
+from tests.factories import make_routing_state
 
 REGIONS = {"a-1": "a", "a-2": "a", "b-1": "b"}
 
--- a/tests/forwarding/test_evacuation_watch.py
+++ b/tests/forwarding/test_evacuation_watch.py
@@ -23,7 +23,7 @@
         super().__init__("test", "box-1")
         self.lines: list[tuple[str, object]] = []
 
-    def say(self, sentence: str, **fields: object) -> None:
+    def info(self, sentence: str, **fields: object) -> None:
         self.lines.append((sentence, fields.get("count")))
 
 
--- a/tests/forwarding/test_notices.py
+++ b/tests/forwarding/test_notices.py
@@ -13,7 +13,7 @@
 from springrock.forwarding.notices import ReplicaNotices
 from springrock.log import Log
 from springrock.platform.notices import notice_from
-from tests.worlds import make_limits, make_notices
+from tests.factories import make_limits, make_notices
 
 LEAVES = ReplicaNotice(leaving=True)
 
@@ -137,7 +137,7 @@
     counted: list[str] = []
     logged: list[object] = []
     monkeypatch.setattr(
-        Log, "say", lambda self, sentence, **fields: logged.append(fields.get("notice"))
+        Log, "info", lambda self, sentence, **fields: logged.append(fields.get("notice"))
     )
     box = Box()
     box.notices = ReplicaNotices(
--- a/tests/forwarding/test_notices_model.py
+++ b/tests/forwarding/test_notices_model.py
@@ -26,7 +26,7 @@
 )
 from springrock.forwarding.eligibility import ANYWHERE
 from springrock.log import Log
-from tests.worlds import make_notices, make_routing_state
+from tests.factories import make_notices, make_routing_state
 
 IDS = ("i-1", "i-2")
 SERVICE = "s"
--- a/tests/forwarding/test_regions.py
+++ b/tests/forwarding/test_regions.py
@@ -20,8 +20,8 @@
 from springrock.forwarding.request_progress import AttemptOutcome, RequestProgress
 from springrock.log import Log
 from springrock.permits.choice import NoPermits
+from tests.factories import make_routing_state
 from tests.forwarding.test_values import make_request, make_route
-from tests.worlds import make_routing_state
 
 KEY = AdapterKey("m", "a")
 REGIONS = {"a-1": "a", "a-2": "a", "b-1": "b", "b-2": "b"}
--- a/tests/forwarding/test_sending.py
+++ b/tests/forwarding/test_sending.py
@@ -16,10 +16,10 @@
 from springrock.metrics import ForwardingMetrics
 from springrock.platform.dialect import PlatformDialect
 from springrock.topology import Topology
+from tests.factories import make_crash_detector, make_notices, make_warmup
 from tests.forwarding.scripted import ScriptedReplica, read_request
 from tests.forwarding.test_choosing import ScriptedAdapters
 from tests.forwarding.test_values import make_request, make_route
-from tests.worlds import make_crash_detector, make_notices, make_warmup
 
 
 def test_a_withheld_request_did_not_run_and_does_not_count_against_the_replica() -> None:
--- a/tests/forwarding/test_values.py
+++ b/tests/forwarding/test_values.py
@@ -26,7 +26,7 @@
 from springrock.forwarding.reply import own_reply
 from springrock.forwarding.request_progress import AttemptOutcome, RequestProgress
 from springrock.log import Log
-from tests.worlds import make_routing_state
+from tests.factories import make_routing_state
 
 
 def make_route(prefix: str = "/a/", **more: object) -> Route:
--- a/tests/permits/limit_world.py
+++ b/tests/permits/limit_world.py
@@ -24,7 +24,7 @@
     SlowStartTerms,
     tolerated_in_window,
 )
-from tests.worlds import make_limits
+from tests.factories import make_limits
 
 ZONE = "zone-1"
 RECORD = ReplicaRecord(instance="i-1", service="s", address="127.0.0.1:1", zone=ZONE)
@@ -216,7 +216,7 @@
     """Let the code under test use the world's clock, and write no logs."""
     for module in (counter, named_limits, own_shares, permits):
         patch.setattr(module, "monotonic", lambda: world.now)
-    patch.setattr(Log, "say", lambda self, sentence, **fields: None)
+    patch.setattr(Log, "info", lambda self, sentence, **fields: None)
 
 
 class LoadResult(NamedTuple):
--- a/tests/permits/test_bound.py
+++ b/tests/permits/test_bound.py
@@ -20,7 +20,7 @@
 from springrock.permits.counter import PermitCounter
 from springrock.permits.messages import PermitAsk, Permitted
 from springrock.permits.terms import PERMIT_LIFE_S, SlowStartTerms, cold_start_bound
-from tests.worlds import make_limits
+from tests.factories import make_limits
 
 LENGTH_S = 6.0
 SLOW_START = SlowStart(lasts_s=5.0, per_s=20.0)
@@ -100,7 +100,7 @@
 
 @pytest.fixture(autouse=True)
 def _without_logs(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Log, "say", lambda self, sentence, **fields: None)
+    monkeypatch.setattr(Log, "info", lambda self, sentence, **fields: None)
 
 
 def simulate(
--- a/tests/permits/test_choosing.py
+++ b/tests/permits/test_choosing.py
@@ -16,9 +16,9 @@
 from springrock.forwarding.request_progress import RequestProgress
 from springrock.log import Log
 from springrock.permits.permits import Permit
+from tests.factories import make_routing_state
 from tests.forwarding.test_choosing import ScriptedAdapters, ScriptedUse
 from tests.forwarding.test_values import make_request, make_route
-from tests.worlds import make_routing_state
 
 REFUSED = Permit(None, 0.7)
 
--- a/tests/permits/test_counter.py
+++ b/tests/permits/test_counter.py
@@ -12,7 +12,7 @@
 from springrock.permits.counter import PermitCounter
 from springrock.permits.messages import LimitReport, PermitAsk, Permitted
 from springrock.permits.terms import SlowStartTerms
-from tests.worlds import make_limits
+from tests.factories import make_limits
 
 RECORD = ReplicaRecord(instance="i-1", service="s", address="127.0.0.1:1", zone="zone-1")
 PLAIN = ReplicaRecord(instance="i-9", service="plain", address="127.0.0.1:1", zone="zone-1")
--- a/tests/permits/test_named_limits.py
+++ b/tests/permits/test_named_limits.py
@@ -7,7 +7,7 @@
 from springrock.permits import named_limits as module
 from springrock.permits.messages import LimitReport, NamedLimit
 from springrock.permits.named_limits import NamedLimits
-from tests.worlds import make_limits
+from tests.factories import make_limits
 
 
 class Box:
--- a/tests/permits/test_observations.py
+++ b/tests/permits/test_observations.py
@@ -26,9 +26,9 @@
 from springrock.permits.warmup import WarmupTracker
 from springrock.platform.dialect import PlatformDialect
 from springrock.topology import Topology
+from tests.factories import make_crash_detector, make_notices, make_warmup
 from tests.forwarding.test_choosing import ScriptedAdapters
 from tests.forwarding.test_values import make_request, make_route
-from tests.worlds import make_crash_detector, make_notices, make_warmup
 
 RECORD = ReplicaRecord(instance="i-1", service="s", address="127.0.0.1:1", zone="zone-1")
 
--- a/tests/permits/test_permits.py
+++ b/tests/permits/test_permits.py
@@ -16,7 +16,7 @@
 from springrock.permits.permit_book import PermitBook, PermitsUnheard
 from springrock.permits.permits import Permit, Permits
 from springrock.permits.terms import PERMIT_LIFE_S
-from tests.worlds import make_limits
+from tests.factories import make_limits
 
 
 def replica(instance: str) -> Replica:
--- a/tests/permits/test_returns.py
+++ b/tests/permits/test_returns.py
@@ -22,8 +22,8 @@
 from springrock.permits.messages import PermitAsk, Permitted
 from springrock.permits.terms import SlowStartTerms, cold_start_bound
 from springrock.permits.warmup import WarmupTracker
+from tests.factories import make_limits
 from tests.permits.test_bound import most_in_a_second
-from tests.worlds import make_limits
 
 TICK_S = 0.01
 LENGTH_S = 16.0
@@ -191,7 +191,7 @@
 
 @pytest.fixture(autouse=True)
 def _without_logs(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Log, "say", lambda self, sentence, **fields: None)
+    monkeypatch.setattr(Log, "info", lambda self, sentence, **fields: None)
 
 
 def simulate(scenario: Scenario) -> Simulation:
--- a/tests/placement/test_handover.py
+++ b/tests/placement/test_handover.py
@@ -21,8 +21,8 @@
 from springrock.placement.popularity import Popularity
 from springrock.placement.residency import Residency, Versions
 from springrock.placement.zone_choice import ZoneView
+from tests.factories import make_routing_state
 from tests.placement.test_planner import make_engine, make_planner, want
-from tests.worlds import make_routing_state
 
 LOG = Log("test", "box-1")
 ZONES = ("zone-1", "zone-2", "zone-3")
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -29,9 +29,9 @@
 from springrock.placement.zone_dependencies import ZoneDependencies
 from springrock.quotas.shares import QuotaTerms
 from springrock.rows import Row, TableReading
+from tests.factories import make_limits, make_routing_state, make_warmup
 from tests.placement.test_lease import Store
 from tests.placement.test_placer import SlowEngine
-from tests.worlds import make_limits, make_routing_state, make_warmup
 
 KEY = AdapterKey("m", "a")
 ADAPTER_REQUEST = AdapterRequest(
--- a/tests/placement/test_placer.py
+++ b/tests/placement/test_placer.py
@@ -40,8 +40,8 @@
 )
 from springrock.placement.placer import Placer
 from springrock.placement.residency import Versions
+from tests.factories import make_routing_state
 from tests.placement.test_lease import ReadRows, Store
-from tests.worlds import make_routing_state
 
 LOG = Log("test", "box")
 
--- a/tests/placement/test_zone.py
+++ b/tests/placement/test_zone.py
@@ -17,9 +17,9 @@
 from springrock.placement.zone import ZonePlacement
 from springrock.placement.zone_dependencies import ZoneDependencies
 from springrock.quotas.shares import QuotaTerms
+from tests.factories import make_limits, make_routing_state, make_warmup
 from tests.placement.test_lease import Store
 from tests.placement.test_placer import SlowEngine
-from tests.worlds import make_limits, make_routing_state, make_warmup
 
 RECORD = ReplicaRecord(instance="i-1", service="s", address="127.0.0.1:1", zone="zone-2")
 
--- a/tests/platform/test_replica_rows.py
+++ b/tests/platform/test_replica_rows.py
@@ -59,7 +59,7 @@
         self.lines: list[str] = []
         self.reported: list[tuple[str, bool]] = []
         log = Log("directory", "box")
-        log.say = lambda sentence, **fields: self.lines.append(sentence)  # type: ignore[method-assign]
+        log.info = lambda sentence, **fields: self.lines.append(sentence)  # type: ignore[method-assign]
         self.rows = ReplicaTable(
             self.directory, knows_zone=KNOWS_ZONE, count_fault=self.faults.append, log=log
         )
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -106,7 +106,7 @@
         """Return the whole log of a process."""
         return self._log_path(name).read_text()
 
-    def account(self) -> str:
+    def state_report(self) -> str:
         """Return the state of each process and the last lines of its log, for error reports."""
         summaries = []
         for name, process in self._running.items():
@@ -127,7 +127,7 @@
         return self._folder / f"{name}.log"
 
 
-class RunsProcesses:
+class ProcessDeployment:
     """A base class for deployments that are context managers.
 
     If the start fails, the exception gets a note with the state of each process.
@@ -150,7 +150,7 @@
         try:
             self.start()
         except BaseException as error:
-            error.add_note(self.processes.account())
+            error.add_note(self.processes.state_report())
             self.stop()
             raise
         return self
--- a/tests/quarantine/test_crash_detector.py
+++ b/tests/quarantine/test_crash_detector.py
@@ -17,7 +17,7 @@
 from springrock.quarantine.crash_detector import CrashDetector
 from springrock.quarantine.report import MAX_REQUESTS
 from springrock.quarantine.terms import QuarantineTerms
-from tests.worlds import NoReports, make_crash_detector
+from tests.factories import RecordingPublisher, make_crash_detector
 
 RECORD = ReplicaRecord(instance="i-1", service="s", address="127.0.0.1:1", zone="zone-1")
 CRASHING = Fingerprint("a" * 32)
@@ -31,7 +31,7 @@
     def __init__(self) -> None:
         terms = QuarantineTerms(crashes=1)
         self.book = CrashBook(terms=lambda: terms, log=Log("quarantine", "box-1"))
-        self.reports = NoReports()
+        self.reports = RecordingPublisher()
         self.crash_detector: CrashDetector = make_crash_detector(self.book, self.reports)
 
     def is_quarantined(self, fingerprint: Fingerprint) -> bool:
--- a/tests/routed/deployment.py
+++ b/tests/routed/deployment.py
@@ -15,7 +15,7 @@
 from springrock.clock import monotonic
 from springrock.emulator.ports import free_addresses
 from springrock.settings import split_address
-from tests.processes import Processes, RunsProcesses, wait_until
+from tests.processes import ProcessDeployment, Processes, wait_until
 
 HOST = "calls.example"
 MODEL = "base"
@@ -85,7 +85,7 @@
 
 
 @dataclass
-class Deployment(RunsProcesses):
+class Deployment(ProcessDeployment):
     """The processes of a deployment and their addresses, by process name."""
 
     folder: Path
--- a/tests/routed/test_builds.py
+++ b/tests/routed/test_builds.py
@@ -11,7 +11,7 @@
 
 from springrock.clock import monotonic
 from springrock.emulator.replica_events import ReplicaEvent, ReplicaEventKind, read_replica_events
-from tests.builds import LAST_LANDING, HistoryMissing, build_at
+from tests.builds import LAST_RELEASE, HistoryMissing, build_at
 from tests.clients import BackgroundClients
 from tests.processes import wait_until
 from tests.routed.deployment import REPLICAS, Answer, Deployment
@@ -58,7 +58,7 @@
 @pytest.fixture(scope="module")
 def previous_build(tmp_path_factory: pytest.TempPathFactory) -> Path:
     """The build of the previous release."""
-    return build_at(LAST_LANDING, tmp_path_factory.mktemp("build"))
+    return build_at(LAST_RELEASE, tmp_path_factory.mktemp("build"))
 
 
 @pytest.fixture
--- a/tests/routed/test_store_return.py
+++ b/tests/routed/test_store_return.py
@@ -8,7 +8,7 @@
 import pytest
 
 from springrock.clock import monotonic
-from tests.builds import LAST_LANDING, build_at
+from tests.builds import LAST_RELEASE, build_at
 from tests.processes import wait_until
 from tests.routed.deployment import REPLICAS, Deployment
 
@@ -72,7 +72,7 @@
 def test_boxes_miss_no_configuration_under_placers_of_the_previous_release(
     tmp_path_factory: pytest.TempPathFactory,
 ) -> None:
-    previous_build = build_at(LAST_LANDING, tmp_path_factory.mktemp("build"))
+    previous_build = build_at(LAST_RELEASE, tmp_path_factory.mktemp("build"))
     placer_builds = {"box-1": previous_build, "box-2": previous_build}
     folder = tmp_path_factory.mktemp("mixed")
     with Deployment(folder, boxes=len(placer_builds), build_of=placer_builds) as deployment:
--- a/tests/test_build_frames.py
+++ b/tests/test_build_frames.py
@@ -17,7 +17,7 @@
 import cbor2
 import pytest
 
-from tests.builds import LAST_LANDING, build_at
+from tests.builds import LAST_RELEASE, build_at
 from tests.samples import PROTOCOLS, frames_of
 
 _TREE = Path(__file__).parent.parent
@@ -67,7 +67,7 @@
 
 
 def test_the_frames_of_the_last_landing_are_stored() -> None:
-    assert LAST_LANDING in _LANDINGS
+    assert LAST_RELEASE in _LANDINGS
 
 
 @pytest.mark.parametrize(
@@ -81,8 +81,8 @@
 
 
 def test_the_last_landing_decodes_the_frames_of_this_build(tmp_path: Path) -> None:
-    build = build_at(LAST_LANDING, tmp_path)
-    stored = json.loads((_STORED / f"{LAST_LANDING}.json").read_text())
+    build = build_at(LAST_RELEASE, tmp_path)
+    stored = json.loads((_STORED / f"{LAST_RELEASE}.json").read_text())
     assert json.loads(run_samples(build, "write")) == stored, "the samples ran under this build"
     sent = {
         protocol: {name: frame for name, frame in frames_of(protocol).items() if name in frames}
--- a/tests/test_entry_settings.py
+++ b/tests/test_entry_settings.py
@@ -9,7 +9,7 @@
 
 from springrock.entry_settings import EntrySettings
 from springrock.errors import SettingsError
-from springrock.settings import from_text
+from springrock.settings import parse_settings
 
 
 def settings(**sections: Any) -> str:
@@ -25,12 +25,12 @@
 
 
 def test_seeds_are_addresses() -> None:
-    assert from_text(settings(), EntrySettings).start.seeds == ()
-    parsed = from_text(settings(start={"seeds": ["10.0.0.1:80"]}), EntrySettings)
+    assert parse_settings(settings(), EntrySettings).start.seeds == ()
+    parsed = parse_settings(settings(start={"seeds": ["10.0.0.1:80"]}), EntrySettings)
     assert parsed.start.seeds == ("10.0.0.1:80",)
 
 
 @pytest.mark.parametrize("seed", ["", "nowhere", "10.0.0.1:", ":80", "10.0.0.1:many"])
 def test_a_seed_that_is_no_address_is_rejected_with_its_key(seed: str) -> None:
     with pytest.raises(SettingsError, match=r"start\.seeds"):
-        from_text(settings(start={"seeds": [seed]}), EntrySettings)
+        parse_settings(settings(start={"seeds": [seed]}), EntrySettings)
--- a/tests/test_loop_watch.py
+++ b/tests/test_loop_watch.py
@@ -19,7 +19,7 @@
         super().__init__("loop", "test")
         self.lines: list[dict[str, object]] = []
 
-    def say(self, sentence: str, **fields: object) -> None:
+    def info(self, sentence: str, **fields: object) -> None:
         self.lines.append(fields)
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,7 +7,7 @@
 
 from springrock.emulator.deployment import Addresses, SettingsWriter, Shape
 from springrock.errors import SettingsError
-from springrock.settings import BoxSettings, from_text, split_address
+from springrock.settings import BoxSettings, parse_settings, split_address
 
 
 def valid_settings() -> dict[str, Any]:
@@ -17,12 +17,12 @@
 
 def problems(data: dict[str, Any]) -> list[str]:
     with pytest.raises(SettingsError) as caught:
-        from_text(json.dumps(data, indent=1), BoxSettings)
+        parse_settings(json.dumps(data, indent=1), BoxSettings)
     return [str(problem) for problem in caught.value.problems]
 
 
 def test_valid_settings_are_converted() -> None:
-    settings = from_text(json.dumps(valid_settings()), BoxSettings)
+    settings = parse_settings(json.dumps(valid_settings()), BoxSettings)
     assert settings.box.availability_zone == "zone-1"
     assert settings.lease.lapse_after_s == 10.0
 
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -21,7 +21,7 @@
     "expression": "`springrock serve`",
     "gevent.resolver": "names of machines; addresses are numeric",
     "lark": "settings that are not plain JSON, and the operators' language",
-    "springrock.asking": "`springrock ask`",
+    "springrock.operator_client": "`springrock ask`",
     "springrock.box": "`springrock serve`",
     "springrock.coordination": "`springrock serve`",
     "springrock.demo": "`springrock demo`",
@@ -46,8 +46,8 @@
 importlib.metadata.entry_points = entry_points
 import springrock.__main__
 import gevent
-from springrock.entry_process import EntryBox, EntrySettings, read
-box = EntryBox(read(sys.argv[1], EntrySettings))
+from springrock.entry_process import EntryBox, EntrySettings, read_settings
+box = EntryBox(read_settings(sys.argv[1], EntrySettings))
 box.start()
 while b"springrock_store_calls_total" not in box.metrics.render():
     gevent.sleep(0.01)
--- a/tests/test_table_follower.py
+++ b/tests/test_table_follower.py
@@ -117,7 +117,7 @@
         follower.apply_reading(TableReading(TABLE, 4, version, []), source_zone="zone-2")
     logged = [
         (line.fields["reported"], line.fields["known"])
-        for line in journal.about("source_zone", "zone-2")
+        for line in journal.lines_with("source_zone", "zone-2")
     ]
     assert logged == [("5", "9"), ("9", "9")]
 
--- a/tests/traffic.py
+++ b/tests/traffic.py
@@ -81,7 +81,7 @@
         return [item for item in self.ended if item.state != "answered"]
 
     @property
-    def dishonest(self) -> list[Outcome]:
+    def wrong_outcomes(self) -> list[Outcome]:
         """The outcomes that are wrong under any fault."""
         return [item for item in self.ended if item.wrong or item.state == "silent"]
 
