--- a/bench/soak/deployment.py
+++ b/bench/soak/deployment.py
@@ -210,7 +210,7 @@
         """Set the faults of a stand-in; retry while it is still starting."""
         url = f"http://{self.addresses[name]}/standin/faults"
         wait_until(
-            lambda: self._try_post(url, json.dumps(fault)),
+            lambda: self._post(url, json.dumps(fault)),
             within_s=_FAULT_TIMEOUT_S,
             what=f"{name} sets its faults",
         )
@@ -219,7 +219,7 @@
         """Set the faults of some links; without faults the links work normally again."""
         body = json.dumps({"routes": list(links), **fault})
         wait_until(
-            lambda: self._try_post(f"http://{self._proxy}/standin/faults", body),
+            lambda: self._post(f"http://{self._proxy}/standin/faults", body),
             within_s=_FAULT_TIMEOUT_S,
             what="the proxy sets its faults",
         )
