--- a/tests/faults/test_answers.py
+++ b/tests/faults/test_answers.py
@@ -1,4 +1,4 @@
-"""Whole answers, one's own: engines that break, lie, repeat or go on with something else."""
+"""Answers stay complete and correct when engines fail, corrupt, repeat or mix up output."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 
 
 @pytest.fixture(scope="module")
-def running(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Cluster]:
+def shared_cluster(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Cluster]:
     folder: Path = tmp_path_factory.mktemp("answers")
     with Cluster(folder, SHAPE, proxied=True) as cluster:
         yield cluster
 
 
 @pytest.fixture
-def cluster(running: Cluster) -> Iterator[Cluster]:
-    assert running.complete(BOX, 0).status == 200
-    yield running
-    running.fault(ENGINE)
-    running.cut(*running.routes(sources=[BOX], targets=[ENGINE]))
-    wait_until(lambda: running.complete(BOX, 0).status == 200, what="healed")
-    wait_until(lambda: running.counters(ENGINE)["open_streams"] == 0, what="nothing left running")
-    assert running.violations() == {}
+def cluster(shared_cluster: Cluster) -> Iterator[Cluster]:
+    assert shared_cluster.complete(BOX, 0).status == 200
+    yield shared_cluster
+    shared_cluster.fault(ENGINE)
+    shared_cluster.cut(*shared_cluster.routes(sources=[BOX], targets=[ENGINE]))
+    wait_until(lambda: shared_cluster.complete(BOX, 0).status == 200, what="healed")
+    wait_until(lambda: shared_cluster.counters(ENGINE)["open_streams"] == 0, what="no open streams")
+    assert shared_cluster.violations() == {}
 
 
-def test_a_stream_that_breaks_is_resumed_at_the_exact_position(cluster: Cluster) -> None:
+def test_an_interrupted_stream_is_resumed_at_the_exact_position(cluster: Cluster) -> None:
     cluster.fault(ENGINE, cut_streams_at=7)
     headers = {"Springrock-Request-Id": "resumed-1"}
     reply = cluster.complete(BOX, 0, tokens=20, stream=True, headers=headers)
@@ -44,7 +44,7 @@
     assert cluster.runs_of("resumed-1") == 1
 
 
-def test_a_stream_that_breaks_again_and_again_still_arrives_whole(cluster: Cluster) -> None:
+def test_a_stream_interrupted_repeatedly_still_arrives_complete(cluster: Cluster) -> None:
     cluster.fault(ENGINE, cut_streams_at=2)
     headers = {"Springrock-Request-Id": "resumed-2"}
     reply = cluster.complete(BOX, 0, tokens=30, stream=True, headers=headers)
@@ -55,21 +55,23 @@
 
 def test_a_stream_lost_with_its_engine_ends_with_an_error(cluster: Cluster) -> None:
     cluster.fault(ENGINE, cut_streams_at=5)
-    running = cluster.run_in_background(cluster.complete, BOX, 0, tokens=400, stream=True)
-    wait_until(lambda: cluster.counters(ENGINE)["open_streams"] == 1, what="it runs")
+    call = cluster.run_in_background(cluster.complete, BOX, 0, tokens=400, stream=True)
+    wait_until(lambda: cluster.counters(ENGINE)["open_streams"] == 1, what="the stream opens")
     cluster.restart_engine(ENGINE)
-    reply = running.result()
+    reply = call.result()
     assert not reply.whole
     assert reply.error["type"] == "upstream_failed"
     assert reply.error["run_state"] in ("cut", "unknown")
     assert cluster.expected(0, tokens=400).startswith(reply.streamed)
 
 
-def test_an_engine_that_dies_is_a_typed_error_for_who_wants_the_whole(cluster: Cluster) -> None:
-    running = cluster.run_in_background(cluster.complete, BOX, 0, tokens=400)
-    wait_until(lambda: cluster.counters(ENGINE)["open_streams"] == 1, what="it runs")
+def test_a_restarted_engine_fails_an_unstreamed_request_with_a_typed_error(
+    cluster: Cluster,
+) -> None:
+    call = cluster.run_in_background(cluster.complete, BOX, 0, tokens=400)
+    wait_until(lambda: cluster.counters(ENGINE)["open_streams"] == 1, what="the stream opens")
     cluster.restart_engine(ENGINE)
-    reply = running.result()
+    reply = call.result()
     assert reply.status == 502
     assert reply.error["type"] == "upstream_failed"
 
@@ -95,7 +97,7 @@
     assert reply.streamed == cluster.expected(0, tokens=10)
 
 
-def test_a_refusal_of_the_engine_is_not_run(cluster: Cluster) -> None:
+def test_a_request_refused_by_the_engine_is_reported_as_not_run(cluster: Cluster) -> None:
     cluster.fault(ENGINE, refuse=True)
     headers = {"Springrock-Request-Id": "refused-1"}
     reply = cluster.complete(BOX, 0, headers=headers)
@@ -105,14 +107,14 @@
     assert cluster.runs_of("refused-1") == 0
 
 
-def test_a_half_sent_answer_is_resumed(cluster: Cluster) -> None:
+def test_a_truncated_answer_is_resumed(cluster: Cluster) -> None:
     cluster.cut(*cluster.routes(sources=[BOX], targets=[ENGINE]), half_answer_bytes=1500)
     reply = cluster.complete(BOX, 0, tokens=12, stream=True)
     assert reply.whole
     assert reply.streamed == cluster.expected(0, tokens=12)
 
 
-def test_a_frozen_engine_costs_no_more_than_the_deadline(cluster: Cluster) -> None:
+def test_a_request_to_a_frozen_engine_fails_soon_after_its_deadline(cluster: Cluster) -> None:
     cluster.fault(ENGINE, frozen=True)
     headers = {"Springrock-Deadline-Ms": "2000"}
     began = time.monotonic()
@@ -120,10 +122,10 @@
     took_s = time.monotonic() - began
     assert reply.status in (502, 503)
     assert reply.error["run_state"] in ("unknown", "cut", "not_run")
-    assert took_s < 10.0, "an answer long after the deadline"
+    assert took_s < 10.0, "the answer came long after the deadline"
 
 
-def test_a_caller_that_leaves_has_its_request_cancelled(cluster: Cluster) -> None:
+def test_the_request_of_a_disconnected_caller_is_cancelled(cluster: Cluster) -> None:
     import http.client
 
     host, port = cluster.addresses.callers[BOX].split(":")
@@ -137,11 +139,12 @@
     response.close()
     wait_until(lambda: cluster.counters(ENGINE)["open_streams"] == 0, what="cancelled")
     wait_until(
-        lambda: cluster.metric(BOX, "springrock_permits_outstanding") == 0, what="permit returned"
+        lambda: cluster.metric(BOX, "springrock_permits_outstanding") == 0,
+        what="the permit is returned",
     )
 
 
-def test_a_caller_that_leaves_while_it_waits_for_a_load_leaves_nothing(cluster: Cluster) -> None:
+def test_a_caller_that_disconnects_during_a_load_leaves_no_open_request(cluster: Cluster) -> None:
     import http.client
 
     cluster.fault("platform", part="weights", delay_s=3.0)
@@ -153,28 +156,30 @@
         lambda: cluster.metric(BOX, "springrock_open_requests") == 1, what="the request waits"
     )
     connection.close()
-    wait_until(lambda: cluster.metric(BOX, "springrock_open_requests") == 0, what="it is gone")
+    wait_until(
+        lambda: cluster.metric(BOX, "springrock_open_requests") == 0, what="the request is closed"
+    )
     cluster.fault("platform", part="weights")
 
 
-def test_a_caller_that_stops_reading_is_cut_and_cancelled(tmp_path: Path) -> None:
+def test_a_caller_that_stops_reading_has_its_request_cancelled(tmp_path: Path) -> None:
     import socket
 
     settings = {"caller_door": {"send_timeout_s": 1.0}}
-    quick = {"step_ms": 0.2, "step_ms_per_request": 0.0, "step_ms_per_adapter": 0.0}
-    with Cluster(tmp_path, SHAPE, box_settings=settings, engine_settings=quick) as cluster:
+    fast_steps = {"step_ms": 0.2, "step_ms_per_request": 0.0, "step_ms_per_adapter": 0.0}
+    with Cluster(tmp_path, SHAPE, box_settings=settings, engine_settings=fast_steps) as cluster:
         host, port = cluster.addresses.callers[BOX].split(":")
-        plain = socket.socket()
-        plain.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
-        plain.connect((host, int(port)))
+        client_socket = socket.socket()
+        client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
+        client_socket.connect((host, int(port)))
         body = b'{"model": "base", "prompt": "x", "max_tokens": 8000, "stream": true}'
         head = f"POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n"
         head += "Springrock-Deadline-Ms: 120000\r\n\r\n"
-        plain.sendall(head.encode() + body)
-        wait_until(lambda: cluster.counters(ENGINE)["open_streams"] == 1, what="it runs")
+        client_socket.sendall(head.encode() + body)
+        wait_until(lambda: cluster.counters(ENGINE)["open_streams"] == 1, what="the stream opens")
         wait_until(
             lambda: cluster.counters(ENGINE)["open_streams"] == 0,
             within_s=60.0,
             what="cancelled",
         )
-        plain.close()
+        client_socket.close()
--- a/tests/faults/test_configuration.py
+++ b/tests/faults/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration: racing operators, force everywhere, never reverting, credentials."""
+"""Configuration changes: conflicts, delivery to every box, monotonic revisions, credentials."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     return next(int(row[3]) for row in rows if row[0] == box and row[2] == "ready")
 
 
-def test_a_new_adapter_serves_on_every_box(cluster: Cluster) -> None:
+def test_a_new_adapter_is_served_by_every_box(cluster: Cluster) -> None:
     answer = cluster.ask(BOXES[0], "create adapter base:harvest version 1", wait_s=5.0)
     assert "in force on every box" in answer.text
     for box in BOXES:
@@ -53,12 +53,14 @@
     assert allowed.status == 200
 
 
-def test_of_racing_operators_one_wins_and_the_other_is_told(cluster: Cluster) -> None:
+def test_of_two_conflicting_changes_one_fails_with_a_conflict(cluster: Cluster) -> None:
     cluster.ask(BOXES[0], "create adapter base:raced version 1,2,3", wait_s=5.0)
-    seen = cluster.ask(BOXES[0], "show changes last 1").rows[0][0]
+    last_revision = cluster.ask(BOXES[0], "show changes last 1").rows[0][0]
     calls = [
         cluster.run_in_background(
-            cluster.ask, box, f"use version {1 + number} of adapter base:raced if revision {seen}"
+            cluster.ask,
+            box,
+            f"use version {1 + number} of adapter base:raced if revision {last_revision}",
         )
         for number, box in enumerate(BOXES[:2])
     ]
@@ -68,7 +70,7 @@
     assert "operator in revision" in str(failures[0])
 
 
-def test_many_racing_changes_all_land_in_one_order(cluster: Cluster) -> None:
+def test_concurrent_changes_get_distinct_revisions_and_reach_every_box(cluster: Cluster) -> None:
     calls = [
         cluster.run_in_background(
             cluster.ask, BOXES[number % 4], f"create adapter base:many-{number} version 1"
@@ -79,20 +81,22 @@
     assert len(set(revisions)) == 12
     last = max(revisions)
     for box in BOXES:
-        wait_until(lambda box=box: revision_on(cluster, box) >= last, what=f"{box} has them")
+        wait_until(
+            lambda box=box: revision_on(cluster, box) >= last, what=f"{box} applies the changes"
+        )
 
 
-def test_a_retried_command_changes_once(cluster: Cluster) -> None:
+def test_a_retried_command_is_applied_once(cluster: Cluster) -> None:
     request = StatementRequest(
         statement="create adapter base:retried version 1", command_id="the-same"
     )
     address = cluster.addresses.operators
     first = send_statement(address[BOXES[0]], request, key=OPERATOR_KEY)
-    again = send_statement(address[BOXES[3]], request, key=OPERATOR_KEY)
-    assert first.revision == again.revision
+    retried = send_statement(address[BOXES[3]], request, key=OPERATOR_KEY)
+    assert first.revision == retried.revision
 
 
-def test_a_command_whose_answer_the_table_lost_is_found_done(cluster: Cluster) -> None:
+def test_a_command_whose_table_answer_was_lost_is_applied_once(cluster: Cluster) -> None:
     request = StatementRequest(
         statement="create adapter base:lost-answer version 1", command_id="lost-answer"
     )
@@ -102,33 +106,35 @@
         send_statement(address[BOXES[0]], request, key=OPERATOR_KEY)
     cluster.fault("platform", part="table")
 
-    def _done() -> int:
+    def _retry_command() -> int:
         try:
             return send_statement(address[BOXES[1]], request, key=OPERATOR_KEY).revision
         except StatementError:
             return 0
 
-    revision = wait_until(_done, what="the retry finds or makes the change")
+    revision = wait_until(_retry_command, what="the retry succeeds")
     changes = cluster.ask(BOXES[1], "show changes").rows
-    made = [row for row in changes if "base:lost-answer " in row[3]]
-    assert [int(row[0]) for row in made] == [revision]
+    adapter_changes = [row for row in changes if "base:lost-answer " in row[3]]
+    assert [int(row[0]) for row in adapter_changes] == [revision]
 
 
-def test_a_box_cut_off_and_healed_never_reverts(cluster: Cluster) -> None:
+def test_a_partitioned_box_never_reverts_its_configuration(cluster: Cluster) -> None:
     box = BOXES[3]
     others = list(BOXES[:3])
     newest = max(revision_on(cluster, other) for other in others)
-    wait_until(lambda: revision_on(cluster, box) >= newest, what="nothing is on its way")
+    wait_until(
+        lambda: revision_on(cluster, box) >= newest, what="the box applies all earlier changes"
+    )
     before = revision_on(cluster, box)
-    inward = cluster.routes(sources=others, targets=[box])
-    outward = cluster.routes(sources=[box], targets=[*others, "platform"])
-    cluster.cut(*inward, *outward, cut=True)
+    inbound_routes = cluster.routes(sources=others, targets=[box])
+    outbound_routes = cluster.routes(sources=[box], targets=[*others, "platform"])
+    cluster.cut(*inbound_routes, *outbound_routes, cut=True)
     revision = cluster.ask(BOXES[0], "create adapter base:while-cut version 1").revision
     for other in others:
-        wait_until(lambda o=other: revision_on(cluster, o) >= revision, what=f"{other} has it")
+        wait_until(lambda o=other: revision_on(cluster, o) >= revision, what=f"{other} applies it")
     assert revision_on(cluster, box) == before
-    cluster.cut(*inward, *outward)
-    wait_until(lambda: revision_on(cluster, box) >= revision, what="the healed box has it")
+    cluster.cut(*inbound_routes, *outbound_routes)
+    wait_until(lambda: revision_on(cluster, box) >= revision, what="the reconnected box applies it")
     revisions = [
         line["revision"]
         for line in cluster.log(box)
@@ -137,27 +143,27 @@
     assert revisions == sorted(revisions)
 
 
-def test_a_box_without_the_platform_gets_changes_from_its_peers(cluster: Cluster) -> None:
+def test_a_box_that_cannot_reach_the_platform_gets_changes_from_peers(cluster: Cluster) -> None:
     box = BOXES[1]
     cluster.cut(f"{box}>platform", cut=True)
     revision = cluster.ask(BOXES[2], "create adapter base:by-peer version 1").revision
-    wait_until(lambda: revision_on(cluster, box) >= revision, what="it has the change")
+    wait_until(lambda: revision_on(cluster, box) >= revision, what="the box applies the change")
     cluster.cut(f"{box}>platform")
 
 
-def test_a_fresh_box_serves_nothing_before_it_has_the_configuration(cluster: Cluster) -> None:
+def test_a_restarted_box_refuses_requests_until_it_has_the_configuration(cluster: Cluster) -> None:
     box = BOXES[2]
     cluster.kill(box)
     cluster.cut(f"{box}>platform", cut=True)
     cluster.start_box(box)
 
-    def _refuses() -> bool:
+    def _refuses_while_starting() -> bool:
         try:
             return cluster.complete(box, 0).error["type"] == "box_starting"
         except Exception:
             return False
 
-    wait_until(_refuses, what="it refuses while it starts")
+    wait_until(_refuses_while_starting, what="the box answers box_starting")
     assert cluster.get(box, "/readyz").status == 503
     cluster.cut(f"{box}>platform")
     cluster.wait_ready([box])
@@ -168,14 +174,14 @@
         cluster.ask(BOXES[0], "show boxes", key="a wrong key")
     cluster.ask(BOXES[0], "show workloads")
 
-    def _logged() -> bool:
+    def _statement_is_logged() -> bool:
         lines = [line for line in cluster.log(BOXES[0]) if line.get("who") == "operator"]
         return any("show workloads" in line["text"] for line in lines)
 
-    wait_until(_logged, what="the statement is in the log with who asked")
+    wait_until(_statement_is_logged, what="the log has the statement and the operator")
 
 
-def test_changes_beyond_a_snapshot_reach_a_fresh_box(cluster: Cluster) -> None:
+def test_a_restarted_box_loads_the_snapshot_and_later_changes(cluster: Cluster) -> None:
     last = 0
     for number in range(510):
         statement = f"set workload minutes priority {number % 50}"
--- a/tests/faults/test_leaving.py
+++ b/tests/faults/test_leaving.py
@@ -1,4 +1,4 @@
-"""A leaving upstream gets no new work after a few seconds, whoever says that it leaves."""
+"""An upstream that is listed as leaving, drained or killed gets no new requests."""
 
 from __future__ import annotations
 
@@ -29,51 +29,51 @@
     return cluster.counters(engine)["runs"]
 
 
-def assert_quiet(cluster: Cluster, traffic: Traffic, engine: str) -> None:
-    """No request begins on the engine while many are answered elsewhere."""
+def assert_starts_no_runs(cluster: Cluster, traffic: Traffic, engine: str) -> None:
+    """Check that no request starts on the engine while other engines answer at least 60."""
     runs = runs_on(cluster, engine)
     before = traffic.answered
-    wait_until(lambda: traffic.answered > before + 60, what="traffic goes elsewhere")
+    wait_until(lambda: traffic.answered > before + 60, what="other engines answer requests")
     assert runs_on(cluster, engine) == runs
 
 
-def post_listed(cluster: Cluster, name: str, state: str) -> None:
+def set_listed_state(cluster: Cluster, name: str, state: str) -> None:
     body = json.dumps({"name": name, "kind": "upstream", "state": state}).encode()
     url = f"http://{cluster.addresses.platform}/list"
     assert cluster.pool.request("POST", url, body=body).status == 200
 
 
-def test_by_the_platforms_list(cluster: Cluster) -> None:
+def test_an_engine_listed_as_leaving_gets_no_new_requests(cluster: Cluster) -> None:
     with Traffic(cluster) as traffic:
         wait_until(lambda: runs_on(cluster, ENGINE) > 10, what="the engine is used")
-        post_listed(cluster, ENGINE, "leaving")
+        set_listed_state(cluster, ENGINE, "leaving")
         began = time.monotonic()
         wait_until(lambda: time.monotonic() - began > 3.0, what="a few seconds pass")
-        assert_quiet(cluster, traffic, ENGINE)
-        post_listed(cluster, ENGINE, "live")
+        assert_starts_no_runs(cluster, traffic, ENGINE)
+        set_listed_state(cluster, ENGINE, "live")
         runs = runs_on(cluster, ENGINE)
-        wait_until(lambda: runs_on(cluster, ENGINE) > runs + 5, what="it is used again")
+        wait_until(lambda: runs_on(cluster, ENGINE) > runs + 5, what="the engine is used again")
     assert traffic.wrong_outcomes == []
     assert traffic.failed == []
 
 
-def test_by_a_drain_statement(cluster: Cluster) -> None:
+def test_a_drained_engine_gets_no_new_requests(cluster: Cluster) -> None:
     with Traffic(cluster) as traffic:
         wait_until(lambda: runs_on(cluster, ENGINE) > 10, what="the engine is used")
         answer = cluster.ask(BOXES[3], f"drain {ENGINE}", wait_s=5.0)
         assert "in force on every box" in answer.text
-        assert_quiet(cluster, traffic, ENGINE)
+        assert_starts_no_runs(cluster, traffic, ENGINE)
         cluster.ask(BOXES[0], f"undrain {ENGINE}", wait_s=5.0)
         runs = runs_on(cluster, ENGINE)
-        wait_until(lambda: runs_on(cluster, ENGINE) > runs + 5, what="it is used again")
+        wait_until(lambda: runs_on(cluster, ENGINE) > runs + 5, what="the engine is used again")
     assert traffic.wrong_outcomes == []
     assert traffic.failed == []
 
 
-def test_a_drain_lets_running_requests_end(cluster: Cluster) -> None:
+def test_a_drain_lets_running_requests_finish(cluster: Cluster) -> None:
     cluster.ask(BOXES[0], "drain small-engine-2", wait_s=5.0)
     call = cluster.run_in_background(cluster.complete, BOXES[2], 1, tokens=200, stream=True)
-    wait_until(lambda: cluster.counters(ENGINE)["open_streams"] == 1, what="it runs")
+    wait_until(lambda: cluster.counters(ENGINE)["open_streams"] == 1, what="the stream opens")
     cluster.ask(BOXES[0], "undrain small-engine-2", wait_s=5.0)
     cluster.ask(BOXES[0], f"drain {ENGINE}", wait_s=5.0)
     reply = call.result()
@@ -81,26 +81,26 @@
     assert reply.streamed == cluster.expected(1, tokens=200)
 
 
-def test_by_failing(cluster: Cluster) -> None:
+def test_no_request_fails_a_few_seconds_after_an_engine_was_killed(cluster: Cluster) -> None:
     with Traffic(cluster) as traffic:
         wait_until(lambda: runs_on(cluster, ENGINE) > 10, what="the engine is used")
         cluster.kill(ENGINE)
         began = time.monotonic()
         wait_until(lambda: time.monotonic() - began > 4.0, what="a few seconds pass")
-        late = len(traffic.ended)
+        ended_before = len(traffic.ended)
         before = traffic.answered
-        wait_until(lambda: traffic.answered > before + 60, what="traffic goes elsewhere")
-        assert [item for item in traffic.ended[late:] if item.state != "answered"] == []
+        wait_until(lambda: traffic.answered > before + 60, what="other engines answer requests")
+        assert [item for item in traffic.ended[ended_before:] if item.state != "answered"] == []
         cluster.start_engine(ENGINE)
         wait_until(
-            lambda: cluster.processes[ENGINE].poll() is None and reachable(cluster, ENGINE),
-            what="the engine is back",
+            lambda: cluster.processes[ENGINE].poll() is None and is_reachable(cluster, ENGINE),
+            what="the engine answers again",
         )
-        wait_until(lambda: runs_on(cluster, ENGINE) > 5, what="it is used again")
+        wait_until(lambda: runs_on(cluster, ENGINE) > 5, what="the engine is used again")
     assert traffic.wrong_outcomes == []
 
 
-def reachable(cluster: Cluster, engine: str) -> bool:
+def is_reachable(cluster: Cluster, engine: str) -> bool:
     try:
         cluster.counters(engine)
     except Exception:
--- a/tests/faults/test_overload.py
+++ b/tests/faults/test_overload.py
@@ -1,4 +1,4 @@
-"""A load far over capacity: answers go on, refusals are at once and say when to come back."""
+"""Overload: some requests are still answered; refused ones did not run and name a retry time."""
 
 from __future__ import annotations
 
@@ -16,43 +16,43 @@
 DEADLINE = {"Springrock-Deadline-Ms": "3000"}
 
 
-def flood(cluster: Cluster, threads: int, stop: threading.Event) -> dict[str, Reply]:
-    """Callers that ask again at once, whatever they are told; replies by request id."""
-    ended: dict[str, Reply] = {}
+def send_until_stopped(cluster: Cluster, threads: int, stop: threading.Event) -> dict[str, Reply]:
+    """Send requests from each thread without a pause or backoff; return replies by request id."""
+    replies: dict[str, Reply] = {}
     numbers = itertools.count()
 
-    def _ask(number: int) -> None:
+    def _send_loop(number: int) -> None:
         while not stop.is_set():
             request_id = f"flood-{next(numbers)}"
             headers = {**DEADLINE, "Springrock-Request-Id": request_id}
             box = BOXES[number % 2]
-            ended[request_id] = cluster.complete(box, number % 3, tokens=40, headers=headers)
+            replies[request_id] = cluster.complete(box, number % 3, tokens=40, headers=headers)
 
-    workers = [threading.Thread(target=_ask, args=(number,)) for number in range(threads)]
+    workers = [threading.Thread(target=_send_loop, args=(number,)) for number in range(threads)]
     for worker in workers:
         worker.start()
     stop.wait()
     for worker in workers:
         worker.join()
-    return ended
+    return replies
 
 
-def test_goodput_stays_and_refusals_are_honest(tmp_path: Path) -> None:
+def test_overload_is_refused_without_running_and_with_a_retry_time(tmp_path: Path) -> None:
     with Cluster(tmp_path, SHAPE) as cluster:
         stop = threading.Event()
-        call = cluster.run_in_background(flood, cluster, 100, stop)
+        call = cluster.run_in_background(send_until_stopped, cluster, 100, stop)
         wait_until(
             lambda: cluster.metric(BOXES[0], "springrock_requests_total") > 400,
             within_s=60,
-            what="a long flood",
+            what="the box receives over 400 requests",
         )
         stop.set()
-        ended = call.result()
+        replies = call.result()
         runs = {record.request_id for record in cluster.runs()}
-        answered = [reply for reply in ended.values() if reply.status == 200]
-        refused = {name: reply for name, reply in ended.items() if reply.status != 200}
+        answered = [reply for reply in replies.values() if reply.status == 200]
+        refused = {name: reply for name, reply in replies.items() if reply.status != 200}
         assert answered
-        assert refused, "the flood was not over capacity"
+        assert refused, "the load did not exceed the capacity"
         for name, reply in refused.items():
             if reply.error["run_state"] == "not_run":
                 assert name not in runs
@@ -61,11 +61,11 @@
                 assert reply.error["type"] == "deadline_passed"
         assert cluster.violations() == {}
         wait_until(
-            lambda: cluster.counters("small-engine-1")["open_streams"] == 0, what="all quiet"
+            lambda: cluster.counters("small-engine-1")["open_streams"] == 0, what="all streams end"
         )
 
 
-def test_a_limit_holds_over_all_boxes(tmp_path: Path) -> None:
+def test_a_workload_limit_holds_across_boxes(tmp_path: Path) -> None:
     with Cluster(tmp_path, SHAPE) as cluster:
         cluster.ask(BOXES[0], "set workload minutes limit 4", wait_s=5.0)
         headers = {"Springrock-Workload": "minutes"}
@@ -74,10 +74,10 @@
             cluster.service(BOXES[number % 2], "join", headers=headers) for number in range(60)
         ]
         took_s = time.monotonic() - began
-        passed = sum(reply.status == 200 for reply in replies)
+        answered_count = sum(reply.status == 200 for reply in replies)
         refused = [reply for reply in replies if reply.status == 429]
-        # Both boxes may burst one second's part besides what the time allows.
-        assert passed <= 4 * took_s + 4 + 2
+        # Each box may also burst its share of one second's limit; 2 more requests are tolerated.
+        assert answered_count <= 4 * took_s + 4 + 2
         assert refused
         for reply in refused:
             assert reply.error["type"] == "rate_limited"
--- a/tests/faults/test_ownership.py
+++ b/tests/faults/test_ownership.py
@@ -1,4 +1,4 @@
-"""Ownership under failure: takeover, pauses, outages, cut zones, restarts of everything."""
+"""Replica ownership under failures: killed or paused owners, outages, partitions, restarts."""
 
 from __future__ import annotations
 
@@ -31,44 +31,44 @@
     with Traffic(cluster, boxes=other_boxes(cluster, owner)) as traffic:
         wait_until(lambda: traffic.answered > 20, what="traffic flows")
         cluster.kill(owner)
-        wait_until(lambda: cluster.owner_of(ENGINE) != owner, what="a takeover")
+        wait_until(lambda: cluster.owner_of(ENGINE) != owner, what="another box takes over")
         before = traffic.answered
         wait_until(lambda: traffic.answered > before + 50, what="traffic flows again")
     assert traffic.wrong_outcomes == []
     assert cluster.violations() == {}
 
 
-def test_a_paused_owner_wakes_and_does_no_harm(cluster: Cluster) -> None:
+def test_a_resumed_owner_causes_no_wrong_answers(cluster: Cluster) -> None:
     owner = cluster.owner_of(ENGINE)
     others = other_boxes(cluster, owner)
     with Traffic(cluster, boxes=others, adapters=8) as traffic:
         wait_until(lambda: traffic.answered > 20, what="traffic flows")
         cluster.pause(owner)
-        wait_until(lambda: cluster.owner_of(ENGINE) != owner, what="a takeover")
+        wait_until(lambda: cluster.owner_of(ENGINE) != owner, what="another box takes over")
         before = traffic.answered
         wait_until(lambda: traffic.answered > before + 30, what="traffic flows again")
         cluster.resume(owner)
         before = traffic.answered
-        wait_until(lambda: traffic.answered > before + 100, what="traffic flows on")
+        wait_until(lambda: traffic.answered > before + 100, what="traffic flows after the resume")
     assert traffic.wrong_outcomes == []
     assert cluster.violations() == {}
-    woken = cluster.complete(owner, 1)
-    assert woken.status == 200, woken.body
+    reply = cluster.complete(owner, 1)
+    assert reply.status == 200, reply.body
 
 
-def test_a_platform_outage_longer_than_the_lease_stops_nothing(cluster: Cluster) -> None:
+def test_a_platform_outage_longer_than_the_lease_fails_no_request(cluster: Cluster) -> None:
     owners = {name: cluster.owner_of(name) for name in cluster.addresses.engines}
     with Traffic(cluster, adapters=4) as traffic:
         wait_until(lambda: traffic.answered > 20, what="traffic flows")
         cluster.fault("platform", part="table", down=True)
         began = time.monotonic()
-        # Over three leases: everybody's lease has lapsed by then.
+        # Longer than three lease periods: every lease has expired by then.
         wait_until(lambda: time.monotonic() - began > 7.0, what="the outage lasts")
         before = traffic.answered
         wait_until(lambda: traffic.answered > before + 50, what="traffic flows in the outage")
         cluster.fault("platform", part="table")
         before = traffic.answered
-        wait_until(lambda: traffic.answered > before + 50, what="traffic flows after it")
+        wait_until(lambda: traffic.answered > before + 50, what="traffic flows after the outage")
     assert traffic.wrong_outcomes == []
     refused_in_outage = [item for item in traffic.failed if item.at > began]
     assert refused_in_outage == []
@@ -76,7 +76,7 @@
     assert cluster.violations() == {}
 
 
-def test_lost_answers_of_the_table_confuse_nobody(cluster: Cluster) -> None:
+def test_lost_table_answers_cause_no_wrong_outcomes(cluster: Cluster) -> None:
     with Traffic(cluster) as traffic:
         wait_until(lambda: traffic.answered > 20, what="traffic flows")
         for _ in range(5):
@@ -89,28 +89,29 @@
     cluster.wait_ready()
 
 
-def test_a_zone_cut_off_from_everything_serves_what_it_can(cluster: Cluster) -> None:
+def test_a_partitioned_zone_serves_its_loaded_adapters(cluster: Cluster) -> None:
     zone = "zone-2"
-    borders = cluster.routes_across_border(zone)
-    inside = cluster.boxes_in(zone)
+    border_routes = cluster.routes_across_border(zone)
+    zone_boxes = cluster.boxes_in(zone)
     for adapter in range(2):
-        assert cluster.complete(inside[0], adapter).status == 200
-    cluster.cut(*borders, cut=True)
+        assert cluster.complete(zone_boxes[0], adapter).status == 200
+    cluster.cut(*border_routes, cut=True)
     began = time.monotonic()
-    wait_until(lambda: time.monotonic() - began > 6.0, what="the zone's leases lapse")
-    for box in inside:
+    wait_until(lambda: time.monotonic() - began > 6.0, what="the zone's leases expire")
+    for box in zone_boxes:
         wait_until(
-            lambda box=box: cluster.complete(box, 0).status == 200, what=f"{box} serves alone"
+            lambda box=box: cluster.complete(box, 0).status == 200,
+            what=f"{box} serves in the cut-off zone",
         )
-    assert cluster.complete(inside[0], 1).text == cluster.expected(1)
-    outside = cluster.boxes_in("zone-1")[0]
-    assert cluster.complete(outside, 0).status == 200
-    cluster.cut(*borders)
+    assert cluster.complete(zone_boxes[0], 1).text == cluster.expected(1)
+    other_zone_box = cluster.boxes_in("zone-1")[0]
+    assert cluster.complete(other_zone_box, 0).status == 200
+    cluster.cut(*border_routes)
     cluster.wait_ready()
     assert cluster.violations() == {}
 
 
-def test_a_box_that_alone_cannot_reach_the_table_keeps_its_replicas(cluster: Cluster) -> None:
+def test_an_owner_that_cannot_reach_the_table_keeps_its_replicas(cluster: Cluster) -> None:
     owner = cluster.owner_of(ENGINE)
     cluster.cut(f"{owner}>platform", cut=True)
     began = time.monotonic()
@@ -122,7 +123,7 @@
     assert cluster.violations() == {}
 
 
-def test_a_restarted_engine_is_filled_again_and_nobody_is_lied_to(cluster: Cluster) -> None:
+def test_adapters_are_loaded_again_after_engine_restarts(cluster: Cluster) -> None:
     with Traffic(cluster, tokens=30) as traffic:
         wait_until(lambda: traffic.answered > 20, what="traffic flows")
         for _ in range(3):
@@ -133,7 +134,7 @@
     assert cluster.violations() == {}
 
 
-def test_a_load_that_fails_partway_is_tried_again(cluster: Cluster) -> None:
+def test_a_load_that_fails_partway_is_retried(cluster: Cluster) -> None:
     for name in cluster.addresses.engines:
         cluster.fault(name, fail_loads=1)
     reply = cluster.complete("zone-1-a", 9)
@@ -141,7 +142,7 @@
     assert reply.text == cluster.expected(9)
 
 
-def test_loads_that_always_fail_end_as_not_run(cluster: Cluster) -> None:
+def test_a_request_whose_loads_always_fail_is_reported_as_not_run(cluster: Cluster) -> None:
     for name in cluster.addresses.engines:
         cluster.fault(name, fail_loads=-1)
     reply = cluster.complete("zone-1-a", 9, headers={"Springrock-Request-Id": "never"})
@@ -152,7 +153,7 @@
     assert cluster.runs_of("never") == 0
 
 
-def test_two_faults_at_once_owner_killed_in_an_outage(cluster: Cluster) -> None:
+def test_an_owner_killed_during_a_table_outage_is_replaced_afterwards(cluster: Cluster) -> None:
     owner = cluster.owner_of(ENGINE)
     with Traffic(cluster, boxes=other_boxes(cluster, owner)) as traffic:
         wait_until(lambda: traffic.answered > 20, what="traffic flows")
@@ -161,7 +162,10 @@
         before = traffic.answered
         wait_until(lambda: traffic.answered > before + 30, what="the other replica serves")
         cluster.fault("platform", part="table")
-        wait_until(lambda: cluster.owner_of(ENGINE) != owner, what="a takeover after the outage")
+        wait_until(
+            lambda: cluster.owner_of(ENGINE) != owner,
+            what="another box takes over after the outage",
+        )
         before = traffic.answered
         wait_until(lambda: traffic.answered > before + 30, what="traffic flows again")
     assert traffic.wrong_outcomes == []
--- a/tests/faults/test_peers.py
+++ b/tests/faults/test_peers.py
@@ -1,4 +1,4 @@
-"""The peer port: strangers, malformed and oversized frames are rejected and harm nobody."""
+"""The peer port rejects unauthenticated peers and malformed frames; the box keeps serving."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
     )
 
 
-def shake_hands(connection: ClientConnection, name: str = "stranger") -> None:
+def exchange_hellos(connection: ClientConnection, name: str = "stranger") -> None:
     connection.send(wire.encode(wire.Hello(name, "zone-9", "1234", 0)))
     assert isinstance(wire.decode(connection.recv()), wire.Hello)
 
 
-def test_a_stranger_without_the_key_is_turned_away(cluster: Cluster) -> None:
+def test_a_peer_with_a_wrong_key_is_rejected(cluster: Cluster) -> None:
     with pytest.raises(InvalidStatus):
         dial(cluster, "a wrong key")
 
@@ -60,50 +60,50 @@
         cbor2.dumps([1, [[[[]]]]]),
     ],
 )
-def test_a_malformed_frame_cuts_the_link(cluster: Cluster, frame: bytes) -> None:
+def test_a_malformed_frame_closes_the_link(cluster: Cluster, frame: bytes) -> None:
     connection = dial(cluster)
-    shake_hands(connection)
+    exchange_hellos(connection)
     connection.send(frame)
     with pytest.raises(ConnectionClosed):
         while True:
             connection.recv(timeout=10)
 
 
-def test_a_message_of_an_unknown_kind_is_left_and_the_link_stays(cluster: Cluster) -> None:
+def test_a_message_of_an_unknown_kind_is_ignored_and_the_link_stays_open(cluster: Cluster) -> None:
     connection = dial(cluster)
-    shake_hands(connection)
+    exchange_hellos(connection)
     for _ in range(2):
-        connection.send(cbor2.dumps([99, "what a later build tells"]))
+        connection.send(cbor2.dumps([99, "a field of a later build"]))
     connection.send(wire.encode(wire.Probe(7)))
     answers: list[wire.PeerMessage] = []
 
-    def _is_answered() -> bool:
+    def _probe_is_answered() -> bool:
         answers.append(wire.decode(connection.recv(timeout=10)))
         return any(isinstance(item, wire.ProbeAnswer) and item.number == 7 for item in answers)
 
-    wait_until(_is_answered, what="the link still answers")
+    wait_until(_probe_is_answered, what="the link still answers")
     assert '"kind":99' in cluster.processes.log(BOX)
     connection.close()
 
 
-def test_an_oversized_frame_cuts_the_link(cluster: Cluster) -> None:
+def test_an_oversized_frame_closes_the_link(cluster: Cluster) -> None:
     connection = dial(cluster)
-    shake_hands(connection)
+    exchange_hellos(connection)
     with pytest.raises(ConnectionClosed):
         connection.send(b"\0" * 2_000_000)
         while True:
             connection.recv(timeout=10)
 
 
-def test_a_link_that_never_says_hello_is_closed(cluster: Cluster) -> None:
+def test_a_link_that_sends_no_hello_is_closed(cluster: Cluster) -> None:
     connection = dial(cluster)
     with pytest.raises(ConnectionClosed):
         while True:
             connection.recv(timeout=10)
 
 
-def test_a_permit_that_nobody_waits_for_is_returned(cluster: Cluster) -> None:
-    """A peer that asks and goes away leaves a permit only until its time is over."""
+def test_a_permit_of_a_disconnected_peer_expires(cluster: Cluster) -> None:
+    """A permit granted to a peer that disconnects is outstanding only until it expires."""
     owner = cluster.owner_of("small-engine-1")
     connection = connect(
         f"ws://{cluster.addresses.peers[owner]}/",
@@ -112,7 +112,7 @@
         proxy=None,
         legacy=True,
     )
-    shake_hands(connection, "leaver")
+    exchange_hellos(connection, "leaver")
     ask = wire.Ask(1, "gone-1", "small-engine-1", "", "default", 1.0, 0, 1, 1.0)
     connection.send(wire.encode(ask))
     while not isinstance(wire.decode(connection.recv(timeout=10)), wire.Grant):
@@ -121,5 +121,5 @@
     connection.close()
     wait_until(
         lambda: cluster.metric(owner, "springrock_permits_outstanding") == 0,
-        what="the permit is over",
+        what="the permit expires",
     )
--- a/tests/faults/test_stop.py
+++ b/tests/faults/test_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop cuts no request, of any box, under load."""
+"""A planned stop of a box interrupts no request at any box, also under load."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from tests.traffic import Traffic
 
 
-def test_a_rolling_replacement_of_all_boxes_cuts_nothing(tmp_path: Path) -> None:
+def test_a_rolling_restart_of_all_boxes_interrupts_no_request(tmp_path: Path) -> None:
     with Cluster(tmp_path, Shape.from_small()) as cluster:
         boxes = cluster.shape.box_names
         owners = {engine: cluster.owner_of(engine) for engine in cluster.addresses.engines}
         for box in boxes:
             others = [name for name in boxes if name != box]
-            with Traffic(cluster, boxes=others) as elsewhere:
-                # These are open in the box when it is told to stop.
+            with Traffic(cluster, boxes=others) as others_traffic:
+                # These requests are still open when the box receives the stop signal.
                 calls = [
                     cluster.run_in_background(
                         cluster.complete, box, number, tokens=100, stream=True
@@ -28,27 +28,27 @@
                     lambda box=box: (
                         cluster.metric(box, "springrock_first_token_seconds_count") >= 4
                     ),
-                    what="they run",
+                    what="all four streams have started",
                 )
                 cluster.terminate(box)
                 replies = [call.result() for call in calls]
                 assert cluster.processes[box].wait(timeout=30) == 0
-                before = elsewhere.answered
+                before = others_traffic.answered
                 wait_until(
-                    lambda traffic=elsewhere, before=before: traffic.answered > before + 20,
-                    what="the others serve",
+                    lambda traffic=others_traffic, before=before: traffic.answered > before + 20,
+                    what="the other boxes answer requests",
                 )
             for number, reply in enumerate(replies):
                 assert reply.whole, reply.body[-300:]
                 assert reply.streamed == cluster.expected(number, tokens=100)
-            assert elsewhere.failed == []
+            assert others_traffic.failed == []
             assert box not in {cluster.owner_of(engine) for engine in owners}
             cluster.start_box(box)
             cluster.wait_ready([box])
         assert cluster.violations() == {}
 
 
-def test_all_boxes_replaced_at_once_after_crashes(tmp_path: Path) -> None:
+def test_requests_are_served_after_all_boxes_were_killed_and_restarted(tmp_path: Path) -> None:
     with Cluster(tmp_path, Shape.from_small()) as cluster:
         assert cluster.complete("zone-1-a", 1).status == 200
         for box in cluster.shape.box_names:
@@ -62,12 +62,12 @@
         assert cluster.violations() == {}
 
 
-def test_a_stop_statement_stops_as_planned(tmp_path: Path) -> None:
+def test_a_stop_statement_lets_running_requests_finish(tmp_path: Path) -> None:
     with Cluster(tmp_path, Shape.from_small()) as cluster:
         call = cluster.run_in_background(cluster.complete, "zone-1-a", 1, tokens=100, stream=True)
         wait_until(
             lambda: cluster.metric("zone-1-a", "springrock_first_token_seconds_count") >= 1,
-            what="it runs",
+            what="the stream has started",
         )
         cluster.ask("zone-2-b", "stop box zone-1-a")
         assert call.result().whole
