--- a/tests/faults/test_answers.py
+++ b/tests/faults/test_answers.py
@@ -1,4 +1,4 @@
-"""Answers stay complete and correct when engines fail, corrupt, repeat or mix up output."""
+"""Callers get complete and correct answers, or typed errors, when engines or callers fail."""
 
 from __future__ import annotations
 
--- a/tests/faults/test_at_most_once.py
+++ b/tests/faults/test_at_most_once.py
@@ -16,6 +16,7 @@
 
 
 def not_repeatable(request_id: str) -> dict[str, str]:
+    """Return the headers of a request that may run at most once."""
     return {"Springrock-Request-Id": request_id, "Springrock-Repeatable": "no"}
 
 
@@ -124,7 +125,7 @@
     assert cluster.counters("small-service-1")["runs"]["freed-1"] == 1
 
 
-def test_requests_refused_as_not_run_reach_no_upstream(cluster: Cluster) -> None:
+def test_requests_refused_as_not_run_are_run_by_no_engine(cluster: Cluster) -> None:
     box = BOXES[0]
     refusals = {
         "malformed": cluster.complete(
--- a/tests/faults/test_configuration.py
+++ b/tests/faults/test_configuration.py
@@ -25,6 +25,7 @@
 
 
 def revision_on(cluster: Cluster, box: str) -> int:
+    """Return the configuration revision that a ready box has applied."""
     rows = cluster.ask(box, "show boxes").rows
     return next(int(row[3]) for row in rows if row[0] == box and row[2] == "ready")
 
@@ -90,9 +91,9 @@
     request = StatementRequest(
         statement="create adapter base:retried version 1", command_id="the-same"
     )
-    address = cluster.addresses.operators
-    first = send_statement(address[BOXES[0]], request, key=OPERATOR_KEY)
-    retried = send_statement(address[BOXES[3]], request, key=OPERATOR_KEY)
+    operator_addresses = cluster.addresses.operators
+    first = send_statement(operator_addresses[BOXES[0]], request, key=OPERATOR_KEY)
+    retried = send_statement(operator_addresses[BOXES[3]], request, key=OPERATOR_KEY)
     assert first.revision == retried.revision
 
 
@@ -100,15 +101,15 @@
     request = StatementRequest(
         statement="create adapter base:lost-answer version 1", command_id="lost-answer"
     )
-    address = cluster.addresses.operators
+    operator_addresses = cluster.addresses.operators
     cluster.fault("platform", part="table", lose_answers=-1)
     with pytest.raises(StatementError):
-        send_statement(address[BOXES[0]], request, key=OPERATOR_KEY)
+        send_statement(operator_addresses[BOXES[0]], request, key=OPERATOR_KEY)
     cluster.fault("platform", part="table")
 
     def _retry_command() -> int:
         try:
-            return send_statement(address[BOXES[1]], request, key=OPERATOR_KEY).revision
+            return send_statement(operator_addresses[BOXES[1]], request, key=OPERATOR_KEY).revision
         except StatementError:
             return 0
 
@@ -121,9 +122,10 @@
 def test_a_partitioned_box_never_reverts_its_configuration(cluster: Cluster) -> None:
     box = BOXES[3]
     others = list(BOXES[:3])
-    newest = max(revision_on(cluster, other) for other in others)
+    newest_revision = max(revision_on(cluster, other) for other in others)
     wait_until(
-        lambda: revision_on(cluster, box) >= newest, what="the box applies all earlier changes"
+        lambda: revision_on(cluster, box) >= newest_revision,
+        what="the box applies all earlier changes",
     )
     before = revision_on(cluster, box)
     inbound_routes = cluster.routes(sources=others, targets=[box])
@@ -182,13 +184,14 @@
 
 
 def test_a_restarted_box_loads_the_snapshot_and_later_changes(cluster: Cluster) -> None:
-    last = 0
+    last_revision = 0
+    # More changes than the 500 between two snapshots.
     for number in range(510):
         statement = f"set workload minutes priority {number % 50}"
-        last = cluster.ask(BOXES[0], statement).revision
-    assert last > 510
+        last_revision = cluster.ask(BOXES[0], statement).revision
+    assert last_revision > 510
     cluster.kill(BOXES[1])
     cluster.start_box(BOXES[1])
     cluster.wait_ready([BOXES[1]])
-    assert revision_on(cluster, BOXES[1]) >= last
+    assert revision_on(cluster, BOXES[1]) >= last_revision
     assert cluster.complete(BOXES[1], 5).status == 200
--- a/tests/faults/test_leaving.py
+++ b/tests/faults/test_leaving.py
@@ -1,4 +1,4 @@
-"""An upstream that is listed as leaving, drained or killed gets no new requests."""
+"""A few seconds after an engine is listed as leaving, drained or killed, it gets no requests."""
 
 from __future__ import annotations
 
@@ -26,11 +26,12 @@
 
 
 def runs_on(cluster: Cluster, engine: str) -> int:
+    """Return how many requests the engine has run."""
     return cluster.counters(engine)["runs"]
 
 
 def assert_starts_no_runs(cluster: Cluster, traffic: Traffic, engine: str) -> None:
-    """Check that no request starts on the engine while other engines answer at least 60."""
+    """Check that the engine starts no request while other engines answer many."""
     runs = runs_on(cluster, engine)
     before = traffic.answered
     wait_until(lambda: traffic.answered > before + 60, what="other engines answer requests")
@@ -38,6 +39,7 @@
 
 
 def set_listed_state(cluster: Cluster, name: str, state: str) -> None:
+    """Set the state of an upstream in the platform's list."""
     body = json.dumps({"name": name, "kind": "upstream", "state": state}).encode()
     url = f"http://{cluster.addresses.platform}/list"
     assert cluster.pool.request("POST", url, body=body).status == 200
--- a/tests/faults/test_overload.py
+++ b/tests/faults/test_overload.py
@@ -1,4 +1,4 @@
-"""Overload: some requests are still answered; refused ones did not run and name a retry time."""
+"""Load far over capacity: requests are still answered, and refusals name a retry time."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 SHAPE = Shape.from_small(zones=1, boxes_per_zone=2, engines=1)
 BOXES = ("zone-1-a", "zone-1-b")
-DEADLINE = {"Springrock-Deadline-Ms": "3000"}
+DEADLINE_HEADERS = {"Springrock-Deadline-Ms": "3000"}
 
 
 def send_until_stopped(cluster: Cluster, threads: int, stop: threading.Event) -> dict[str, Reply]:
@@ -24,7 +24,7 @@
     def _send_loop(number: int) -> None:
         while not stop.is_set():
             request_id = f"flood-{next(numbers)}"
-            headers = {**DEADLINE, "Springrock-Request-Id": request_id}
+            headers = {**DEADLINE_HEADERS, "Springrock-Request-Id": request_id}
             box = BOXES[number % 2]
             replies[request_id] = cluster.complete(box, number % 3, tokens=40, headers=headers)
 
@@ -37,7 +37,7 @@
     return replies
 
 
-def test_overload_is_refused_without_running_and_with_a_retry_time(tmp_path: Path) -> None:
+def test_overload_keeps_goodput_and_refused_requests_do_not_run(tmp_path: Path) -> None:
     with Cluster(tmp_path, SHAPE) as cluster:
         stop = threading.Event()
         call = cluster.run_in_background(send_until_stopped, cluster, 100, stop)
@@ -76,7 +76,7 @@
         took_s = time.monotonic() - began
         answered_count = sum(reply.status == 200 for reply in replies)
         refused = [reply for reply in replies if reply.status == 429]
-        # Each box may also burst its share of one second's limit; 2 more requests are tolerated.
+        # Besides the rate, both boxes may use up a burst of their share of one second's limit.
         assert answered_count <= 4 * took_s + 4 + 2
         assert refused
         for reply in refused:
--- a/tests/faults/test_ownership.py
+++ b/tests/faults/test_ownership.py
@@ -38,7 +38,7 @@
     assert cluster.violations() == {}
 
 
-def test_a_resumed_owner_causes_no_wrong_answers(cluster: Cluster) -> None:
+def test_a_paused_and_resumed_owner_causes_no_wrong_outcomes(cluster: Cluster) -> None:
     owner = cluster.owner_of(ENGINE)
     others = other_boxes(cluster, owner)
     with Traffic(cluster, boxes=others, adapters=8) as traffic:
@@ -111,7 +111,7 @@
     assert cluster.violations() == {}
 
 
-def test_an_owner_that_cannot_reach_the_table_keeps_its_replicas(cluster: Cluster) -> None:
+def test_the_only_box_that_cannot_reach_the_table_keeps_its_replicas(cluster: Cluster) -> None:
     owner = cluster.owner_of(ENGINE)
     cluster.cut(f"{owner}>platform", cut=True)
     began = time.monotonic()
@@ -123,7 +123,7 @@
     assert cluster.violations() == {}
 
 
-def test_adapters_are_loaded_again_after_engine_restarts(cluster: Cluster) -> None:
+def test_engine_restarts_cause_no_wrong_outcomes(cluster: Cluster) -> None:
     with Traffic(cluster, tokens=30) as traffic:
         wait_until(lambda: traffic.answered > 20, what="traffic flows")
         for _ in range(3):
