--- a/springrock/coordination/members.py
+++ b/springrock/coordination/members.py
@@ -47,15 +47,15 @@
 class Members:
     """Scans the session rows and keeps the newest state of every box.
 
-    While nothing is wrong in the zone the rows are scanned rarely, as this box learns of urgent
-    changes over its links.
+    The rows are scanned rarely while the zone has no faults, as this box receives urgent changes
+    over its links.
 
     Args:
         platform: The platform client.
         lease: How often to scan, and when a session that is not renewed lapses.
         zone: This box's availability zone, whose rows are scanned more often.
-        is_scan_urgent: Returns whether something is wrong in the zone, so that its rows are to be
-            scanned at the short interval.
+        is_scan_urgent: Returns whether the zone has a fault, so that its rows are to be scanned
+            at the short interval.
         log: The log to write to.
         on_change: Called when the set of live boxes, or an incarnation of one, has changed.
     """
--- a/springrock/coordination/permits.py
+++ b/springrock/coordination/permits.py
@@ -1,4 +1,4 @@
-"""Permits: the books of the owner, which grants them, and of the holder, which uses them.
+"""Permits: the records of the owner, which grants them, and of the holder, which uses them.
 
 A permit allows a box to run one request on a replica with an adapter. It limits the time until the
 request is sent and the time until it ends. Each side measures with its own monotonic clock: the
--- a/springrock/forwarding/choosing.py
+++ b/springrock/forwarding/choosing.py
@@ -39,9 +39,9 @@
 _SHORT_DEADLINE_RATIO = 0.93
 """A deadline below this fraction of the longest one of its route counts as shortened."""
 
-_MAX_PLACER_ASKS = 3
-"""How often a placer is asked in a row when its grants are unusable because the replica has
-meanwhile reported that it leaves, backs off or is at its limit."""
+_MAX_PLACER_REQUESTS = 3
+"""How many grants of placers a request tries in a row. A grant is unusable if the replica has since
+reported that it is leaving, backing off or at its limit."""
 
 _RETRY_AFTER_JITTER_S = 0.5
 """Range of the random delay added to Retry-After while replicas back off. Without it all rejected
@@ -239,8 +239,8 @@
                 return granted
             try:
                 return self._find_without_placer(progress, key)
-            except NoReplica as refusal:
-                if refusal.reason in _ZONE_OBSTACLES or not self._adapters.await_placer(
+            except NoReplica as rejection:
+                if rejection.reason in _ZONE_OBSTACLES or not self._adapters.await_placer(
                     until=until
                 ):
                     raise
@@ -258,7 +258,7 @@
     ) -> ChosenReplica | None:
         """Return the replica that a placer grants; None without a placer or a usable grant."""
         without_permit: frozenset[str] = frozenset()
-        for _ in range(_MAX_PLACER_ASKS):
+        for _ in range(_MAX_PLACER_REQUESTS):
             adapter_request = self._adapter_request(progress, key, until=until)
             use = self._adapters.find(
                 adapter_request._replace(avoid=adapter_request.avoid | without_permit)
@@ -328,8 +328,8 @@
         """Return a replica chosen from this box's own state, as no placer answers."""
         try:
             picked = self._choose(progress)
-        except NoReplica as refusal:
-            if refusal.reason in (*_ZONE_OBSTACLES, *METERED):
+        except NoReplica as rejection:
+            if rejection.reason in (*_ZONE_OBSTACLES, *METERED):
                 raise
             raise NoReplica("no_placer_heard", _NO_PLACER_RETRY_S) from None
         use = self._adapters.use(picked.replica.instance, key)
--- a/springrock/forwarding/directory.py
+++ b/springrock/forwarding/directory.py
@@ -16,7 +16,7 @@
 from springrock.forwarding.message import AdapterKey
 from springrock.log import Log
 
-_LATE_ROW_S = 5.0
+_LATE_RECORD_WINDOW_S = 5.0
 """How long a record with a lower sequence counts as a late write and is deferred. After that the
 replica no longer repeats the record with the higher sequence, so the lower one is its current
 state."""
@@ -273,7 +273,7 @@
         # is final.
         if known is None or record.leaving or not 0 < record.sequence < known.record.sequence:
             return False
-        if monotonic() - known.recorded_at > _LATE_ROW_S:
+        if monotonic() - known.recorded_at > _LATE_RECORD_WINDOW_S:
             return False
         self._deferred[record.replica_id] = record
         self._log_record(record, "Deferred an out-of-date record of a replica.")
@@ -289,7 +289,7 @@
         """Apply the deferred records that no newer record followed in time."""
         for replica_id, record in list(self._deferred.items()):
             known = self._replicas.get(record.instance)
-            if known is None or monotonic() - known.recorded_at > _LATE_ROW_S:
+            if known is None or monotonic() - known.recorded_at > _LATE_RECORD_WINDOW_S:
                 del self._deferred[replica_id]
                 self._apply(record)
 
--- a/springrock/forwarding/door.py
+++ b/springrock/forwarding/door.py
@@ -129,7 +129,7 @@
             request_end.run(outcome)
 
     def _record_disconnect(self, environ: dict[str, Any]) -> None:
-        self._log.info("A client left.", target=environ[TARGET_KEY])
+        self._log.info("A client disconnected.", target=environ[TARGET_KEY])
 
     def record_finished(self, outcome: str, seconds: float) -> None:
         """Record the end of a request."""
--- a/springrock/forwarding/evacuations.py
+++ b/springrock/forwarding/evacuations.py
@@ -15,15 +15,15 @@
 from springrock.log import Log
 from springrock.topology import Topology
 
-_ANNOUNCED_PART = 0.4
-"""The longest announcement, as a part of the bound, from when this box learned of the evacuation.
-Some tens of adapters can be loaded elsewhere in two seconds. The rest of the bound allows for boxes
-that learn of the evacuation late."""
+_ANNOUNCED_FRACTION = 0.4
+"""The longest time between announcement and cut, as a fraction of the bound `within_s`. It
+starts when this box learned of the evacuation. Some tens of adapters can be loaded elsewhere in two
+seconds. The rest of the bound allows for boxes that learn of the evacuation late."""
 
-_CUT_PART = 0.8
-"""The latest time of the cut, as a part of the bound. It counts from the last moment at which the
-evacuation was certainly not acknowledged yet. The rest of the bound allows for requests that are
-sent just before the cut, and for one TCP retransmission."""
+_CUT_FRACTION = 0.8
+"""The latest time of the cut, as a fraction of the bound. It is measured from the last moment at
+which the evacuation was certainly not acknowledged yet. The rest of the bound allows for requests
+that are sent just before the cut, and for one TCP retransmission."""
 
 DEFAULT_WITHIN_S = 5.0
 """The default bound, from the acknowledgement of an evacuation to the last request to the zone."""
@@ -161,16 +161,16 @@
         )
         self._notify(zone, True)
         if announced_s:
-            gevent.spawn(self._cut_on_time, zone, evacuation)
+            gevent.spawn(self._cut_when_due, zone, evacuation)
         else:
             self._cut(zone)
 
     def _announced_s(self, age_s: float) -> float:
         """Return the seconds between announcement and cut; 0 or less to cut at once."""
         within_s = self._within_s()
-        return min(_ANNOUNCED_PART * within_s, _CUT_PART * within_s - age_s)
+        return min(_ANNOUNCED_FRACTION * within_s, _CUT_FRACTION * within_s - age_s)
 
-    def _cut_on_time(self, zone: str, evacuation: _Evacuation) -> None:
+    def _cut_when_due(self, zone: str, evacuation: _Evacuation) -> None:
         # The sleep may end slightly before `cut_at` by the monotonic clock.
         while (left_s := evacuation.cut_at - monotonic()) > 0:
             gevent.sleep(left_s)
--- a/springrock/forwarding/health.py
+++ b/springrock/forwarding/health.py
@@ -21,7 +21,7 @@
 
 _FAILURE_HALF_LIFE_S = 20.0
 """How fast past failures lose their effect on the choice of replicas. Without this decay a replica
-that gets no requests would never get the chance to show a success."""
+that failed might get no more requests, and so could not reduce its rate by a success."""
 
 
 class Health:
--- a/springrock/forwarding/keys.py
+++ b/springrock/forwarding/keys.py
@@ -23,8 +23,8 @@
 
 _MAX_STALENESS_TO_REJECT_S = 2.0
 """The greatest staleness of the configuration at which a missing key counts as unknown. Beyond it,
-the key may be new: boxes that get the readings of other boxes learn of a change within 1.3 s of
-their last update."""
+the key may be new: a box that gets the store's rows from other boxes learns of a change within
+1.3 s of its last update."""
 
 _RETRY_S = 0.5
 """The Retry-After value while keys are not trusted: a box that has lost contact with the store and
--- a/springrock/forwarding/notices.py
+++ b/springrock/forwarding/notices.py
@@ -26,11 +26,11 @@
 
 
 class ReplicaNotices:
-    """Applies notices to the directory and the named limits, before answers are used otherwise.
+    """Applies notices to the directory and the rate limits, before answers are used otherwise.
 
     Args:
         directory: The known replicas.
-        limits: Records the limits that replicas name.
+        limits: Records the rate limits that replicas state in their notices.
         log: The log to write to.
         count: Called with the kind of each part of a notice, such as "leaving".
 
@@ -57,7 +57,7 @@
     def handle_answer(self, replica: Replica, notice: ReplicaNotice, *, sent_at: float) -> None:
         """Apply the notice in the answer to a client's request.
 
-        If the notice names no limit, the replica has no limit any more. That does not hold for
+        If the notice states no limit, the replica has no limit any more. That does not hold for
         answers to control calls, such as orders and reports; pass their notices to `apply`.
 
         Args:
--- a/springrock/forwarding/request_progress.py
+++ b/springrock/forwarding/request_progress.py
@@ -15,7 +15,7 @@
 from springrock.forwarding.message import ClientRequest
 
 _DEFAULT_DEADLINE_S = 60.0
-_MIN_FIRST_EVENT_TIMEOUT_S = 2.0
+_MIN_EVENT_TIMEOUT_S = 2.0
 _TARGETS_PER_TIMEOUT = 4
 _GAPS_PER_TIMEOUT = 8
 
@@ -118,7 +118,7 @@
         if route.timeout_s is not None:
             deadlines_s.append(route.timeout_s)
         self.ends_at = received_at + min(deadlines_s)
-        self.first_event_deadline = min(self.ends_at, received_at + self.first_event_timeout_s)
+        self.first_event_deadline = min(self.ends_at, received_at + self.event_timeout_s)
         self.last_event_id = request.last_event_id
         self.resuming = False
         self.bounds = _intersect_bounds(route, admission)
@@ -135,12 +135,12 @@
         return self.route.priority if team is None or team.priority is None else team.priority
 
     @property
-    def first_event_timeout_s(self) -> float:
-        """Seconds that the client of a stream waits for the next event."""
+    def event_timeout_s(self) -> float:
+        """Seconds that a client waits for an event of a stream, as estimated from its route."""
         if not self.streaming:
             return _DEFAULT_DEADLINE_S
         return max(
-            _MIN_FIRST_EVENT_TIMEOUT_S,
+            _MIN_EVENT_TIMEOUT_S,
             _TARGETS_PER_TIMEOUT * self.route.target_s,
             _GAPS_PER_TIMEOUT * self.route.gap_s,
         )
--- a/springrock/forwarding/streaming.py
+++ b/springrock/forwarding/streaming.py
@@ -102,7 +102,7 @@
 
     def _read_next(self, answer: Answer) -> bytes:
         progress = self._progress
-        stall_s = _STALL_TIMEOUT_S if progress.may_run_again else progress.first_event_timeout_s
+        stall_s = _STALL_TIMEOUT_S if progress.may_run_again else progress.event_timeout_s
         try:
             return self._read_events(answer, timeout_s=min(stall_s, progress.left_s))
         except OutcomeUnknown as error:
--- a/springrock/policies/__init__.py
+++ b/springrock/policies/__init__.py
@@ -37,8 +37,8 @@
     Attributes:
         adapter: ``ADAPTER@VERSION``.
         waiting: Number of requests that wait for it.
-        worth_in_time: Total worth of the requests that can still complete before their deadlines
-            if the adapter is loaded now.
+        worth_in_time: Total worth, as stated by their callers, of the requests that can still
+            complete before their deadlines if the adapter is loaded now.
         oldest_at: Arrival time of the oldest of these requests.
         first_deadline_at: Earliest of the times by which these requests must start.
         order: Position of the adapter in order of arrival of its first waiting request.
--- a/springrock/policies/eviction.py
+++ b/springrock/policies/eviction.py
@@ -8,11 +8,15 @@
 from springrock.policies import Resident, evictions
 
 _UNUSED_LOAD_PROTECTION_S = 5.0
-"""An adapter that no request has used yet is spared this long, so that its load is not wasted."""
+"""How long a loaded adapter that no request has used yet is evicted only if all others are also
+protected, so that its load is not wasted."""
 
 
 class ValueEviction:
-    """Unloads the adapter with the lowest decayed request rate; spares fresh loads if possible."""
+    """Unloads the adapter with the lowest decayed request rate.
+
+    Recently loaded adapters that no request has used yet are unloaded only if there are no others.
+    """
 
     def victim(self, residents: Sequence[Resident], *, now: float) -> Resident:
         """Return the adapter to unload; `residents` is not empty."""
--- a/springrock/policies/load_order.py
+++ b/springrock/policies/load_order.py
@@ -1,4 +1,4 @@
-"""Load order policies: worth that can still be served in time, or order of arrival."""
+"""Load order policies: by the worth of the waiting requests, or in order of arrival."""
 
 from __future__ import annotations
 
@@ -7,13 +7,14 @@
 from springrock.policies import Want, load_orders
 
 _MAX_ADAPTER_WAIT_S = 4.0
-"""An adapter whose oldest request has waited longer goes first: rare adapters do not starve."""
+"""An adapter whose oldest request has waited longer is loaded first, so that rarely requested
+adapters do not starve."""
 
 
 class WorthOrder:
-    """Loads the adapter with the most worth in time first.
+    """Loads first the adapter whose requests have the most worth among those still in time.
 
-    Adapters whose requests have waited too long go before the others.
+    Adapters whose requests have waited too long are loaded before the others.
     """
 
     def next(self, wants: Sequence[Want], *, now: float) -> Want:
--- a/springrock/policies/routing.py
+++ b/springrock/policies/routing.py
@@ -10,6 +10,7 @@
 _OTHER_ZONE_DELAY_S = 0.004
 _SAME_ZONE_DELAY_S = 0.0005
 _FULL_SLOTS_LOAD_FACTOR = 1.25
+"""Multiplies the load time at a replica that must unload another adapter first."""
 
 
 def _batch_wait_s(candidate: Candidate) -> float:
--- a/springrock/quarantine/book.py
+++ b/springrock/quarantine/book.py
@@ -54,7 +54,7 @@
     a request that crashes replicas does not complete.
 
     Args:
-        terms: Returns what leads to the quarantine of a request.
+        terms: Returns the rules by which requests are quarantined.
         log: The log to write to.
     """
 
@@ -91,13 +91,13 @@
 
         It may not if one more crash would quarantine it. An immediate retry runs together with the
         other requests that failed at the same crash, so they would all be counted at the next one.
-        The client may send the request again later, by itself.
+        A later retry by the client is allowed.
         """
         if fingerprint not in self._keys_by_request:
             return True
         return len(self._crashes_of(fingerprint)) < max(1, self._terms().crashes - 1)
 
-    # What this box observed itself.
+    # Crashes that this box observed itself.
 
     def hold(self, key: str, report: CrashReport) -> None:
         """Count one of this box's own reports; it may be replaced by a longer one until written."""
@@ -125,7 +125,7 @@
         if self._keys_by_request.pop(fingerprint, None) is not None:
             self._release(fingerprint)
 
-    # What boxes have reported in the store.
+    # Crashes that boxes have reported in the store.
 
     def replace(self, rows: Sequence[Row]) -> None:
         """Apply a read of the whole table; drop reports that were read before and are gone now."""
--- a/springrock/quarantine/crash_detector.py
+++ b/springrock/quarantine/crash_detector.py
@@ -102,7 +102,7 @@
     def _withdraw(self, crash: _SuspectedCrash, why: str) -> None:
         del self._suspected[crash.record.instance]
         self._book.withdraw(crash.key)
-        self._say("Requests broke at a replica that has not crashed.", crash, why=why)
+        self._log_crash("Requests broke at a replica that has not crashed.", crash, why=why)
 
     def _publish_report(self, crash: _SuspectedCrash) -> None:
         instance = crash.record.instance
@@ -110,14 +110,14 @@
             return
         del self._suspected[instance]
         self._reports.publish(crash.key, self._report(crash))
-        self._say("A replica crashed under requests.", crash)
+        self._log_crash("A replica crashed under requests.", crash)
 
-    def _say(self, sentence: str, crash: _SuspectedCrash, **more: object) -> None:
+    def _log_crash(self, message: str, crash: _SuspectedCrash, **fields: object) -> None:
         self._log.info(
-            sentence,
+            message,
             instance=crash.record.instance,
             service=crash.record.service,
             count=len(crash.requests),
             fingerprints=[item.short for item in crash.requests[:_MAX_LOGGED_FINGERPRINTS]],
-            **more,
+            **fields,
         )
--- a/springrock/quarantine/quarantine.py
+++ b/springrock/quarantine/quarantine.py
@@ -19,8 +19,8 @@
     Args:
         box: The name of this box.
         store: The store.
-        table: The table that all boxes follow.
-        terms: Returns what leads to the quarantine of a request.
+        table: The name of the table in the store that all boxes follow.
+        terms: Returns the rules by which requests are quarantined.
         metrics: The metrics in which the number of quarantined requests is shown.
         log: The log to write to.
 
@@ -47,7 +47,7 @@
         )
 
     def write_again(self, rows: Sequence[Row]) -> None:
-        """Write again those crash reports among some rows that a restored store has lost."""
+        """Write the crash reports among some rows again, as a restored store has lost them."""
         self._reporter.write_again(rows)
 
     def start(self) -> None:
--- a/springrock/quarantine/reporter.py
+++ b/springrock/quarantine/reporter.py
@@ -45,8 +45,8 @@
     Args:
         store: The store.
         box: The name of this box.
-        table: The table that all boxes follow.
-        book: Knows the versions of rows that were read, and which are stale.
+        table: The name of the table in the store that all boxes follow.
+        book: Has the versions of the rows that were read, and finds stale rows.
         terms: Returns how long a crash counts against a request.
         log: The log to write to.
     """
--- a/springrock/quarantine/terms.py
+++ b/springrock/quarantine/terms.py
@@ -6,13 +6,13 @@
 
 
 class QuarantineTerms(NamedTuple):
-    """What leads to the quarantine of a request.
+    """The rules by which requests are quarantined.
 
     Attributes:
-        crashes: How many replicas must have crashed while running it, without a completed run
-            since.
-        for_s: For how many seconds a crash counts against it. After that the cause may have been
-            repaired.
+        crashes: How many replicas must have crashed while running a request, without a
+            completed run since.
+        for_s: For how many seconds a crash counts against a request. After that the cause may
+            have been repaired.
     """
 
     crashes: int = 3
--- a/springrock/serving/answer.py
+++ b/springrock/serving/answer.py
@@ -24,7 +24,7 @@
 from springrock.serving.router import Permitted
 from springrock.wire.engine import EngineRequest
 
-RESUMES_WITHOUT_PROGRESS = 3
+MAX_RESUMES_WITHOUT_PROGRESS = 3
 RESUME_PAUSE_S = 0.05
 _CANCEL_INTERVAL_S = 0.5
 BROKEN_RETRY_AFTER_S = 1.0
@@ -63,7 +63,7 @@
         self._log = log
         self._metrics = metrics
         self._closed = False
-        self._resumes_left = RESUMES_WITHOUT_PROGRESS
+        self._resumes_left = MAX_RESUMES_WITHOUT_PROGRESS
         self._events = iter(stream)
         self._first: StreamEvent | None = None
         self._ends_at = permitted.held.ends_at
@@ -77,7 +77,7 @@
         """Number of tokens received."""
         return self._stream.position
 
-    def pull_first(self) -> None:
+    def wait_for_first_event(self) -> None:
         """Wait for the first event.
 
         Raises:
@@ -142,7 +142,7 @@
         while True:
             try:
                 event = next(self._events)
-                self._resumes_left = RESUMES_WITHOUT_PROGRESS
+                self._resumes_left = MAX_RESUMES_WITHOUT_PROGRESS
                 return event
             except (WrongAnswer, UpstreamGarbage):
                 raise
@@ -152,7 +152,7 @@
                 raise UpstreamBroke("the stream ended") from None
 
     def _resume(self, break_error: UpstreamBroke) -> None:
-        """Resume at the exact position; raise the error if the engine no longer has the stream."""
+        """Resume after the last event received; raise the error if that is impossible."""
         if not self._resumes_left or monotonic() >= self._ends_at:
             raise break_error
         self._resumes_left -= 1
--- a/springrock/serving/engine_watch.py
+++ b/springrock/serving/engine_watch.py
@@ -22,13 +22,14 @@
 
 
 class EngineWatch:
-    """Removes an engine after repeated failures, and raises its load gradually when it is back.
+    """Removes an engine from service after failed checks, and adds it again with a low limit.
 
     Args:
         replica: The replica whose engine is checked and that is notified of changes.
 
     Attributes:
-        admitted: Limit of concurrent requests that grows while the engine is healthy.
+        ramped_limit: Limit of concurrent requests, raised at each check while the engine is
+            healthy; 0 while it is removed.
     """
 
     def __init__(self, replica: OwnedReplica) -> None:
@@ -37,7 +38,7 @@
         self._failures = 0
         self._check_again = Event()
         self._task: gevent.Greenlet[..., Any] | None = None
-        self.admitted = 0
+        self.ramped_limit = 0
 
     def start(self) -> None:
         """Start the checks."""
@@ -77,7 +78,7 @@
             return
         if replica.orders_sent == orders_before:
             # An order that ran during the query may have made the list out of date.
-            self._record_alive(loaded)
+            self._record_success(loaded)
 
     def _record_failure(self, detail: str) -> None:
         self._failures += 1
@@ -88,10 +89,10 @@
             "Removed an upstream after failed checks.", replica=replica.name, why=detail
         )
         self._boot_id = ""
-        self.admitted = 0
+        self.ramped_limit = 0
         replica.handle_engine_removed()
 
-    def _record_alive(self, loaded: LoadedAdapters) -> None:
+    def _record_success(self, loaded: LoadedAdapters) -> None:
         replica = self._replica
         self._failures = 0
         if not self._boot_id:
@@ -104,8 +105,8 @@
             replica.residency.replace([])
             self._check_again.set()
             return
-        if self.admitted < replica.pool.running_limit:
-            self.admitted = min(replica.pool.running_limit, self.admitted * 2)
+        if self.ramped_limit < replica.pool.running_limit:
+            self.ramped_limit = min(replica.pool.running_limit, self.ramped_limit * 2)
             replica.grant_ready()
         if set(loaded.adapters) != set(replica.residency.ready_adapters):
             replica.apply_loaded(loaded.adapters)
@@ -113,7 +114,7 @@
     def _add_engine(self, loaded: LoadedAdapters) -> None:
         replica = self._replica
         self._boot_id = loaded.boot_id
-        self.admitted = max(1, replica.pool.running_limit // 4)
+        self.ramped_limit = max(1, replica.pool.running_limit // 4)
         replica.log.info(
             "Added an upstream.",
             replica=replica.name,
--- a/springrock/serving/owned_replica.py
+++ b/springrock/serving/owned_replica.py
@@ -140,8 +140,8 @@
 
     @property
     def running_limit(self) -> int:
-        """Number of requests that may run now; it grows gradually after the engine was removed."""
-        return min(self.pool.running_limit, self.watch.admitted)
+        """Number of requests that may run now; it grows after the engine was added."""
+        return min(self.pool.running_limit, self.watch.ramped_limit)
 
     def set_drained(self, drained: bool) -> None:
         """Start or end the drain of the replica."""
@@ -206,7 +206,7 @@
             )
             self.residency.record_unloaded(permit.adapter)
             self.watch.check_soon()
-        self._after_end(permit)
+        self._handle_permit_end(permit)
 
     def refund_inherited(self, fence: int, number: int) -> None:
         """End a permit that an earlier owner granted."""
@@ -219,7 +219,7 @@
         """Number of requests that may be running, including those under earlier owners' permits."""
         return len(self.permits) + len(self.inherited)
 
-    def _after_end(self, permit: OutstandingPermit) -> None:
+    def _handle_permit_end(self, permit: OutstandingPermit) -> None:
         if permit.adapter:
             self.residency.record_use(permit.adapter)
         self.metrics.permits_outstanding.dec()
@@ -375,6 +375,7 @@
         )
 
     def _room(self) -> int:
+        """Return the free slots, or -1 while nothing may be unloaded to make room."""
         if self.residency.free_slots > 0:
             return self.residency.free_slots
         return 0 if monotonic() >= self.unload_after else -1
--- a/springrock/serving/owner.py
+++ b/springrock/serving/owner.py
@@ -123,7 +123,7 @@
             log=self._log,
             metrics=self._metrics,
             on_change=self._handle_change,
-            on_lost=self._schedule_loss,
+            on_lost=self._schedule_stop_owning,
         )
         replica.pinned = lambda: [pin.adapter for pin in self._catalog().pins(settings.name)]
         replica.set_drained(self._out_of_service(settings.name))
@@ -148,7 +148,7 @@
         self._metrics.owned_replicas.set(len(self._replicas))
         self._metrics.permits_outstanding.dec(len(owned.permits))
 
-    def _schedule_loss(self, replica: OwnedReplica) -> None:
+    def _schedule_stop_owning(self, replica: OwnedReplica) -> None:
         gevent.spawn(self.stop_owning, replica.name)
 
     def record_leaving(self, leaving: set[str]) -> None:
--- a/springrock/serving/relay.py
+++ b/springrock/serving/relay.py
@@ -1,8 +1,8 @@
 """The relay: sends a permitted request to its engine and returns the verified answer.
 
 A request that has certainly not run is tried on another replica. One that may have run is run
-again only if it is repeatable and nothing reached the caller. Any other failure ends with a typed
-refusal.
+again only if it is repeatable and nothing was sent to the caller. Any other failure ends
+with a typed refusal.
 """
 
 from __future__ import annotations
@@ -27,8 +27,8 @@
 from springrock.metrics import Metrics
 from springrock.serving.answer import (
     BROKEN_RETRY_AFTER_S,
+    MAX_RESUMES_WITHOUT_PROGRESS,
     RESUME_PAUSE_S,
-    RESUMES_WITHOUT_PROGRESS,
     Answer,
     cancel_until_confirmed,
     cause_of,
@@ -186,7 +186,7 @@
 
     def _first_token(self, request: ServingRequest, answer: Answer) -> Result[Answer, Refusal]:
         try:
-            answer.pull_first()
+            answer.wait_for_first_event()
         except UpstreamBroke as error:
             answer.close()
             return Error(_may_have_run_refusal(error))
@@ -230,7 +230,7 @@
 
 def _find_started_stream(driver: EngineDriver, sent: EngineRequest) -> EngineStream | None:
     """Return the stream of a request whose response was lost, if the engine has started it."""
-    for _ in range(RESUMES_WITHOUT_PROGRESS):
+    for _ in range(MAX_RESUMES_WITHOUT_PROGRESS):
         try:
             return driver.resume(sent, 0)
         except UpstreamBroke:
--- a/springrock/serving/start_forecast.py
+++ b/springrock/serving/start_forecast.py
@@ -49,7 +49,10 @@
         return max(batch_wait_s, self._load_wait_s(ask))
 
     def queue_wait_s(self, waiter: Waiter) -> float:
-        """Return the expected time until the requests that wait now have started."""
+        """Return the expected time until the requests that wait now have started.
+
+        Suggested to a refused caller as the delay before a retry.
+        """
         batch_wait_s = max(self._batch_wait_s(), self._estimate.service_s)
         if self._residency.ready(waiter.ask.adapter):
             return batch_wait_s
--- a/springrock/serving/view.py
+++ b/springrock/serving/view.py
@@ -11,10 +11,11 @@
 from springrock.settings import PoolSection, UpstreamSection
 from springrock.wire import peer as wire
 
-_MAX_SCORE = float(2**64)
+_SCORE_RANGE = float(2**64)
 _UNREACHABLE_OWNER_PAUSE_S = 2.0
 _REPORT_VALID_S = 95.0
 _NO_ROOM_LOAD_FACTOR = 20.0
+"""Multiplies the load time at a replica that may not unload anything at the moment."""
 
 
 class RoutingView:
@@ -107,5 +108,5 @@
             running_limit=pool.running_limit,
             load_s=load_s,
             service_s=report.service_ms / 1000,
-            affinity=rendezvous_score(adapter, upstream.name) / _MAX_SCORE,
+            affinity=rendezvous_score(adapter, upstream.name) / _SCORE_RANGE,
         )
--- a/tests/coordination/test_members.py
+++ b/tests/coordination/test_members.py
@@ -44,7 +44,7 @@
 
 
 def scan_repeatedly(table: ScriptedTable, members: Members, *, duration_s: float) -> None:
-    """Scan as often as the background task does while nothing is wrong."""
+    """Scan as often as the background task does while the zone has no fault."""
     ends_at = table.now + duration_s
     while table.now < ends_at:
         members.scan()
--- a/tests/forwarding/test_evacuation_model.py
+++ b/tests/forwarding/test_evacuation_model.py
@@ -26,7 +26,7 @@
 
 ZONES = ("z-1", "z-2")
 WITHIN_S = 5.0
-CUT_PART = 0.8
+CUT_FRACTION = 0.8
 CLOCK_TOLERANCE_S = 1e-6
 
 
@@ -128,7 +128,7 @@
             if evacuated_at is not None and is_announced:
                 learned_at = self.evacuations.learned_at(zone)
                 assert cut_in_s is not None and learned_at is not None
-                latest = max(learned_at, evacuated_at + CUT_PART * WITHIN_S)
+                latest = max(learned_at, evacuated_at + CUT_FRACTION * WITHIN_S)
                 assert not cut_in_s or now + cut_in_s <= latest + CLOCK_TOLERANCE_S
                 assert now < latest + CLOCK_TOLERANCE_S or zone in self.evacuations.cut_zones
             if evacuated_at is not None and evacuated_at < known_at - CLOCK_TOLERANCE_S:
--- a/tests/forwarding/test_notices_model.py
+++ b/tests/forwarding/test_notices_model.py
@@ -1,6 +1,7 @@
 """A model test of notices: answers, rows, restarts and waits in any order.
 
-No request may be sent to a replica that has announced to leave or asked for a back-off.
+No request may be sent to a replica that has announced that it is leaving or has asked for a
+back-off.
 """
 
 from __future__ import annotations
--- a/tests/quarantine/test_ways.py
+++ b/tests/quarantine/test_ways.py
@@ -230,9 +230,9 @@
 | three, one attempt after two crashes | 140, 18, 61 | 308, 32, 85 | 845, 138, 592 |
 
 Without a quarantine 528 engines crashed in 6 seeds without other crashes, and 4,802 of 14,523 other
-requests were not served (in a run in which all boxes learned of reports at the same time). Two
-crashes would do as well here, but refuse more than twice as many other requests, each for as long
-as a crash counts against it."""
+requests were not served (in a run in which all boxes learned of reports at the same time). A
+quarantine after two crashes would protect the engines as well here, but refuse more than twice as
+many other requests, each for as long as a crash counts against it."""
 
 SEEDS = range(3)
 
