--- a/springrock/coordination/claims.py
+++ b/springrock/coordination/claims.py
@@ -54,7 +54,7 @@
         if existing.nonce == self.value.nonce:
             self.result.set(Ok(None))
         else:
-            self.result.set(Error(_already_claimed(existing)))
+            self.result.set(Error(_already_claimed_refusal(existing)))
 
 
 class Claims:
@@ -156,7 +156,7 @@
         it is deleted in the background.
         """
         for pending in batch:
-            pending.result.set(Error(_platform_unavailable()))
+            pending.result.set(Error(_platform_unavailable_refusal()))
             gevent.spawn(self._delete_claim, pending)
 
     def _delete_claim(self, pending: _PendingClaim) -> None:
@@ -183,15 +183,15 @@
     for pending in batch:
         existing = first.setdefault(pending.key, pending)
         if existing is not pending:
-            pending.result.set(Error(_already_claimed(existing.value)))
+            pending.result.set(Error(_already_claimed_refusal(existing.value)))
     return list(first.values())
 
 
-def _already_claimed(existing: ClaimValue) -> Refusal:
+def _already_claimed_refusal(existing: ClaimValue) -> Refusal:
     detail = f"the request was taken before, by box {existing.box}; its outcome is not known here"
     return Refusal(Cause.ALREADY_CLAIMED, detail, RunState.UNKNOWN)
 
 
-def _platform_unavailable() -> Refusal:
-    detail = "a request that is not repeatable cannot be claimed while the platform is out"
+def _platform_unavailable_refusal() -> Refusal:
+    detail = "a request that is not repeatable cannot be claimed while the platform is unavailable"
     return Refusal(Cause.PLATFORM_UNAVAILABLE, detail, RunState.NOT_RUN, _OUTAGE_RETRY_AFTER_S)
--- a/springrock/coordination/ownership.py
+++ b/springrock/coordination/ownership.py
@@ -126,7 +126,7 @@
 
     def start(self) -> None:
         """Start reconciling in the background."""
-        self._task = gevent.spawn(self._check_loop)
+        self._task = gevent.spawn(self._reconcile_loop)
 
     def check_soon(self) -> None:
         """Reconcile at once, for example after a hand-over to this box."""
@@ -168,13 +168,13 @@
 
     # Reconciling.
 
-    def _check_loop(self) -> None:
+    def _reconcile_loop(self) -> None:
         while True:
             self._reconcile_logging_errors()
             gevent.sleep(self._lease.scan_every_s)
 
     def _reconcile_after_refresh(self) -> None:
-        """Reconcile after a scan of the sessions, as the sender may have just begun to stop."""
+        """Scan the sessions and reconcile; the former owner may have begun to stop just now."""
         try:
             self._members.scan()
         except PlatformUnavailable:
--- a/springrock/coordination/permits.py
+++ b/springrock/coordination/permits.py
@@ -1,4 +1,4 @@
-"""Permits: the records of the owner, which grants them, and of the holder, which uses them.
+"""Permits, and the books in which their owner (which grants them) and their holder record them.
 
 A permit allows a box to run one request on a replica with an adapter. It limits the time until the
 request is sent and the time until it ends. Each side measures with its own monotonic clock: the
@@ -118,7 +118,7 @@
         return sum(ends_at > now for _, ends_at in self._permits.values())
 
 
-class Held(NamedTuple):
+class HeldPermitEntry(NamedTuple):
     """A permit in the holder's book.
 
     Attributes:
@@ -139,19 +139,19 @@
     """The permits that this box holds, and the highest known fence of each replica."""
 
     def __init__(self) -> None:
-        self._held: dict[tuple[str, int, int], Held] = {}
+        self._held: dict[tuple[str, int, int], HeldPermitEntry] = {}
         self._fences: dict[str, int] = {}
         self._owners: dict[str, str] = {}
 
-    def enter(self, grant: wire.Grant, *, ends_at: float) -> Held | None:
+    def add_granted(self, grant: wire.Grant, *, ends_at: float) -> HeldPermitEntry | None:
         """Add a granted permit; return None if a higher fence of the replica is known."""
         if grant.fence < self._fences.get(grant.replica, 0):
             return None
-        held = Held(grant.replica, grant.adapter, grant.fence, grant.permit, ends_at)
+        held = HeldPermitEntry(grant.replica, grant.adapter, grant.fence, grant.permit, ends_at)
         self._held[(held.replica, held.fence, held.number)] = held
         return held
 
-    def release(self, held: Held) -> None:
+    def release(self, held: HeldPermitEntry) -> None:
         """Remove a permit."""
         self._held.pop((held.replica, held.fence, held.number), None)
 
@@ -170,7 +170,7 @@
             if held.replica == replica
         ]
 
-    def owners_to_notify(self, held: Held, granted_by: str) -> set[str]:
+    def owners_to_notify(self, held: HeldPermitEntry, granted_by: str) -> set[str]:
         """Return the boxes to notify of a permit's end: its granter, and any newer owner."""
         newer_owner = self._owners.get(held.replica)
         return {granted_by, newer_owner} if newer_owner else {granted_by}
--- a/springrock/coordination/session.py
+++ b/springrock/coordination/session.py
@@ -160,10 +160,10 @@
             if not answer.committed:
                 self._resolve_conflict(answer.failed)
                 raise TransactionConflict(tuple(row.key for row in answer.failed))
-            self._confirm(value, answer.version, sent_at)
+            self._record_confirmed(value, answer.version, sent_at)
             return answer.version
 
-    def _confirm(self, value: SessionValue, version: int, sent_at: float) -> None:
+    def _record_confirmed(self, value: SessionValue, version: int, sent_at: float) -> None:
         self.value = value
         self._version = version
         self._held_until = sent_at + self._lease.lapse_after_s
--- a/springrock/quarantine/book.py
+++ b/springrock/quarantine/book.py
@@ -99,9 +99,9 @@
 
     # Crashes that this box observed itself.
 
-    def hold(self, key: str, report: CrashReport) -> None:
-        """Count one of this box's own reports; it may be replaced by a longer one until written."""
-        self._hold(key, report, version=0)
+    def add_own(self, key: str, report: CrashReport) -> None:
+        """Count a report of this box, or a longer version of it that replaces it until written."""
+        self._add(key, report, version=0)
 
     def withdraw(self, key: str) -> None:
         """Remove one of this box's own reports, as the replica has not crashed."""
@@ -146,7 +146,7 @@
         if report is None:
             self._log.info("Ignored a malformed crash report.", key=row.key)
             return
-        self._hold(row.key, report, version=row.version)
+        self._add(row.key, report, version=row.version)
 
     def version(self, key: str) -> int:
         """Return the version of a report's row as last read; 0 if it was not read."""
@@ -170,7 +170,7 @@
             if number < excess or learned_at < horizon
         ]
 
-    def _hold(self, key: str, report: CrashReport, *, version: int) -> None:
+    def _add(self, key: str, report: CrashReport, *, version: int) -> None:
         self._held[key] = _HeldReport(report, version, monotonic())
         if len(self._held) > _MAX_HELD:
             self._drop(next(iter(self._held)))
--- a/springrock/quarantine/crash_detector.py
+++ b/springrock/quarantine/crash_detector.py
@@ -76,7 +76,7 @@
             gevent.spawn_later(_CRASH_CONFIRMATION_S, self._publish_report, crash)
         if fingerprint not in crash.requests:
             crash.requests.append(fingerprint)
-            self._book.hold(crash.key, self._report(crash))
+            self._book.add_own(crash.key, self._report(crash))
 
     def record_answered(self, instance: str, *, sent_at: float) -> None:
         """Record that a replica answered a request that was sent at a given time."""
--- a/springrock/serving/answer.py
+++ b/springrock/serving/answer.py
@@ -69,7 +69,7 @@
         self._ends_at = permitted.held.ends_at
         self._last_position = -1
         self._last_progress_at = monotonic()
-        self._watch_task = gevent.spawn_later(self._next_check_s, self._watch_loop)
+        self._watch_task = gevent.spawn_later(self._next_check_in_s, self._watch_loop)
         self.permitted = permitted
 
     @property
@@ -119,7 +119,7 @@
             )
 
     @property
-    def _next_check_s(self) -> float:
+    def _next_check_in_s(self) -> float:
         return min(_CHECK_INTERVAL_S, max(0.0, self._ends_at - monotonic()))
 
     def _watch_loop(self) -> None:
@@ -136,7 +136,7 @@
                 # The reader may resume the stream: the silence is then measured from here.
                 self._last_progress_at = now
                 self._stream.abort()
-            gevent.sleep(self._next_check_s)
+            gevent.sleep(self._next_check_in_s)
 
     def _next(self) -> StreamEvent:
         while True:
--- a/springrock/serving/limits.py
+++ b/springrock/serving/limits.py
@@ -57,7 +57,7 @@
 
     def start(self) -> None:
         """Start reporting this box's demand to the peers."""
-        self._task = gevent.spawn(self._notify_loop)
+        self._task = gevent.spawn(self._report_loop)
 
     def stop(self) -> None:
         """Stop reporting."""
@@ -90,16 +90,16 @@
             return 1.0 / boxes
         return min(1.0, max(_MIN_SHARE / boxes, own_demand / total))
 
-    def _notify_loop(self) -> None:
+    def _report_loop(self) -> None:
         while True:
             gevent.sleep(_REPORT_INTERVAL_S)
-            self._measure()
+            self._update_demand()
             if self._demand:
                 names = sorted(self._demand)
                 rates = [round(self._demand[name], 2) for name in names]
                 self._peers.broadcast(wire.Demand(names, rates))
 
-    def _measure(self) -> None:
+    def _update_demand(self) -> None:
         counts, self._counts = self._counts, {}
         for name in set(counts) | set(self._demand):
             rate = counts.get(name, 0) / _REPORT_INTERVAL_S
--- a/springrock/serving/owner.py
+++ b/springrock/serving/owner.py
@@ -200,7 +200,7 @@
         """Request a permit for this box itself; wait for the grant or the refusal."""
         replica = self._replicas.get(ask.replica)
         if replica is None:
-            return Error(_not_owner(ask.replica))
+            return Error(_not_owner_refusal(ask.replica))
         answer = replica.request_permit(ask, self._box)
         if not isinstance(answer, Waiter):
             return answer
@@ -223,7 +223,7 @@
     def _on_ask(self, link: Link, ask: wire.Ask) -> wire.Answer:
         replica = self._replicas.get(ask.replica)
         if replica is None:
-            return wire.Deny(ask.number, _not_owner(ask.replica))
+            return wire.Deny(ask.number, _not_owner_refusal(ask.replica))
         answer = replica.request_permit(ask, link.box)
         if isinstance(answer, Waiter):
             key = (link.box, ask.number)
@@ -313,5 +313,5 @@
     return change >= max(2, limit // 4)
 
 
-def _not_owner(replica: str) -> Refusal:
+def _not_owner_refusal(replica: str) -> Refusal:
     return Refusal(Cause.NOT_OWNER, f"{replica} is not owned here", RunState.NOT_RUN, 1.0)
--- a/springrock/serving/router.py
+++ b/springrock/serving/router.py
@@ -9,7 +9,7 @@
 
 from springrock.clock import monotonic
 from springrock.coordination.peers import Peers
-from springrock.coordination.permits import Held, HeldBook
+from springrock.coordination.permits import HeldBook, HeldPermitEntry
 from springrock.errors import Cause, PeerUnreachable, Refusal, RunState
 from springrock.log import Log
 from springrock.policies import Routing, Scored
@@ -48,7 +48,7 @@
 
     upstream: UpstreamSection
     owner: str
-    held: Held
+    held: HeldPermitEntry
     start_before: float
     waited_s: float
     stall_s: float
@@ -96,7 +96,7 @@
             request: The request.
             avoid: Replicas on which the request has failed before.
         """
-        refusal = _no_upstream(request)
+        refusal = _no_upstream_refusal(request)
         tried = set(avoid)
         for _ in range(_MAX_ATTEMPTS):
             chosen = self._choose(request, tried)
@@ -206,9 +206,9 @@
     ) -> Result[Permitted, Refusal]:
         """Store a granted permit, unless it arrived too late or has an outdated fence."""
         ends_at = asked_at + grant.waited_s + grant.end_within_s
-        held = self._held.enter(grant, ends_at=ends_at)
+        held = self._held.add_granted(grant, ends_at=ends_at)
         if held is None:
-            return Error(_permit_unusable("a newer owner of the replica is known"))
+            return Error(_unusable_permit_refusal("a newer owner of the replica is known"))
         permitted = Permitted(
             upstream=self._view.upstream(grant.replica),
             owner=owner,
@@ -219,14 +219,14 @@
         )
         if monotonic() >= permitted.start_before:
             self.refund(permitted, 0)
-            return Error(_permit_unusable("the permit came too late to be used"))
+            return Error(_unusable_permit_refusal("the permit came too late to be used"))
         return Ok(permitted)
 
 
-def _no_upstream(request: ServingRequest) -> Refusal:
+def _no_upstream_refusal(request: ServingRequest) -> Refusal:
     detail = f"no replica of {request.pool.name} takes work now"
     return Refusal(Cause.NO_UPSTREAM, detail, RunState.NOT_RUN, _NO_UPSTREAM_RETRY_AFTER_S)
 
 
-def _permit_unusable(detail: str) -> Refusal:
+def _unusable_permit_refusal(detail: str) -> Refusal:
     return Refusal(Cause.PERMIT_EXPIRED, detail, RunState.NOT_RUN, 1.0)
--- a/springrock/serving/services.py
+++ b/springrock/serving/services.py
@@ -112,7 +112,7 @@
         deadline = Deadline(terms.deadline_s)
         tried: set[str] = set()
         self._budget.earn()
-        refusal = _no_upstream(pool.name)
+        refusal = _no_upstream_refusal(pool.name)
         may_have_run: Refusal | None = None
         for _ in range(_MAX_ATTEMPTS):
             upstream = self._choose(pool, tried) or self._choose(pool, set())
@@ -154,13 +154,13 @@
             )
         except UpstreamUnreachable as error:
             self._record_failure(upstream.name)
-            return Error(_failed(Cause.NO_UPSTREAM, str(error), RunState.NOT_RUN))
+            return Error(_failure_refusal(Cause.NO_UPSTREAM, str(error), RunState.NOT_RUN))
         except UpstreamSaidNo as error:
             self._record_refusal(upstream.name, error.retry_after_s)
-            return Error(_failed(Cause.UPSTREAM_REFUSED, error.reason, RunState.NOT_RUN))
+            return Error(_failure_refusal(Cause.UPSTREAM_REFUSED, error.reason, RunState.NOT_RUN))
         except UpstreamBroke as error:
             self._record_failure(upstream.name)
-            return Error(_failed(Cause.UPSTREAM_FAILED, str(error), RunState.UNKNOWN))
+            return Error(_failure_refusal(Cause.UPSTREAM_FAILED, str(error), RunState.UNKNOWN))
         finally:
             self._running[upstream.name] -= 1
         self._failures[upstream.name] = 0
@@ -176,7 +176,7 @@
             and not self._backoffs[upstream.name].active
         ]
         healthy = [item for item in available if self._ejected_until.get(item.name, 0.0) <= now]
-        return min(healthy or available, key=self._load_key, default=None)
+        return min(healthy or available, key=self._preference_key, default=None)
 
     def _record_refusal(self, name: str, backoff_s: float) -> None:
         """Start the backoff that a replica requested with its refusal."""
@@ -198,7 +198,7 @@
         detail = f"the replicas of {pool.name} are backing off"
         return Refusal(Cause.UPSTREAM_REFUSED, detail, RunState.NOT_RUN, min(left_s))
 
-    def _load_key(self, upstream: UpstreamSection) -> tuple[float, str]:
+    def _preference_key(self, upstream: UpstreamSection) -> tuple[float, str]:
         in_other_zone = upstream.availability_zone != self._zone
         return self._running[upstream.name] + (0.5 if in_other_zone else 0.0), upstream.name
 
@@ -214,11 +214,11 @@
         )
 
 
-def _no_upstream(pool: str) -> Refusal:
+def _no_upstream_refusal(pool: str) -> Refusal:
     detail = f"no replica of {pool} takes work now"
     return Refusal(Cause.NO_UPSTREAM, detail, RunState.NOT_RUN, _RETRY_AFTER_S)
 
 
-def _failed(cause: Cause, detail: str, run_state: RunState) -> Refusal:
+def _failure_refusal(cause: Cause, detail: str, run_state: RunState) -> Refusal:
     retry_after_s = _RETRY_AFTER_S if run_state is RunState.NOT_RUN else 0.0
     return Refusal(cause, detail, run_state, retry_after_s)
--- a/springrock/serving/start_forecast.py
+++ b/springrock/serving/start_forecast.py
@@ -68,10 +68,10 @@
 
     def _batch_wait_s(self) -> float:
         limit = max(1, self._running_limit())
-        excess = self._running() + self._ready_waiting() - limit + 1
+        excess = self._running() + self._count_ready_waiters() - limit + 1
         return max(0, excess) / limit * self._estimate.service_s
 
-    def _ready_waiting(self) -> int:
+    def _count_ready_waiters(self) -> int:
         return sum(self._residency.ready(waiter.ask.adapter) for waiter in self._waiting)
 
     def _load_wait_s(self, ask: wire.Ask) -> float:
--- a/tests/coordination/test_permits.py
+++ b/tests/coordination/test_permits.py
@@ -34,12 +34,12 @@
 
 def test_a_grant_of_an_older_owner_is_refused() -> None:
     held = HeldBook()
-    old = held.enter(grant(1, fence=2), ends_at=monotonic() + 10)
+    old = held.add_granted(grant(1, fence=2), ends_at=monotonic() + 10)
     assert old is not None
     reported = held.apply_fence_notice("engine-1", 3, "new-owner")
     assert [(item.fence, item.permit) for item in reported] == [(2, 1)]
-    assert held.enter(grant(9, fence=2), ends_at=monotonic() + 10) is None
-    assert held.enter(grant(1, fence=3), ends_at=monotonic() + 10) is not None
+    assert held.add_granted(grant(9, fence=2), ends_at=monotonic() + 10) is None
+    assert held.add_granted(grant(1, fence=3), ends_at=monotonic() + 10) is not None
     assert held.owners_to_notify(old, "old-owner") == {"old-owner", "new-owner"}
 
 
--- a/tests/quarantine/test_book.py
+++ b/tests/quarantine/test_book.py
@@ -79,16 +79,16 @@
     book: CrashBook,
 ) -> None:
     for number in range(2):
-        book.hold(f"crash/{number}", report(f"i-{number}", CRASHING))
+        book.add_own(f"crash/{number}", report(f"i-{number}", CRASHING))
         book.change(row(number, CRASHING))
     assert book.quarantined_for_s(CRASHING) is None
-    book.hold("crash/2", report("i-2", CRASHING))
+    book.add_own("crash/2", report("i-2", CRASHING))
     assert book.quarantined_for_s(CRASHING) is not None
 
 
 def test_a_withdrawn_report_does_not_count(book: CrashBook) -> None:
     for number in range(3):
-        book.hold(f"crash/{number}", report(f"i-{number}", CRASHING))
+        book.add_own(f"crash/{number}", report(f"i-{number}", CRASHING))
     book.withdraw("crash/1")
     assert book.quarantined_for_s(CRASHING) is None
 
@@ -141,7 +141,7 @@
 ) -> None:
     for number in range(2):
         book.change(row(number, CRASHING))
-    book.hold("crash/9", report("i-9", CRASHING))
+    book.add_own("crash/9", report("i-9", CRASHING))
     book.replace([row(1, CRASHING)])
     book.change(row(2, CRASHING))
     assert book.quarantined_for_s(CRASHING) is not None, "i-1, i-2 and i-9"
@@ -161,9 +161,9 @@
 ) -> None:
     monkeypatch.setattr(book_module, "_MAX_HELD", 3)
     for number in range(3):
-        book.hold(f"crash/{number}", report(f"i-{number}", CRASHING))
+        book.add_own(f"crash/{number}", report(f"i-{number}", CRASHING))
     assert book.quarantined_for_s(CRASHING) is not None
-    book.hold("crash/3", report("i-3", OTHER))
+    book.add_own("crash/3", report("i-3", OTHER))
     assert book.quarantined_for_s(CRASHING) is None, "the oldest was dropped"
 
 
@@ -172,7 +172,7 @@
     clock.now += 50.0
     for number in range(1, MAX_REPORTS + 3):
         book.change(row(number, OTHER))
-    book.hold("crash/unwritten", report("i", CRASHING))
+    book.add_own("crash/unwritten", report("i", CRASHING))
     assert [item.key for item in book.stale(older_than_s=100.0)] == [
         f"crash/{number}" for number in range(3)
     ]
--- a/tests/quarantine/test_quarantine_model.py
+++ b/tests/quarantine/test_quarantine_model.py
@@ -118,7 +118,7 @@
         counted = [str(item) for item in requests if not self.book.consume_completion(item)]
         key = new_key()
         self.unwritten[key] = CrashReport("box", instance, counted)
-        self.book.hold(key, self.unwritten[key])
+        self.book.add_own(key, self.unwritten[key])
         self.learned_at[key] = self.world.now
 
     def write(self) -> None:
--- a/tests/quarantine/test_ways.py
+++ b/tests/quarantine/test_ways.py
@@ -197,14 +197,14 @@
         self.environment.process(self._restart(engine))
 
     def _report(self, key: str, report: CrashReport, own: CrashBook) -> None:
-        own.hold(key, report)
+        own.add_own(key, report)
         others = [book for book in self.books if book is not own]
         self.environment.process(self._notify(key, report, others))
 
     def _notify(self, key: str, report: CrashReport, others: list[CrashBook]) -> Iterator[Any]:
         yield self.environment.timeout(REPORT_DELAY_S)
         for book in others:
-            book.hold(key, report)
+            book.add_own(key, report)
 
     def _restart(self, engine: Engine) -> Iterator[Any]:
         yield self.environment.timeout(RESTART_S)
