--- a/springrock/coordination/standalone.py
+++ b/springrock/coordination/standalone.py
@@ -35,8 +35,8 @@
         session: This box's session.
         peers: The links to the other boxes.
         held: The book that knows the highest fence of each replica.
-        table_out_after_s: The table counts as unreachable this long after the last confirmed
-            renewal. It must be well below the lease time, so that an agreement can be reached
+        table_out_after_s: How long after the last confirmed renewal the table counts as
+            unreachable. It must be well below the lease time, so that an agreement can be reached
             before the lease ends.
         zone: This box's availability zone.
         owned: Returns the fences of the replicas that this box owns, by replica.
