--- a/springrock/quarantine/book.py
+++ b/springrock/quarantine/book.py
@@ -54,7 +54,7 @@
     a request that crashes replicas does not complete.
 
     Args:
-        terms: Returns what leads to the quarantine of a request.
+        terms: Returns the rules by which requests are quarantined.
         log: The log to write to.
     """
 
@@ -91,17 +91,17 @@
 
         It may not if one more crash would quarantine it. An immediate retry runs together with the
         other requests that failed at the same crash, so they would all be counted at the next one.
-        The client may send the request again later, by itself.
+        A later retry by the client is allowed.
         """
         if fingerprint not in self._keys_by_request:
             return True
         return len(self._crashes_of(fingerprint)) < max(1, self._terms().crashes - 1)
 
-    # What this box observed itself.
+    # Crashes that this box observed itself.
 
-    def hold(self, key: str, report: CrashReport) -> None:
-        """Count one of this box's own reports; it may be replaced by a longer one until written."""
-        self._hold(key, report, version=0)
+    def add_own(self, key: str, report: CrashReport) -> None:
+        """Count a report of this box, or a longer version of it that replaces it until written."""
+        self._add(key, report, version=0)
 
     def withdraw(self, key: str) -> None:
         """Remove one of this box's own reports, as the replica has not crashed."""
@@ -125,7 +125,7 @@
         if self._keys_by_request.pop(fingerprint, None) is not None:
             self._release(fingerprint)
 
-    # What boxes have reported in the store.
+    # Crashes that boxes have reported in the store.
 
     def replace(self, rows: Sequence[Row]) -> None:
         """Apply a read of the whole table; drop reports that were read before and are gone now."""
@@ -146,7 +146,7 @@
         if report is None:
             self._log.info("Ignored a malformed crash report.", key=row.key)
             return
-        self._hold(row.key, report, version=row.version)
+        self._add(row.key, report, version=row.version)
 
     def version(self, key: str) -> int:
         """Return the version of a report's row as last read; 0 if it was not read."""
@@ -170,7 +170,7 @@
             if number < excess or learned_at < horizon
         ]
 
-    def _hold(self, key: str, report: CrashReport, *, version: int) -> None:
+    def _add(self, key: str, report: CrashReport, *, version: int) -> None:
         self._held[key] = _HeldReport(report, version, monotonic())
         if len(self._held) > _MAX_HELD:
             self._drop(next(iter(self._held)))
--- a/springrock/serving/answer.py
+++ b/springrock/serving/answer.py
@@ -24,7 +24,7 @@
 from springrock.serving.router import Permitted
 from springrock.wire.engine import EngineRequest
 
-RESUMES_WITHOUT_PROGRESS = 3
+MAX_RESUMES_WITHOUT_PROGRESS = 3
 RESUME_PAUSE_S = 0.05
 _CANCEL_INTERVAL_S = 0.5
 BROKEN_RETRY_AFTER_S = 1.0
@@ -63,13 +63,13 @@
         self._log = log
         self._metrics = metrics
         self._closed = False
-        self._resumes_left = RESUMES_WITHOUT_PROGRESS
+        self._resumes_left = MAX_RESUMES_WITHOUT_PROGRESS
         self._events = iter(stream)
         self._first: StreamEvent | None = None
         self._ends_at = permitted.held.ends_at
         self._last_position = -1
         self._last_progress_at = monotonic()
-        self._watch_task = gevent.spawn_later(self._next_check_s, self._watch_loop)
+        self._watch_task = gevent.spawn_later(self._next_check_in_s, self._watch_loop)
         self.permitted = permitted
 
     @property
@@ -77,7 +77,7 @@
         """Number of tokens received."""
         return self._stream.position
 
-    def pull_first(self) -> None:
+    def wait_for_first_event(self) -> None:
         """Wait for the first event.
 
         Raises:
@@ -119,7 +119,7 @@
             )
 
     @property
-    def _next_check_s(self) -> float:
+    def _next_check_in_s(self) -> float:
         return min(_CHECK_INTERVAL_S, max(0.0, self._ends_at - monotonic()))
 
     def _watch_loop(self) -> None:
@@ -136,13 +136,13 @@
                 # The reader may resume the stream: the silence is then measured from here.
                 self._last_progress_at = now
                 self._stream.abort()
-            gevent.sleep(self._next_check_s)
+            gevent.sleep(self._next_check_in_s)
 
     def _next(self) -> StreamEvent:
         while True:
             try:
                 event = next(self._events)
-                self._resumes_left = RESUMES_WITHOUT_PROGRESS
+                self._resumes_left = MAX_RESUMES_WITHOUT_PROGRESS
                 return event
             except (WrongAnswer, UpstreamGarbage):
                 raise
@@ -152,7 +152,7 @@
                 raise UpstreamBroke("the stream ended") from None
 
     def _resume(self, break_error: UpstreamBroke) -> None:
-        """Resume at the exact position; raise the error if the engine no longer has the stream."""
+        """Resume after the last event received; raise the error if that is impossible."""
         if not self._resumes_left or monotonic() >= self._ends_at:
             raise break_error
         self._resumes_left -= 1
--- a/springrock/serving/owner.py
+++ b/springrock/serving/owner.py
@@ -123,7 +123,7 @@
             log=self._log,
             metrics=self._metrics,
             on_change=self._handle_change,
-            on_lost=self._schedule_loss,
+            on_lost=self._schedule_stop_owning,
         )
         replica.pinned = lambda: [pin.adapter for pin in self._catalog().pins(settings.name)]
         replica.set_drained(self._out_of_service(settings.name))
@@ -148,7 +148,7 @@
         self._metrics.owned_replicas.set(len(self._replicas))
         self._metrics.permits_outstanding.dec(len(owned.permits))
 
-    def _schedule_loss(self, replica: OwnedReplica) -> None:
+    def _schedule_stop_owning(self, replica: OwnedReplica) -> None:
         gevent.spawn(self.stop_owning, replica.name)
 
     def record_leaving(self, leaving: set[str]) -> None:
@@ -200,7 +200,7 @@
         """Request a permit for this box itself; wait for the grant or the refusal."""
         replica = self._replicas.get(ask.replica)
         if replica is None:
-            return Error(_not_owner(ask.replica))
+            return Error(_not_owner_refusal(ask.replica))
         answer = replica.request_permit(ask, self._box)
         if not isinstance(answer, Waiter):
             return answer
@@ -223,7 +223,7 @@
     def _on_ask(self, link: Link, ask: wire.Ask) -> wire.Answer:
         replica = self._replicas.get(ask.replica)
         if replica is None:
-            return wire.Deny(ask.number, _not_owner(ask.replica))
+            return wire.Deny(ask.number, _not_owner_refusal(ask.replica))
         answer = replica.request_permit(ask, link.box)
         if isinstance(answer, Waiter):
             key = (link.box, ask.number)
@@ -313,5 +313,5 @@
     return change >= max(2, limit // 4)
 
 
-def _not_owner(replica: str) -> Refusal:
+def _not_owner_refusal(replica: str) -> Refusal:
     return Refusal(Cause.NOT_OWNER, f"{replica} is not owned here", RunState.NOT_RUN, 1.0)
--- a/tests/quarantine/test_ways.py
+++ b/tests/quarantine/test_ways.py
@@ -197,14 +197,14 @@
         self.environment.process(self._restart(engine))
 
     def _report(self, key: str, report: CrashReport, own: CrashBook) -> None:
-        own.hold(key, report)
+        own.add_own(key, report)
         others = [book for book in self.books if book is not own]
         self.environment.process(self._notify(key, report, others))
 
     def _notify(self, key: str, report: CrashReport, others: list[CrashBook]) -> Iterator[Any]:
         yield self.environment.timeout(REPORT_DELAY_S)
         for book in others:
-            book.hold(key, report)
+            book.add_own(key, report)
 
     def _restart(self, engine: Engine) -> Iterator[Any]:
         yield self.environment.timeout(RESTART_S)
@@ -230,9 +230,9 @@
 | three, one attempt after two crashes | 140, 18, 61 | 308, 32, 85 | 845, 138, 592 |
 
 Without a quarantine 528 engines crashed in 6 seeds without other crashes, and 4,802 of 14,523 other
-requests were not served (in a run in which all boxes learned of reports at the same time). Two
-crashes would do as well here, but refuse more than twice as many other requests, each for as long
-as a crash counts against it."""
+requests were not served (in a run in which all boxes learned of reports at the same time). A
+quarantine after two crashes would protect the engines as well here, but refuse more than twice as
+many other requests, each for as long as a crash counts against it."""
 
 SEEDS = range(3)
 
