--- a/bench/calibration.py
+++ b/bench/calibration.py
@@ -126,8 +126,8 @@
 def _summary_of(ratios: list[float]) -> str:
     if len(ratios) < 2:
         return f"{len(ratios)}"
-    at = quantiles(ratios, n=_PERCENTILES, method="inclusive")
-    return f"{len(ratios)}, p10 {at[9]:.2f}, p50 {at[49]:.2f}, p90 {at[89]:.2f}"
+    cuts = quantiles(ratios, n=_PERCENTILES, method="inclusive")
+    return f"{len(ratios)}, p10 {cuts[9]:.2f}, p50 {cuts[49]:.2f}, p90 {cuts[89]:.2f}"
 
 
 if __name__ == "__main__":
--- a/bench/loads.py
+++ b/bench/loads.py
@@ -58,8 +58,8 @@
         self._zones: dict[str, str] = {}
         self._copies: set[tuple[str, str]] = set()
         self._loaded_on: dict[str, set[str]] = defaultdict(set)
-        self._arrival_numbers: dict[str, dict[str, int]] = defaultdict(dict)
-        self._arrivals = Counter[str]()
+        self._load_numbers: dict[str, dict[str, int]] = defaultdict(dict)
+        self._load_counts = Counter[str]()
 
     def record_assigned(self, record: dict[str, Any]) -> None:
         """Record an assignment: the zone of the engine, and whether the load adds a copy."""
@@ -69,12 +69,12 @@
         if record["is_copy"]:
             self._copies.add(pair)
 
-    def record_arrival(self, record: dict[str, Any]) -> None:
+    def record_loaded(self, record: dict[str, Any]) -> None:
         """Record that an engine loaded an adapter."""
         adapter, instance = record["adapter"], record["instance"]
-        self._arrivals[instance] += 1
+        self._load_counts[instance] += 1
         self._loaded_on[adapter].add(instance)
-        self._arrival_numbers[adapter][instance] = self._arrivals[instance]
+        self._load_numbers[adapter][instance] = self._load_counts[instance]
 
     def record_unloaded(self, record: dict[str, Any]) -> None:
         """Record that an engine unloaded an adapter."""
@@ -82,7 +82,7 @@
 
     def cause_of(self, adapter: str, instance: str) -> Cause:
         """Return the cause of a load of an adapter to an engine."""
-        if not self._arrival_numbers[adapter]:
+        if not self._load_numbers[adapter]:
             return Cause.FIRST
         if (instance, adapter) in self._copies:
             return Cause.COPY
@@ -96,8 +96,8 @@
         return Cause.NOT_CACHED
 
     def _cache_holders(self, adapter: str) -> Iterator[str]:
-        for instance, number in self._arrival_numbers[adapter].items():
-            if self._arrivals[instance] - number < MAX_CACHED_ADAPTERS:
+        for instance, number in self._load_numbers[adapter].items():
+            if self._load_counts[instance] - number < MAX_CACHED_ADAPTERS:
                 yield instance
 
     def _zones_of(self, instances: Iterable[str]) -> set[str]:
@@ -121,7 +121,7 @@
                 if record["cold"]:
                     cause = engines.cause_of(record["adapter"], record["instance"])
                     yield Load(record["timestamp"], record["adapter"], record["instance"], cause)
-                engines.record_arrival(record)
+                engines.record_loaded(record)
             case _ if record["answer"] in _UNLOADED_ANSWERS:
                 engines.record_unloaded(record)
 
--- a/bench/plot.py
+++ b/bench/plot.py
@@ -36,7 +36,7 @@
     Attributes:
         title: The title, with the unit of the values.
         series: The names of the series.
-        most: The value that a bar of full length stands for.
+        most: The value of a bar of full length.
         bars: The bar groups, from top to bottom.
     """
 
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -74,8 +74,8 @@
         if column != "name"
     }
     worth = sorted(report.worth_in_time for report in reports)
-    spread = f"{reports[0].name}: worth in time {worth[0]:.3f} to {worth[-1]:.3f}"
-    return msgspec.structs.replace(reports[0], **numbers), spread
+    worth_range = f"{reports[0].name}: worth in time {worth[0]:.3f} to {worth[-1]:.3f}"
+    return msgspec.structs.replace(reports[0], **numbers), worth_range
 
 
 def main(arguments: list[str]) -> int:
@@ -92,9 +92,9 @@
         )
     means = []
     for name in POLICIES:
-        mean, spread = mean_of([report for report in reports if report.name == name])
+        mean, worth_range = mean_of([report for report in reports if report.name == name])
         means.append(mean)
-        print(spread)
+        print(worth_range)
     print(as_table(means))
     return 0
 
--- a/bench/soak/judges/answers.py
+++ b/bench/soak/judges/answers.py
@@ -22,7 +22,7 @@
             for attempt in attempts
             if (text := _mismatch_of(attempt))
         ]
-        return Verdict(looked_at=len(attempts), findings=findings)
+        return Verdict(checked=len(attempts), findings=findings)
 
 
 def _mismatch_of(attempt: Attempt) -> str:
@@ -60,7 +60,7 @@
             else:
                 continue
             findings.append(Finding(at=attempt.ended_at, request_id=attempt.request_id, text=text))
-        return Verdict(looked_at=len(attempts), findings=findings)
+        return Verdict(checked=len(attempts), findings=findings)
 
 
 def event_ids(body: bytes) -> list[int]:
--- a/bench/soak/judges/crashes.py
+++ b/bench/soak/judges/crashes.py
@@ -43,7 +43,7 @@
                     f"{path} ran {len(late_runs)} times after the bound, {len(path_runs)} in total"
                 )
                 findings.append(Finding(at=late_runs[EXTRA_RUNS].at, text=text))
-        return Verdict(looked_at=sum(len(ran) for ran in runs.values()), findings=findings)
+        return Verdict(checked=sum(len(ran) for ran in runs.values()), findings=findings)
 
 
 def _late_runs(runs: list[ReplicaEvent], observations: Observations) -> list[ReplicaEvent]:
--- a/bench/soak/judges/judge.py
+++ b/bench/soak/judges/judge.py
@@ -28,11 +28,11 @@
     """The result of one judge.
 
     Attributes:
-        looked_at: Number of checked items, such as requests, runs or windows.
+        checked: Number of checked items, such as requests, runs or windows.
         findings: Breaches of the promise.
     """
 
-    looked_at: int
+    checked: int
     findings: list[Finding]
 
 
--- a/bench/soak/judges/placement.py
+++ b/bench/soak/judges/placement.py
@@ -29,12 +29,12 @@
 
     def judge(self, observations: Observations) -> Verdict:
         """Check the promise against the observations of one play."""
-        looked_at = 0
+        checked = 0
         findings = []
         for attempt, runs in observations.attempted_runs():
             if not attempt.adapter:
                 continue
-            looked_at += len(runs)
+            checked += len(runs)
             findings += [
                 Finding(
                     at=run.at,
@@ -44,7 +44,7 @@
                 for run in runs
                 if run.adapter != attempt.adapter or not run.version
             ]
-        return Verdict(looked_at=looked_at, findings=findings)
+        return Verdict(checked=checked, findings=findings)
 
 
 @JUDGES.register
@@ -56,7 +56,7 @@
 
     def judge(self, observations: Observations) -> Verdict:
         """Check the promise against the observations of one play."""
-        looked_at = 0
+        checked = 0
         findings = []
         for published in observations.versions:
             for attempt in observations.attempts:
@@ -70,7 +70,7 @@
                 if attempt.sent_at < published.acknowledged_at + CONFIGURATION_APPLY_S + late_s:
                     continue
                 runs = observations.runs_of.get(attempt.request_id, [])
-                looked_at += len(runs)
+                checked += len(runs)
                 findings += [
                     Finding(
                         at=run.at,
@@ -80,7 +80,7 @@
                     for run in runs
                     if run.version < published.version
                 ]
-        return Verdict(looked_at=looked_at, findings=findings)
+        return Verdict(checked=checked, findings=findings)
 
 
 @JUDGES.register
@@ -95,7 +95,7 @@
         findings = [
             _finding_of(event) for event in _violations(observations) if not _crosses_run(event)
         ]
-        return Verdict(looked_at=len(observations.replica_events), findings=findings)
+        return Verdict(checked=len(observations.replica_events), findings=findings)
 
 
 @JUDGES.register
@@ -110,7 +110,7 @@
         findings = [
             _finding_of(event) for event in _violations(observations) if _crosses_run(event)
         ]
-        return Verdict(looked_at=len(observations.replica_events), findings=findings)
+        return Verdict(checked=len(observations.replica_events), findings=findings)
 
 
 def _violations(observations: Observations) -> list[ReplicaEvent]:
@@ -156,11 +156,11 @@
 
     def judge(self, observations: Observations) -> Verdict:
         """Check the promise against the observations of one play."""
-        looked_at = 0
+        checked = 0
         findings = []
         for attempt, runs in observations.attempted_runs():
             allowed = _services_allowed(observations, attempt.route, attempt.sent_at, runs[-1].at)
-            looked_at += len(runs)
+            checked += len(runs)
             findings += [
                 Finding(
                     at=run.at,
@@ -170,7 +170,7 @@
                 for run in runs
                 if run.service not in allowed
             ]
-        return Verdict(looked_at=looked_at, findings=findings)
+        return Verdict(checked=checked, findings=findings)
 
 
 def _services_allowed(
@@ -210,7 +210,7 @@
             for event in observations.replica_events
             if event.kind is ReplicaEventKind.LEAVING_ACKNOWLEDGED
         }
-        looked_at = 0
+        checked = 0
         findings = []
         for event in observations.replica_events:
             if event.kind is not ReplicaEventKind.RAN or event.instance not in leaving:
@@ -218,7 +218,7 @@
             attempt = observations.attempt_of.get(event.request_id)
             if attempt is None or event.first_event > 1:
                 continue
-            looked_at += 1
+            checked += 1
             since = leaving[event.instance]
             late_s = observations.disturbed_s(since, event.at, delays_updates)
             late_s += observations.disturbed_s(attempt.sent_at, event.at, delays_attempt(attempt))
@@ -226,4 +226,4 @@
             if over_s > LEAVING_APPLY_S:
                 text = f"{event.instance} ran it {over_s:.1f} s after its leaving, excluding faults"
                 findings.append(Finding(at=event.at, request_id=event.request_id, text=text))
-        return Verdict(looked_at=looked_at, findings=findings)
+        return Verdict(checked=checked, findings=findings)
--- a/bench/soak/judges/runs.py
+++ b/bench/soak/judges/runs.py
@@ -29,7 +29,7 @@
                 places = ", ".join(run.instance for run in runs)
                 text = f"a request on {attempt.route} ran {len(runs)} times, at {places}"
                 findings.append(Finding(at=runs[1].at, request_id=attempt.request_id, text=text))
-        return Verdict(looked_at=len(attempts), findings=findings)
+        return Verdict(checked=len(attempts), findings=findings)
 
 
 @JUDGES.register
@@ -48,7 +48,7 @@
             if runs:
                 text = f"answered {attempt.status} by {attempt.box}, ran at {runs[0].instance}"
                 findings.append(Finding(at=runs[0].at, request_id=attempt.request_id, text=text))
-        return Verdict(looked_at=len(attempts), findings=findings)
+        return Verdict(checked=len(attempts), findings=findings)
 
 
 @JUDGES.register
@@ -69,7 +69,7 @@
                 for run in runs
                 if attempt is None or run.path != expected
             ]
-        return Verdict(looked_at=len(observations.runs_of), findings=findings)
+        return Verdict(checked=len(observations.runs_of), findings=findings)
 
 
 @JUDGES.register
@@ -84,7 +84,7 @@
         services = {event.service for event in observations.replica_events}
         verdicts = [self._judge_service(observations, service) for service in sorted(services)]
         return Verdict(
-            looked_at=sum(verdict.looked_at for verdict in verdicts),
+            checked=sum(verdict.checked for verdict in verdicts),
             findings=[finding for verdict in verdicts for finding in verdict.findings],
         )
 
@@ -115,7 +115,7 @@
             if count > allowed + RETRY_RATIO * observations.paused_s(start, start + RETRY_WINDOW_S):
                 text = f"{service}: {count} repeats in {RETRY_WINDOW_S} s, {allowed:.1f} allowed"
                 findings.append(Finding(at=start, text=text))
-        return Verdict(looked_at=len(repeats), findings=findings[:1])
+        return Verdict(checked=len(repeats), findings=findings[:1])
 
 
 def _requests_for(sent: list[float], start: float) -> int:
--- a/bench/soak/judges/service.py
+++ b/bench/soak/judges/service.py
@@ -9,9 +9,9 @@
 """Seconds after the last fault until everything must be served again. In this time processes start,
 leases lapse and adapters are loaded again."""
 
-_ASKED_WITHIN_S = 3.0
-"""A failure counts only if the box got a request in this time before the bound. After an earlier
-request it may have recovered unseen."""
+_LAST_REQUEST_WITHIN_S = 3.0
+"""A failure counts only if the box got a request within this time before the bound. If its last
+request was earlier, it may have recovered since without a request that shows it."""
 
 
 @JUDGES.register
@@ -23,7 +23,7 @@
 
     def judge(self, observations: Observations) -> Verdict:
         """Check the promise against the observations of one play."""
-        looked_at = 0
+        checked = 0
         findings = []
         for quiet in observations.quiets:
             bound_at = _recovered_by(observations, quiet)
@@ -34,13 +34,13 @@
                     pair = (attempt.box, attempt.route)
                     served[pair] = served.get(pair, False) or attempt.answered
                     last_sent_at[pair] = max(last_sent_at.get(pair, 0.0), attempt.sent_at)
-            looked_at += len(served)
+            checked += len(served)
             findings += [
                 Finding(at=bound_at, text=f"{route} was not served by {box}")
                 for (box, route), was_served in sorted(served.items())
-                if not was_served and bound_at - last_sent_at[box, route] <= _ASKED_WITHIN_S
+                if not was_served and bound_at - last_sent_at[box, route] <= _LAST_REQUEST_WITHIN_S
             ]
-        return Verdict(looked_at=looked_at, findings=findings)
+        return Verdict(checked=checked, findings=findings)
 
 
 @JUDGES.register
@@ -52,7 +52,7 @@
 
     def judge(self, observations: Observations) -> Verdict:
         """Check the promise against the observations of one play."""
-        looked_at = 0
+        checked = 0
         findings = []
         for quiet in observations.quiets:
             recovered_at = _recovered_by(observations, quiet)
@@ -63,11 +63,11 @@
                     continue
                 if call.began_at > quiet.ended_at and not is_last:
                     continue
-                looked_at += 1
+                checked += 1
                 if not call.answered:
                     text = f"{call.route} with key {call.key!r} was not answered: {call.last}"
                     findings.append(Finding(at=call.began_at, text=text))
-        return Verdict(looked_at=looked_at, findings=findings)
+        return Verdict(checked=checked, findings=findings)
 
 
 def _recovered_by(observations: Observations, quiet: QuietSpan) -> float:
--- a/bench/soak/judges/teams.py
+++ b/bench/soak/judges/teams.py
@@ -29,10 +29,10 @@
 
     def judge(self, observations: Observations) -> Verdict:
         """Check the promise against the observations of one play."""
-        looked_at = 0
+        checked = 0
         findings = []
         for attempt, runs in observations.attempted_runs():
-            looked_at += len(runs)
+            checked += len(runs)
             team = TEAM_OF_KEY[attempt.key]
             allowed = {team, ""} if attempt.route == "open" else {team}
             findings += [
@@ -44,7 +44,7 @@
                 for run in runs
                 if run.team not in allowed
             ]
-        return Verdict(looked_at=looked_at, findings=findings)
+        return Verdict(checked=checked, findings=findings)
 
 
 class _Removal(NamedTuple):
@@ -64,12 +64,12 @@
     def judge(self, observations: Observations) -> Verdict:
         """Check the promise against the observations of one play."""
         removals = _removals_of(observations.changes)
-        looked_at = 0
+        checked = 0
         findings = []
         for attempt in observations.attempts:
             if attempt.key != "goes" or attempt.route == "open":
                 continue
-            looked_at += _removal_at(removals, attempt.sent_at) is not None
+            checked += _removal_at(removals, attempt.sent_at) is not None
             for run in observations.runs_of.get(attempt.request_id, []):
                 removal = _removal_at(removals, run.at)
                 if removal is None or run.first_event > 1:
@@ -83,7 +83,7 @@
                         f"ran at {run.instance} through {attempt.box} {over_s:.2f} s past the bound"
                     )
                     findings.append(Finding(at=run.at, request_id=run.request_id, text=text))
-        return Verdict(looked_at=looked_at, findings=findings)
+        return Verdict(checked=checked, findings=findings)
 
 
 def _removals_of(changes: list[ConfigurationChange]) -> list[_Removal]:
@@ -133,7 +133,7 @@
             if count > allowed:
                 text = f"{count} ran in {QUOTA_WINDOW_S} s, {allowed:.0f} allowed"
                 findings.append(Finding(at=start, text=text))
-        return Verdict(looked_at=len(ran), findings=findings[:1])
+        return Verdict(checked=len(ran), findings=findings[:1])
 
 
 def _max_allowed(observations: Observations, start: float, end: float) -> float:
--- a/bench/soak/judges/words.py
+++ b/bench/soak/judges/words.py
@@ -14,7 +14,7 @@
 IN_FLIGHT_S = 0.5
 """Requests that arrive up to this long after a notice were in flight when it was given."""
 
-MAX_STRAYS = 2
+MAX_REQUESTS_IN_BACKOFF = 2
 """The users' bound on requests that reach a replica during the back-off that it asked for. Requests
 in flight when it asked do not count."""
 
@@ -47,19 +47,19 @@
             if attempt.says_leaving and attempt.seal:
                 pair = (attempt.box, attempt.instance)
                 reported_at[pair] = min(reported_at.get(pair, float("inf")), attempt.ended_at)
-        looked_at = 0
+        checked = 0
         findings = []
         for event in _arrivals(observations):
             attempt = observations.attempt_of[event.request_id]
             at = reported_at.get((attempt.box, event.instance))
             if at is None or attempt.sent_at < at:
                 continue
-            looked_at += 1
+            checked += 1
             late_s = attempt.sent_at - at
             if late_s > NOTICE_APPLY_S and not _is_excused(observations, attempt.box, at, event.at):
                 text = f"{attempt.box} sent to {event.instance} {late_s:.1f} s after its notice"
                 findings.append(Finding(at=event.at, request_id=event.request_id, text=text))
-        return Verdict(looked_at=looked_at, findings=findings)
+        return Verdict(checked=checked, findings=findings)
 
 
 @JUDGES.register
@@ -68,7 +68,8 @@
 
     name = "rest_is_given"
     promise = (
-        f"at most {MAX_STRAYS} requests of a box reach a replica during the back-off it asked for"
+        f"at most {MAX_REQUESTS_IN_BACKOFF} requests of a box reach a replica during the back-off "
+        "it asked for"
     )
 
     def judge(self, observations: Observations) -> Verdict:
@@ -78,19 +79,19 @@
             by_box_and_replica[
                 observations.attempt_of[event.request_id].box, event.instance
             ].append(event)
-        looked_at = 0
+        checked = 0
         findings = []
         for (box, instance), arrivals in by_box_and_replica.items():
             for refusal in (event for event in arrivals if event.asked_rest_s):
-                looked_at += 1
+                checked += 1
                 ends_at = refusal.at + refusal.asked_rest_s
                 within = [e for e in arrivals if refusal.at + IN_FLIGHT_S < e.at < ends_at]
-                if len(within) > MAX_STRAYS and not _is_excused(
+                if len(within) > MAX_REQUESTS_IN_BACKOFF and not _is_excused(
                     observations, box, refusal.at, ends_at
                 ):
                     text = f"{instance} asked {box} to back off and got {len(within)} requests"
-                    findings.append(Finding(at=within[MAX_STRAYS].at, text=text))
-        return Verdict(looked_at=looked_at, findings=findings)
+                    findings.append(Finding(at=within[MAX_REQUESTS_IN_BACKOFF].at, text=text))
+        return Verdict(checked=checked, findings=findings)
 
 
 @JUDGES.register
@@ -108,7 +109,7 @@
         by_replica: dict[str, list[ReplicaEvent]] = defaultdict(list)
         for event in _arrivals(observations):
             by_replica[event.instance].append(event)
-        looked_at = 0
+        checked = 0
         findings = []
         for instance, arrivals in by_replica.items():
             first_at = min((e.at for e in arrivals if e.named_per_s >= 0), default=float("inf"))
@@ -116,13 +117,13 @@
             for event in counted:
                 if event.named_per_s < 0 or event.at < first_at + LIMIT_PROPAGATION_S:
                     continue
-                looked_at += 1
+                checked += 1
                 within = [e for e in counted if event.at - LIMIT_WINDOW_S < e.at <= event.at]
                 allowed = LIMIT_FACTOR * LIMIT_WINDOW_S * event.named_per_s + LIMIT_EXTRA
                 if len(within) > allowed:
                     text = f"{instance} names {event.named_per_s} a second, got {len(within)}"
                     findings.append(Finding(at=event.at, text=text, request_id=event.request_id))
-        return Verdict(looked_at=looked_at, findings=findings)
+        return Verdict(checked=checked, findings=findings)
 
 
 def _from_informed_boxes(
--- a/bench/soak/report.py
+++ b/bench/soak/report.py
@@ -51,7 +51,7 @@
 def _promise_lines(verdicts: dict[str, Verdict], began_at: float) -> list[str]:
     lines = ["", f"{'promise':<28}{'judged':>8}{'broken':>9}"]
     for name, verdict in verdicts.items():
-        lines.append(f"{name:<28}{verdict.looked_at:>8}{len(verdict.findings):>9}")
+        lines.append(f"{name:<28}{verdict.checked:>8}{len(verdict.findings):>9}")
         lines += _finding_lines(verdict.findings[:_MAX_SHOWN_FINDINGS], began_at)
     return lines
 
--- a/springrock/demo.py
+++ b/springrock/demo.py
@@ -72,9 +72,9 @@
     wrong = sum(item.wrong for item in outcomes)
     if wrong:
         violated.append(f"answers that belong to another request: {wrong}")
-    silent = sum(item.cause in ("silent_cut", "garbage", "transport") for item in outcomes)
-    if silent:
-        violated.append(f"answers cut off without an error: {silent}")
+    cut_off = sum(item.cause in ("silent_cut", "garbage", "transport") for item in outcomes)
+    if cut_off:
+        violated.append(f"answers cut off without an error: {cut_off}")
     unretryable = sum(item.run_state == "not_run" and item.retry_after_s <= 0 for item in outcomes)
     if unretryable:
         violated.append(f"refusals without a retry time: {unretryable}")
--- a/springrock/doors/caller.py
+++ b/springrock/doors/caller.py
@@ -216,7 +216,7 @@
             for event in answer:
                 if event.chunk is not None:
                     choice = event.chunk.choices[0]
-                    pieces.append(choice.piece)
+                    pieces.append(choice.generated_text)
                     finish_reason = choice.finish_reason or finish_reason
         except RequestRefused as error:
             self._handle_cut(request, error.refusal)
--- a/springrock/emulator/load.py
+++ b/springrock/emulator/load.py
@@ -384,7 +384,7 @@
         if data == DONE:
             self.done = True
             return
-        self._pieces.append(decode_chunk(data).choices[0].piece)
+        self._pieces.append(decode_chunk(data).choices[0].generated_text)
         now = monotonic()
         if self.tokens:
             self.gap_s = max(self.gap_s, now - self._last_at)
--- a/springrock/entry.py
+++ b/springrock/entry.py
@@ -73,8 +73,8 @@
 _REPLICAS_PAUSE_S = 0.8
 """Pause between reads of the replicas' table.
 
-Replicas write several times a second, as their adapters change. Only a leaving replica matters to
-this reader, and there is time to learn of it."""
+Replicas write several times a second, as their adapters change. This box needs only the changes of
+whether a replica is leaving, and a delay of this length is acceptable for those."""
 
 _PLACERS_PAUSE_S = 0.5
 """Pause between reads of the placers' table.
@@ -175,7 +175,7 @@
         self._stop_parts()
 
     def reload(self, settings: EntrySettings) -> None:
-        """Apply changed settings; changed addresses take effect at the next start."""
+        """Apply changed settings; changed addresses take effect only after a restart."""
         self._log.info("Reload.")
         self.settings = settings
 
@@ -404,7 +404,7 @@
         return fetch_state(seed, hello)
 
     def _connect_readings(self) -> None:
-        """Let boxes apply the table readings that the box of a placer publishes."""
+        """Publish own table readings while this box is a placer; apply those of other boxes."""
         for follower in self._followers:
             follower.publishes = lambda: self._placement.publishes_readings
             follower.publisher = lambda reading, is_own: self._placement.publish_reading(
--- a/springrock/eras.py
+++ b/springrock/eras.py
@@ -16,7 +16,7 @@
 """Era and number together fit into 63 bits, so that messages can carry a version as an integer."""
 
 UNKNOWN_ERA = 0
-"""The era of a store, or of a box with an earlier build, that names none."""
+"""The era for a store, or a box with an earlier build, that reports none."""
 
 
 class VersionOutOfRange(SpringrockError):
@@ -55,16 +55,16 @@
 
 
 def format_version(version: int) -> str:
-    """Return a version for logs: the era as the store names it, if known, and the number."""
+    """Format a version for logs: the era as the store reports it, if known, and the number."""
     era = era_of(version)
     return str(number_of(version)) if era == UNKNOWN_ERA else f"{era - 1}:{number_of(version)}"
 
 
 def era_from_reported(reported: int | None) -> int:
-    """Return the era for the one a store names.
+    """Convert the era that a store reports to the one in this package's versions.
 
-    A store's own eras start at 0, so they are shifted by one to tell them from `UNKNOWN_ERA`, the
-    result for a store that names none.
+    The eras that stores report start at 0. They are shifted by one to distinguish them from
+    `UNKNOWN_ERA`, the result for a store that reports none.
     """
     return UNKNOWN_ERA if reported is None else reported + 1
 
--- a/springrock/errors.py
+++ b/springrock/errors.py
@@ -188,10 +188,10 @@
 
     Args:
         key: The configuration key that both changes set.
-        winner: Who made the committed change, and in which revision.
+        committed_by: Who made the committed change, and in which revision.
     """
 
-    def __init__(self, key: str, winner: str) -> None:
+    def __init__(self, key: str, committed_by: str) -> None:
         self.key = key
-        self.winner = winner
-        super().__init__(f"{key} was changed concurrently by {winner}")
+        self.committed_by = committed_by
+        super().__init__(f"{key} was changed concurrently by {committed_by}")
--- a/springrock/loop_watch.py
+++ b/springrock/loop_watch.py
@@ -1,4 +1,4 @@
-"""Measures how late a process's event loop runs, to tell own stalls from those of other processes.
+"""Measures how late a process's event loop runs, to tell its own stalls from others'.
 
 A process that gets no processor time, or is suspended, answers late and also finds that others do
 not answer in time.
--- a/springrock/metrics.py
+++ b/springrock/metrics.py
@@ -44,7 +44,7 @@
             "springrock_refusals", "Refusals and failures by cause.", ["cause"], registry=registry
         )
         self.open_requests = Gauge(
-            "springrock_open_requests", "Requests now in this box.", registry=registry
+            "springrock_open_requests", "Requests that this box is handling.", registry=registry
         )
         self.chunks = Counter(
             "springrock_relayed_chunks", "Streamed chunks relayed.", registry=registry
@@ -66,7 +66,7 @@
         )
         self.unloads = Counter("springrock_adapter_unloads", "Unloads ordered.", registry=registry)
         self.permits = Counter(
-            "springrock_permits", "Permits asked of this box.", ["result"], registry=registry
+            "springrock_permits", "Permits requested from this box.", ["result"], registry=registry
         )
         self.permits_outstanding = Gauge(
             "springrock_permits_outstanding", "Permits granted and not returned.", registry=registry
@@ -75,7 +75,9 @@
             "springrock_owned_replicas", "Replicas that this box owns.", registry=registry
         )
         self.revision = Gauge(
-            "springrock_configuration_revision", "The revision in force here.", registry=registry
+            "springrock_configuration_revision",
+            "Configuration revision in force.",
+            registry=registry,
         )
         self.peer_links = Gauge("springrock_peer_links", "Open peer links.", registry=registry)
         self.peer_bytes = Counter(
@@ -136,26 +138,28 @@
             registry=registry,
         )
         self.open_requests = Gauge(
-            "springrock_forwarding_open_requests", "Requests now in this box.", registry=registry
+            "springrock_forwarding_open_requests",
+            "Requests that this box is handling.",
+            registry=registry,
         )
         self.configuration = Gauge(
             "springrock_forwarding_configuration_version",
-            "The configuration in force here.",
+            "The version of the configuration in force on this box.",
             registry=registry,
         )
         self.replicas = Gauge(
-            "springrock_forwarding_replicas", "Replicas that may get work.", registry=registry
+            "springrock_forwarding_replicas", "Replicas that may get requests.", registry=registry
         )
         self.replica_rows_passed_over = Counter(
             "springrock_forwarding_replica_rows_passed_over",
-            "Rows in the replicas' table that name no replica to use, by cause.",
+            "Malformed rows in the replicas' table, by cause.",
             ["cause"],
             registry=registry,
         )
         self.count_unknown_message = _unknown_message_counter(registry)
         self.replica_notices = Counter(
             "springrock_forwarding_replica_notices",
-            "What replicas told of themselves in their answers and this box had not known.",
+            "Notices in replicas' answers that were new to this box, by kind.",
             ["notice"],
             registry=registry,
         )
@@ -167,55 +171,55 @@
         )
         self.table_version = Gauge(
             "springrock_forwarding_table_version",
-            "The version of the store up to which a table is known.",
+            "The store's version up to which this box knows the changes of a table.",
             ["table"],
             registry=registry,
         )
         self.store_era = Gauge(
             "springrock_store_era",
-            "How often the store has come back from a copy, as its last answer said.",
+            "How often the store has been restored from a copy, as reported in its last answer.",
             registry=registry,
         )
         self.loop_late_seconds = Histogram(
             "springrock_loop_late_seconds",
-            "By how much this process's loop was late, looked at twice a second.",
+            "The delay of this process's event loop, measured twice a second.",
             buckets=(0.005, 0.025, 0.1, 0.25, 0.5, 1.0, 2.5),
             registry=registry,
         )
         self.orders = Counter(
             "springrock_placement_orders",
-            "Orders given to engines.",
+            "Orders sent to engines.",
             ["kind", "answer"],
             registry=registry,
         )
         self.store_calls = Counter(
             "springrock_store_calls",
-            "Calls to the store, by what was asked and whether it answered.",
+            "Calls to the store, by call, table and answer.",
             ["call", "table", "answer"],
             registry=registry,
         )
         self.grant_seconds = Histogram(
             "springrock_placement_grant_seconds",
-            "Time from a request's ask to its grant, at the zone's placer.",
+            "Time from a request for an engine to its grant, at the zone's placer.",
             ["zone"],
             buckets=_SECONDS_BUCKETS,
             registry=registry,
         )
         self._charges = Counter(
             "springrock_quota_charges",
-            "Requests to be charged to teams, at the placer that counts, by its answer.",
+            "Charges to the quotas of teams, at the placer that counts them, by its answer.",
             ["team", "answer"],
             registry=registry,
         )
         self._permits = Counter(
             "springrock_slow_start_permits",
-            "Requests to be sent to cold or limited replicas, at the placer that counts.",
+            "Requested permits for cold or rate-limited replicas, at the placer that counts them.",
             ["answer"],
             registry=registry,
         )
         self.permits_unanswered = Counter(
             "springrock_slow_start_permits_unheard",
-            "Asks for permits that no placer answered.",
+            "Requests for such permits that no placer answered.",
             registry=registry,
         )
         self.cold_replicas = Gauge(
@@ -225,29 +229,29 @@
         )
         self.limited_replicas = Gauge(
             "springrock_limited_replicas",
-            "Replicas that take but so many requests a second from all boxes together.",
+            "Replicas with a limit on the requests a second from all boxes together.",
             registry=registry,
         )
         self._teams: set[str] = set()
         self.quarantined = Gauge(
             "springrock_quarantine_requests",
-            "Requests that are sent to no replica, as replicas crash under them.",
+            "Requests in quarantine: they crashed replicas and are no longer sent to any.",
             registry=registry,
         )
         self.placer = Gauge(
             "springrock_placement_placer",
-            "1 while this box gives orders to a zone's engines.",
+            "1 while this box is the placer that sends orders to a zone's engines.",
             ["zone"],
             registry=registry,
         )
         self.boxes = Gauge(
             "springrock_placement_boxes",
-            "The most boxes seen at once; they share the fixed allowance of retries.",
+            "The highest number of boxes seen at once; it divides the fixed allowance of retries.",
             registry=registry,
         )
         self.zone_evacuated = Gauge(
             "springrock_evacuation_zone",
-            "1 while a zone is evacuated, as this box knows.",
+            "1 while this box knows that a zone is evacuated.",
             ["zone"],
             registry=registry,
         )
@@ -265,16 +269,18 @@
         )
         self.adapters_to_prefetch = Gauge(
             "springrock_evacuation_adapters_to_come",
-            "Adapters of evacuated zones that this box, as a zone's placer, is yet to bring.",
+            "Adapters of evacuated zones that this box, as a zone's placer, has yet to load there.",
             ["zone"],
             registry=registry,
         )
         self.dropped_lines = Gauge(
-            "springrock_log_dropped_lines", "Log lines dropped for want of room.", registry=registry
+            "springrock_log_dropped_lines",
+            "Log lines dropped as a buffer was full.",
+            registry=registry,
         )
         bytes_away = Counter(
             "springrock_bytes_away",
-            "Bytes of requests, answers and links that left the zone: to the region or beyond.",
+            "Bytes of requests, answers and links sent out of the zone, by kind and distance.",
             ["kind", "distance"],
             registry=registry,
         )
--- a/springrock/platform/notices.py
+++ b/springrock/platform/notices.py
@@ -51,7 +51,7 @@
                 backoffs.append(read_retry_after(value))
             except RetryAfterUnreadable:
                 unreadable = f"{HEADER}: {value[:_MAX_LOGGED_CHARS]}"
-    # Of repeated headers, the value that gives the replica the least load applies.
+    # If a header is repeated, the value that gives the replica the least load applies.
     return ReplicaNotice(
         leaving=any(
             name == _LEAVING and value.strip() == _LEAVING_VALUE for name, value in reported
--- a/springrock/platform/tables.py
+++ b/springrock/platform/tables.py
@@ -73,7 +73,7 @@
             elif zone := evacuated_zone(row.key):
                 self._evacuations.begin(zone)
         except MalformedRecord as error:
-            self._log.info("Passed over a malformed row.", error=str(error))
+            self._log.info("Ignored a malformed row.", error=str(error))
             if row.key == names.CONFIGURATION_KEY:
                 self._on_unreadable()
 
@@ -149,5 +149,5 @@
             return
         self._last_fault_by_id.record(key, error.fault)
         self._log.info(
-            "Passed over a replica's row.", replica=key, fault=error.fault, field=error.field
+            "Ignored a replica's malformed row.", replica=key, fault=error.fault, field=error.field
         )
--- a/springrock/table_follower.py
+++ b/springrock/table_follower.py
@@ -27,15 +27,16 @@
 from springrock.unconfirmed_rows import RetentionPeriods, UnconfirmedRows
 
 POLL_WAIT_S = 1.8
-"""A wait and the time for its answer are under three seconds together: within that time after the
-silent end of a network cut a box must know the current table."""
+"""How long the store may hold a poll open. With the time for its answer this is under three
+seconds, the bound on how long after the end of a network cut, which may close no connection, a box
+may not know the current table."""
 
 _PUBLISHER_POLL_WAIT_S = 0.5
-"""A box whose readings others rely on reads at least this often even without changes, so that they
-learn soon that it still reads."""
+"""How long the store may hold a poll of a publishing box open. Other boxes rely on its readings, so
+it publishes one at least this often even without changes, to show that it still reads."""
 
 _PUBLISHER_MAX_PAUSE_S = 0.4
-"""Upper limit on the pause between the reads of such a box."""
+"""Upper limit on the pause between the reads of a publishing box."""
 
 _PEER_READING_VALID_S = 1.3
 """How long this box skips its own reads after a reading from another box: a little more than the
@@ -43,7 +44,8 @@
 under two seconds, if the store answers at once."""
 
 _MAX_EXTRA_WAIT_S = 0.4
-"""Extra wait, at most, of boxes that do not publish, so that one that publishes reads first."""
+"""Upper limit on the extra wait of boxes that do not publish, so that a publishing box reads
+first."""
 
 _COPY_RETENTION_S = 5.0
 """If the store returns an older version than a copy from another box for this long, the copy is
@@ -398,7 +400,7 @@
         for row in self._unconfirmed.apply_restored_table(rows, lost=lost):
             self._apply_change(row)
         self._log.info(
-            "The store came back from a copy.",
+            "The store was restored from a copy.",
             table=self.table,
             version=format_version(version),
             known=format_version(self.version),
--- a/springrock/wire/engine.py
+++ b/springrock/wire/engine.py
@@ -111,8 +111,8 @@
     finish_reason: str | None = None
 
     @property
-    def piece(self) -> str:
-        """The text of the chunk, of a chat or a plain completion."""
+    def generated_text(self) -> str:
+        """The text of the chunk, in a chat or a plain completion."""
         return self.delta.content if self.delta is not None else self.text
 
 
