--- a/bench/soak/observations.py
+++ b/bench/soak/observations.py
@@ -117,7 +117,7 @@
 
 
 class Pause(Struct, frozen=True):
-    """A span in which the machine did not run the soak's process."""
+    """A span in which the operating system did not run the soak's process."""
 
     began_at: float
     lasted_s: float
--- a/springrock/doors/caller.py
+++ b/springrock/doors/caller.py
@@ -210,24 +210,24 @@
             self._host.open_requests.leave()
 
     def _complete_answer(self, request: ServingRequest, answer: Answer) -> Any:
-        pieces: list[str] = []
+        texts: list[str] = []
         finish_reason = ""
         try:
             for event in answer:
                 if event.chunk is not None:
                     choice = event.chunk.choices[0]
-                    pieces.append(choice.generated_text)
+                    texts.append(choice.generated_text)
                     finish_reason = choice.finish_reason or finish_reason
         except RequestRefused as error:
             self._handle_cut(request, error.refusal)
-            return self._refuse(error.refusal, request.request_id, counted=True)
+            return self._refuse(error.refusal, request.request_id, already_counted=True)
         finally:
             answer.close()
         self._count(RunState.ANSWERED)
         body = wire.completion_answer(
             request_id=request.request_id,
             model=str(request.model),
-            text="".join(pieces),
+            text="".join(texts),
             tokens=answer.tokens,
             finish_reason=finish_reason,
             chat=request.chat,
@@ -295,8 +295,10 @@
 
     # Refusals, cuts and counters.
 
-    def _refuse(self, refusal: Refusal, request_id: str = "", *, counted: bool = False) -> Any:
-        if not counted:
+    def _refuse(
+        self, refusal: Refusal, request_id: str = "", *, already_counted: bool = False
+    ) -> Any:
+        if not already_counted:
             self._count(refusal.run_state, refusal.cause)
             self._log.info(
                 f"Refused {request_id or 'a request'}: {refusal.cause}.",
--- a/springrock/doors/operator.py
+++ b/springrock/doors/operator.py
@@ -55,8 +55,8 @@
         return self._server.address
 
     def _statement(self) -> Any:
-        who = self._operator_of(bottle.request.headers.get("Authorization", ""))
-        if who is None:
+        operator = self._authenticate(bottle.request.headers.get("Authorization", ""))
+        if operator is None:
             self._log.info("Rejected an unknown credential.")
             return _failure(401, "BadCredential", "unknown key")
         body_bytes = read_body(_BODY_LIMIT_BYTES)
@@ -65,26 +65,28 @@
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
             return _failure(400, "MalformedRequest", str(error))
         self._log.info(
-            f"{who} sent a statement: {request.statement}", who=who, command=request.command_id
+            f"{operator} sent a statement: {request.statement}",
+            who=operator,
+            command=request.command_id,
         )
-        return self._run(who, request)
+        return self._run(operator, request)
 
-    def _run(self, who: str, request: StatementRequest) -> Any:
+    def _run(self, operator: str, request: StatementRequest) -> Any:
         try:
             statement, arguments = parse(request.statement)
-            requester = Requester(who, request.command_id, request.wait_s)
+            requester = Requester(operator, request.command_id, request.wait_s)
             answer: StatementAnswer = statement.run(self._host, arguments, requester)
         except StatementError as error:
-            return self._refusal_response(409, who, error)
+            return self._refusal_response(409, operator, error)
         except PlatformUnavailable as error:
-            return self._refusal_response(503, who, error)
+            return self._refusal_response(503, operator, error)
         return json_response(msgspec.json.encode(answer))
 
-    def _refusal_response(self, status: int, who: str, error: SpringrockError) -> Any:
-        self._log.info(f"Refused a statement of {who}.", who=who, error=str(error))
+    def _refusal_response(self, status: int, operator: str, error: SpringrockError) -> Any:
+        self._log.info(f"Refused a statement of {operator}.", who=operator, error=str(error))
         return _failure(status, type(error).__name__, str(error))
 
-    def _operator_of(self, authorization: str) -> str | None:
+    def _authenticate(self, authorization: str) -> str | None:
         """Return the operator with a key, or None.
 
         All keys are compared, in constant time, so that the duration reveals nothing about them.
--- a/springrock/drivers/engine.py
+++ b/springrock/drivers/engine.py
@@ -226,7 +226,7 @@
         headers: dict[str, str] | None = None,
         timeout: float | urllib3.Timeout,
     ) -> urllib3.BaseHTTPResponse:
-        stream = path in (wire.COMPLETIONS_PATH, wire.CHAT_PATH)
+        is_stream = path in (wire.COMPLETIONS_PATH, wire.CHAT_PATH)
         try:
             response = self._pool.urlopen(
                 method,
@@ -236,13 +236,13 @@
                 timeout=timeout,
                 retries=False,
                 redirect=False,
-                preload_content=not stream,
+                preload_content=not is_stream,
             )
         except (NewConnectionError, ConnectTimeoutError) as error:
             raise UpstreamUnreachable(str(error)) from None
         except (HTTPError, OSError) as error:
             raise UpstreamBroke(str(error)) from None
-        if stream:
+        if is_stream:
             _disable_read_timeout(response)
         return response
 
--- a/springrock/emulator/engine.py
+++ b/springrock/emulator/engine.py
@@ -282,7 +282,7 @@
             return self._order_answer(409, done=False, reason="no free slot")
         boot_id = self.boot_id
         self.loading.add(adapter)
-        loaded = self._fetch(adapter)
+        loaded = self._fetch_weights(adapter)
         if self.boot_id != boot_id:
             return self._order_answer(503, done=False, reason="restarted")
         self.loading.discard(adapter)
@@ -292,7 +292,7 @@
         self.loads += 1
         return self._order_answer(200, done=True)
 
-    def _fetch(self, adapter: str) -> bool:
+    def _fetch_weights(self, adapter: str) -> bool:
         url = f"http://{self.settings.weights_address}/weights/{adapter}"
         try:
             response = self._pool.request("GET", url, timeout=30.0)
--- a/springrock/emulator/load.py
+++ b/springrock/emulator/load.py
@@ -216,8 +216,8 @@
     def _send(self, planned: PlannedRequest) -> None:
         self.in_flight += 1
         try:
-            service = planned.workload.kind == "service"
-            outcome = self._call_service(planned) if service else self._call_completion(planned)
+            is_service = planned.workload.kind == "service"
+            outcome = self._call_service(planned) if is_service else self._call_completion(planned)
         finally:
             self.in_flight -= 1
         self.outcomes.append(outcome)
@@ -359,7 +359,7 @@
         self._began_at = began_at
         self._last_at = began_at
         self._buffer = b""
-        self._pieces: list[str] = []
+        self._texts: list[str] = []
         self.first_token_s = 0.0
         self.gap_s = 0.0
         self.tokens = 0
@@ -368,7 +368,7 @@
 
     @property
     def text(self) -> str:
-        return "".join(self._pieces)
+        return "".join(self._texts)
 
     def feed(self, data: bytes) -> None:
         *events, self._buffer = (self._buffer + data).split(b"\n\n")
@@ -384,7 +384,7 @@
         if data == DONE:
             self.done = True
             return
-        self._pieces.append(decode_chunk(data).choices[0].generated_text)
+        self._texts.append(decode_chunk(data).choices[0].generated_text)
         now = monotonic()
         if self.tokens:
             self.gap_s = max(self.gap_s, now - self._last_at)
--- a/springrock/emulator/replica.py
+++ b/springrock/emulator/replica.py
@@ -184,10 +184,10 @@
         )
 
     def _status_headers(self) -> dict[str, str]:
-        said = {names.LEAVING: "1"} if self._fault.leaving else {}
+        headers = {names.LEAVING: "1"} if self._fault.leaving else {}
         if self._fault.limit_per_s >= 0:
-            said[names.LIMIT] = str(self._fault.limit_per_s)
-        return said
+            headers[names.LIMIT] = str(self._fault.limit_per_s)
+        return headers
 
     def _state(self) -> dict[str, Any]:
         model = self._settings.base_model
--- a/springrock/entry.py
+++ b/springrock/entry.py
@@ -213,7 +213,7 @@
         replicas = ReplicaTable(
             self.directory,
             knows_zone=self._topology.knows,
-            count_fault=lambda fault: self.metrics.replica_rows_passed_over.labels(fault).inc(),
+            count_fault=lambda fault: self.metrics.malformed_replica_rows.labels(fault).inc(),
             log=self._log_of("directory"),
         )
         clock = StoreClock()
--- a/springrock/kept_rows.py
+++ b/springrock/kept_rows.py
@@ -17,12 +17,12 @@
 
 
 def replica_retention(key: str) -> RetentionPeriods:
-    """Return how long a missing replica is kept, and a replica that has left is kept out."""
+    """Return how long a replica that the copy lacks is kept, and one that left is not restored."""
     return RetentionPeriods(missing=_REPLICA_RETENTION_S, removed=_REPLICA_RETENTION_S)
 
 
 def operator_row_retention(key: str) -> RetentionPeriods:
-    """Return how long a missing evacuation is kept; a restored one applies at once."""
+    """Return how long an evacuation that the copy lacks is kept; one in it applies at once."""
     return RetentionPeriods(missing=_OPERATOR_ROW_RETENTION_S)
 
 
--- a/springrock/metrics.py
+++ b/springrock/metrics.py
@@ -150,7 +150,7 @@
         self.replicas = Gauge(
             "springrock_forwarding_replicas", "Replicas that may get requests.", registry=registry
         )
-        self.replica_rows_passed_over = Counter(
+        self.malformed_replica_rows = Counter(
             "springrock_forwarding_replica_rows_passed_over",
             "Malformed rows in the replicas' table, by cause.",
             ["cause"],
@@ -295,7 +295,7 @@
     ) -> Callable[[float], None]:
         """Return a function that counts bytes of a kind sent over a distance.
 
-        Frequent callers should keep it.
+        Code that counts often should keep the function instead of asking for it each time.
         """
         return self._bytes_away.get((kind, distance), ignore_count)
 
--- a/springrock/platform/dialect.py
+++ b/springrock/platform/dialect.py
@@ -138,7 +138,7 @@
 
 
 def _parse_prompt_parts(value: str | None) -> tuple[PromptPart, ...]:
-    """Parse ID:TOKENS pairs; a malformed header only loses the benefit of cached prompt parts."""
+    """Parse ID:TOKENS pairs; a malformed header is ignored, so cached parts may go unused."""
     if not value:
         return ()
     parts = []
--- a/springrock/statements/adapters.py
+++ b/springrock/statements/adapters.py
@@ -16,7 +16,7 @@
     return f"adapter/{arguments.get('adapter')}"
 
 
-def _existing(catalog: Catalog, arguments: Arguments) -> Adapter:
+def _existing_adapter(catalog: Catalog, arguments: Arguments) -> Adapter:
     adapter = catalog.adapter(arguments.get("adapter"))
     if adapter is None:
         raise StatementError(f"there is no adapter {arguments.get('adapter')}")
@@ -42,7 +42,7 @@
     host: StatementHost, arguments: Arguments, requester: Requester
 ) -> StatementAnswer:
     def _build(catalog: Catalog, change: Change) -> Change:
-        adapter = _existing(catalog, arguments)
+        adapter = _existing_adapter(catalog, arguments)
         versions = sorted({*adapter.versions, *arguments.integers("version")})
         return put(change, msgspec.structs.replace(adapter, versions=versions))
 
@@ -53,7 +53,7 @@
     host: StatementHost, arguments: Arguments, requester: Requester
 ) -> StatementAnswer:
     def _build(catalog: Catalog, change: Change) -> Change:
-        adapter = _existing(catalog, arguments)
+        adapter = _existing_adapter(catalog, arguments)
         version = arguments.integers("version")[0]
         if version not in adapter.versions:
             raise StatementError(f"adapter {adapter.name} has no version {version}")
@@ -66,7 +66,7 @@
     host: StatementHost, arguments: Arguments, requester: Requester
 ) -> StatementAnswer:
     def _build(catalog: Catalog, change: Change) -> Change:
-        adapter = _existing(catalog, arguments)
+        adapter = _existing_adapter(catalog, arguments)
         version = arguments.integers("version")[0]
         if version == adapter.current:
             raise StatementError(f"version {version} is in use as the current one")
@@ -82,7 +82,8 @@
     def _build(catalog: Catalog, change: Change) -> Change:
         workloads = sorted(set(arguments.lists.get("workload", [])))
         return put(
-            change, msgspec.structs.replace(_existing(catalog, arguments), workloads=workloads)
+            change,
+            msgspec.structs.replace(_existing_adapter(catalog, arguments), workloads=workloads),
         )
 
     return commit(host, arguments, requester, _key(arguments), _build)
--- a/springrock/statements/placement.py
+++ b/springrock/statements/placement.py
@@ -75,7 +75,7 @@
         link = host.peers.link_to(name)
         link.ask(wire.StopBox(0, requester.name), wire.Status, timeout_s=_STOP_TIMEOUT_S)
     except PeerUnreachable as error:
-        raise StatementError(f"{name} could not be asked to stop: {error}") from None
+        raise StatementError(f"{name} was not told to stop: {error}") from None
     return StatementAnswer(text=f"{name} stops as planned")
 
 
--- a/springrock/store_clock.py
+++ b/springrock/store_clock.py
@@ -25,8 +25,8 @@
 
     def __init__(self) -> None:
         self._era = UNKNOWN_ERA
-        self._least_ahead: float | None = None
-        self._most_ahead = 0.0
+        self._min_offset_s: float | None = None
+        self._max_offset_s = 0.0
         self._recorded_at = 0.0
 
     def record(
@@ -42,14 +42,14 @@
         """
         if era != self._era:
             self._era = era
-            self._least_ahead = None
-        least, most = sent_at - store_s, received_at - store_s
-        if self._least_ahead is not None:
+            self._min_offset_s = None
+        min_s, max_s = sent_at - store_s, received_at - store_s
+        if self._min_offset_s is not None:
             drift_s = _DRIFT * max(0.0, received_at - self._recorded_at)
-            known_least, known_most = self._least_ahead - drift_s, self._most_ahead + drift_s
-            if known_least <= most + _TOLERANCE_S and least <= known_most + _TOLERANCE_S:
-                least, most = max(least, known_least), min(most, known_most)
-        self._least_ahead, self._most_ahead = least, max(least, most)
+            known_min_s, known_max_s = self._min_offset_s - drift_s, self._max_offset_s + drift_s
+            if known_min_s <= max_s + _TOLERANCE_S and min_s <= known_max_s + _TOLERANCE_S:
+                min_s, max_s = max(min_s, known_min_s), min(max_s, known_max_s)
+        self._min_offset_s, self._max_offset_s = min_s, max(min_s, max_s)
         self._recorded_at = received_at
 
     def earliest_local(self, store_s: float, *, era: int = UNKNOWN_ERA) -> float | None:
@@ -62,15 +62,15 @@
         Returns:
             The time on the local monotonic clock; None if unknown.
         """
-        if self._least_ahead is None or era != self._era:
+        if self._min_offset_s is None or era != self._era:
             return None
-        return store_s + self._least_ahead - self._drift_since_record_s()
+        return store_s + self._min_offset_s - self._drift_since_record_s()
 
     def earliest_store(self, local: float) -> float | None:
         """Return the earliest time on the store's clock at a local time; None if unknown."""
-        if self._least_ahead is None:
+        if self._min_offset_s is None:
             return None
-        return local - self._most_ahead - self._drift_since_record_s()
+        return local - self._max_offset_s - self._drift_since_record_s()
 
     def _drift_since_record_s(self) -> float:
         return _DRIFT * max(0.0, monotonic() - self._recorded_at)
--- a/springrock/table_follower.py
+++ b/springrock/table_follower.py
@@ -61,8 +61,9 @@
     """Keeps a listener up to date with one table, in its own task.
 
     Another box may send its readings of the same table. As long as it does, this one does not read
-    the store. A reading is ignored if it starts after the known version, or if it is older than
-    that, as the store may have been restored from a copy.
+    the store. A reading is ignored if it starts after the known version, so that changes between
+    them are missing, or if it is older than that, as it may be after the store was restored from a
+    copy.
 
     After a restore the full table is read. Its rows are applied at once, as the writers of newer
     values write these again. Two kinds of rows keep their known state for a retention period: rows
@@ -189,7 +190,7 @@
             if era_of(reading.after) > era_of(self._version):
                 self.resume_reads()
             return
-        self._log_behind(reading, source_zone)
+        self._log_if_behind(reading, source_zone)
         if reading.version < self._version:
             return
         self._source_zone = source_zone
@@ -269,20 +270,20 @@
                 retry_s = min(max_retry_s, retry_s * 1.5)
 
     def _read_and_apply(self) -> None:
-        asked_at = monotonic()
+        sent_at = monotonic()
         reading, store_s = self._read()
         if self._is_peer_copy and not self._may_replace_copy(reading):
             return
         self._reject_earlier_era(reading)
         if store_s is not None:
             era = era_of(reading.version)
-            self._clock.record(store_s, sent_at=asked_at, received_at=monotonic(), era=era)
+            self._clock.record(store_s, sent_at=sent_at, received_at=monotonic(), era=era)
         self._source_zone = ""
         self._apply(reading)
         self._full_read_due = False
-        self._newest_at = max(self._newest_at, asked_at)
+        self._newest_at = max(self._newest_at, sent_at)
         if self.publishes():
-            as_of_s = self._clock.earliest_store(asked_at)
+            as_of_s = self._clock.earliest_store(sent_at)
             self.publisher(reading._replace(as_of_s=as_of_s), True)
 
     def _read(self) -> tuple[TableReading, float | None]:
@@ -321,7 +322,7 @@
         self._full_read_due = True
         return True
 
-    def _log_behind(self, reading: TableReading, source_zone: str) -> None:
+    def _log_if_behind(self, reading: TableReading, source_zone: str) -> None:
         """Log when readings of another box begin and cease to be older than the known table."""
         if reading.version < self.version:
             self._peer_behind.begin(
@@ -416,9 +417,11 @@
 
 def _without_overtaken_removals(changes: Sequence[Change]) -> list[Change]:
     """Drop each removal of a row that is written again by a later change."""
-    last_write = {change.key: at for at, change in enumerate(changes) if isinstance(change, Row)}
+    last_write = {
+        change.key: index for index, change in enumerate(changes) if isinstance(change, Row)
+    }
     return [
         change
-        for at, change in enumerate(changes)
-        if isinstance(change, Row) or last_write.get(change.key, -1) < at
+        for index, change in enumerate(changes)
+        if isinstance(change, Row) or last_write.get(change.key, -1) < index
     ]
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -54,13 +54,13 @@
     Attributes:
         code: The exit code.
         output: What the command printed.
-        left: The folder for the logs of a failed seed.
+        folder: The folder for the logs of a failed seed.
         verdicts: The verdicts by judge; empty unless the play failed.
     """
 
     code: int
     output: str
-    left: Path
+    folder: Path
     verdicts: dict[str, Verdict]
 
 
@@ -91,11 +91,11 @@
 
 
 def test_only_a_failed_seed_keeps_its_logs(played: Played) -> None:
-    left = [path.name for path in played.left.rglob("*")]
+    kept_names = [path.name for path in played.folder.rglob("*")]
     if played.code == PASSED:
-        assert left == []
+        assert kept_names == []
         return
-    assert {"report.txt", "findings.json", "box-1.log", "store.log"} <= set(left)
+    assert {"report.txt", "findings.json", "box-1.log", "store.log"} <= set(kept_names)
     assert "Again: python -m bench.soak --replay" in played.output
 
 
