--- a/bench/first_try.py
+++ b/bench/first_try.py
@@ -119,8 +119,8 @@
     """Return the count of the times, and their sum and percentiles in seconds."""
     if len(times) < 2:
         return f"{len(times)}, {sum(times):.2f} s"
-    at = quantiles(times, n=100, method="inclusive")
-    return f"{len(times)}, {sum(times):.1f} s, p50 {at[49]:.3f} s, p99 {at[98]:.3f} s"
+    cuts = quantiles(times, n=100, method="inclusive")
+    return f"{len(times)}, {sum(times):.1f} s, p50 {cuts[49]:.3f} s, p99 {cuts[98]:.3f} s"
 
 
 def report(*logs: Path) -> None:
--- a/springrock/entry.py
+++ b/springrock/entry.py
@@ -138,7 +138,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer should send clients here."""
+        """Whether the balancer should send requests to this box."""
         has_tables = self._routes.configuration.version > 0 and self.directory.count > 0
         # The placers' table also lists the requests that crash replicas. A box that has not read
         # it would forward them.
