--- a/springrock/metrics.py
+++ b/springrock/metrics.py
@@ -207,7 +207,7 @@
         )
         self._charges = Counter(
             "springrock_quota_charges",
-            "Charges to the quotas of teams, at the placer that counts them, by its answer.",
+            "Charges to the quotas of teams, at the placer that counts them, by answer.",
             ["team", "answer"],
             registry=registry,
         )
@@ -219,7 +219,7 @@
         )
         self.permits_unanswered = Counter(
             "springrock_slow_start_permits_unheard",
-            "Requests for such permits that no placer answered.",
+            "Requests for slow-start permits that no placer answered.",
             registry=registry,
         )
         self.cold_replicas = Gauge(
@@ -246,7 +246,7 @@
         )
         self.boxes = Gauge(
             "springrock_placement_boxes",
-            "The highest number of boxes seen at once; it divides the fixed allowance of retries.",
+            "The most boxes seen at once; the fixed allowance of retries is divided by them.",
             registry=registry,
         )
         self.zone_evacuated = Gauge(
@@ -269,13 +269,13 @@
         )
         self.adapters_to_prefetch = Gauge(
             "springrock_evacuation_adapters_to_come",
-            "Adapters of evacuated zones that this box, as a zone's placer, has yet to load there.",
+            "Adapters of evacuated zones that this box, as its zone's placer, has yet to load.",
             ["zone"],
             registry=registry,
         )
         self.dropped_lines = Gauge(
             "springrock_log_dropped_lines",
-            "Log lines dropped as a buffer was full.",
+            "Log lines dropped as the output buffer was full.",
             registry=registry,
         )
         bytes_away = Counter(
