--- a/bench/calibration.py
+++ b/bench/calibration.py
@@ -59,8 +59,8 @@
         """Read a log record; return the outcome of the estimate that it completes, if any."""
         match record["text"]:
             case str(text) if text == _GRANTED:
-                name = (record["request"], record["instance"])
-                self._grants[name] = record["first_event_in_ms"] / 1000
+                pair = (record["request"], record["instance"])
+                self._grants[pair] = record["first_event_in_ms"] / 1000
             case str(text) if text == _ASSIGNED:
                 self._assigned_at[(record["instance"], record["adapter"])] = record["timestamp"]
             case str(text) if text == _LOADED:
