--- a/bench/calibration.py
+++ b/bench/calibration.py
@@ -59,8 +59,8 @@
         """Read a log record; return the outcome of the estimate that it completes, if any."""
         match record["text"]:
             case str(text) if text == _GRANTED:
-                name = (record["request"], record["instance"])
-                self._grants[name] = record["first_event_in_ms"] / 1000
+                pair = (record["request"], record["instance"])
+                self._grants[pair] = record["first_event_in_ms"] / 1000
             case str(text) if text == _ASSIGNED:
                 self._assigned_at[(record["instance"], record["adapter"])] = record["timestamp"]
             case str(text) if text == _LOADED:
@@ -126,8 +126,8 @@
 def _summary_of(ratios: list[float]) -> str:
     if len(ratios) < 2:
         return f"{len(ratios)}"
-    at = quantiles(ratios, n=_PERCENTILES, method="inclusive")
-    return f"{len(ratios)}, p10 {at[9]:.2f}, p50 {at[49]:.2f}, p90 {at[89]:.2f}"
+    cuts = quantiles(ratios, n=_PERCENTILES, method="inclusive")
+    return f"{len(ratios)}, p10 {cuts[9]:.2f}, p50 {cuts[49]:.2f}, p90 {cuts[89]:.2f}"
 
 
 if __name__ == "__main__":
--- a/springrock/entry.py
+++ b/springrock/entry.py
@@ -73,8 +73,8 @@
 _REPLICAS_PAUSE_S = 0.8
 """Pause between reads of the replicas' table.
 
-Replicas write several times a second, as their adapters change. Only a leaving replica matters to
-this reader, and there is time to learn of it."""
+Replicas write several times a second, as their adapters change. This box needs only the changes of
+whether a replica is leaving, and a delay of this length is acceptable for those."""
 
 _PLACERS_PAUSE_S = 0.5
 """Pause between reads of the placers' table.
@@ -138,7 +138,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer should send clients here."""
+        """Whether the balancer should send requests to this box."""
         has_tables = self._routes.configuration.version > 0 and self.directory.count > 0
         # The placers' table also lists the requests that crash replicas. A box that has not read
         # it would forward them.
@@ -175,7 +175,7 @@
         self._stop_parts()
 
     def reload(self, settings: EntrySettings) -> None:
-        """Apply changed settings; changed addresses take effect at the next start."""
+        """Apply changed settings; changed addresses take effect only after a restart."""
         self._log.info("Reload.")
         self.settings = settings
 
@@ -213,7 +213,7 @@
         replicas = ReplicaTable(
             self.directory,
             knows_zone=self._topology.knows,
-            count_fault=lambda fault: self.metrics.replica_rows_passed_over.labels(fault).inc(),
+            count_fault=lambda fault: self.metrics.malformed_replica_rows.labels(fault).inc(),
             log=self._log_of("directory"),
         )
         clock = StoreClock()
@@ -404,7 +404,7 @@
         return fetch_state(seed, hello)
 
     def _connect_readings(self) -> None:
-        """Let boxes apply the table readings that the box of a placer publishes."""
+        """Publish own table readings while this box is a placer; apply those of other boxes."""
         for follower in self._followers:
             follower.publishes = lambda: self._placement.publishes_readings
             follower.publisher = lambda reading, is_own: self._placement.publish_reading(
