--- a/springrock/metrics.py
+++ b/springrock/metrics.py
@@ -44,7 +44,7 @@
             "springrock_refusals", "Refusals and failures by cause.", ["cause"], registry=registry
         )
         self.open_requests = Gauge(
-            "springrock_open_requests", "Requests that this box is handling.", registry=registry
+            "springrock_open_requests", "Requests now in this box.", registry=registry
         )
         self.chunks = Counter(
             "springrock_relayed_chunks", "Streamed chunks relayed.", registry=registry
@@ -66,7 +66,7 @@
         )
         self.unloads = Counter("springrock_adapter_unloads", "Unloads ordered.", registry=registry)
         self.permits = Counter(
-            "springrock_permits", "Permits requested from this box.", ["result"], registry=registry
+            "springrock_permits", "Permits asked of this box.", ["result"], registry=registry
         )
         self.permits_outstanding = Gauge(
             "springrock_permits_outstanding", "Permits granted and not returned.", registry=registry
@@ -76,7 +76,7 @@
         )
         self.revision = Gauge(
             "springrock_configuration_revision",
-            "Configuration revision in force.",
+            "The revision in force here.",
             registry=registry,
         )
         self.peer_links = Gauge("springrock_peer_links", "Open peer links.", registry=registry)
@@ -139,27 +139,27 @@
         )
         self.open_requests = Gauge(
             "springrock_forwarding_open_requests",
-            "Requests that this box is handling.",
+            "Requests now in this box.",
             registry=registry,
         )
         self.configuration = Gauge(
             "springrock_forwarding_configuration_version",
-            "The version of the configuration in force on this box.",
+            "The configuration in force here.",
             registry=registry,
         )
         self.replicas = Gauge(
-            "springrock_forwarding_replicas", "Replicas that may get requests.", registry=registry
+            "springrock_forwarding_replicas", "Replicas that may get work.", registry=registry
         )
         self.malformed_replica_rows = Counter(
             "springrock_forwarding_replica_rows_passed_over",
-            "Malformed rows in the replicas' table, by cause.",
+            "Rows in the replicas' table that name no replica to use, by cause.",
             ["cause"],
             registry=registry,
         )
         self.count_unknown_message = _unknown_message_counter(registry)
         self.replica_notices = Counter(
             "springrock_forwarding_replica_notices",
-            "Notices in replicas' answers that were new to this box, by kind.",
+            "What replicas told of themselves in their answers and this box had not known.",
             ["notice"],
             registry=registry,
         )
@@ -171,55 +171,55 @@
         )
         self.table_version = Gauge(
             "springrock_forwarding_table_version",
-            "The store's version up to which this box knows the changes of a table.",
+            "The version of the store up to which a table is known.",
             ["table"],
             registry=registry,
         )
         self.store_era = Gauge(
             "springrock_store_era",
-            "How often the store has been restored from a copy, as reported in its last answer.",
+            "How often the store has come back from a copy, as its last answer said.",
             registry=registry,
         )
         self.loop_late_seconds = Histogram(
             "springrock_loop_late_seconds",
-            "The delay of this process's event loop, measured twice a second.",
+            "By how much this process's loop was late, looked at twice a second.",
             buckets=(0.005, 0.025, 0.1, 0.25, 0.5, 1.0, 2.5),
             registry=registry,
         )
         self.orders = Counter(
             "springrock_placement_orders",
-            "Orders sent to engines.",
+            "Orders given to engines.",
             ["kind", "answer"],
             registry=registry,
         )
         self.store_calls = Counter(
             "springrock_store_calls",
-            "Calls to the store, by call, table and answer.",
+            "Calls to the store, by what was asked and whether it answered.",
             ["call", "table", "answer"],
             registry=registry,
         )
         self.grant_seconds = Histogram(
             "springrock_placement_grant_seconds",
-            "Time from a request for an engine to its grant, at the zone's placer.",
+            "Time from a request's ask to its grant, at the zone's placer.",
             ["zone"],
             buckets=_SECONDS_BUCKETS,
             registry=registry,
         )
         self._charges = Counter(
             "springrock_quota_charges",
-            "Charges to the quotas of teams, at the placer that counts them, by answer.",
+            "Requests to be charged to teams, at the placer that counts, by its answer.",
             ["team", "answer"],
             registry=registry,
         )
         self._permits = Counter(
             "springrock_slow_start_permits",
-            "Requested permits for cold or rate-limited replicas, at the placer that counts them.",
+            "Requests to be sent to cold or limited replicas, at the placer that counts.",
             ["answer"],
             registry=registry,
         )
         self.permits_unanswered = Counter(
             "springrock_slow_start_permits_unheard",
-            "Requests for slow-start permits that no placer answered.",
+            "Asks for permits that no placer answered.",
             registry=registry,
         )
         self.cold_replicas = Gauge(
@@ -229,29 +229,29 @@
         )
         self.limited_replicas = Gauge(
             "springrock_limited_replicas",
-            "Replicas with a limit on the requests a second from all boxes together.",
+            "Replicas that take but so many requests a second from all boxes together.",
             registry=registry,
         )
         self._teams: set[str] = set()
         self.quarantined = Gauge(
             "springrock_quarantine_requests",
-            "Requests in quarantine: they crashed replicas and are no longer sent to any.",
+            "Requests that are sent to no replica, as replicas crash under them.",
             registry=registry,
         )
         self.placer = Gauge(
             "springrock_placement_placer",
-            "1 while this box is the placer that sends orders to a zone's engines.",
+            "1 while this box gives orders to a zone's engines.",
             ["zone"],
             registry=registry,
         )
         self.boxes = Gauge(
             "springrock_placement_boxes",
-            "The most boxes seen at once; the fixed allowance of retries is divided by them.",
+            "The most boxes seen at once; they share the fixed allowance of retries.",
             registry=registry,
         )
         self.zone_evacuated = Gauge(
             "springrock_evacuation_zone",
-            "1 while this box knows that a zone is evacuated.",
+            "1 while a zone is evacuated, as this box knows.",
             ["zone"],
             registry=registry,
         )
@@ -269,18 +269,18 @@
         )
         self.adapters_to_prefetch = Gauge(
             "springrock_evacuation_adapters_to_come",
-            "Adapters of evacuated zones that this box, as its zone's placer, has yet to load.",
+            "Adapters of evacuated zones that this box, as a zone's placer, is yet to bring.",
             ["zone"],
             registry=registry,
         )
         self.dropped_lines = Gauge(
             "springrock_log_dropped_lines",
-            "Log lines dropped as the output buffer was full.",
+            "Log lines dropped for want of room.",
             registry=registry,
         )
         bytes_away = Counter(
             "springrock_bytes_away",
-            "Bytes of requests, answers and links sent out of the zone, by kind and distance.",
+            "Bytes of requests, answers and links that left the zone: to the region or beyond.",
             ["kind", "distance"],
             registry=registry,
         )
