--- a/springrock/box.py
+++ b/springrock/box.py
@@ -14,7 +14,7 @@
 from springrock.coordination.members import Members
 from springrock.coordination.ownership import Ownership, Upstream
 from springrock.coordination.peers import Peers
-from springrock.coordination.permits import HeldBook
+from springrock.coordination.permits import HeldPermitBook
 from springrock.coordination.relayed import RelayedPlatform
 from springrock.coordination.session import Session
 from springrock.coordination.standalone import Standalone
@@ -127,12 +127,12 @@
             log=self.log("session"),
             on_lost=lambda: self.ownership.stop_owning_all(),
         )
-        self.held = HeldBook()
+        self.held = HeldPermitBook()
         self.standalone = Standalone(
             self.session,
             self.peers,
             self.held,
-            table_out_after_s=settings.lease.lapse_after_s / 2,
+            table_unreachable_after_s=settings.lease.lapse_after_s / 2,
             zone=self.zone,
             owned=lambda: self.ownership.owned,
             log=self.log("standalone"),
--- a/springrock/coordination/permits.py
+++ b/springrock/coordination/permits.py
@@ -135,7 +135,7 @@
     ends_at: float
 
 
-class HeldBook:
+class HeldPermitBook:
     """The permits that this box holds, and the highest known fence of each replica."""
 
     def __init__(self) -> None:
--- a/springrock/coordination/session.py
+++ b/springrock/coordination/session.py
@@ -97,7 +97,7 @@
         return monotonic() < self._held_until
 
     @property
-    def table_seen_s(self) -> float:
+    def table_answer_age_s(self) -> float:
         """Seconds since the sending of the last renewal that the table confirmed."""
         return monotonic() - self.renewed_at
 
--- a/springrock/coordination/standalone.py
+++ b/springrock/coordination/standalone.py
@@ -16,7 +16,7 @@
 from springrock.clock import monotonic
 from springrock.coordination.link import Link
 from springrock.coordination.peers import Peers
-from springrock.coordination.permits import HeldBook
+from springrock.coordination.permits import HeldPermitBook
 from springrock.coordination.session import Session
 from springrock.errors import PeerUnreachable
 from springrock.log import Log
@@ -35,7 +35,7 @@
         session: This box's session.
         peers: The links to the other boxes.
         held: The book that knows the highest fence of each replica.
-        table_out_after_s: How long after the last confirmed renewal the table counts as
+        table_unreachable_after_s: How long after the last confirmed renewal the table counts as
             unreachable. It must be well below the lease time, so that an agreement can be reached
             before the lease ends.
         zone: This box's availability zone.
@@ -47,9 +47,9 @@
         self,
         session: Session,
         peers: Peers,
-        held: HeldBook,
+        held: HeldPermitBook,
         *,
-        table_out_after_s: float,
+        table_unreachable_after_s: float,
         zone: str,
         owned: Callable[[], dict[str, int]],
         log: Log,
@@ -57,7 +57,7 @@
         self._session = session
         self._peers = peers
         self._held = held
-        self._table_out_after_s = table_out_after_s
+        self._table_unreachable_after_s = table_unreachable_after_s
         self._zone = zone
         self._owned = owned
         self._log = log
@@ -87,7 +87,10 @@
     def _ask_loop(self) -> None:
         while True:
             gevent.sleep(_ASK_INTERVAL_S)
-            if self._session.renewed_at and self._session.table_seen_s > self._table_out_after_s:
+            if (
+                self._session.renewed_at
+                and self._session.table_answer_age_s > self._table_unreachable_after_s
+            ):
                 self._ask_zone()
 
     def _ask_zone(self) -> None:
@@ -115,8 +118,8 @@
             return True
         known_fences = dict(zip(names, answer.fences, strict=False))
         no_higher_fence = all(known_fences.get(name, 0) <= fence for name, fence in owned.items())
-        return answer.table_seen_s > self._table_out_after_s and no_higher_fence
+        return answer.table_answer_age_s > self._table_unreachable_after_s and no_higher_fence
 
     def _on_probe(self, _: Link, probe: wire.Probe) -> wire.ProbeAnswer:
         fences = [self._held.highest_fence(name) for name in probe.replicas]
-        return wire.ProbeAnswer(probe.number, round(self._session.table_seen_s, 2), fences)
+        return wire.ProbeAnswer(probe.number, round(self._session.table_answer_age_s, 2), fences)
--- a/springrock/forwarding/directory.py
+++ b/springrock/forwarding/directory.py
@@ -228,16 +228,16 @@
         self._notify(record, record.instance)
 
     def replace(
-        self, records: Iterable[ReplicaRecord], *, not_understood: Iterable[str] = ()
+        self, records: Iterable[ReplicaRecord], *, malformed_ids: Iterable[str] = ()
     ) -> None:
         """Replace all records; a replica without a row is removed.
 
         Args:
             records: The readable records.
-            not_understood: The replica ids whose rows cannot be read.
+            malformed_ids: The replica ids whose rows cannot be read.
         """
         by_id = {record.replica_id: record for record in records}
-        unreadable_ids = set(not_understood)
+        unreadable_ids = set(malformed_ids)
         for replica_id in self._instance_by_id.keys() - by_id.keys() - unreadable_ids:
             self.remove(replica_id)
         for replica_id in unreadable_ids:
--- a/springrock/platform/tables.py
+++ b/springrock/platform/tables.py
@@ -110,11 +110,11 @@
     def replace(self, rows: Sequence[Row]) -> None:
         """Apply the full table."""
         records = [self._parse(row) for row in rows]
-        not_understood = [
+        malformed_ids = [
             row.key for row, record in zip(rows, records, strict=True) if record is None
         ]
         self._directory.replace(
-            (record for record in records if record is not None), not_understood=not_understood
+            (record for record in records if record is not None), malformed_ids=malformed_ids
         )
 
     def change(self, row: Row) -> None:
--- a/springrock/serving/owner.py
+++ b/springrock/serving/owner.py
@@ -15,7 +15,7 @@
 from springrock.coordination.members import Members
 from springrock.coordination.ownership import Upstream
 from springrock.coordination.peers import Peers
-from springrock.coordination.permits import HeldBook
+from springrock.coordination.permits import HeldPermitBook
 from springrock.coordination.steward import Steward
 from springrock.errors import Cause, PeerUnreachable, Refusal, RunState
 from springrock.log import Log
@@ -59,7 +59,7 @@
         may_act: Callable[[], bool],
         members: Members,
         peers: Peers,
-        held: HeldBook,
+        held: HeldPermitBook,
         steward: Steward,
         view: RoutingView,
         catalog: Callable[[], Catalog],
--- a/springrock/serving/router.py
+++ b/springrock/serving/router.py
@@ -9,7 +9,7 @@
 
 from springrock.clock import monotonic
 from springrock.coordination.peers import Peers
-from springrock.coordination.permits import HeldBook, HeldPermitEntry
+from springrock.coordination.permits import HeldPermitBook, HeldPermitEntry
 from springrock.errors import Cause, PeerUnreachable, Refusal, RunState
 from springrock.log import Log
 from springrock.policies import Routing, Scored
@@ -74,7 +74,7 @@
         view: RoutingView,
         owner: Owner,
         peers: Peers,
-        held: HeldBook,
+        held: HeldPermitBook,
         routing: Routing,
         log: Log,
     ) -> None:
--- a/springrock/wire/peer.py
+++ b/springrock/wire/peer.py
@@ -163,12 +163,12 @@
     """How recently a peer reached the table, and the highest fence it knows of each replica asked.
 
     Attributes:
-        table_seen_s: Seconds since the peer last got an answer from the table, directly or through
-            other boxes.
+        table_answer_age_s: Seconds since the peer last got an answer from the table, directly or
+            through other boxes.
     """
 
     number: int
-    table_seen_s: float
+    table_answer_age_s: float
     fences: list[int]
 
 
--- a/tests/coordination/test_permits.py
+++ b/tests/coordination/test_permits.py
@@ -1,7 +1,7 @@
 from __future__ import annotations
 
 from springrock.clock import monotonic
-from springrock.coordination.permits import HeldBook, InheritedBook, PermitBook
+from springrock.coordination.permits import HeldPermitBook, InheritedBook, PermitBook
 from springrock.wire import peer as wire
 
 ASK = wire.Ask(1, "r-1", "engine-1", "harvest@3", "minutes", 1.0, 0, 64, 20.0)
@@ -33,7 +33,7 @@
 
 
 def test_a_grant_of_an_older_owner_is_refused() -> None:
-    held = HeldBook()
+    held = HeldPermitBook()
     old = held.add_granted(grant(1, fence=2), ends_at=monotonic() + 10)
     assert old is not None
     reported = held.apply_fence_notice("engine-1", 3, "new-owner")
@@ -44,7 +44,7 @@
 
 
 def test_a_late_notice_of_an_older_owner_changes_nothing() -> None:
-    held = HeldBook()
+    held = HeldPermitBook()
     held.apply_fence_notice("engine-1", 5, "newer")
     held.apply_fence_notice("engine-1", 4, "older")
     assert held.highest_fence("engine-1") == 5
