--- a/springrock/permits/choice.py
+++ b/springrock/permits/choice.py
@@ -33,7 +33,7 @@
     def ask(
         self, record: ReplicaRecord, *, request: str, reserve_retry: bool, grant: int = 0
     ) -> Permit:
-        """Refuse."""
+        """Refuse the permit."""
         return Permit(None)
 
 
--- a/springrock/permits/counter.py
+++ b/springrock/permits/counter.py
@@ -29,7 +29,7 @@
 
 _MAX_PAUSE_S = 0.5
 """The longest delay before a box that has other replicas asks again. With 80 boxes asking for a
-replica that bears 20 requests a second, this keeps the asks below 200 a second; a longer delay
+replica that can take 20 requests a second, this keeps the asks below 200 a second; a longer delay
 would leave capacity of the replica unused."""
 
 _REFUND_WINDOW_S = 1.0
@@ -267,7 +267,7 @@
             per_s = reported_per_s
         limited = None if per_s is None else named_limit_bucket_limits(per_s)
         if not cold:
-            # Another box that starts counting for the zone meanwhile starts with empty buckets.
+            # If another box starts counting for the zone meanwhile, its buckets are empty at first.
             counts = self._lease_left_s() > 0 or self._continues_without_lease()
             return _Bound(limited, limited=True) if counts else None
         known = self._configuration().services.get(service)
--- a/springrock/permits/named_limits.py
+++ b/springrock/permits/named_limits.py
@@ -14,7 +14,7 @@
 from springrock.log import Log
 from springrock.permits.messages import LimitReport, NamedLimit
 
-_LIMITS_KEPT = 10_000
+_MAX_REMEMBERED = 10_000
 """How many incarnations that have named a limit are remembered."""
 
 _REPORT_DELAY_S = 0.25
@@ -47,7 +47,7 @@
 
     Attributes:
         per_s: The limits by instance.
-        since: When each limit was first reported without a pause since.
+        since: When the unbroken series of heartbeats that report each limit began.
         at: When the heartbeat arrived.
     """
 
@@ -68,8 +68,8 @@
 
     def __init__(self, log: Log) -> None:
         self._log = log
-        self._limits: BoundedDict[_StoredLimit] = BoundedDict(at_most=_LIMITS_KEPT)
-        self._repeated_at: BoundedDict[float] = BoundedDict(at_most=_LIMITS_KEPT)
+        self._limits: BoundedDict[_StoredLimit] = BoundedDict(at_most=_MAX_REMEMBERED)
+        self._repeated_at: BoundedDict[float] = BoundedDict(at_most=_MAX_REMEMBERED)
         self._from_placers: dict[str, _PlacerLimits] = {}
         self.on_limit_report: list[Callable[[LimitReport], None]] = []
 
@@ -118,7 +118,7 @@
         before = self.per_s(instance)
         self._limits.record(instance, _StoredLimit(per_s, now))
         if per_s != before:
-            self._say("A replica names its limit.", instance, per_s=per_s, before=before)
+            self._log_change("A replica names its limit.", instance, per_s=per_s, before=before)
         if per_s == before and now < self._repeated_at.get(instance, 0.0) + _REPEAT_INTERVAL_S:
             return
         self._repeated_at.record(instance, now)
@@ -132,13 +132,13 @@
             sent_at: When the request of that answer was sent.
         """
         before = self.per_s(instance)
-        if before is None or sent_at <= self._known_at(instance):
+        if before is None or sent_at <= self._learned_at(instance):
             return
         self._limits.record(instance, _StoredLimit(None, sent_at))
-        self._say("A replica no longer names a limit.", instance, per_s=None, before=before)
+        self._log_change("A replica no longer names a limit.", instance, per_s=None, before=before)
         self._notify(LimitReport(instance, None, round(1000 * (monotonic() - sent_at))))
 
-    def _known_at(self, instance: str) -> float:
+    def _learned_at(self, instance: str) -> float:
         """Return when this box last learned of the limit in force, from answers or placers."""
         stored = self._limits.get(instance)
         times = [reported.since.get(instance, 0.0) for reported in self._from_placers.values()]
@@ -158,7 +158,7 @@
         ]
 
     def apply_limit_report(self, report: LimitReport) -> None:
-        """Apply what another box read in an answer, unless newer information is known."""
+        """Apply the limit that another box read in an answer, unless a newer one is known."""
         at = monotonic() - report.age_ms / 1000
         known = self._limits.get(report.instance)
         if known is None:
@@ -172,7 +172,7 @@
         self._limits.record(report.instance, _StoredLimit(report.per_s, at))
         before = None if known is None else known.per_s
         if before != report.per_s:
-            self._say(
+            self._log_change(
                 "A box reports a replica's limit.",
                 report.instance,
                 per_s=report.per_s,
@@ -215,10 +215,10 @@
         for listener in self.on_limit_report:
             listener(report)
 
-    def _say(
-        self, sentence: str, instance: str, *, per_s: float | None, before: float | None
+    def _log_change(
+        self, message: str, instance: str, *, per_s: float | None, before: float | None
     ) -> None:
-        self._log.info(sentence, instance=instance, per_s=per_s, before=before)
+        self._log.info(message, instance=instance, per_s=per_s, before=before)
 
 
 def _is_stricter(known: _StoredLimit, per_s: float) -> bool:
--- a/springrock/permits/own_shares.py
+++ b/springrock/permits/own_shares.py
@@ -10,14 +10,14 @@
 from springrock.permits.terms import uncounted_share
 from springrock.quotas.bucket import TokenBucket
 
-_REPLICAS_KEPT = 1000
+_MAX_REPLICAS = 1000
 
 
 class OwnShares:
     """This box's equal share of the named limits of replicas in its own zone.
 
     Only boxes of a replica's zone send to it uncounted: they are few, and a zone that is cut off
-    keeps serving. Boxes of other zones use their own replicas, or their callers are told to retry.
+    keeps serving. Boxes of other zones use their own replicas, or their callers are asked to retry.
 
     Args:
         home_zone: The zone of this box.
@@ -27,7 +27,7 @@
     def __init__(self, *, home_zone: str, boxes: Callable[[], int]) -> None:
         self._home_zone = home_zone
         self._boxes = boxes
-        self._buckets: BoundedDict[TokenBucket] = BoundedDict(at_most=_REPLICAS_KEPT)
+        self._buckets: BoundedDict[TokenBucket] = BoundedDict(at_most=_MAX_REPLICAS)
 
     def take(self, record: ReplicaRecord, per_s: float) -> float | None:
         """Take one request of the share for a replica.
--- a/springrock/permits/terms.py
+++ b/springrock/permits/terms.py
@@ -31,9 +31,9 @@
 _MAX_BURST_PART = 0.1
 """The part of a window's bound to which `_MIN_BURST` is capped, as depth reduces the rate."""
 
-_BELOW_NEXT_WHOLE = 0.99
-"""Added to the bound rounded down. Requests are whole, so a bucket that gives less than one more
-than the bound within a second never gives more than the bound."""
+_FRACTION_BELOW_NEXT = 0.99
+"""Added to the rounded-down bound. A bucket that permits fewer than one more request than the bound
+within a second never exceeds the bound, as the number of requests is an integer."""
 
 
 class SlowStartTerms(NamedTuple):
@@ -61,7 +61,7 @@
     what flows in meanwhile. The returned limits keep this sum within the bound.
     """
     span_s = WINDOW_S + PERMIT_LIFE_S
-    usable = math.floor(cold_start_bound(slow_start, terms)) + _BELOW_NEXT_WHOLE
+    usable = math.floor(cold_start_bound(slow_start, terms)) + _FRACTION_BELOW_NEXT
     min_depth = max(1.0, min(_MIN_BURST, usable * _MAX_BURST_PART))
     rate = max(0.0, min(slow_start.per_s, (usable - min_depth) / span_s))
     depth = max(min_depth, slow_start.per_s * _BURST_S)
@@ -71,14 +71,14 @@
 LIMIT_WINDOW_S = 4.0
 """The window over which a limit that a replica names is enforced; set by the platform."""
 
-_TOLERATED_TIMES = 1.5
+_TOLERATED_FACTOR = 1.5
 _TOLERATED_EXTRA = 5.0
-"""A replica tolerates, within the window, this multiple of its limit plus this many requests; set
-by the platform."""
+"""Within the window a replica tolerates `_TOLERATED_FACTOR` times its limit plus `_TOLERATED_EXTRA`
+requests; set by the platform."""
 
 _MIN_LIMIT_RATE = 0.25
 """Requests a second that a replica receives whatever limit it names. A replica that receives none
-also answers none, so the end of its limit would never be noticed."""
+also sends no answers, so that the end of its limit would never be detected."""
 
 _MIN_LIMIT_BURST = 2.0
 """The minimum depth of the bucket for a named limit. With 1, half of the requests that arrive at
@@ -87,7 +87,7 @@
 
 def tolerated_in_window(per_s: float) -> float:
     """Return how many requests a replica that names a limit tolerates in `LIMIT_WINDOW_S`."""
-    return per_s * LIMIT_WINDOW_S * _TOLERATED_TIMES + _TOLERATED_EXTRA
+    return per_s * LIMIT_WINDOW_S * _TOLERATED_FACTOR + _TOLERATED_EXTRA
 
 
 def named_limit_bucket_limits(per_s: float) -> BucketLimits:
--- a/springrock/permits/warmup.py
+++ b/springrock/permits/warmup.py
@@ -18,7 +18,7 @@
 """How long after its write a row becomes readable; set by the platform."""
 
 _ROW_MARGIN_S = 0.5
-"""A heartbeat may be late, and a write of it take its time."""
+"""Margin for a late heartbeat and for the duration of its write."""
 
 ROW_DELAY_S = _HEARTBEAT_S + _ROW_LAG_S + _ROW_MARGIN_S
 """How long after a restart the rows that can be read reflect it. An unchanged row shows that the
@@ -32,12 +32,12 @@
 
 
 class _Suspicion(Struct):
-    """A reason why a replica may have restarted although this box has read no row that says so.
+    """A sign that a replica has restarted, although no row that this box has read shows it.
 
     Attributes:
-        began_at: When this box last had such a reason.
+        began_at: When this box last had such a sign.
         answered_at: When the replica answered after that, and so was up again; None if it has not.
-        known_to_all: Whether other boxes are to learn of it.
+        known_to_all: Whether it is reported to other boxes.
     """
 
     began_at: float
@@ -49,7 +49,7 @@
     """The suspicions in the last heartbeat of a zone's placer.
 
     Attributes:
-        since: When each replica was first reported as suspected without a pause since.
+        since: When the unbroken series of heartbeats that suspect each replica began.
         at: When the heartbeat arrived.
     """
 
@@ -106,7 +106,7 @@
         return self._is_suspected(record, slow_start, now)
 
     def slow_start(self, service: str) -> SlowStart | None:
-        """Return what cold replicas of a service bear; None if they are never cold."""
+        """Return the load limit of a service's cold replicas; None if they are never cold."""
         known = self._configuration().services.get(service)
         return None if known is None else known.slow_start
 
@@ -119,10 +119,12 @@
         if self._reported_since(record, now) is not None:
             return True
         ended_at = self._ended_at(record.zone)
-        if ended_at is not None and self._is_open(_Suspicion(ended_at, ended_at), slow_start, now):
+        if ended_at is not None and self._is_active(
+            _Suspicion(ended_at, ended_at), slow_start, now
+        ):
             return True
         suspicion = self._suspicions.get(record.instance)
-        return suspicion is not None and self._is_open(suspicion, slow_start, now)
+        return suspicion is not None and self._is_active(suspicion, slow_start, now)
 
     def _reported_since(self, record: ReplicaRecord, now: float) -> float | None:
         """Return since when the zone's placer reports a replica as suspected; else None."""
@@ -131,7 +133,7 @@
             return None
         return reported.since.get(record.instance)
 
-    def _is_open(self, suspicion: _Suspicion, slow_start: SlowStart, now: float) -> bool:
+    def _is_active(self, suspicion: _Suspicion, slow_start: SlowStart, now: float) -> bool:
         """Whether a suspicion holds; a replica that has not answered yet remains suspected."""
         if suspicion.answered_at is None:
             return True
@@ -151,13 +153,13 @@
         known = self._records.get(instance)
         self._records[instance] = record
         if known is not None and (known.cold_s, known.sequence) == (record.cold_s, record.sequence):
-            # The cold time is unchanged, whatever else is new: it runs since it was first read.
+            # The cold time is unchanged, and is counted from when it was first read.
             return
         now = monotonic()
         was_cold = now < self._cold_until.get(instance, 0.0)
         self._cold_until[instance] = now + record.cold_s
         if was_cold != (record.cold_s > 0):
-            self._say(
+            self._log_change(
                 "A replica reports whether it is cold.", record, cold_s=round(record.cold_s, 2)
             )
 
@@ -186,7 +188,7 @@
         if suspicion is None or suspicion.answered_at is not None or sent_at < suspicion.began_at:
             return
         suspicion.answered_at = monotonic()
-        self._say("A suspected replica answered.", record)
+        self._log_change("A suspected replica answered.", record)
         if suspicion.known_to_all:
             self._notify(record, answered=True)
 
@@ -195,7 +197,7 @@
         shared = known_to_all or (suspicion is not None and suspicion.known_to_all)
         self._suspicions[record.instance] = _Suspicion(monotonic(), None, shared)
         if suspicion is None or suspicion.answered_at is not None:
-            self._say("A replica may come back cold.", record, known_to_all=known_to_all)
+            self._log_change("A replica may come back cold.", record, known_to_all=known_to_all)
 
     def _notify(self, record: ReplicaRecord, *, answered: bool) -> None:
         for listener in self.on_observation:
@@ -225,7 +227,7 @@
             if (
                 record is None
                 or slow_start is None
-                or not self._is_open(suspicion, slow_start, now)
+                or not self._is_active(suspicion, slow_start, now)
             ):
                 del self._suspicions[instance]
             elif suspicion.known_to_all and record.zone == zone:
@@ -243,7 +245,7 @@
         elif known:
             del self._reported[zone]
 
-    def _say(self, sentence: str, record: ReplicaRecord, **more: object) -> None:
+    def _log_change(self, message: str, record: ReplicaRecord, **fields: object) -> None:
         self._log.info(
-            sentence, instance=record.instance, service=record.service, zone=record.zone, **more
+            message, instance=record.instance, service=record.service, zone=record.zone, **fields
         )
--- a/springrock/placement/ask_book.py
+++ b/springrock/placement/ask_book.py
@@ -1,4 +1,4 @@
-"""The asks that wait at a placer, and the clients that were told to retry later."""
+"""The asks that wait at a placer, and the clients that were asked to retry later."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class _Expected(NamedTuple):
-    """A client that was told when to retry."""
+    """A client that was given a time at which to retry."""
 
     worth: float
     back_at: float
@@ -73,7 +73,7 @@
             self.remove(asking_box, number)
 
     def add_retry(self, promise: Promise, *, now: float) -> None:
-        """Add a client that was told when to retry."""
+        """Add a client that was given a time at which to retry."""
         key = AdapterKey(promise.model, promise.adapter)
         back_at = now + promise.back_in_ms / 1000
         self._expected_retries.setdefault(key, []).append(_Expected(promise.worth, back_at))
--- a/springrock/placement/control.py
+++ b/springrock/placement/control.py
@@ -13,11 +13,11 @@
 
 
 class ControlUnanswered(SpringrockError):
-    """An engine gave no usable answer. An order may still be carried out, even later."""
+    """An engine gave no usable answer. It may still carry an order out, possibly much later."""
 
 
 class AnotherStart(ControlUnanswered):
-    """The engine has restarted: its start time is not that of the engine that was addressed.
+    """The engine has restarted: its start time is not that of the process that was addressed.
 
     Args:
         born_ms: The start time that the engine reports, in Unix milliseconds; None if it reports
@@ -25,7 +25,7 @@
     """
 
     def __init__(self, born_ms: int | None) -> None:
-        super().__init__(f"the engine's start is another one: {born_ms}")
+        super().__init__(f"the engine has restarted; it reports the start time {born_ms} ms")
 
 
 class EngineState(Struct, frozen=True, kw_only=True):
@@ -68,7 +68,7 @@
         key: The adapter, or a base model with an empty adapter name.
         version: The version to load; 0 for the newest.
         expected_sequence: The last known sequence of the engine, which refuses the order if it has
-            another one; None if any sequence will do.
+            another one; None if the engine is to accept any.
         holder: The name of the box that gives the order.
         fence: The fence of that box's lease.
     """
--- a/springrock/placement/demand.py
+++ b/springrock/placement/demand.py
@@ -21,7 +21,7 @@
 from springrock.placement.messages import (
     Ask,
     Began,
-    CopyWish,
+    CopyRequest,
     Demand,
     Outcome,
     Over,
@@ -88,7 +88,7 @@
 
 
 class _ExpectedRetry(NamedTuple):
-    """A client that was told when to retry."""
+    """A client that was given a time at which to retry."""
 
     key: AdapterKey
     worth: float
@@ -216,7 +216,7 @@
     def _add_end(self, over: Over) -> None:
         """Queue the end of an ask or use for the placer."""
         if self._has_placer():
-            # Without a placer no end is sent: the next placer gets all current asks and uses.
+            # Without a placer nothing is queued: the next placer gets all current asks and uses.
             self._updates.over.append(over)
             self._mark_changed()
 
@@ -246,7 +246,7 @@
 
         Requests that a load can still serve in time keep waiting: a late answer has some worth,
         a rejection none, even if a retry succeeds. For a client that can retry when the adapter is
-        ready, the placer is told to expect the retry, so that it still loads the adapter.
+        ready, the placer is notified of the expected retry, so that it still loads the adapter.
         """
         if ready_in_s > adapter_request.terms.retry_within_s:
             raise NoReplica("load_not_in_time", ready_in_s)
@@ -404,7 +404,7 @@
             written=written,
             permits=permits,
             observations=observations,
-            copies=[CopyWish(*key, saves) for key, saves in updates.copies.items()],
+            copies=[CopyRequest(*key, saves) for key, saves in updates.copies.items()],
             leaving=sorted(updates.leaving),
             limits=list(updates.limits.values()),
         )
--- a/springrock/placement/dispatcher.py
+++ b/springrock/placement/dispatcher.py
@@ -1,8 +1,8 @@
 """Chooses the engine of a zone on which each request runs.
 
-All boxes report their use of the zone's engines to its placer. So the placer knows what no single
-box does: the prompt tokens that each engine has yet to read, the prompt prefixes that it has
-cached, and the engines that reported to be full.
+All boxes report their use of the zone's engines to its placer. Only the placer therefore knows the
+prompt tokens that each engine has yet to read, the prompt prefixes that it has cached, and the
+engines that reported to be full.
 """
 
 from __future__ import annotations
@@ -59,7 +59,7 @@
 
     Attributes:
         used: Number of requests that use an adapter, by instance and adapter.
-        crowded: Time of the last request that found all holders busy, by adapter.
+        crowded: Time of the last request that found all engines with its adapter busy, by adapter.
     """
 
     def __init__(self, *, memory_tokens: int) -> None:
@@ -80,7 +80,7 @@
         return work
 
     def forget(self, instance: str) -> None:
-        """Drop an engine that is gone; the ends of its requests are still reported one by one."""
+        """Drop an engine that was removed; boxes still report the end of each of its requests."""
         self._work.pop(instance, None)
 
     def choose(
@@ -120,13 +120,13 @@
             wait_s += _AVOIDANCE_PENALTY_S
         return Choice(instance, wait_s, unread)
 
-    def excess_failures(self, instance: str) -> float:
+    def excess_failure_rate(self, instance: str) -> float:
         """Return an engine's failure rate less the mean rate of the others, from -1 to 1."""
         others = [work.health.failure_rate for name, work in self._work.items() if name != instance]
         mean_of_others = sum(others) / len(others) if others else 0.0
         return self.work(instance).health.failure_rate - mean_of_others
 
-    # The course of requests.
+    # Progress of requests.
 
     def record_granted(
         self, box: str, number: int, choice: Choice, key: AdapterKey, prompt: list[tuple[str, int]]
--- a/springrock/placement/election.py
+++ b/springrock/placement/election.py
@@ -37,21 +37,21 @@
 _HAND_BACK_DELAY_S = 2.0
 """How long a box of the zone itself must have been linked before the lease is given back to it."""
 
-_MUCH_STRONGER = 1.5
-"""Ratio of processor cores from which another box counts as the better placer. A smaller gain is
-not worth a change of the placer."""
+_STRONGER_BOX_RATIO = 1.5
+"""Ratio of processor cores from which another box is a better placer. A smaller gain is not worth a
+change of the placer."""
 
-_AMPLE_STRENGTH = 1.0
+_SUFFICIENT_CORES = 1.0
 """Cores from which a box does not defer to stronger ones: the placer of 15 engines and 75 boxes
 uses less than half of that."""
 
-_WEAKNESS_S = 1.2
-"""Takeover delay of a box without any processor; it shrinks linearly to 0 at `_AMPLE_STRENGTH`.
+_WEAKEST_BOX_DELAY_S = 1.2
+"""Takeover delay at zero cores; it decreases linearly to 0 at `_SUFFICIENT_CORES`.
 A box of half a core waits 0.6 s, as boxes that start together do so within 0.3 s. Without the delay
 a stronger box would take over later, and a change of the placer breaks the links of all boxes."""
 
 
-class Holder(Protocol):
+class PlacerRole(Protocol):
     """Places the zone's adapters while this box holds the lease."""
 
     def begin_placing(self) -> None:
@@ -91,7 +91,7 @@
         client: PlacerClient,
         links: BoxLinks,
         incarnation: str,
-        holder: Holder,
+        holder: PlacerRole,
     ) -> None:
         self._zone = zone
         self._settings = settings
@@ -129,7 +129,7 @@
 
     def end(self) -> None:
         """Hand the lease over if this box still holds it; the target may itself be stopping."""
-        handover_target = self._links.handover_target(self._zone, staying=False)
+        handover_target = self._links.handover_target(self._zone, exclude_stopping=False)
         if self._lease.held and handover_target is not None:
             self._leave(reason="the process is ending", handover_target=handover_target)
 
@@ -142,22 +142,22 @@
     def has_better_box(self) -> bool:
         """Whether a linked box of the zone itself is a better placer than this one.
 
-        That is the case if this box is in another zone or has much less processor.
+        That is the case if this box is in another zone or has far fewer processor cores.
         """
         settings = self._settings
         if settings.zone != self._zone:
             return self._links.has_linked_box(self._zone, for_s=_HAND_BACK_DELAY_S)
-        if settings.strength >= _AMPLE_STRENGTH:
+        if settings.strength >= _SUFFICIENT_CORES:
             return False
-        needed = settings.strength * _MUCH_STRONGER
+        needed = settings.strength * _STRONGER_BOX_RATIO
         return self._links.has_linked_box(self._zone, for_s=_HAND_BACK_DELAY_S, strength=needed)
 
     def takeover_delay_s(self) -> float:
         """Return how long this box leaves a free lease to boxes that are better placers."""
         settings = self._settings
-        weakness = max(0.0, 1.0 - settings.strength / _AMPLE_STRENGTH)
+        missing_fraction = max(0.0, 1.0 - settings.strength / _SUFFICIENT_CORES)
         takeover_delay_s = 0.0 if settings.zone == self._zone else _OTHER_ZONE_DELAY_S
-        return takeover_delay_s + weakness * _WEAKNESS_S
+        return takeover_delay_s + missing_fraction * _WEAKEST_BOX_DELAY_S
 
     def _leave_unless_irreplaceable(self) -> None:
         """Leave the lease as this box stops, unless no other box could take over.
@@ -199,8 +199,8 @@
                     reason="another box is a better placer",
                     handover_target=self._links.handover_target(self._zone),
                 )
-        # Links are closed only now, so that boxes that lose theirs find the lease free or know the
-        # successor.
+        # Links are closed only now: a box that then loses its link finds the lease free or knows
+        # the successor.
         self._holder.end_placing()
 
     def _find_placer(self) -> None:
--- a/springrock/placement/engine_book.py
+++ b/springrock/placement/engine_book.py
@@ -21,9 +21,9 @@
 from springrock.placement.residency import MAX_CACHED_ADAPTERS
 
 _REPORTS_LAG_S = 1.0
-"""Age of the last order from which a report counts whatever its sequence.
+"""Age of the last order above which a report is applied whatever its sequence.
 
-By then every report shows the order. So a sequence that was counted too far is corrected.
+By then every report includes the order. This corrects a book whose sequence is above the engine's.
 """
 
 
@@ -81,9 +81,9 @@
     Attributes:
         places: The occupied places, by adapter.
         assigned: The adapters that the planner assigned, with the time of the assignment.
-        completed_loads: Loads that finished since the list was last cleared.
-        sequence: The engine's sequence, counted on at each executed order; None before its first
-            report.
+        completed_loads: Loads that finished since this list was last cleared.
+        sequence: The engine's sequence, incremented here at each executed order; None before its
+            first report.
         ordered_at: When the last order was executed.
         reachable: Whether the engine answered the last request for its report.
         busy: Whether the engine is executing an order, as of its last report.
--- a/springrock/placement/engine_reconciler.py
+++ b/springrock/placement/engine_reconciler.py
@@ -37,15 +37,15 @@
 _REPORT_INTERVAL_S = 0.25
 """Interval between reports while waiting for a free place or a base model.
 
-Only a report shows these.
+Only reports show that a place is free or that a model is loaded.
 """
 
 _OVERDUE_LOAD_S = 1.5
 """Age of a pending load from which reports are requested, and the interval between them.
 
 It is six times the duration of a load. Until then only the load order is repeated, as its answer
-shows sooner that the adapter is ready. A report has the price of a probe, sixty times that of an
-order.
+shows sooner that the adapter is ready. A report costs as much as a probe, which is sixty times the
+cost of an order.
 """
 
 _CONFIRM_INTERVAL_S = 0.04
@@ -67,7 +67,7 @@
 
 
 class EngineReconciler:
-    """Brings the places of one engine to the state that the planner assigned.
+    """Sends orders to one engine until its places match the planner's assignments.
 
     Args:
         book: The account of the engine's places.
@@ -196,7 +196,7 @@
         """Return the engine's report.
 
         Raises:
-            ControlUnanswered: If no report came, or another start of the engine answered.
+            ControlUnanswered: If no report came, or the engine has restarted.
         """
         record = self.book.record
         state = self._control.report(record.address, instance=record.replica_id)
@@ -345,7 +345,7 @@
             return
         place = book.places.get(order.key)
         if answer is not OrderAnswer.CONFLICT or place is None or not place.unanswered:
-            # Not after a conflict with an unanswered unload: that order may have been executed.
+            # Skipped after a conflict with an unanswered unload, which may have been executed.
             book.unload_failed(order.key)
         self._stale = True
         if answer is OrderAnswer.OLDER_FENCE:
--- a/springrock/placement/handover.py
+++ b/springrock/placement/handover.py
@@ -27,7 +27,8 @@
 """How long after its zone's evacuation a placer that sends no handover counts as unreachable."""
 
 _MAX_HANDED_OVER = 400
-"""Most adapters in one handover message: more than the remaining zones can load before the cut."""
+"""Most adapters in one handover message: more than the remaining zones can load before the
+evacuated zone is cut off from requests."""
 
 _MAX_PLANNED = 40
 """Most adapters passed to one plan: as many as are ever loaded at once. The planner checks every
@@ -180,7 +181,7 @@
         self._missing_gauge.set(0)
 
 
-class HandingZone(Protocol):
+class HandoverZone(Protocol):
     """The part of a box's view of a zone that handovers need.
 
     Attributes:
@@ -214,7 +215,7 @@
     def __init__(
         self,
         *,
-        zones: Callable[[], Mapping[str, HandingZone]],
+        zones: Callable[[], Mapping[str, HandoverZone]],
         views: Callable[[], list[ZoneView]],
         placers: Callable[[], Collection[str]],
         residency: Residency,
@@ -240,7 +241,7 @@
             other.prefetch.drop(zone)
 
     def handle_cut(self, zone: str) -> None:
-        """Handle the time from which an evacuated zone gets no requests."""
+        """Handle the cut of an evacuated zone: from now on it gets no requests."""
         self._move_requesters(zone, except_for=lambda key: False)
         for other in self._zones().values():
             other.prefetch.handle_cut(zone)
--- a/springrock/placement/late_orders.py
+++ b/springrock/placement/late_orders.py
@@ -24,9 +24,9 @@
 class LateOrders:
     """The load orders of a placer that got no answer.
 
-    An engine that restarts under the same id begins its sequence again. It can reach the number
-    that an unanswered order to its earlier start expects, and then executes that order. The
-    adapter would occupy a place that the placer counts as free.
+    An engine that restarts under the same id resets its sequence. It can reach the number that an
+    unanswered order to its earlier process expects, and then executes that order. The adapter
+    would occupy a place that the placer counts as free.
     """
 
     def __init__(self) -> None:
@@ -48,7 +48,7 @@
         self._store(record.replica_id, [item for item in sent if item.order is not order])
 
     def pending_loads(self, record: ReplicaRecord, sequence: int | None) -> int:
-        """Return how many load orders to earlier starts an engine may still execute.
+        """Return how many load orders to its earlier processes an engine may still execute.
 
         Args:
             record: The engine's own record.
--- a/springrock/placement/lease.py
+++ b/springrock/placement/lease.py
@@ -47,7 +47,7 @@
 with the version of a later transaction. Without the retry the lease would stay unrenewed for a
 third of its duration."""
 
-_FENCES_OF_AN_ERA = 65_536
+_FENCES_PER_ERA = 65_536
 """How far fences are raised for each time the store was restored from a copy: a restore may lose a
 thousand leases with all the fences that each had reserved."""
 
@@ -350,7 +350,7 @@
         """Return a fence above all issued ones, including those lost by a restore of the store."""
         known, issued_in = (0, 0) if existing is None else (existing.fence, existing.era)
         eras = max(0, era_of(self._read_version) - issued_in)
-        return known + 1 + eras * _FENCES_OF_AN_ERA
+        return known + 1 + eras * _FENCES_PER_ERA
 
     def _record_era(self, era: int) -> None:
         """Record the store's era; a higher one means that it was restored from a copy."""
@@ -362,7 +362,7 @@
         if self._seen_version < 0 or self._read_version < 0:
             return False
         if monotonic() - self._restored_at <= self._lease_s + _MARGIN_S:
-            # The restore may have lost the holder's row; the holder then writes it again.
+            # The restore may have removed the holder's row; the holder then writes it again.
             return False
         unchanged_s = monotonic() - self._seen_at
         expired = unchanged_s > self._lease_s + _MARGIN_S + takeover_delay_s
@@ -517,7 +517,7 @@
             return error
 
     def _record_unanswered(self, sent_at: float) -> None:
-        """Record that the store did not answer a renewal, and so is taken to be down.
+        """Record that the store did not answer a renewal, which is treated as an outage.
 
         A renewal that was in flight when the lease expired is not counted: this process may have
         been paused, while another box acquired the lease from a store that answers.
--- a/springrock/placement/link_server.py
+++ b/springrock/placement/link_server.py
@@ -171,13 +171,13 @@
         link = self._links.get(box)
         return None if link is None else link.home_zone or None
 
-    def sample_boxes(self, most: int) -> list[str]:
+    def sample_boxes(self, max_count: int) -> list[str]:
         """Return a random sample of the linked boxes that are not stopping."""
         staying = [box for box, link in self._links.items() if not link.stopping]
-        return random.sample(staying, min(most, len(staying)))
+        return random.sample(staying, min(max_count, len(staying)))
 
     def has_linked_box(self, home_zone: str, *, for_s: float, strength: float = 0.0) -> bool:
-        """Whether a box of a zone that is not stopping has been linked for some time.
+        """Whether some box of a zone has been linked for long enough and is not stopping.
 
         Args:
             home_zone: The zone.
@@ -193,19 +193,21 @@
             for link in self._links.values()
         )
 
-    def handover_target(self, home_zone: str, *, staying: bool = True) -> HandoverTarget | None:
+    def handover_target(
+        self, home_zone: str, *, exclude_stopping: bool = True
+    ) -> HandoverTarget | None:
         """Return the best box to hand the lease over to; None if there is none.
 
         Boxes of the zone itself come first, then the strongest, then the one linked for longest.
 
         Args:
             home_zone: The zone.
-            staying: Whether to leave out boxes that are stopping.
+            exclude_stopping: Whether to leave out boxes that are stopping.
         """
         links = [
             link
             for link in self._links.values()
-            if link.handover_target and not (staying and link.stopping)
+            if link.handover_target and not (exclude_stopping and link.stopping)
         ]
         best = max(
             links,
@@ -219,7 +221,7 @@
         gevent.wait([link.outbox.sent for link in self._links.values()], timeout=within_s)
 
     def notify(self, box: str, message: Message) -> None:
-        """Send a message to one box, if it is linked; it has lost its placer otherwise."""
+        """Send a message to one box; if it is not linked, it has lost its placer anyway."""
         link = self._links.get(box)
         if link is not None:
             link.outbox.put(message, encode(message))
--- a/springrock/placement/load_concurrency.py
+++ b/springrock/placement/load_concurrency.py
@@ -26,12 +26,12 @@
 _FASTER_LOAD_WEIGHT = 0.2
 """Fraction of the difference by which a faster load lowers the full-speed duration.
 
-If a single fast load replaced the duration, all others would look slow. When 1 load in 80 took
+If a single fast load replaced the duration, all others would count as slow. When 1 load in 80 took
 half the time, after placers were killed, limits of up to 40 fell to 4 and stayed there.
 """
 
 _FULL_SPEED_GROWTH = 1.002
-"""Multiplies the full-speed duration at each load, so that it follows a lasting slowdown."""
+"""Multiplies the full-speed duration at each load, so that it adapts to a lasting slowdown."""
 
 
 class LoadConcurrency:
--- a/springrock/placement/messages.py
+++ b/springrock/placement/messages.py
@@ -101,7 +101,7 @@
 
 
 class Outcome(IntEnum):
-    """How a use of an engine ended, as far as that says something about the engine."""
+    """How a use of an engine ended; only outcomes that concern the engine are distinguished."""
 
     ENDED = 0
     """The request ran, or it was never sent."""
@@ -126,7 +126,7 @@
 
 
 class Promise(Struct, frozen=True, array_like=True):
-    """A client that was told when to retry its request for an adapter."""
+    """A client that was given a time at which to retry its request for an adapter."""
 
     model: str
     adapter: str
@@ -170,7 +170,7 @@
     era: int = 0
 
 
-class CopyWish(Struct, frozen=True, array_like=True):
+class CopyRequest(Struct, frozen=True, array_like=True):
     """An adapter held only far away, requested so often that a copy in this zone is worthwhile.
 
     Attributes:
@@ -188,10 +188,10 @@
 
     Attributes:
         asks: Requests that wait for an engine.
-        uses: Requests that run at an engine, and that the placer does not know from its own grant.
+        uses: Requests that run at an engine without a grant of this placer.
         began: Requests whose first event arrived.
         over: Asks that were given up and uses that ended.
-        promises: Clients that were told when to retry.
+        promises: Clients that were given a time at which to retry.
         stopping: Whether the box is about to stop, and so acquires no lease.
         charges: Requests whose cost is to be charged to their teams.
         refunds: Charges to refund, as their requests did not run.
@@ -214,7 +214,7 @@
     written: list[Written] = []
     permits: list[PermitAsk] = []
     observations: list[ReplicaObservation] = []
-    copies: list[CopyWish] = []
+    copies: list[CopyRequest] = []
     leaving: list[str] = []
     limits: list[LimitReport] = []
 
@@ -334,8 +334,8 @@
 
     Attributes:
         full_table: The full table.
-        age_ms: How long before the message was made the table is known to have been up to date;
-            None if that is not known of any time.
+        age_ms: Age of the table when the message was created: the time since it was last known to
+            be up to date; None if that time is unknown.
     """
 
     full_table: TableNews
--- a/springrock/placement/near_copies.py
+++ b/springrock/placement/near_copies.py
@@ -11,15 +11,15 @@
 from springrock.clock import monotonic
 from springrock.forwarding.distance_cost import DistancePrices
 from springrock.forwarding.message import AdapterKey
-from springrock.placement.messages import CopyWish
+from springrock.placement.messages import CopyRequest
 from springrock.placement.popularity import Popularity
 from springrock.topology import Distance, Topology
 
 _MIN_LOADS_SAVED = 0.5
 """Savings, in loads, from which a copy is worthwhile.
 
-The savings are counted over the memory of popularity, about 12 s. Half a load is enough, as
-worthwhile copies stay loaded several times as long.
+The savings are counted over the time that request counts cover, about 12 s. Half a load is enough,
+as worthwhile copies stay loaded several times as long.
 """
 
 _ASKS_BETWEEN_CLEANUPS = 2_000
@@ -60,8 +60,8 @@
             carried_bytes: Bytes of the request and its answer.
 
         Returns:
-            The loads that a copy near that box saves within the memory of popularity; 0 if that
-            is not worth a load.
+            The loads that a copy near that box saves within the time that request counts cover; 0
+            if a copy is not worth a load.
         """
         topology = self._topology()
         distance = topology.distance_between(self._zone, home_zone)
@@ -92,7 +92,7 @@
     def __init__(self) -> None:
         self._requested: dict[AdapterKey, tuple[float, float]] = {}
 
-    def record(self, requests: Iterable[CopyWish]) -> None:
+    def record(self, requests: Iterable[CopyRequest]) -> None:
         """Record the copies that a box requests."""
         now = monotonic()
         for request in requests:
--- a/springrock/placement/placement.py
+++ b/springrock/placement/placement.py
@@ -196,8 +196,8 @@
     def publish_reading(self, reading: TableReading, *, is_own: bool) -> None:
         """Send a reading of a table to other boxes.
 
-        The boxes of the home zone get every reading; other placers' boxes only those that this box
-        read itself, and they pass them on.
+        The boxes of the home zone get every reading; other placers' boxes get only those that this
+        box read itself, and pass them on.
 
         Args:
             reading: The reading.
@@ -359,7 +359,7 @@
             avoid=excluded,
             # A zone whose evacuation is announced still serves its adapters but loads no others.
             never=silent | (routing_state.announced - holding),
-            at_hand=cached_in,
+            cached_in=cached_in,
             home_advantage=self._settings.prices.price_in_loads(Distance.OWN_REGION, prompt_bytes),
         )
 
--- a/springrock/placement/placer_board.py
+++ b/springrock/placement/placer_board.py
@@ -12,8 +12,8 @@
 from springrock.rows import Row, RowStoreUnavailable
 
 _STALE_S = 3.0
-"""Age from which a reading is not relied on. A read takes at most 2.6 s while the store answers,
-including the wait for a change, and leases are renewed more often than that."""
+"""Age from which a reading is treated as outdated. A read takes at most 2.6 s while the store
+answers, including the wait for a change, and leases are renewed more often than that."""
 
 
 class PlacerBoard:
@@ -56,12 +56,12 @@
     def holder(self, key: str) -> PlacerRow | Successor | None:
         """Return the last known placer of a row; None if there is none.
 
-        The knowledge may be outdated: a box that is no longer the placer rejects links.
+        It may be outdated: a box that is no longer the placer rejects links.
         """
         row = self._rows.get(key)
         existing = None if row is None else placer_row_from(row)
         successor = self._successors.get(key)
-        if successor is not None and (existing is None or successor.follows(existing)):
+        if successor is not None and (existing is None or successor.continues_lease_of(existing)):
             return successor
         return existing if existing is not None and existing.incarnation else None
 
--- a/springrock/placement/planner.py
+++ b/springrock/placement/planner.py
@@ -29,7 +29,7 @@
 """Concurrent loads per engine that the platform allows."""
 
 _UNREACHABLE_AFTER_S = 0.3
-"""A want that is still unserved this long after its adapter became ready cannot reach that copy."""
+"""A request that still waits this long after its adapter became ready cannot use that copy."""
 
 _MIN_RESIDENCY_S = 0.2
 """Time a newly loaded adapter is kept, so that the requests that waited for it can use it."""
@@ -213,7 +213,7 @@
             plan.assignments.append(Assignment(want.key, engine, want))
             plan.ready_in_s[want.key] = expected_s
         self._place_interval.record(
-            given=len(plan.assignments), is_short=short_of_places > 0, now=now
+            assigned=len(plan.assignments), is_short=short_of_places > 0, now=now
         )
         return plan
 
--- a/springrock/placement/requests.py
+++ b/springrock/placement/requests.py
@@ -285,7 +285,7 @@
             instance
             for instance in self.holders(key, avoid=avoid, bounds=ask.bounds)
             if instance in ask.failed_at
-            and ask.worth * dispatcher.excess_failures(instance) <= load_cost
+            and ask.worth * dispatcher.excess_failure_rate(instance) <= load_cost
         ]
 
     def _end_use(self, box: str, over: Over) -> None:
@@ -307,8 +307,8 @@
     def _current_instance(self, instance: str) -> str:
         """Return the current instance of an engine, given the instance that a box named.
 
-        A box that does not know of a restart yet names the earlier instance. Its request runs on
-        the new one all the same, where its adapter must count as used.
+        A box that does not know of a restart yet names the earlier instance. Its request still runs
+        on the new one, where its adapter must be counted as used.
         """
         if instance in self._reconcilers:
             return instance
--- a/springrock/placement/residency.py
+++ b/springrock/placement/residency.py
@@ -14,7 +14,7 @@
 from springrock.forwarding.message import AdapterKey
 
 _DENIAL_VALID_S = 1.0
-"""Time for which a replica's answer that it lacks an adapter overrides unchanged other sources."""
+"""Time for which a replica's answer that it lacks an adapter overrides other, unchanged sources."""
 
 MAX_CACHED_ADAPTERS = 30
 """Number of unloaded adapters that a replica is assumed to keep in its cache.
--- a/springrock/placement/state_provider.py
+++ b/springrock/placement/state_provider.py
@@ -17,14 +17,14 @@
 _MAX_ANSWERS = 8
 _WINDOW_S = 1.0
 """At most `_MAX_ANSWERS` boxes are answered within this time. Many boxes that start at once ask the
-same few, which must go on serving their own clients."""
+same few, which must still serve their own clients."""
 
 
 class StateProvider:
     """Answers the state requests of other boxes.
 
     Args:
-        zones: All availability zones of the deployment, so that boxes of another one can tell.
+        zones: All availability zones of the deployment; a box of another one rejects the answer.
         followers: The tables that this box follows.
         board: The last known placers and their successors.
         directory: The known replicas.
--- a/springrock/placement/succession.py
+++ b/springrock/placement/succession.py
@@ -55,7 +55,7 @@
     predecessors: list[str]
     era: int = 0
 
-    def follows(self, row: PlacerRow) -> bool:
+    def continues_lease_of(self, row: PlacerRow) -> bool:
         """Whether a row belongs to the lease that was handed over, and not to a newer one."""
         return row.fence <= self.last_fence or row.incarnation in self.predecessors
 
@@ -105,7 +105,9 @@
         """Return the lease for a row found in a conflict; None if another box holds the lease."""
         if row.incarnation == self.row.incarnation:
             return Tenure.from_row(row, version)
-        if self.unconfirmed_handover is None or not self.unconfirmed_handover.follows(row):
+        if self.unconfirmed_handover is None or not self.unconfirmed_handover.continues_lease_of(
+            row
+        ):
             return None
         # A late write by a box that held the lease before.
         existing = msgspec.structs.replace(self.row, fence=row.fence)
--- a/springrock/placement/wait_estimate.py
+++ b/springrock/placement/wait_estimate.py
@@ -6,7 +6,8 @@
 from typing import NamedTuple
 
 _MAX_PRESSURE = 1_000.0
-"""Stands for infinite pressure, where no adapter can be evicted; above any real popularity."""
+"""Published instead of an infinite pressure, where no adapter can be evicted; above any real
+popularity."""
 
 _MAX_WAIT_S = 60.0
 
--- a/springrock/placement/zone.py
+++ b/springrock/placement/zone.py
@@ -193,7 +193,7 @@
         self._tasks.append(gevent.spawn(self._election.run))
 
     def hand_over(self) -> None:
-        """Let another box become the placer before this one stops."""
+        """Hand the placer role over to another box before this one stops."""
         self.demand.stopping = True
         self.demand.changed.set()
         self._election.stop()
--- a/springrock/placement/zone_choice.py
+++ b/springrock/placement/zone_choice.py
@@ -54,7 +54,7 @@
     prefer: Collection[str] = (),
     avoid: Collection[str] = (),
     never: Collection[str] = (),
-    at_hand: Collection[str] = (),
+    cached_in: Collection[str] = (),
     home_advantage: float = 0.0,
 ) -> str | None:
     """Return the zone that loads an adapter; None if no zone is a candidate.
@@ -70,10 +70,10 @@
         prefer: Zones to choose from, the nearest first, if one of them can load adapters.
         avoid: Zones to choose only if there is no other.
         never: Zones not to choose.
-        at_hand: Zones in which an engine keeps the adapter's weights and loads it without the
-            weight store; preferred among those with room.
-        home_advantage: How much higher the pressure of the own zone may be than elsewhere for it
-            to be chosen still: the cost of sending the requests to another zone, in loads.
+        cached_in: Zones in which an engine has cached the adapter's weights and loads it without
+            the weight store; preferred among those with room.
+        home_advantage: By how much the pressure of the own zone may exceed that of another and
+            the own zone is still chosen: the cost of sending the requests there, in loads.
     """
     candidates = [zone for zone in zones if zone.reachable and zone.name not in never]
     if not candidates:
@@ -86,7 +86,7 @@
     candidates = [zone for zone in candidates if zone.name not in avoid] or candidates
     candidates = [zone for zone in candidates if zone.room > 0] or candidates
     candidates = _of_own_region(candidates) or candidates
-    candidates = [zone for zone in candidates if zone.name in at_hand] or candidates
+    candidates = [zone for zone in candidates if zone.name in cached_in] or candidates
     candidates = _uncrowded(candidates)
     lowest = min(zone.pressure for zone in candidates)
     candidates = [zone for zone in candidates if zone.pressure <= lowest + home_advantage]
--- a/springrock/quotas/bucket.py
+++ b/springrock/quotas/bucket.py
@@ -2,7 +2,7 @@
 
 In any span of time, what is taken and not refunded is at most the depth plus what flows in during
 the span. A refund restores the state that the bucket would have without the take. If the bucket has
-been full since, the take made no difference any more, and nothing is restored.
+been full since, the take has no effect on its level any more, and nothing is restored.
 """
 
 from __future__ import annotations
@@ -57,8 +57,8 @@
 
     def level(self, now: float) -> float:
         """Return what the bucket holds."""
-        flowed = max(0.0, now - self._refilled_at) * self._limits.rate
-        return min(self._limits.depth, self._level + flowed)
+        inflow = max(0.0, now - self._refilled_at) * self._limits.rate
+        return min(self._limits.depth, self._level + inflow)
 
     def change(self, limits: BucketLimits, *, now: float) -> None:
         """Change the limits from now on; a greater depth does not raise the level at once."""
@@ -97,11 +97,11 @@
         self._refill(now)
         if now - taken_at > self._refund_window_s:
             return 0.0
-        later = [peak.level for peak in self._peaks if peak.at > taken_at]
-        room = self._limits.depth - max(self._level, *later, 0.0)
+        later_levels = [peak.level for peak in self._peaks if peak.at > taken_at]
+        room = self._limits.depth - max(self._level, *later_levels, 0.0)
         restored = max(0.0, min(units, room))
         self._level += restored
-        # For later refunds the bucket has held the restored units all along.
+        # Later refunds are computed as if the bucket had held the restored units since the take.
         self._peaks = [
             _Peak(peak.at, peak.level + restored) if peak.at > taken_at else peak
             for peak in self._peaks
--- a/springrock/quotas/ledger.py
+++ b/springrock/quotas/ledger.py
@@ -1,7 +1,7 @@
 """Accounts for the use of one zone's share of all quotas; kept by the zone's placer.
 
-A new ledger starts with empty buckets, as the previous placer of the zone may have just let the
-whole share through.
+A new ledger starts with empty buckets, as the previous placer of the zone may have granted
+the full share just before.
 """
 
 from __future__ import annotations
@@ -139,7 +139,7 @@
             limits = limits_of_zone(team, terms)
             bucket = self._buckets.get(team.name)
             if bucket is None:
-                # A limit that returns starts where it ended, so that no burst is granted twice.
+                # A limit that is set again starts when it ended, so that no burst is granted twice.
                 began_at = self._ended_at.get(team.name, self._began_at)
                 bucket = TokenBucket(limits, now=began_at, refund_window_s=_REFUND_WINDOW_S)
                 self._buckets[team.name] = bucket
--- a/springrock/quotas/quota_counter.py
+++ b/springrock/quotas/quota_counter.py
@@ -50,7 +50,7 @@
         self._ledger = Ledger(configuration=self._configuration, terms=self._terms, now=monotonic())
 
     def forget_box(self, box: str) -> None:
-        """Refund no charges of a box any more, as its process has changed."""
+        """Forget the charges of a box whose process has changed; they are not refunded."""
         self._ledger.forget_box(box)
 
     def answer(self, box: str, charges: Iterable[Charge], refunds: Iterable[Refund]) -> None:
--- a/springrock/quotas/shares.py
+++ b/springrock/quotas/shares.py
@@ -1,6 +1,6 @@
 """Divides a team's quota into shares that together never exceed it.
 
-Each availability zone has an equal, fixed share. Its placer counts it out to all boxes that ask,
+Each availability zone has an equal, fixed share. Its placer grants it to all boxes that ask,
 including those of other zones; a box whose own zone has nothing left asks the others. As no share
 moves between zones, no lost or late message and no network cut can let more through than the quota.
 """
@@ -20,7 +20,7 @@
 """The part of a window's units that may be used at once; the rest flows in evenly. For a team whose
 burst is one second of its rate this is about the burst. Were the depth the whole burst and the
 inflow the rate alone, the burst would be usable only once: a team lowered to 35,000 tokens a second
-and a burst of 124,000 got 35,000 a second for good, not the 50,000 a second that every window of
+and a burst of 124,000 got 35,000 a second permanently, not the 50,000 a second that every window of
 8 s allows."""
 
 
--- a/tests/permits/test_returns.py
+++ b/tests/permits/test_returns.py
@@ -1,7 +1,7 @@
 """Simulates a replica that returns cold while rows are late and boxes and placers are cut off.
 
-Boxes send more than the replica bears all the time, each with its own real `WarmupTracker` and with
-permits of the real counter. The test counts what the replica receives while it is cold.
+Boxes send more than the replica can take all the time, each with its own real `WarmupTracker` and
+with permits of the real counter. The test counts what the replica receives while it is cold.
 """
 
 from __future__ import annotations
--- a/tests/permits/test_warmup.py
+++ b/tests/permits/test_warmup.py
@@ -200,7 +200,7 @@
     assert not setup.cold
 
 
-def test_a_replica_that_is_gone_is_forgotten(setup: Setup) -> None:
+def test_a_removed_replica_is_dropped(setup: Setup) -> None:
     setup.fail()
     setup.warmup.apply_record(None, "i-1")
     assert setup.warmup.suspected("zone-1") == ()
--- a/tests/placement/test_demand.py
+++ b/tests/placement/test_demand.py
@@ -11,7 +11,7 @@
 from springrock.forwarding.message import AdapterKey, PromptPart
 from springrock.placement.demand import DemandBook
 from springrock.placement.errors import PlacerSilent
-from springrock.placement.messages import CopyWish, Demand, Outcome, Over, decode, encode
+from springrock.placement.messages import CopyRequest, Demand, Outcome, Over, decode, encode
 
 KEY = AdapterKey("m", "a")
 
@@ -95,7 +95,7 @@
         make_book(has_placer=False).find(adapter_request())
 
 
-def test_a_client_that_can_retry_is_told_when_and_its_retry_is_expected() -> None:
+def test_a_client_that_can_retry_gets_a_retry_delay_and_its_retry_is_expected() -> None:
     book = make_book()
     task = start_request(book, adapter_request(target_s=0.5, until_s=0.9, returns_s=2.0))
     book.drain_updates()
@@ -182,7 +182,7 @@
     book.request_copy(KEY, 120)
     reported = decode(encode(book.drain_updates()))
     assert isinstance(reported, Demand)
-    assert reported.copies == [CopyWish("m", "a", 120)]
+    assert reported.copies == [CopyRequest("m", "a", 120)]
     assert book.drain_updates() == Demand()
 
 
--- a/tests/placement/test_dispatcher.py
+++ b/tests/placement/test_dispatcher.py
@@ -147,7 +147,7 @@
     assert requests.dispatcher.crowded_since(1000.5) == []
 
 
-def test_ended_requests_and_those_of_gone_boxes_are_not_counted(requests: Requests) -> None:
+def test_ended_requests_and_those_of_removed_boxes_are_not_counted(requests: Requests) -> None:
     requests.send("i-1")
     requests.send("i-1", key=OTHER)
     requests.dispatcher.record_use("other box", Use(1, "i-1", *KEY))
@@ -175,9 +175,11 @@
         requests.send(engine)
         requests.finish(number, Outcome.FAILED)
     dispatcher = requests.dispatcher
-    assert dispatcher.excess_failures("i-1") > 0
-    assert dispatcher.excess_failures("i-3") < 0
-    assert dispatcher.excess_failures("i-1") == pytest.approx(dispatcher.excess_failures("i-2"))
+    assert dispatcher.excess_failure_rate("i-1") > 0
+    assert dispatcher.excess_failure_rate("i-3") < 0
+    assert dispatcher.excess_failure_rate("i-1") == pytest.approx(
+        dispatcher.excess_failure_rate("i-2")
+    )
 
 
 def test_an_engine_that_asked_a_box_to_pause_is_used_only_if_there_is_no_other(
--- a/tests/placement/test_engine_book.py
+++ b/tests/placement/test_engine_book.py
@@ -82,7 +82,7 @@
     assert not book.is_ready(A, version=2)
 
 
-def test_a_sequence_counted_too_far_is_corrected_by_a_later_report(
+def test_a_sequence_above_that_of_the_engine_is_corrected_by_a_later_report(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     book = make_book()
@@ -96,7 +96,7 @@
     assert book.is_ready(A, version=1)
 
 
-def test_a_load_whose_answer_came_late_does_not_look_fast() -> None:
+def test_a_load_whose_answer_came_late_is_not_measured_as_fast() -> None:
     book = make_book()
     book.load_executed(A, version=1, sent_at=monotonic() - 0.3, cold=True)
     book.loaded(A)
--- a/tests/placement/test_engine_reconciler.py
+++ b/tests/placement/test_engine_reconciler.py
@@ -231,7 +231,7 @@
     reconciler.stop()
 
 
-def test_an_engine_that_came_back_empty_loads_its_model_first() -> None:
+def test_an_engine_that_restarted_empty_loads_its_model_first() -> None:
     engine, published = Engine(), []
     engine.models = frozenset()
     reconciler = make_reconciler(engine, Lease(), published)
@@ -300,7 +300,7 @@
 
 
 def test_while_an_adapter_loads_the_order_is_repeated_and_few_reports_are_read() -> None:
-    """Guards against frequent reports, each of which has the price of many orders.
+    """Guards against frequent reports, each of which costs as much as many orders.
 
     There were 10 reports for 40 orders before, and 5 for 100 after.
     """
@@ -339,7 +339,7 @@
 
 
 @pytest.mark.parametrize("born_ms", [2, None])
-def test_a_report_of_another_start_is_rejected(born_ms: int | None) -> None:
+def test_a_report_of_a_restarted_engine_is_rejected(born_ms: int | None) -> None:
     engine, published = RestartingEngine(), []
     engine.adapters = {"a"}
     reconciler = make_reconciler(engine, Lease(), published)
@@ -372,7 +372,7 @@
     reconciler.stop()
 
 
-def test_an_engine_that_is_not_understood_gets_no_orders() -> None:
+def test_an_engine_whose_record_is_not_understood_gets_no_orders() -> None:
     engine = Engine()
     reconciler = make_reconciler(engine, Lease(), [])
     reconciler.apply_record(msgspec.structs.replace(reconciler.book.record, understood=False))
--- a/tests/placement/test_near_copies.py
+++ b/tests/placement/test_near_copies.py
@@ -8,7 +8,7 @@
 from springrock.forwarding.message import AdapterKey
 from springrock.placement import near_copies as near_copies_module
 from springrock.placement import popularity as popularity_module
-from springrock.placement.messages import CopyWish
+from springrock.placement.messages import CopyRequest
 from springrock.placement.near_copies import CopyRequests, NearCopies
 from springrock.topology import Topology
 
@@ -72,9 +72,9 @@
 
 def test_a_request_for_a_copy_is_valid_for_a_second_after_it_was_last_sent(clock: Clock) -> None:
     requests = CopyRequests()
-    requests.record([CopyWish("m", "a", 120), CopyWish("m", "b", 60)])
+    requests.record([CopyRequest("m", "a", 120), CopyRequest("m", "b", 60)])
     clock.now += 0.7
-    requests.record([CopyWish("m", "b", 90)])
+    requests.record([CopyRequest("m", "b", 90)])
     assert requests.current() == {KEY: 1.2, OTHER: 0.9}
     clock.now += 0.7
     assert requests.current() == {OTHER: 0.9}
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -169,13 +169,16 @@
 
 
 @pytest.mark.parametrize(
-    ("holder", "wishers"), [("zone-1", set()), ("zone-2", {"zone-1"}), ("zone-3", {"zone-1"})]
+    ("holder", "requesting_zones"),
+    [("zone-1", set()), ("zone-2", {"zone-1"}), ("zone-3", {"zone-1"})],
 )
 def test_a_worthwhile_copy_is_requested_in_the_own_zone(
-    deployment: Deployment, holder: str, wishers: set[str]
+    deployment: Deployment, holder: str, requesting_zones: set[str]
 ) -> None:
     deployment.zones[holder].around.on_copy_worthwhile(holder, KEY, 130)
-    assert {name for name, zone in deployment.zones.items() if zone.requested_copies} == wishers
+    assert {
+        name for name, zone in deployment.zones.items() if zone.requested_copies
+    } == requesting_zones
 
 
 def test_all_boxes_of_a_region_request_a_copy_in_the_same_zone(
--- a/tests/placement/test_placer.py
+++ b/tests/placement/test_placer.py
@@ -27,7 +27,7 @@
 from springrock.placement.lease import PlacerLease
 from springrock.placement.messages import (
     Ask,
-    CopyWish,
+    CopyRequest,
     Demand,
     Forecast,
     Grant,
@@ -258,7 +258,7 @@
 def test_a_copy_that_boxes_of_this_zone_request_is_loaded_and_kept(
     placer: Placer, sent_messages: list[SentMessage]
 ) -> None:
-    placer.apply_demand("box-1", Demand(copies=[CopyWish("m", "far", 300)]))
+    placer.apply_demand("box-1", Demand(copies=[CopyRequest("m", "far", 300)]))
     with gevent.Timeout(10):
         while AdapterKey("m", "far") not in placer._reconcilers["i-1"].book.assigned:
             gevent.sleep(0.01)
@@ -324,7 +324,7 @@
         return super().report(address, instance=instance)
 
 
-def test_an_engine_that_a_box_could_not_reach_is_probed_and_not_granted_if_it_is_gone(
+def test_an_engine_that_a_box_could_not_reach_is_probed_and_not_granted_if_it_has_ended(
     sent_messages: list[SentMessage],
 ) -> None:
     control = CrashingEngine("m", adapters=("x",))
@@ -356,7 +356,7 @@
     placer.stop()
 
 
-def test_an_adapter_that_requests_use_is_no_room(
+def test_an_adapter_in_use_does_not_count_as_room(
     placer_with_x: Placer, sent_messages: list[SentMessage]
 ) -> None:
     with gevent.Timeout(10):
@@ -371,7 +371,7 @@
     assert not used
 
 
-def test_the_adapter_of_a_client_that_was_told_to_retry_is_loaded(
+def test_the_adapter_of_a_client_that_was_asked_to_retry_is_loaded(
     placer: Placer, sent_messages: list[SentMessage]
 ) -> None:
     placer.apply_demand("box-1", Demand(promises=[Promise("m", "a", 1.0, 300)]))
--- a/tests/placement/test_placer_restart.py
+++ b/tests/placement/test_placer_restart.py
@@ -72,7 +72,7 @@
             gevent.sleep(0.01)
 
 
-def test_adapters_of_the_earlier_start_are_not_granted(
+def test_adapters_of_the_earlier_process_are_not_granted(
     placer: Placer, engine: RestartingEngine, sent_messages: list[SentMessage]
 ) -> None:
     placer.apply_demand("box-1", demand_for("x", number=1))
@@ -99,7 +99,7 @@
     assert placer.room() == 0
 
 
-def test_an_engine_that_is_not_understood_is_neither_granted_nor_given_adapters(
+def test_an_engine_whose_record_is_not_understood_is_neither_granted_nor_given_adapters(
     placer: Placer,
 ) -> None:
     placer._directory.record_not_understood("i-1")
@@ -109,7 +109,7 @@
     assert placer.requests.holders(KEY) == ["i-1@1"]
 
 
-def test_a_use_at_the_earlier_start_counts_at_the_current_one(
+def test_a_use_of_the_earlier_process_counts_for_the_current_one(
     placer: Placer, engine: RestartingEngine
 ) -> None:
     """Guards against unloading an adapter under a request that a box sent to the earlier start.
@@ -127,6 +127,6 @@
     assert not dispatcher.used
 
 
-def test_a_use_at_an_unknown_engine_counts_at_no_other(placer: Placer) -> None:
+def test_a_use_of_an_unknown_engine_counts_for_no_other(placer: Placer) -> None:
     placer.apply_demand("box-2", Demand(uses=[Use(7, "i-9@1", *KEY), Use(8, "i-8", *KEY)]))
     assert not placer.requests.dispatcher("s").used
--- a/tests/placement/test_residency.py
+++ b/tests/placement/test_residency.py
@@ -113,7 +113,7 @@
     assert world.residency.cache_holders(last) == [], "another process has an empty cache"
 
 
-def test_adapters_of_an_earlier_start_are_dropped() -> None:
+def test_adapters_of_an_earlier_process_are_dropped() -> None:
     world = World()
     for born_ms in (1, 2):
         world.directory.update(
--- a/tests/placement/test_restart_model.py
+++ b/tests/placement/test_restart_model.py
@@ -85,7 +85,7 @@
         self.reconciler.mark_stale()
 
 
-def test_a_late_load_for_the_earlier_start_finds_its_place_free() -> None:
+def test_a_late_load_for_the_earlier_process_finds_its_place_free() -> None:
     world = RestartingWorld()
     try:
         _fill(world, "a", "b")
--- a/tests/placement/test_strength.py
+++ b/tests/placement/test_strength.py
@@ -48,7 +48,7 @@
     assert zone._election.has_better_box() is hands_back
 
 
-def test_a_box_that_has_just_linked_is_not_trusted_yet() -> None:
+def test_the_lease_is_not_handed_to_a_box_that_has_just_linked() -> None:
     zone = zone_of(home="zone-2", strength=0.5)
     link(zone, home="zone-2", strength=2.0, since_s=0.5)
     assert not zone._election.has_better_box()
--- a/tests/placement/test_zone_choice.py
+++ b/tests/placement/test_zone_choice.py
@@ -61,10 +61,10 @@
 
 def test_a_zone_that_keeps_the_adapter_s_weights_is_preferred_if_it_has_room() -> None:
     for name in ("one", "two"):
-        assert choose_zone(KEY, [view("one"), view("two")], at_hand={name}) == name
+        assert choose_zone(KEY, [view("one"), view("two")], cached_in={name}) == name
     full = [view("one", room=0), view("two")]
-    assert choose_zone(KEY, full, at_hand={"one"}) == "two"
-    assert choose_zone(KEY, [view("one"), view("two")], at_hand={"one"}, prefer={"two"}) == "two"
+    assert choose_zone(KEY, full, cached_in={"one"}) == "two"
+    assert choose_zone(KEY, [view("one"), view("two")], cached_in={"one"}, prefer={"two"}) == "two"
 
 
 def test_the_own_zone_is_preferred_while_its_pressure_is_little_higher() -> None:
