--- a/springrock/placement/ask_book.py
+++ b/springrock/placement/ask_book.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from springrock.forwarding.message import AdapterKey
-from springrock.placement.messages import Ask, Promise
+from springrock.placement.messages import Ask, ExpectedRetry
 from springrock.placement.planner import CombinedWant
 
 RETRY_GRACE_S = 0.4
@@ -72,11 +72,11 @@
         for asking_box, number in [asked for asked in self._keys if asked[0] == box]:
             self.remove(asking_box, number)
 
-    def add_retry(self, promise: Promise, *, now: float) -> None:
+    def add_retry(self, expected_retry: ExpectedRetry, *, now: float) -> None:
         """Add a client that was given a time at which to retry."""
-        key = AdapterKey(promise.model, promise.adapter)
-        back_at = now + promise.back_in_ms / 1000
-        self._expected_retries.setdefault(key, []).append(_Expected(promise.worth, back_at))
+        key = AdapterKey(expected_retry.model, expected_retry.adapter)
+        back_at = now + expected_retry.back_in_ms / 1000
+        self._expected_retries.setdefault(key, []).append(_Expected(expected_retry.worth, back_at))
 
     def asks_for(self, key: AdapterKey) -> list[WaitingAsk]:
         """Return the asks for an adapter, the highest worth first."""
--- a/springrock/placement/demand.py
+++ b/springrock/placement/demand.py
@@ -20,12 +20,12 @@
 from springrock.placement.errors import PlacerSilent
 from springrock.placement.messages import (
     Ask,
-    Began,
     CopyRequest,
     Demand,
+    Ended,
+    ExpectedRetry,
     Outcome,
-    Over,
-    Promise,
+    Started,
     Written,
 )
 from springrock.placement.messages import Use as UseMessage
@@ -87,7 +87,7 @@
     key: AdapterKey
 
 
-class _ExpectedRetry(NamedTuple):
+class _RetryRecord(NamedTuple):
     """A client that was given a time at which to retry."""
 
     key: AdapterKey
@@ -146,7 +146,7 @@
         self._numbers = count(1)
         self._requesters: dict[int, _Requester] = {}
         self._uses: dict[int, _ActiveUse] = {}
-        self._expected_retries: list[_ExpectedRetry] = []
+        self._expected_retries: list[_RetryRecord] = []
         self._forecasts: dict[AdapterKey, float] = {}
         self._updates = _PendingUpdates()
         self._written: list[Written] = []
@@ -194,7 +194,7 @@
     def record_start(self, number: int, after_s: float) -> None:
         """Record that the first event of a use arrived `after_s` seconds after it was sent."""
         if number in self._uses and number not in self._updates.uses and self._has_placer():
-            self._updates.began.append(Began(number, round(after_s * 1000)))
+            self._updates.started.append(Started(number, round(after_s * 1000)))
             self._mark_changed()
 
     def record_end(self, number: int, outcome: UseOutcome, *, backoff_s: float = 0.0) -> None:
@@ -204,20 +204,20 @@
         if number in self._updates.uses:
             self._updates.uses.discard(number)
             return
-        self._add_end(Over(number, _OUTCOMES[outcome], math.ceil(1000 * backoff_s)))
+        self._add_end(Ended(number, _OUTCOMES[outcome], math.ceil(1000 * backoff_s)))
 
     def _end_ask(self, number: int) -> None:
         """Withdraw an ask that was not granted, or whose grant was not used."""
         if number in self._updates.asks:
             self._updates.asks.discard(number)
             return
-        self._add_end(Over(number))
+        self._add_end(Ended(number))
 
-    def _add_end(self, over: Over) -> None:
+    def _add_end(self, ended: Ended) -> None:
         """Queue the end of an ask or use for the placer."""
         if self._has_placer():
             # Without a placer nothing is queued: the next placer gets all current asks and uses.
-            self._updates.over.append(over)
+            self._updates.ended.append(ended)
             self._mark_changed()
 
     def _mark_changed(self, *, urgent: bool = False) -> None:
@@ -252,7 +252,7 @@
             raise NoReplica("load_not_in_time", ready_in_s)
         retry_in_s = ready_in_s + _RETRY_MARGIN_S
         worth = adapter_request.terms.worth * _RETRY_WORTH_FACTOR
-        expected = _ExpectedRetry(adapter_request.key, worth, monotonic() + retry_in_s)
+        expected = _RetryRecord(adapter_request.key, worth, monotonic() + retry_in_s)
         self._expected_retries.append(expected)
         self._updates.expected_retries.append(expected)
         self._mark_changed()
@@ -392,10 +392,12 @@
                 UseMessage(number, use.instance, *use.key)
                 for number, use in ((number, self._uses[number]) for number in updates.uses)
             ],
-            began=updates.began,
-            over=updates.over,
-            promises=[
-                Promise(*item.key, round(item.worth, 2), max(0, round(1000 * (item.back_at - now))))
+            started=updates.started,
+            ended=updates.ended,
+            expected_retries=[
+                ExpectedRetry(
+                    *item.key, round(item.worth, 2), max(0, round(1000 * (item.back_at - now)))
+                )
                 for item in updates.expected_retries
             ],
             stopping=self.stopping,
@@ -416,9 +418,9 @@
     def __init__(self) -> None:
         self.asks: set[int] = set()
         self.uses: set[int] = set()
-        self.began: list[Began] = []
-        self.over: list[Over] = []
-        self.expected_retries: list[_ExpectedRetry] = []
+        self.started: list[Started] = []
+        self.ended: list[Ended] = []
+        self.expected_retries: list[_RetryRecord] = []
         self.copies: dict[AdapterKey, int] = {}
         self.leaving: set[str] = set()
         self.limits: dict[str, LimitReport] = {}
--- a/springrock/placement/dispatcher.py
+++ b/springrock/placement/dispatcher.py
@@ -14,7 +14,7 @@
 from springrock.clock import monotonic
 from springrock.forwarding.message import AdapterKey
 from springrock.placement.engine_work import EngineWork, PrefillSpeed
-from springrock.placement.messages import Began, Outcome, Over, Use
+from springrock.placement.messages import Ended, Outcome, Started, Use
 from springrock.placement.planner import COPY_WAIT_FRACTION
 
 _FAILURE_PENALTY_S = 0.5
@@ -143,9 +143,9 @@
         self._started.add((box, use.number))
         self._add((box, use.number), _Run(use.instance, key))
 
-    def record_start(self, box: str, began: Began) -> None:
+    def record_start(self, box: str, started: Started) -> None:
         """Record the first event of a request."""
-        run_id = (box, began.number)
+        run_id = (box, started.number)
         run = self._runs.get(run_id)
         if run is None or run_id in self._started:
             return
@@ -153,11 +153,11 @@
         work = self._work.get(run.instance)
         if work is not None:
             work.prefill_backlog -= run.unread
-            work.record_prefill(run.backlog, after_s=began.after_ms / 1000)
+            work.record_prefill(run.backlog, after_s=started.after_ms / 1000)
 
-    def record_finished(self, box: str, over: Over) -> _Run | None:
+    def record_finished(self, box: str, ended: Ended) -> _Run | None:
         """Record the end of a request; return its run, or None if the request is unknown."""
-        run_id = (box, over.number)
+        run_id = (box, ended.number)
         run = self._runs.pop(run_id, None)
         if run is None:
             return None
@@ -171,15 +171,15 @@
         if work is not None:
             work.runs -= 1
             work.prefill_backlog -= 0 if has_started else run.unread
-            self._record_outcome(work, run, over.outcome)
-            if over.backoff_ms:
-                work.backoff.extend(over.backoff_ms / 1000)
+            self._record_outcome(work, run, ended.outcome)
+            if ended.backoff_ms:
+                work.backoff.extend(ended.backoff_ms / 1000)
         return run
 
     def forget_box(self, box: str) -> None:
         """Record the end of all requests of a box."""
         for run_id in [run_id for run_id in self._runs if run_id[0] == box]:
-            self.record_finished(box, Over(run_id[1]))
+            self.record_finished(box, Ended(run_id[1]))
 
     def crowded_since(self, at: float) -> list[AdapterKey]:
         """Return the adapters that were crowded since a point in time; drop the older records."""
--- a/springrock/placement/messages.py
+++ b/springrock/placement/messages.py
@@ -93,7 +93,7 @@
     adapter: str
 
 
-class Began(Struct, frozen=True, array_like=True):
+class Started(Struct, frozen=True, array_like=True):
     """The first event of a request arrived `after_ms` after the request was sent."""
 
     number: int
@@ -113,7 +113,7 @@
     FAILED = 4
 
 
-class Over(Struct, frozen=True, array_like=True):
+class Ended(Struct, frozen=True, array_like=True):
     """An ask that was given up, or a use that ended.
 
     Attributes:
@@ -125,7 +125,7 @@
     backoff_ms: int = 0
 
 
-class Promise(Struct, frozen=True, array_like=True):
+class ExpectedRetry(Struct, frozen=True, array_like=True):
     """A client that was given a time at which to retry its request for an adapter."""
 
     model: str
@@ -189,9 +189,9 @@
     Attributes:
         asks: Requests that wait for an engine.
         uses: Requests that run at an engine without a grant of this placer.
-        began: Requests whose first event arrived.
-        over: Asks that were given up and uses that ended.
-        promises: Clients that were given a time at which to retry.
+        started: Requests whose first event arrived.
+        ended: Asks that were given up and uses that ended.
+        expected_retries: Clients that were given a time at which to retry.
         stopping: Whether the box is about to stop, and so acquires no lease.
         charges: Requests whose cost is to be charged to their teams.
         refunds: Charges to refund, as their requests did not run.
@@ -205,9 +205,9 @@
 
     asks: list[Ask] = []
     uses: list[Use] = []
-    began: list[Began] = []
-    over: list[Over] = []
-    promises: list[Promise] = []
+    started: list[Started] = []
+    ended: list[Ended] = []
+    expected_retries: list[ExpectedRetry] = []
     stopping: bool = False
     charges: list[Charge] = []
     refunds: list[Refund] = []
--- a/springrock/placement/requests.py
+++ b/springrock/placement/requests.py
@@ -24,7 +24,7 @@
 from springrock.placement.dispatcher import Dispatcher
 from springrock.placement.engine_reconciler import EngineReconciler
 from springrock.placement.forecasts import Forecasts
-from springrock.placement.messages import Ask, Demand, Grant, Message, Outcome, Over, Use
+from springrock.placement.messages import Ask, Demand, Ended, Grant, Message, Outcome, Use
 from springrock.placement.near_copies import NearCopies
 from springrock.placement.planner import COLD_COST
 from springrock.placement.popularity import Popularity
@@ -114,17 +114,17 @@
             self._dispatcher_of(instance).record_use(
                 box, Use(use.number, instance, use.model, use.adapter)
             )
-        for over in demand.over:
-            self.asks.remove(box, over.number)
-            self._end_use(box, over)
-        for began in demand.began:
+        for ended in demand.ended:
+            self.asks.remove(box, ended.number)
+            self._end_use(box, ended)
+        for started in demand.started:
             for dispatcher in self.dispatchers.values():
-                dispatcher.record_start(box, began)
-        for promise in demand.promises:
-            self.asks.add_retry(promise, now=now)
+                dispatcher.record_start(box, started)
+        for expected_retry in demand.expected_retries:
+            self.asks.add_retry(expected_retry, now=now)
         for ask in demand.asks:
             self._handle_ask(box, ask, now)
-        if self.asks.has_wants and (demand.promises or demand.over):
+        if self.asks.has_wants and (demand.expected_retries or demand.ended):
             # A request that ended may have freed a place.
             self._on_unserved()
 
@@ -288,14 +288,14 @@
             and ask.worth * dispatcher.excess_failure_rate(instance) <= load_cost
         ]
 
-    def _end_use(self, box: str, over: Over) -> None:
+    def _end_use(self, box: str, ended: Ended) -> None:
         for dispatcher in self.dispatchers.values():
-            run = dispatcher.record_finished(box, over)
+            run = dispatcher.record_finished(box, ended)
             reconciler = self._reconcilers.get(run.instance) if run is not None else None
-            if reconciler is not None and over.outcome in _SUSPECT_OUTCOMES:
+            if reconciler is not None and ended.outcome in _SUSPECT_OUTCOMES:
                 reconciler.mark_stale()
-            if run is not None and over.backoff_ms:
-                self._backoffs.record(box, run.instance, seconds=over.backoff_ms / 1000)
+            if run is not None and ended.backoff_ms:
+                self._backoffs.record(box, run.instance, seconds=ended.backoff_ms / 1000)
 
     def _service_of(self, key: AdapterKey) -> str | None:
         """Return the service whose engines serve the base model of an adapter, if any."""
--- a/tests/placement/test_demand.py
+++ b/tests/placement/test_demand.py
@@ -11,7 +11,7 @@
 from springrock.forwarding.message import AdapterKey, PromptPart
 from springrock.placement.demand import DemandBook
 from springrock.placement.errors import PlacerSilent
-from springrock.placement.messages import CopyRequest, Demand, Outcome, Over, decode, encode
+from springrock.placement.messages import CopyRequest, Demand, Ended, Outcome, decode, encode
 
 KEY = AdapterKey("m", "a")
 
@@ -51,8 +51,8 @@
     use.end(UseOutcome.FULL)
     use.end(UseOutcome.ENDED)
     reported = book.drain_updates()
-    assert [item.number for item in reported.began] == [ask.number]
-    assert reported.over == [Over(ask.number, Outcome.FULL)]
+    assert [item.number for item in reported.started] == [ask.number]
+    assert reported.ended == [Ended(ask.number, Outcome.FULL)]
 
 
 def test_a_new_placer_gets_all_current_asks_and_uses() -> None:
@@ -84,7 +84,7 @@
     number = book.drain_updates().asks[0].number
     task.kill()
     book.record_grant(number, "i-1")
-    assert book.drain_updates().over == [Over(number)]
+    assert book.drain_updates().ended == [Ended(number)]
     assert book.full_demand().uses == []
 
 
@@ -104,10 +104,10 @@
         task.get(timeout=10)
     assert refusal.value.reason == "load_promised"
     assert 1.0 <= refusal.value.retry_after_s < 1.3
-    [promise] = book.drain_updates().promises
-    assert (promise.model, promise.adapter) == KEY
-    assert 900 <= promise.back_in_ms <= 1200
-    assert book.full_demand().promises
+    [expected_retry] = book.drain_updates().expected_retries
+    assert (expected_retry.model, expected_retry.adapter) == KEY
+    assert 900 <= expected_retry.back_in_ms <= 1200
+    assert book.full_demand().expected_retries
 
 
 def test_a_request_that_a_load_serves_late_keeps_waiting_even_if_its_client_could_retry() -> None:
@@ -133,14 +133,14 @@
     assert refusal.value.retry_after_s > 5.0
 
 
-def test_a_client_that_cannot_retry_in_time_is_refused_without_a_promise() -> None:
+def test_a_client_that_cannot_retry_in_time_is_refused_and_not_expected() -> None:
     book = make_book()
     task = start_request(book, adapter_request(target_s=0.5, until_s=0.9, returns_s=0.3))
     book.record_forecast(KEY, 1.0)
     with pytest.raises(NoReplica) as refusal:
         task.get(timeout=10)
     assert refusal.value.reason == "load_not_in_time"
-    assert book.drain_updates().promises == []
+    assert book.drain_updates().expected_retries == []
 
 
 def test_losing_the_placer_ends_the_waits_for_its_grants() -> None:
@@ -205,5 +205,5 @@
     task = start_request(book, adapter_request())
     book.record_grant(book.drain_updates().asks[0].number, "i-1")
     task.get(timeout=10).end(UseOutcome.FULL, backoff_s=2.0005)
-    [over] = decode(encode(book.drain_updates())).over
-    assert (over.outcome, over.backoff_ms) == (Outcome.FULL, 2001)
+    [ended] = decode(encode(book.drain_updates())).ended
+    assert (ended.outcome, ended.backoff_ms) == (Outcome.FULL, 2001)
--- a/tests/placement/test_dispatcher.py
+++ b/tests/placement/test_dispatcher.py
@@ -11,7 +11,7 @@
 from springrock.placement import dispatcher as dispatcher_module
 from springrock.placement import engine_work as engine_work_module
 from springrock.placement.dispatcher import Dispatcher
-from springrock.placement.messages import Began, Outcome, Over, Use
+from springrock.placement.messages import Ended, Outcome, Started, Use
 
 KEY = AdapterKey("m", "a")
 OTHER = AdapterKey("m", "b")
@@ -56,7 +56,7 @@
         return choice.instance
 
     def finish(self, number: int, outcome: Outcome = Outcome.ENDED) -> None:
-        self.dispatcher.record_finished("box", Over(number, outcome))
+        self.dispatcher.record_finished("box", Ended(number, outcome))
 
 
 @pytest.fixture
@@ -73,9 +73,9 @@
 
 def test_a_prompt_goes_to_the_engine_that_has_it_cached(requests: Requests) -> None:
     first = requests.send("i-1", "i-2", shared=SHARED)
-    requests.dispatcher.record_start("box", Began(1, 400))
+    requests.dispatcher.record_start("box", Started(1, 400))
     assert requests.send("i-1", "i-2", shared=SHARED) == first
-    requests.dispatcher.record_start("box", Began(2, 100))
+    requests.dispatcher.record_start("box", Started(2, 100))
     assert requests.send("i-1", "i-2", shared=SHARED) == first
 
 
@@ -107,7 +107,7 @@
 ) -> None:
     for number in range(1, 9):
         instance = requests.send("i-1" if number % 2 else "i-2")
-        requests.dispatcher.record_start("box", Began(number, 800 if instance == "i-1" else 100))
+        requests.dispatcher.record_start("box", Started(number, 800 if instance == "i-1" else 100))
         requests.finish(number)
     assert [requests.send("i-1", "i-2") for _ in range(3)] == ["i-2"] * 3
     pass_time(60.0)
@@ -187,7 +187,7 @@
 ) -> None:
     requests = Requests()
     assert requests.send("i-1") == "i-1"
-    requests.dispatcher.record_finished("box", Over(requests.sent, Outcome.FULL, 2000))
+    requests.dispatcher.record_finished("box", Ended(requests.sent, Outcome.FULL, 2000))
     for _ in range(3):
         assert requests.send("i-1", "i-2") == "i-2"
     assert requests.dispatcher.waits()["i-1"] > requests.dispatcher.waits()["i-2"] + 1.0
--- a/tests/placement/test_distance_strategies.py
+++ b/tests/placement/test_distance_strategies.py
@@ -201,14 +201,14 @@
 
     def run(self) -> Cost:
         """Return the cost of the requests after the warm-up."""
-        began = self.clock.now
+        started = self.clock.now
         self.schedule(PUBLISH_INTERVAL_S, self.publish_pressure)
         for at, home, key, tokens in self.arrivals():
-            while self.events and self.events[0][0] <= began + at:
+            while self.events and self.events[0][0] <= started + at:
                 when, _, action = heapq.heappop(self.events)
                 self.clock.now = when
                 action()
-            self.clock.now = began + at
+            self.clock.now = started + at
             if at > WARMUP_S and not self.requests:
                 self.reset_counts()
             self.requests += at > WARMUP_S
--- a/tests/placement/test_placer.py
+++ b/tests/placement/test_placer.py
@@ -29,12 +29,12 @@
     Ask,
     CopyRequest,
     Demand,
+    Ended,
+    ExpectedRetry,
     Forecast,
     Grant,
     Message,
     Outcome,
-    Over,
-    Promise,
     decode,
     encode,
 )
@@ -215,7 +215,7 @@
 ) -> None:
     placer.apply_demand("box-1", demand_for("a", number=1))
     wait_for(sent_messages, Forecast, count=1)
-    placer.apply_demand("box-1", Demand(over=[Over(1)]))
+    placer.apply_demand("box-1", Demand(ended=[Ended(1)]))
     placer.apply_demand("box-1", demand_for("a", number=2))
     wait_for(sent_messages, Forecast, count=2)
 
@@ -290,7 +290,7 @@
     """Make requests for the adapter x fail at its only engine, one after the other."""
     for number in range(100, 100 + times):
         placer.apply_demand("box-1", demand_for("x", number=number))
-        placer.apply_demand("box-1", Demand(over=[Over(number, Outcome.FAILED)]))
+        placer.apply_demand("box-1", Demand(ended=[Ended(number, Outcome.FAILED)]))
     sent_messages.clear()
 
 
@@ -332,7 +332,7 @@
     with gevent.Timeout(10):
         placer.apply_demand("box-1", demand_for("x"))
         control.crashed = True
-        placer.apply_demand("box-1", Demand(over=[Over(1, Outcome.UNREACHABLE)]))
+        placer.apply_demand("box-1", Demand(ended=[Ended(1, Outcome.UNREACHABLE)]))
         while placer.requests.holders(AdapterKey("m", "x")):
             gevent.sleep(0.01)
     placer.apply_demand("box-2", demand_for("x"))
@@ -348,7 +348,7 @@
     with gevent.Timeout(10):
         placer.apply_demand("box-1", demand_for("x"))
         reports_before = control.reports
-        placer.apply_demand("box-1", Demand(over=[Over(1, Outcome.LACKING)]))
+        placer.apply_demand("box-1", Demand(ended=[Ended(1, Outcome.LACKING)]))
         placer.apply_demand("box-2", demand_for("x"))
         assert [box for box, message in sent_messages if isinstance(message, Grant)] == ["box-1"]
         while control.reports == reports_before:
@@ -364,7 +364,7 @@
             gevent.sleep(0.01)
     placer_with_x.apply_demand("box-1", demand_for("x"))
     placer_with_x.apply_demand("box-1", demand_for("x", number=2))
-    placer_with_x.apply_demand("box-1", Demand(over=[Over(1)]))
+    placer_with_x.apply_demand("box-1", Demand(ended=[Ended(1)]))
     used = placer_with_x.requests.dispatcher("s").used
     assert used == {("i-1", AdapterKey("m", "x")): 1}
     placer_with_x.forget_box("box-1")
@@ -374,7 +374,7 @@
 def test_the_adapter_of_a_client_that_was_asked_to_retry_is_loaded(
     placer: Placer, sent_messages: list[SentMessage]
 ) -> None:
-    placer.apply_demand("box-1", Demand(promises=[Promise("m", "a", 1.0, 300)]))
+    placer.apply_demand("box-1", Demand(expected_retries=[ExpectedRetry("m", "a", 1.0, 300)]))
     with gevent.Timeout(10):
         while not any(reconciler.book.places for reconciler in placer._reconcilers.values()):
             gevent.sleep(0.01)
@@ -404,7 +404,7 @@
     updates = (
         demand_for("a", number=5)
         if wanted == "ask"
-        else Demand(promises=[Promise("m", "a", 1.0, 60_000)])
+        else Demand(expected_retries=[ExpectedRetry("m", "a", 1.0, 60_000)])
     )
     placer.apply_demand("box-1", updates)
     [reconciler] = placer._reconcilers.values()
@@ -412,21 +412,21 @@
     assert not reconciler.book.assigned, "both places are used"
     for place in reconciler.book.places.values():
         place.since -= 10
-    placer.apply_demand("box-1", Demand(over=[Over(0)]))
+    placer.apply_demand("box-1", Demand(ended=[Ended(0)]))
     with gevent.Timeout(10):
         while AdapterKey("m", "a") not in (*reconciler.book.assigned, *reconciler.book.places):
             gevent.sleep(0.01)
     placer.stop()
 
 
-def test_a_promise_is_planned_again_until_there_is_a_place(
+def test_an_expected_retry_is_planned_again_until_there_is_a_place(
     sent_messages: list[SentMessage],
 ) -> None:
     placer = start_holding(SlowEngine("m", adapters=("x", "y")), sent_messages)
     [reconciler] = placer._reconcilers.values()
     for place in reconciler.book.places.values():
         place.since += 10
-    placer.apply_demand("box-1", Demand(promises=[Promise("m", "a", 1.0, 60_000)]))
+    placer.apply_demand("box-1", Demand(expected_retries=[ExpectedRetry("m", "a", 1.0, 60_000)]))
     gevent.sleep(0.1)
     assert not reconciler.book.assigned, "a newly loaded adapter is kept for a while"
     for place in reconciler.book.places.values():
@@ -444,7 +444,7 @@
     placer = start_holding(control, sent_messages)
     control.crashed = True
     placer.apply_demand("box-1", demand_for("x"))
-    placer.apply_demand("box-1", Demand(over=[Over(1, Outcome.UNREACHABLE)]))
+    placer.apply_demand("box-1", Demand(ended=[Ended(1, Outcome.UNREACHABLE)]))
     with gevent.Timeout(10):
         while placer.requests.holders(AdapterKey("m", "x")):
             gevent.sleep(0.01)
--- a/tests/placement/test_placer_restart.py
+++ b/tests/placement/test_placer_restart.py
@@ -11,7 +11,7 @@
 from springrock.forwarding.directory import ReplicaRecord, incarnation_of
 from springrock.forwarding.message import AdapterKey
 from springrock.placement.control import EngineState
-from springrock.placement.messages import Demand, Grant, Over, Use
+from springrock.placement.messages import Demand, Ended, Grant, Use
 from springrock.placement.placer import Placer
 from tests.placement.test_placer import SentMessage, SlowEngine, demand_for, make_placer
 
@@ -123,7 +123,7 @@
     dispatcher = placer.requests.dispatcher("s")
     placer.apply_demand("box-2", Demand(uses=[Use(7, "i-1@1", *KEY)]))
     assert dispatcher.used == {("i-1@2", KEY): 1}
-    placer.apply_demand("box-2", Demand(over=[Over(7)]))
+    placer.apply_demand("box-2", Demand(ended=[Ended(7)]))
     assert not dispatcher.used
 
 
