--- a/springrock/placement/election.py
+++ b/springrock/placement/election.py
@@ -78,7 +78,7 @@
         client: This box's link to the placer.
         links: The boxes that are linked to this one as the placer.
         incarnation: The id of this process.
-        holder: Places the zone's adapters while this box holds the lease.
+        role: Places the zone's adapters while this box holds the lease.
     """
 
     def __init__(
@@ -91,7 +91,7 @@
         client: PlacerClient,
         links: BoxLinks,
         incarnation: str,
-        holder: PlacerRole,
+        role: PlacerRole,
     ) -> None:
         self._zone = zone
         self._settings = settings
@@ -100,7 +100,7 @@
         self._client = client
         self._links = links
         self._incarnation = incarnation
-        self._holder = holder
+        self._role = role
         self._poll_interval_s = _POLL_INTERVAL_S
         self._stopping = False
         self._wake = Event()
@@ -176,17 +176,17 @@
             reason=reason, successor=successor, handover_target=handover_target
         )
         if handover is not None:
-            self._holder.send_successor(handover)
+            self._role.send_successor(handover)
 
     def _hold(self) -> None:
         """Place the zone's adapters and renew the lease until it is lost."""
-        self._holder.begin_placing()
+        self._role.begin_placing()
         if not self._lease.confirmed:
             self._lease.renew()
         renew_every_s = self._settings.lease_s / _RENEWALS_PER_LEASE
         renewed_at = monotonic()
         while self._lease.held:
-            self._holder.send_heartbeat()
+            self._role.send_heartbeat()
             self._wake.wait(timeout=_HEARTBEAT_S)
             self._wake.clear()
             if self._lease.held and monotonic() - renewed_at >= renew_every_s:
@@ -201,7 +201,7 @@
                 )
         # Links are closed only now: a box that then loses its link finds the lease free or knows
         # the successor.
-        self._holder.end_placing()
+        self._role.end_placing()
 
     def _find_placer(self) -> None:
         existing = self._lease.known_row()
--- a/springrock/placement/zone.py
+++ b/springrock/placement/zone.py
@@ -174,7 +174,7 @@
             client=self._client,
             links=self.links,
             incarnation=dependencies.incarnation,
-            holder=self,
+            role=self,
         )
         self._quota_counter = QuotaCounter(
             zone,
--- a/tests/placement/test_election.py
+++ b/tests/placement/test_election.py
@@ -60,7 +60,7 @@
         return None
 
 
-class RecordingHolder:
+class RecordingRole:
     """A holder that records which boxes place."""
 
     def __init__(self, box: str, placing: list[str]) -> None:
@@ -103,7 +103,7 @@
         client=links,  # type: ignore[arg-type]
         links=links,  # type: ignore[arg-type]
         incarnation=box,
-        holder=RecordingHolder(box, placing),
+        role=RecordingRole(box, placing),
     )
     gevent.spawn(election.run)
 
