--- a/springrock/placement/link_server.py
+++ b/springrock/placement/link_server.py
@@ -221,7 +221,7 @@
         gevent.wait([link.outbox.sent for link in self._links.values()], timeout=within_s)
 
     def notify(self, box: str, message: Message) -> None:
-        """Send a message to one box; without a link it is dropped, as the box has lost its placer."""
+        """Send a message to one box; it is dropped if the box is not linked any more."""
         link = self._links.get(box)
         if link is not None:
             link.outbox.put(message, encode(message))
--- a/springrock/quotas/ledger.py
+++ b/springrock/quotas/ledger.py
@@ -139,8 +139,8 @@
             limits = limits_of_zone(team, terms)
             bucket = self._buckets.get(team.name)
             if bucket is None:
-                # The bucket of a limit that is set again fills from when the limit ended, so that no
-                # burst is granted twice.
+                # The bucket of a limit that is set again fills from when the limit ended, so that
+                # no burst is granted twice.
                 began_at = self._ended_at.get(team.name, self._began_at)
                 bucket = TokenBucket(limits, now=began_at, refund_window_s=_REFUND_WINDOW_S)
                 self._buckets[team.name] = bucket
