--- a/springrock/placement/dispatcher.py
+++ b/springrock/placement/dispatcher.py
@@ -1,8 +1,8 @@
 """Chooses the engine of a zone on which each request runs.
 
-All boxes report their use of the zone's engines to its placer. So the placer knows what no single
-box does: the prompt tokens that each engine has yet to read, the prompt prefixes that it has
-cached, and the engines that reported to be full.
+All boxes report their use of the zone's engines to its placer. Only the placer therefore knows the
+prompt tokens that each engine has yet to read, the prompt prefixes that it has cached, and the
+engines that reported to be full.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from springrock.clock import monotonic
 from springrock.forwarding.message import AdapterKey
 from springrock.placement.engine_work import EngineWork, PrefillSpeed
-from springrock.placement.messages import Began, Outcome, Over, Use
+from springrock.placement.messages import Ended, Outcome, Started, Use
 from springrock.placement.planner import COPY_WAIT_FRACTION
 
 _FAILURE_PENALTY_S = 0.5
@@ -59,7 +59,7 @@
 
     Attributes:
         used: Number of requests that use an adapter, by instance and adapter.
-        crowded: Time of the last request that found all holders busy, by adapter.
+        crowded: Time of the last request that found all engines with its adapter busy, by adapter.
     """
 
     def __init__(self, *, memory_tokens: int) -> None:
@@ -80,7 +80,7 @@
         return work
 
     def forget(self, instance: str) -> None:
-        """Drop an engine that is gone; the ends of its requests are still reported one by one."""
+        """Drop an engine that was removed; boxes still report the end of each of its requests."""
         self._work.pop(instance, None)
 
     def choose(
@@ -120,13 +120,13 @@
             wait_s += _AVOIDANCE_PENALTY_S
         return Choice(instance, wait_s, unread)
 
-    def excess_failures(self, instance: str) -> float:
+    def excess_failure_rate(self, instance: str) -> float:
         """Return an engine's failure rate less the mean rate of the others, from -1 to 1."""
         others = [work.health.failure_rate for name, work in self._work.items() if name != instance]
         mean_of_others = sum(others) / len(others) if others else 0.0
         return self.work(instance).health.failure_rate - mean_of_others
 
-    # The course of requests.
+    # Progress of requests.
 
     def record_granted(
         self, box: str, number: int, choice: Choice, key: AdapterKey, prompt: list[tuple[str, int]]
@@ -143,9 +143,9 @@
         self._started.add((box, use.number))
         self._add((box, use.number), _Run(use.instance, key))
 
-    def record_start(self, box: str, began: Began) -> None:
+    def record_start(self, box: str, started: Started) -> None:
         """Record the first event of a request."""
-        run_id = (box, began.number)
+        run_id = (box, started.number)
         run = self._runs.get(run_id)
         if run is None or run_id in self._started:
             return
@@ -153,11 +153,11 @@
         work = self._work.get(run.instance)
         if work is not None:
             work.prefill_backlog -= run.unread
-            work.record_prefill(run.backlog, after_s=began.after_ms / 1000)
+            work.record_prefill(run.backlog, after_s=started.after_ms / 1000)
 
-    def record_finished(self, box: str, over: Over) -> _Run | None:
+    def record_finished(self, box: str, ended: Ended) -> _Run | None:
         """Record the end of a request; return its run, or None if the request is unknown."""
-        run_id = (box, over.number)
+        run_id = (box, ended.number)
         run = self._runs.pop(run_id, None)
         if run is None:
             return None
@@ -171,15 +171,15 @@
         if work is not None:
             work.runs -= 1
             work.prefill_backlog -= 0 if has_started else run.unread
-            self._record_outcome(work, run, over.outcome)
-            if over.backoff_ms:
-                work.backoff.extend(over.backoff_ms / 1000)
+            self._record_outcome(work, run, ended.outcome)
+            if ended.backoff_ms:
+                work.backoff.extend(ended.backoff_ms / 1000)
         return run
 
     def forget_box(self, box: str) -> None:
         """Record the end of all requests of a box."""
         for run_id in [run_id for run_id in self._runs if run_id[0] == box]:
-            self.record_finished(box, Over(run_id[1]))
+            self.record_finished(box, Ended(run_id[1]))
 
     def crowded_since(self, at: float) -> list[AdapterKey]:
         """Return the adapters that were crowded since a point in time; drop the older records."""
