--- a/bench/soak/judges/placement.py
+++ b/bench/soak/judges/placement.py
@@ -1,4 +1,4 @@
-"""Judges of promises about adapters, their slots, services and leaving replicas."""
+"""Judges of promises about adapters, their places, services and leaving replicas."""
 
 from __future__ import annotations
 
@@ -88,7 +88,7 @@
     """Collects the violations that engines recorded, apart from unloads that crossed a run."""
 
     name = "no_harm_at_engines"
-    promise = "no adapter is unloaded during a run, no slot is overbooked, no API key is forwarded"
+    promise = "no adapter is unloaded during a run, no place is overbooked, no API key is forwarded"
 
     def judge(self, observations: Observations) -> Verdict:
         """Check the promise against the observations of one play."""
--- a/bench/soak/shape.py
+++ b/bench/soak/shape.py
@@ -11,7 +11,7 @@
 WORK_MS = 20.0
 ADAPTER_SLOTS = 2
 ADAPTERS = tuple(f"a{number}" for number in range(1, 8))
-"""One more than the adapter slots of all engines, so that adapters must be evicted."""
+"""One more than the places of all engines, so that adapters must be evicted."""
 
 REVOKE_S = 3.0
 QUOTA_WINDOW_S = 8.0
--- a/springrock/cli.py
+++ b/springrock/cli.py
@@ -56,10 +56,10 @@
 
 
 def standin(kind: str, settings: str) -> int:
-    """Run an emulator of an external system: platform, engine, service or proxy.
+    """Run a stand-in for an external system: platform, engine, service or proxy.
 
     :param kind: Which of these systems to emulate.
-    :param settings: The settings file of the emulator, JSON with comments.
+    :param settings: The settings file of the stand-in, JSON with comments.
     """
     from springrock.emulator import make_standin
     from springrock.emulator.platform import serve_forever
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -280,10 +280,10 @@
         response = self.pool.request(method, url, body=body, headers=headers, timeout=timeout_s)
         return Reply(response.status, response.headers, response.data)
 
-    # Emulators.
+    # Stand-ins.
 
     def fault(self, name: str, **fault: Any) -> None:
-        """Set the fault of an emulator; without arguments, clear it."""
+        """Set the fault of a stand-in; without arguments, clear it."""
         self._post(self.standin_address(name), "/standin/faults", fault)
 
     def cut(self, *routes: str, **fault: Any) -> None:
--- a/tests/placement/test_election.py
+++ b/tests/placement/test_election.py
@@ -61,7 +61,7 @@
 
 
 class RecordingRole:
-    """A holder that records which boxes place."""
+    """A role that records which boxes place."""
 
     def __init__(self, box: str, placing: list[str]) -> None:
         self._box = box
--- a/tests/placement/test_engine_reconciler.py
+++ b/tests/placement/test_engine_reconciler.py
@@ -36,7 +36,7 @@
 
 
 class Lease:
-    """A lease that is held until `lose` is called."""
+    """A lease that is held until `record_lost` is called."""
 
     fence = 5
     may_order = True
--- a/tests/routed/test_builds.py
+++ b/tests/routed/test_builds.py
@@ -21,7 +21,7 @@
     ("/join/x", ""),
     *((f"/{route}/x", f"a{number}") for route in ("items", "minutes") for number in range(4)),
 )
-"""All kinds of routes, with as many adapters as both engines have slots."""
+"""All kinds of routes, with as many adapters as both engines have places."""
 
 LINK_FAULTS = ("malformed frame", "unexpected", "Rejected a link")
 """Texts that a box logs about a peer that violates the protocol."""
--- a/tests/routed/test_leaving_said.py
+++ b/tests/routed/test_leaving_said.py
@@ -63,7 +63,7 @@
 
 
 def adapter_of(kind: RequestKind, number: int) -> str:
-    """Return one of as many adapters as both engines have slots; empty for plain calls."""
+    """Return one of as many adapters as both engines have places; empty for plain calls."""
     return f"a{number % 4}" if kind.streams else ""
 
 
--- a/tests/routed/test_reborn.py
+++ b/tests/routed/test_reborn.py
@@ -14,7 +14,7 @@
 from tests.routed.deployment import REPLICAS, Answer, Deployment
 
 ADAPTERS = ("a0", "a1", "a2", "a3")
-"""As many adapters as both engines have slots, so that a restarted engine is needed again."""
+"""As many adapters as both engines have places, so that a restarted engine is needed again."""
 
 IGNORED_ROWS_METRIC = "springrock_forwarding_replica_rows_passed_over_total"
 
@@ -41,7 +41,7 @@
 class Load(BackgroundClients):
     """Clients that send until they are stopped, each request with a unique id.
 
-    The adapters that they request occupy the slots of both engines.
+    The adapters that they request occupy the places of both engines.
     """
 
     def __init__(self, deployment: Deployment) -> None:
--- a/tests/routed/test_rest.py
+++ b/tests/routed/test_rest.py
@@ -36,7 +36,7 @@
 
 PLAIN = (("/lookup/x", ""), ("/join/x", ""))
 STREAMS = tuple((f"/{route}/x", f"a{n}") for route in ("items", "minutes") for n in range(4))
-"""As many adapters as both engines have slots: a request barred from one engine needs a load."""
+"""As many adapters as both engines have places: a request barred from one needs a load."""
 REQUESTS = (*PLAIN, *STREAMS)
 
 
--- a/tests/test_build_frames.py
+++ b/tests/test_build_frames.py
@@ -1,6 +1,6 @@
-"""This build decodes frames of earlier builds, and the last landed build decodes those of this one.
+"""This build decodes frames of earlier builds, and the previous release decodes those of this one.
 
-The frames of each landed build are stored unchanged. A failure here means that a field was moved,
+The frames of each release are stored unchanged. A failure here means that a field was moved,
 has another type, became required or was not added last, which would break a rolling upgrade.
 """
 
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""End-to-end requests with separate processes: two boxes in each of two zones, and emulators."""
+"""End-to-end requests with separate processes: two boxes in each of two zones, and stand-ins."""
 
 from __future__ import annotations
 
